--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -20,8 +20,8 @@
 
 	"github.com/stoneworks/stoneworks/pkg/box"
 	"github.com/stoneworks/stoneworks/pkg/logging"
+	"github.com/stoneworks/stoneworks/pkg/node"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/steering"
 	"github.com/stoneworks/stoneworks/platform"
 )
 
@@ -68,7 +68,7 @@
 		return ExitSettings
 	}
 	if *metricTable {
-		steering.WriteMetricTable(stdout)
+		node.WriteMetricTable(stdout)
 		return ExitOK
 	}
 	if *version {
--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_steer.go
@@ -13,8 +13,8 @@
 
 	"github.com/stoneworks/stoneworks/pkg/clock"
 	"github.com/stoneworks/stoneworks/pkg/logging"
+	"github.com/stoneworks/stoneworks/pkg/node"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/steering"
 	"github.com/stoneworks/stoneworks/platform"
 )
 
@@ -36,7 +36,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	n := steering.New(s, platform.Adapter(), handler, clock.New())
+	n := node.New(s, platform.Adapter(), handler, clock.New())
 	if err := n.Start(); err != nil {
 		fmt.Fprintln(stderr, err)
 		n.Stop()
@@ -51,7 +51,7 @@
 }
 
 // waitForEnd takes over changed settings until the box is told to stop.
-func waitForEnd(n *steering.Node, path string, signals <-chan os.Signal, log *logging.Part) {
+func waitForEnd(n *node.Node, path string, signals <-chan os.Signal, log *logging.Part) {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
 	seen := modified(path)
--- a/pkg/steering/steering.go
+++ b/pkg/node/node.go
@@ -1,7 +1,7 @@
 // Package steering wires one box together: it follows the platform's store,
 // exchanges heartbeats with other boxes, keeps the configuration and the
 // backend servers in force, and opens the ports. It decides nothing itself.
-package steering
+package node
 
 import (
 	"context"
--- a/pkg/steering/steering_status.go
+++ b/pkg/node/node_status.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"encoding/json"
--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -12,9 +12,9 @@
 
 	"github.com/stoneworks/stoneworks/pkg/clock"
 	"github.com/stoneworks/stoneworks/pkg/logging"
+	"github.com/stoneworks/stoneworks/pkg/node"
 	"github.com/stoneworks/stoneworks/pkg/policy"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/steering"
 	"github.com/stoneworks/stoneworks/pkg/topology"
 	"github.com/stoneworks/stoneworks/platform"
 )
@@ -48,7 +48,7 @@
 
 // Box is one box of a fleet.
 type Box struct {
-	*steering.Node
+	*node.Node
 	IP string
 	// Clients, Ready and Directory are its addresses.
 	Clients   string
@@ -187,7 +187,7 @@
 	logContext, endLog := context.WithCancel(context.Background())
 	go handler.Run(logContext)
 	m := newMachine()
-	node := steering.New(&s, platform.Adapter(), handler, clock.NewOn(m.boottime))
+	node := node.New(&s, platform.Adapter(), handler, clock.NewOn(m.boottime))
 	if err := node.Start(); err != nil {
 		endLog()
 		node.Stop()
