--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// buckets is the number of parts of a window that are counted. All but one of
+// bucketCount is the number of parts of a window that are counted. All but one of
 // them make a whole window, so the part that has just begun never hides an
 // older one.
-const buckets = 21
+const bucketCount = 21
 
 // slackShare is the part of the slack that boxes use. The rest covers boxes
 // that have just joined and are not counted yet: one in five of them.
@@ -57,8 +57,8 @@
 type account struct {
 	tokens float64
 	// requests and repeats are counted over a sliding window, in buckets.
-	requests [buckets]float64
-	repeats  [buckets]float64
+	requests [bucketCount]float64
+	repeats  [bucketCount]float64
 	at       int64
 }
 
@@ -72,7 +72,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.advance(service)
-	a.requests[a.at%buckets]++
+	a.requests[a.at%bucketCount]++
 	a.tokens = min(a.tokens+b.Terms.Ratio, max(1, b.slackPart()))
 }
 
@@ -85,14 +85,14 @@
 		return false
 	}
 	a.tokens--
-	a.repeats[a.at%buckets]++
+	a.repeats[a.at%bucketCount]++
 	return true
 }
 
 // allowed returns how many repeats the window bears. The oldest requests are
 // left out, since they may lie outside the judged window.
 func (b *Budget) allowed(a *account) float64 {
-	requests := sum(&a.requests) - a.requests[(a.at+1)%buckets]
+	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
 	return b.Terms.Ratio*requests + b.slackPart()
 }
 
@@ -111,22 +111,22 @@
 
 // advance returns the service's account, with what is too old forgotten.
 func (b *Budget) advance(service string) *account {
-	now := int64(b.Now().Sub(b.began) / (b.Terms.Window / (buckets - 1)))
+	now := int64(b.Now().Sub(b.began) / (b.Terms.Window / (bucketCount - 1)))
 	a := b.services[service]
 	if a == nil {
 		a = &account{at: now}
 		b.services[service] = a
 	}
-	for steps := 0; a.at < now && steps < buckets; steps++ {
+	for steps := 0; a.at < now && steps < bucketCount; steps++ {
 		a.at++
-		a.requests[a.at%buckets] = 0
-		a.repeats[a.at%buckets] = 0
+		a.requests[a.at%bucketCount] = 0
+		a.repeats[a.at%bucketCount] = 0
 	}
 	a.at = now
 	return a
 }
 
-func sum(values *[buckets]float64) float64 {
+func sum(values *[bucketCount]float64) float64 {
 	total := 0.0
 	for _, v := range values {
 		total += v
