--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -13,9 +13,9 @@
 // older one.
 const bucketCount = 21
 
-// slackShare is the part of the slack that boxes use. The rest covers boxes
+// usableSlack is the part of the slack that boxes use. The rest covers boxes
 // that have just joined and are not counted yet: one in five of them.
-const slackShare = 0.8
+const usableSlack = 0.8
 
 // Terms are the bounds on repeats in any window.
 type Terms struct {
@@ -106,7 +106,7 @@
 	if b.most <= 0 {
 		return 0
 	}
-	return slackShare * b.Terms.Slack / float64(b.most)
+	return usableSlack * b.Terms.Slack / float64(b.most)
 }
 
 // advance returns the service's account, with what is too old forgotten.
