--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -46,15 +46,15 @@
 	began time.Time
 
 	mu       sync.Mutex
-	services map[string]*account
+	services map[string]*serviceCounts
 	// most is the largest number of boxes that was seen within a window, as
 	// of mostAt: those that were lost sight of may still use their part.
 	most   int
 	mostAt time.Time
 }
 
-// account is what is known of one service.
-type account struct {
+// serviceCounts is what is known of one service.
+type serviceCounts struct {
 	tokens float64
 	// requests and repeats are counted over a sliding window, in buckets.
 	requests [bucketCount]float64
@@ -64,7 +64,7 @@
 
 // NewBudget makes a budget in which nothing is spent.
 func NewBudget(terms Terms, boxes func() int, now func() time.Time) *Budget {
-	return &Budget{Terms: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*account{}}
+	return &Budget{Terms: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
 }
 
 // Request counts a request for the service.
@@ -91,7 +91,7 @@
 
 // allowed returns how many repeats the window bears. The oldest requests are
 // left out, since they may lie outside the judged window.
-func (b *Budget) allowed(a *account) float64 {
+func (b *Budget) allowed(a *serviceCounts) float64 {
 	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
 	return b.Terms.Ratio*requests + b.slackPart()
 }
@@ -110,11 +110,11 @@
 }
 
 // advance returns the service's account, with what is too old forgotten.
-func (b *Budget) advance(service string) *account {
+func (b *Budget) advance(service string) *serviceCounts {
 	now := int64(b.Now().Sub(b.began) / (b.Terms.Window / (bucketCount - 1)))
 	a := b.services[service]
 	if a == nil {
-		a = &account{at: now}
+		a = &serviceCounts{at: now}
 		b.services[service] = a
 	}
 	for steps := 0; a.at < now && steps < bucketCount; steps++ {
