--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -47,10 +47,10 @@
 
 	mu       sync.Mutex
 	services map[string]*serviceCounts
-	// most is the largest number of boxes that was seen within a window, as
+	// maxBoxes is the largest number of boxes that was seen within a window, as
 	// of mostAt: those that were lost sight of may still use their part.
-	most   int
-	mostAt time.Time
+	maxBoxes int
+	mostAt   time.Time
 }
 
 // serviceCounts is what is known of one service.
@@ -99,14 +99,14 @@
 // slackPart is this box's part of the slack.
 func (b *Budget) slackPart() float64 {
 	now := b.Now()
-	if n := b.Boxes(); n >= b.most || now.Sub(b.mostAt) > b.Terms.Window {
-		b.most = n
+	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.mostAt) > b.Terms.Window {
+		b.maxBoxes = n
 		b.mostAt = now
 	}
-	if b.most <= 0 {
+	if b.maxBoxes <= 0 {
 		return 0
 	}
-	return usableSlack * b.Terms.Slack / float64(b.most)
+	return usableSlack * b.Terms.Slack / float64(b.maxBoxes)
 }
 
 // advance returns the service's account, with what is too old forgotten.
