--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -73,7 +73,7 @@
 	defer b.mu.Unlock()
 	a := b.advance(service)
 	a.requests[a.at%bucketCount]++
-	a.tokens = min(a.tokens+b.Terms.Ratio, max(1, b.slackPart()))
+	a.tokens = min(a.tokens+b.Terms.Ratio, max(1, b.slackPerBox()))
 }
 
 // Spend takes one repeat from the budget and reports whether there was one.
@@ -93,11 +93,11 @@
 // left out, since they may lie outside the judged window.
 func (b *Budget) allowed(a *serviceCounts) float64 {
 	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
-	return b.Terms.Ratio*requests + b.slackPart()
+	return b.Terms.Ratio*requests + b.slackPerBox()
 }
 
-// slackPart is this box's part of the slack.
-func (b *Budget) slackPart() float64 {
+// slackPerBox is this box's part of the slack.
+func (b *Budget) slackPerBox() float64 {
 	now := b.Now()
 	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.mostAt) > b.Terms.Window {
 		b.maxBoxes = n
