--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -58,7 +58,7 @@
 	tokens float64
 	// requests and repeats are counted over a sliding window, in buckets.
 	requests [bucketCount]float64
-	repeats  [bucketCount]float64
+	retries  [bucketCount]float64
 	at       int64
 }
 
@@ -81,11 +81,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.advance(service)
-	if a.tokens < 1 || sum(&a.repeats)+1 > b.allowed(a) {
+	if a.tokens < 1 || sum(&a.retries)+1 > b.allowed(a) {
 		return false
 	}
 	a.tokens--
-	a.repeats[a.at%bucketCount]++
+	a.retries[a.at%bucketCount]++
 	return true
 }
 
@@ -120,7 +120,7 @@
 	for steps := 0; a.at < now && steps < bucketCount; steps++ {
 		a.at++
 		a.requests[a.at%bucketCount] = 0
-		a.repeats[a.at%bucketCount] = 0
+		a.retries[a.at%bucketCount] = 0
 	}
 	a.at = now
 	return a
