--- a/pkg/routing/splitter.go
+++ b/pkg/routing/splitter.go
@@ -7,12 +7,12 @@
 // one that is owed most (smooth weighted round robin), so that shares are met
 // within one request and not by chance alone.
 type Splitter struct {
-	mu   sync.Mutex
-	owed map[string][]float64
+	mu     sync.Mutex
+	credit map[string][]float64
 }
 
 // NewSplitter makes an empty splitter.
-func NewSplitter() *Splitter { return &Splitter{owed: map[string][]float64{}} }
+func NewSplitter() *Splitter { return &Splitter{credit: map[string][]float64{}} }
 
 // Pick returns the index of the backend that the next request of the route
 // goes to.
@@ -23,10 +23,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := splitKey(r)
-	owed := s.owed[key]
+	owed := s.credit[key]
 	if owed == nil {
 		owed = make([]float64, len(r.Backends))
-		s.owed[key] = owed
+		s.credit[key] = owed
 	}
 	total := 0.0
 	best := 0
