--- a/pkg/routing/configuration.go
+++ b/pkg/routing/configuration.go
@@ -142,9 +142,9 @@
 			problem = "no name"
 		case names[m.Name]:
 			problem = "stands twice"
-		case !isBound(m.Rate):
+		case !isValidLimit(m.Rate):
 			problem = fmt.Sprintf("rate %v", m.Rate)
-		case !isBound(m.Burst):
+		case !isValidLimit(m.Burst):
 			problem = fmt.Sprintf("burst %v", m.Burst)
 		}
 		if problem != "" {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func isBound(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+func isValidLimit(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
 func (r *Route) check(services map[string]bool) error {
 	switch {
