--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// told is what this box last announced of itself.
-type told struct {
+// announcedState is what this box last announced of itself.
+type announcedState struct {
 	ready        bool
 	storeHealthy bool
 	trying       bool
@@ -65,7 +65,7 @@
 	changed := n.Replica.TakeNews()
 	n.refreshSelf()
 	self := n.Members.Self()
-	now := told{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
+	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
 	if changed || now != n.told {
 		n.told = now
 		n.send(n.Members.Announce())
