--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -101,8 +101,8 @@
 
 	// packed are whole copies as they are handed over, and told is what this box last
 	// announced of itself.
-	packed packedMirrors
-	told   announcedState
+	packed    packedMirrors
+	announced announcedState
 	// findings are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
 	findings *findings.Outbox
--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -66,8 +66,8 @@
 	n.refreshSelf()
 	self := n.Members.Self()
 	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
-	if changed || now != n.told {
-		n.told = now
+	if changed || now != n.announced {
+		n.announced = now
 		n.send(n.Members.Announce())
 	}
 }
