--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -198,10 +198,10 @@
 	// where the settings allow as much: long enough to ask seldom, short
 	// enough to leave a stopping box in time.
 	preferredTTL = 3 * time.Second
-	// newsTime is how long it may take until a change in the store is known to a box:
+	// propagationTime is how long it may take until a change in the store is known to a box:
 	// it is gathered with others for 0.6 s, told to the zone within 0.1 s, and taken
 	// over.
-	newsTime = time.Second
+	propagationTime = time.Second
 	// entryReturn is within what the entry of a server that lives is back in
 	// the store, once that answers again.
 	entryReturn = 2 * time.Second
@@ -214,7 +214,7 @@
 // could not be trusted, given the time in which servers drain. With the news of it
 // that ends within that time: the server may have left in truth.
 func forgetAfter(drain time.Duration) time.Duration {
-	return max(0, min(entryReturn, drain-newsTime))
+	return max(0, min(entryReturn, drain-propagationTime))
 }
 
 // boxes returns among how many boxes shared bounds are divided.
