--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -202,9 +202,9 @@
 	// it is gathered with others for 0.6 s, told to the zone within 0.1 s, and taken
 	// over.
 	propagationTime = time.Second
-	// entryReturn is within what the entry of a server that lives is back in
+	// relistTime is within what the entry of a server that lives is back in
 	// the store, once that answers again.
-	entryReturn = 2 * time.Second
+	relistTime = 2 * time.Second
 	// settleTime is how long a box that has started, or stood still for so long that it has
 	// forgotten others, listens before it trusts its count of them.
 	settleTime = 4 * gossip.Interval
@@ -214,7 +214,7 @@
 // could not be trusted, given the time in which servers drain. With the news of it
 // that ends within that time: the server may have left in truth.
 func forgetAfter(drain time.Duration) time.Duration {
-	return max(0, min(entryReturn, drain-propagationTime))
+	return max(0, min(relistTime, drain-propagationTime))
 }
 
 // boxes returns among how many boxes shared bounds are divided.
