--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -71,9 +71,9 @@
 	n.sendQuota()
 }
 
-// neighbourhood is what this box knows of others for limits, kept for a while: worked
+// quotaViewCache is what this box knows of others for limits, kept for a while: worked
 // out for each tick, 74 boxes took a fifth more processor time on a calm day.
-type neighbourhood struct {
+type quotaViewCache struct {
 	mu       sync.Mutex
 	at       time.Time
 	standing gossip.Standing
