--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -113,7 +113,7 @@
 	// readySince is when the box last became ready, in nanoseconds since the start.
 	readySince atomic.Int64
 
-	neighbourhood quotaViewCache
+	quotaCache quotaViewCache
 	// peerList is what choices know of other boxes; see peers.
 	peerList peerList
 	// unread are words of the platform that nothing here reads.
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -87,7 +87,7 @@
 
 // quotaView is what this box knows of others.
 func (n *Node) quotaView() quota.View {
-	h := &n.neighbourhood
+	h := &n.quotaCache
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= neighbourhoodHolds || n.age() < 2*meetTime {
