--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -81,16 +81,16 @@
 	zones    map[string][]quota.Box
 }
 
-// neighbourhoodHolds is for how long it is kept, unless a box has come, gone or
+// quotaCacheTime is for how long it is kept, unless a box has come, gone or
 // changed, or this one has just started.
-const neighbourhoodHolds = gossip.Interval
+const quotaCacheTime = gossip.Interval
 
 // quotaView is what this box knows of others.
 func (n *Node) quotaView() quota.View {
 	h := &n.quotaCache
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= neighbourhoodHolds || n.age() < 2*meetTime {
+	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.age() < 2*meetTime {
 		h.at = n.Clock.Now()
 		h.standing = n.Members.Standing(firstBoxes, quota.Allocators)
 		h.zones = map[string][]quota.Box{}
