--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -107,9 +107,9 @@
 	// lastRequest when a client last sent one, in nanoseconds since the start.
 	findings *findings.Outbox
 	crashes  crashChecks
-	// tellsCrashes: others are about to be told of a crash.
-	tellsCrashes atomic.Bool
-	lastRequest  atomic.Int64
+	// crashSendPending: others are about to be told of a crash.
+	crashSendPending atomic.Bool
+	lastRequest      atomic.Int64
 	// readySince is when the box last became ready, in nanoseconds since the start.
 	readySince atomic.Int64
 
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -54,12 +54,12 @@
 	if begun := n.Quarantine.Crashed(f, server); begun != nil {
 		n.background.Go(func() { n.keepHold(begun) })
 	}
-	if n.tellsCrashes.Swap(true) {
+	if n.crashSendPending.Swap(true) {
 		return
 	}
 	n.background.Go(func() {
 		sleep(n.context, gatherCrashes)
-		n.tellsCrashes.Store(false)
+		n.crashSendPending.Store(false)
 		n.tellCrashes()
 	})
 }
