--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -191,8 +191,8 @@
 	return g.last.CompareAndSwap(last, int64(now)+1)
 }
 
-// unknownWords are words that have been told.
-type unknownWords struct {
+// unreadNames are words that have been told.
+type unreadNames struct {
 	mu    sync.Mutex
 	words map[string]bool
 }
@@ -201,7 +201,7 @@
 const mostUnread = 64
 
 // first reports whether a word has not been told yet.
-func (u *unknownWords) first(word string) bool {
+func (u *unreadNames) first(word string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.words[word] || len(u.words) >= mostUnread {
