--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -117,7 +117,7 @@
 	// peerList is what choices know of other boxes; see peers.
 	peerList peerList
 	// unread are words of the platform that nothing here reads.
-	unknown unreadNames
+	unreadNames unreadNames
 	// listedLines bounds the log lines of servers that are listed, or cold.
 	listedLines lineBudget
 	// malformedHeaders bounds the log lines of headers that cannot be read.
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -217,7 +217,7 @@
 // unreadHeader tells once of a header of answers that nothing here reads: it may say what
 // the platform's pages say and the adapter does not know.
 func (n *Node) unreadHeader(name string) {
-	if n.unknown.first(name) {
+	if n.unreadNames.first(name) {
 		n.log.Warn("header of answers not read", map[string]any{"header": name})
 	}
 }
@@ -229,7 +229,7 @@
 		return
 	}
 	for _, field := range n.adapter.UnreadFields(kind, o) {
-		if n.unknown.first(field) {
+		if n.unreadNames.first(field) {
 			n.log.Warn("field of objects not read", map[string]any{"field": field, "object": o.Name, "revision": o.Revision})
 		}
 	}
