--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -193,8 +193,8 @@
 
 // unreadNames are words that have been told.
 type unreadNames struct {
-	mu    sync.Mutex
-	words map[string]bool
+	mu     sync.Mutex
+	logged map[string]bool
 }
 
 // mostUnread bounds the words that are remembered as unread.
@@ -204,13 +204,13 @@
 func (u *unreadNames) first(word string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.words[word] || len(u.words) >= mostUnread {
+	if u.logged[word] || len(u.logged) >= mostUnread {
 		return false
 	}
-	if u.words == nil {
-		u.words = map[string]bool{}
+	if u.logged == nil {
+		u.logged = map[string]bool{}
 	}
-	u.words[word] = true
+	u.logged[word] = true
 	return true
 }
 
