--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -197,14 +197,14 @@
 	logged map[string]bool
 }
 
-// mostUnread bounds the words that are remembered as unread.
-const mostUnread = 64
+// maxUnreadNames bounds the words that are remembered as unread.
+const maxUnreadNames = 64
 
 // first reports whether a word has not been told yet.
 func (u *unreadNames) first(word string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.logged[word] || len(u.logged) >= mostUnread {
+	if u.logged[word] || len(u.logged) >= maxUnreadNames {
 		return false
 	}
 	if u.logged == nil {
