--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -219,7 +219,7 @@
 
 // boxes returns among how many boxes shared bounds are divided.
 func (n *Node) boxes() int {
-	if n.age()-time.Duration(n.resumed.Load()) < settleTime {
+	if n.uptime()-time.Duration(n.resumed.Load()) < settleTime {
 		return 0
 	}
 	return n.Members.Count()
@@ -297,7 +297,7 @@
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
 	n.Set.Found = n.findings.Add
 	n.Set.Changed = func(v backend.Server, what string) {
-		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.pass(n.age()) {
+		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.pass(n.uptime()) {
 			return
 		}
 		log.Info("server "+what, map[string]any{
@@ -349,8 +349,8 @@
 	}
 }
 
-// age returns how long this life of the box has lasted.
-func (n *Node) age() time.Duration { return n.Clock.Since(n.started) }
+// uptime returns how long this life of the box has lasted.
+func (n *Node) uptime() time.Duration { return n.Clock.Since(n.started) }
 
 // revokeMargin is by how much sooner than the bound a box stops to trust its keys: a
 // confirmation may have been on its way for as long.
@@ -388,7 +388,7 @@
 	if n.readySince.Load() != 0 {
 		return 0
 	}
-	return n.age()
+	return n.uptime()
 }
 
 // Ready reports whether the box can serve requests.
@@ -399,7 +399,7 @@
 func (n *Node) checkReady() {
 	ready := n.table.Load() != nil && n.Set.HasServers() && n.Replica.Mirror(n.adapter.Kinds.Evacuations).Synced()
 	if ready != n.ready.Swap(ready) {
-		n.readySince.Store(int64(n.age()))
+		n.readySince.Store(int64(n.uptime()))
 		n.log.Info("readiness changed", map[string]any{"ready": ready})
 	}
 }
--- a/pkg/node/node_clock.go
+++ b/pkg/node/node_clock.go
@@ -27,6 +27,6 @@
 // what boxes share, as a cold server's rate, for its own part until it hears them.
 func (n *Node) stoodStill(away time.Duration) {
 	if away >= gossip.ForgetAfter {
-		n.resumed.Store(int64(n.age()))
+		n.resumed.Store(int64(n.uptime()))
 	}
 }
--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -25,7 +25,7 @@
 // serving reports whether clients have lately sent this box requests.
 func (n *Node) serving() bool {
 	last := n.lastRequest.Load()
-	return last > 0 && n.age()-time.Duration(last) < servingFor
+	return last > 0 && n.uptime()-time.Duration(last) < servingFor
 }
 
 // tellFindings sends what this box has found to all boxes that serve clients.
--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -230,7 +230,7 @@
 func (n *Node) counting(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.Clock.Sync()
-		n.lastRequest.Store(int64(n.age()))
+		n.lastRequest.Store(int64(n.uptime()))
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
 		h.ServeHTTP(w, r)
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -90,7 +90,7 @@
 	h := &n.quotaCache
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.age() < 2*meetTime {
+	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*meetTime {
 		h.at = n.Clock.Now()
 		h.standing = n.Members.Standing(firstBoxes, quota.Allocators)
 		h.zones = map[string][]quota.Box{}
@@ -109,7 +109,7 @@
 // zone. A box that has started while it is cut off knows nobody and holds nothing; one
 // that has nobody to know holds all of its zone's part.
 func (n *Node) quotaWeight(s *gossip.Standing) float64 {
-	settled := n.age() - time.Duration(n.readySince.Load())
+	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
 	case !n.ready.Load() || settled < zoneSettles:
 		return 0
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -69,7 +69,7 @@
 
 // meet makes a box that starts known to others, and its zone to it.
 func (n *Node) meet() {
-	for n.age() < meetTime && n.context.Err() == nil {
+	for n.uptime() < meetTime && n.context.Err() == nil {
 		sleep(n.context, meetEvery)
 		if n.Members.Alone() {
 			n.sendBeat()
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -44,7 +44,7 @@
 func (n *Node) heardOf(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
-		if n.malformedHeaders.pass(n.age(), wordsEvery) {
+		if n.malformedHeaders.pass(n.uptime(), wordsEvery) {
 			n.log.Warn("header of answers malformed", map[string]any{"server": server.ID, "error": problem.Error()})
 		}
 	}
@@ -225,7 +225,7 @@
 // noteFields tells once of each field of the store's objects that nothing here reads. Of
 // configurations, which are large and each of which is whole, it looks at one in a while.
 func (n *Node) noteFields(kind string, o objects.Object) {
-	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.pass(n.age(), configurationEvery) {
+	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.pass(n.uptime(), configurationEvery) {
 		return
 	}
 	for _, field := range n.adapter.UnreadFields(kind, o) {
