--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -180,7 +180,7 @@
 	n.setPolicy(s.Policy)
 	n.Budget = retry.NewBudget(retry.Terms{
 		Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow,
-	}, n.boxes, n.Clock.Now)
+	}, n.boxCount, n.Clock.Now)
 	n.Directory = &directory.Directory{
 		TTL: min(preferredTTL, s.LookupTTL), RegionOf: n.Topology.RegionOf,
 		Self: n.Members.Self, EachLive: n.Members.EachLive, RegionAllowed: n.hostAllowed,
@@ -217,8 +217,8 @@
 	return max(0, min(relistTime, drain-propagationTime))
 }
 
-// boxes returns among how many boxes shared bounds are divided.
-func (n *Node) boxes() int {
+// boxCount returns among how many boxCount shared bounds are divided.
+func (n *Node) boxCount() int {
 	if n.uptime()-time.Duration(n.resumed.Load()) < settleTime {
 		return 0
 	}
@@ -292,7 +292,7 @@
 	n.Set = backend.NewSet(backend.Terms{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
 		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, Forget: forgetAfter(b.Drain),
-	}, n.Settings.Zone, n.Topology.RegionOf, n.boxes, n.Clock.Now)
+	}, n.Settings.Zone, n.Topology.RegionOf, n.boxCount, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
 	n.Set.Found = n.findings.Add
