--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -325,7 +325,7 @@
 		Set:       n.Set,
 		Budget:    n.Budget,
 		Admit:     n.admit,
-		KeysHold:  n.keysHold,
+		KeysHold:  n.keysTrusted,
 		GiveBack:  func(c *customer.Customer) { n.Quota.GiveBack(quota.IDOf(c.Name)) },
 		AwaitRoom: n.awaitRoom, ReleaseRoom: n.releaseRoom,
 		Settle:     func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
@@ -356,10 +356,10 @@
 // confirmation may have been on its way for as long.
 const revokeMargin = 500 * time.Millisecond
 
-// keysHold reports whether a key that the configuration has still counts: one that was
+// keysTrusted reports whether a key that the configuration has still counts: one that was
 // taken away counts no longer than the bound, where the settings ask for that, and
 // else for as long as the box does not hear of it.
-func (n *Node) keysHold() bool {
+func (n *Node) keysTrusted() bool {
 	b := n.Settings.Bounds
 	if !b.EnforceRevocation {
 		return true
