--- a/pkg/node/node_clock.go
+++ b/pkg/node/node_clock.go
@@ -15,17 +15,17 @@
 	if err := n.Clock.Err(); err != nil {
 		n.log.Warn("suspensions of the machine cannot be found", map[string]any{"error": err.Error()})
 	}
-	n.Timers.OnPause(n.stoodStill)
+	n.Timers.OnPause(n.handlePause)
 	n.Clock.Woke = func(away time.Duration) {
-		n.stoodStill(away)
+		n.handlePause(away)
 		metrics.GetOrRegisterCounter("suspended", n.Metrics).Inc(away.Milliseconds())
 		n.log.Warn("the machine was suspended", map[string]any{"away_ms": away.Milliseconds()})
 	}
 }
 
-// stoodStill has the box count others anew if it has forgotten all of them: it would take
+// handlePause has the box count others anew if it has forgotten all of them: it would take
 // what boxes share, as a cold server's rate, for its own part until it hears them.
-func (n *Node) stoodStill(away time.Duration) {
+func (n *Node) handlePause(away time.Duration) {
 	if away >= gossip.ForgetAfter {
 		n.resumed.Store(int64(n.uptime()))
 	}
