--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -169,7 +169,7 @@
 		refused:  map[string]bool{},
 	}
 	n.Timers.Now = c.Now
-	n.noteSuspensions()
+	n.watchSuspensions()
 	n.findings = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
--- a/pkg/node/node_clock.go
+++ b/pkg/node/node_clock.go
@@ -8,10 +8,10 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 )
 
-// noteSuspensions logs what the clock finds. A box that wakes is one that was frozen: all that
+// watchSuspensions logs what the clock finds. A box that wakes is one that was frozen: all that
 // it believes is as much older, other boxes have taken it for silent, and the parts of limits
 // that it was lent are lent to others.
-func (n *Node) noteSuspensions() {
+func (n *Node) watchSuspensions() {
 	if err := n.Clock.Err(); err != nil {
 		n.log.Warn("suspensions of the machine cannot be found", map[string]any{"error": err.Error()})
 	}
