--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -35,11 +35,11 @@
 	}
 	n.checkReady()
 	n.refreshSelf()
-	n.sendBeat()
+	n.sendHeartbeats()
 	n.Replica.Beat()
 }
 
-func (n *Node) sendBeat() {
+func (n *Node) sendHeartbeats() {
 	for _, e := range n.Members.Beat() {
 		n.send(e)
 	}
@@ -59,7 +59,7 @@
 func (n *Node) announce() {
 	if n.Members.Alone() {
 		// The seeds may have started after this box.
-		n.sendBeat()
+		n.sendHeartbeats()
 	}
 	n.Replica.Tick()
 	changed := n.Replica.TakeNews()
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -72,7 +72,7 @@
 	for n.uptime() < meetTime && n.context.Err() == nil {
 		sleep(n.context, meetEvery)
 		if n.Members.Alone() {
-			n.sendBeat()
+			n.sendHeartbeats()
 		}
 		n.tickQuota()
 	}
