--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -26,8 +26,8 @@
 // maxDatagram bounds a heartbeat, in bytes.
 const maxDatagram = 16 << 10
 
-// beat sends the next heartbeat.
-func (n *Node) beat() {
+// heartbeat sends the next heartbeat.
+func (n *Node) heartbeat() {
 	n.Members.Expire()
 	n.Set.Expire()
 	if more := n.listedLines.take(); more > 0 {
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	n.Timers.Every(clockEvery, n.Clock.Sync)
-	n.Timers.Every(gossip.Interval, n.beat)
+	n.Timers.Every(gossip.Interval, n.heartbeat)
 	n.Timers.Every(announceEvery, n.announce)
 	n.Timers.Every(quota.ReportEvery, n.tickQuota)
 	n.Timers.Every(findingsEvery, n.tellFindings)
@@ -52,7 +52,7 @@
 	n.background.Go(n.receiveDatagrams)
 	n.background.Go(func() { n.ports.serveClients(n.clients()) })
 	n.Replica.Run()
-	n.beat()
+	n.heartbeat()
 	n.background.Go(n.meet)
 	n.background.Go(n.readHolds)
 	n.log.Info("started", map[string]any{"box": n.Settings.Box, "zone": n.Settings.Zone, "life": n.started.UnixNano()})
@@ -93,7 +93,7 @@
 	grace := n.Settings.Bounds.Grace
 	start := n.Clock.Now()
 	n.leaving.Store(true)
-	n.beat()
+	n.heartbeat()
 	n.send(n.Members.Announce())
 	n.log.Info("leaving", map[string]any{"in_flight": n.inFlight.Load(), "grace": grace.String()})
 	sleep(ctx, time.Duration(closeShare*float64(grace)))
