--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -106,8 +106,8 @@
 	return all, serving
 }
 
-// someOf returns so many of the addresses, drawn at random. It changes their order.
-func someOf(addresses []string, count int) []string {
+// randomSubset returns so many of the addresses, drawn at random. It changes their order.
+func randomSubset(addresses []string, count int) []string {
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(count, len(addresses))]
 }
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -102,7 +102,7 @@
 		return
 	}
 	all, _ := n.liveBoxes()
-	n.sendRecords(someOf(all, spreadTo), held)
+	n.sendRecords(randomSubset(all, spreadTo), held)
 }
 
 func (n *Node) sendRecords(to []string, records []quarantine.Record) {
