--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -112,9 +112,9 @@
 	return addresses[:min(count, len(addresses))]
 }
 
-// tellBoxes sends messages to boxes, and counts under the metric the entries that were told, once for
+// sendMessages sends messages to boxes, and counts under the metric the entries that were told, once for
 // each box.
-func tellBoxes[T any](n *Node, wire packet.Codec[T], metric string, to []string, messages []T, count func(m *T) int) {
+func sendMessages[T any](n *Node, wire packet.Codec[T], metric string, to []string, messages []T, count func(m *T) int) {
 	for i := range messages {
 		datagram, err := wire.Encode(&messages[i])
 		if err != nil {
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -106,7 +106,7 @@
 }
 
 func (n *Node) sendRecords(to []string, records []quarantine.Record) {
-	tellBoxes(n, quarantine.Wire, "quarantine.sent", to, quarantine.Messages(n.Settings.Box, records),
+	sendMessages(n, quarantine.Wire, "quarantine.sent", to, quarantine.Messages(n.Settings.Box, records),
 		func(m *quarantine.Message) int { return len(m.Records) })
 }
 
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -61,7 +61,7 @@
 	}
 	changes := n.Rollouts.Changes()
 	n.Set.SetVersions(n.Rollouts.Rules())
-	tellBoxes(n, rollout.Wire, "rollouts.sent", n.judges(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
+	sendMessages(n, rollout.Wire, "rollouts.sent", n.judges(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
 	if self := n.Members.Self(); self.StoreHealthy {
 		for i := range changes {
 			n.noteState(&changes[i])
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -123,7 +123,7 @@
 }
 
 func (n *Node) sendStatuses(to []string, records []serverstatus.Record) {
-	tellBoxes(n, serverstatus.Wire, "statuses.sent", to, serverstatus.Messages(n.Settings.Box, records),
+	sendMessages(n, serverstatus.Wire, "statuses.sent", to, serverstatus.Messages(n.Settings.Box, records),
 		func(m *serverstatus.Message) int { return len(m.Records) })
 }
 
