--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -51,7 +51,7 @@
 func (n *Node) receiveFindings(datagram []byte, from *net.UDPAddr) {
 	m, err := findings.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	for _, f := range m.Findings {
--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -174,15 +174,15 @@
 		}
 		m, err := gossip.Wire.Decode(buffer[:size])
 		if err != nil {
-			n.unread(from, err)
+			n.noteUnreadDatagram(from, err)
 			continue
 		}
 		n.receive(m, from)
 	}
 }
 
-// unread notes a datagram that is no message of this version.
-func (n *Node) unread(from *net.UDPAddr, err error) {
+// noteUnreadDatagram notes a datagram that is no message of this version.
+func (n *Node) noteUnreadDatagram(from *net.UDPAddr, err error) {
 	metrics.GetOrRegisterCounter("heartbeats.unread", n.Metrics).Inc(1)
 	n.log.Debug("datagram not understood", map[string]any{"from": from.String(), "error": err.Error()})
 }
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -114,7 +114,7 @@
 func (n *Node) receiveRecords(datagram []byte, from *net.UDPAddr) {
 	m, err := quarantine.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	for i := range m.Records {
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -147,7 +147,7 @@
 func (n *Node) receiveQuota(datagram []byte, from *net.UDPAddr) {
 	m, err := quota.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	n.Quota.Receive(m, from.String())
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -106,7 +106,7 @@
 func (n *Node) receiveReport(datagram []byte, from *net.UDPAddr) {
 	r, err := rollout.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	n.Rollouts.Learn(r)
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -131,7 +131,7 @@
 func (n *Node) receiveStatuses(datagram []byte, from *net.UDPAddr) {
 	m, err := serverstatus.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	for _, r := range m.Records {
