--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -17,15 +17,15 @@
 	// findingsEvery is how soon others are told of a server that is gone: a
 	// fraction of the time that finding it out takes each of them.
 	findingsEvery = 100 * time.Millisecond
-	// servingFor is for how long after a request a box counts as one that
+	// servingWindow is for how long after a request a box counts as one that
 	// serves clients: a few times as long as clients keep what they looked up.
-	servingFor = 15 * time.Second
+	servingWindow = 15 * time.Second
 )
 
 // serving reports whether clients have lately sent this box requests.
 func (n *Node) serving() bool {
 	last := n.lastRequest.Load()
-	return last > 0 && n.uptime()-time.Duration(last) < servingFor
+	return last > 0 && n.uptime()-time.Duration(last) < servingWindow
 }
 
 // broadcastFindings sends what this box has found to all boxes that serve clients.
