--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -17,10 +17,10 @@
 // ================================================================
 
 const (
-	// gatherCrashes is how long a box waits after a crash before it tells others, so that one
+	// crashBatchDelay is how long a box waits after a crash before it tells others, so that one
 	// datagram tells of all requests that the server took with it. A request that crashes
 	// servers does so each 40 ms and more, and another box may be about to send it on.
-	gatherCrashes = 2 * time.Millisecond
+	crashBatchDelay = 2 * time.Millisecond
 	// quarantineEvery is how often a box looks whether anything is to be told again.
 	quarantineEvery = 100 * time.Millisecond
 	// largeFleet is from how many boxes on a first crash is not told to all of them: the requests
@@ -58,7 +58,7 @@
 		return
 	}
 	n.background.Go(func() {
-		sleep(n.context, gatherCrashes)
+		sleep(n.context, crashBatchDelay)
 		n.crashSendPending.Store(false)
 		n.tellCrashes()
 	})
