--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -60,14 +60,14 @@
 	n.background.Go(func() {
 		sleep(n.context, crashBatchDelay)
 		n.crashSendPending.Store(false)
-		n.tellCrashes()
+		n.broadcastCrashes()
 	})
 }
 
-// tellCrashes tells others what this one has seen. In a large fleet, of requests against
+// broadcastCrashes tells others what this one has seen. In a large fleet, of requests against
 // which one crash counts, as it does against all that a server took with it, only the boxes
 // that are known to serve clients are told.
-func (n *Node) tellCrashes() {
+func (n *Node) broadcastCrashes() {
 	if n.Quarantine.Empty() {
 		return
 	}
@@ -142,7 +142,7 @@
 		http.Error(w, f.String()+" is not held", http.StatusNotFound)
 	default:
 		n.log.Info("request released by an operator", map[string]any{"fingerprint": f.String(), "from": r.RemoteAddr})
-		n.tellCrashes()
+		n.broadcastCrashes()
 		n.removeHold(f)
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -40,7 +40,7 @@
 	n.Timers.Every(announceEvery, n.announce)
 	n.Timers.Every(quota.ReportEvery, n.tickQuota)
 	n.Timers.Every(findingsEvery, n.broadcastFindings)
-	n.Timers.Every(quarantineEvery, n.tellCrashes)
+	n.Timers.Every(quarantineEvery, n.broadcastCrashes)
 	n.Timers.Every(spreadEvery, n.spreadHolds)
 	n.Timers.Every(statusesEvery, n.tellStatuses)
 	n.Timers.Every(spreadEvery, n.spreadStatuses)
