--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		if quarantine.Wire.Is(buffer[:size]) {
-			n.receiveRecords(buffer[:size], from)
+			n.receiveQuarantine(buffer[:size], from)
 			continue
 		}
 		if serverstatus.Wire.Is(buffer[:size]) {
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -110,8 +110,8 @@
 		func(m *quarantine.Message) int { return len(m.Records) })
 }
 
-// receiveRecords takes in what another box knows.
-func (n *Node) receiveRecords(datagram []byte, from *net.UDPAddr) {
+// receiveQuarantine takes in what another box knows.
+func (n *Node) receiveQuarantine(datagram []byte, from *net.UDPAddr) {
 	m, err := quarantine.Wire.Decode(datagram)
 	if err != nil {
 		n.noteUnreadDatagram(from, err)
