--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -29,8 +29,8 @@
 	// spreadEvery is how often a box tells some others of all requests that it holds, and
 	// spreadTo how many: one that has started meanwhile, or was cut off, hears of each six
 	// times a second, and of none within a second once in 400 times in a large fleet.
-	spreadEvery = 500 * time.Millisecond
-	spreadTo    = 3
+	spreadEvery  = 500 * time.Millisecond
+	spreadFanout = 3
 )
 
 func (n *Node) newQuarantine(log *logging.Part) {
@@ -102,7 +102,7 @@
 		return
 	}
 	all, _ := n.liveBoxes()
-	n.sendRecords(randomSubset(all, spreadTo), held)
+	n.sendRecords(randomSubset(all, spreadFanout), held)
 }
 
 func (n *Node) sendRecords(to []string, records []quarantine.Record) {
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -119,7 +119,7 @@
 	records := n.Statuses.InForce(endSpreads)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-	n.sendStatuses(randomSubset(all, spreadTo), records[:min(spreadRecords, len(records))])
+	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(spreadRecords, len(records))])
 }
 
 func (n *Node) sendStatuses(to []string, records []serverstatus.Record) {
