--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -25,8 +25,8 @@
 	holdTries = 8
 )
 
-// tryCall makes a call of the store until it succeeds or has failed so many times.
-func (n *Node) tryCall(times int, what string, call func(ctx context.Context) error) {
+// retryCall makes a call of the store until it succeeds or has failed so many times.
+func (n *Node) retryCall(times int, what string, call func(ctx context.Context) error) {
 	pause := holdPause
 	for try := 1; ; try++ {
 		ctx, cancel := context.WithTimeout(n.context, holdCallTime)
@@ -46,7 +46,7 @@
 
 // keepHold writes a request to the store that this box has begun to hold.
 func (n *Node) keepHold(r *quarantine.Record) {
-	n.tryCall(holdTries, "keeping a hold in the store", func(ctx context.Context) error {
+	n.retryCall(holdTries, "keeping a hold in the store", func(ctx context.Context) error {
 		if len(r.Crashed) > n.policy.Load().QuarantineAfter {
 			// The one of an earlier hold, which has ended.
 			if err := n.store.Remove(ctx, n.adapter.HoldsKind, r.Request.String()); err != nil {
@@ -60,7 +60,7 @@
 // removeHold removes a request from the store that is held no longer.
 func (n *Node) removeHold(f quarantine.Fingerprint) {
 	n.background.Go(func() {
-		n.tryCall(holdTries, "removing a hold from the store", func(ctx context.Context) error {
+		n.retryCall(holdTries, "removing a hold from the store", func(ctx context.Context) error {
 			return n.store.Remove(ctx, n.adapter.HoldsKind, f.String())
 		})
 	})
@@ -71,7 +71,7 @@
 
 // readHolds takes in what the store keeps.
 func (n *Node) readHolds() {
-	n.tryCall(mostReads, "reading holds from the store", n.readHoldsOnce)
+	n.retryCall(mostReads, "reading holds from the store", n.readHoldsOnce)
 }
 
 func (n *Node) readHoldsOnce(ctx context.Context) error {
