--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// keepHold writes a request to the store that this box has begun to hold.
-func (n *Node) keepHold(r *quarantine.Record) {
+// storeHold writes a request to the store that this box has begun to hold.
+func (n *Node) storeHold(r *quarantine.Record) {
 	n.retryCall(holdTries, "keeping a hold in the store", func(ctx context.Context) error {
 		if len(r.Crashed) > n.policy.Load().QuarantineAfter {
 			// The one of an earlier hold, which has ended.
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -52,7 +52,7 @@
 // noteCrash has a crash count against a request, here and soon at all boxes.
 func (n *Node) noteCrash(f quarantine.Fingerprint, server string) {
 	if begun := n.Quarantine.Crashed(f, server); begun != nil {
-		n.background.Go(func() { n.keepHold(begun) })
+		n.background.Go(func() { n.storeHold(begun) })
 	}
 	if n.crashSendPending.Swap(true) {
 		return
