--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -82,7 +82,7 @@
 			return err
 		}
 		for _, o := range page.Items {
-			n.takeHold(o)
+			n.loadHold(o)
 			after = o.Name
 		}
 		more = page.More
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// takeHold takes in one object. One that is over is removed.
-func (n *Node) takeHold(o objects.Object) {
+// loadHold takes in one object. One that is over is removed.
+func (n *Node) loadHold(o objects.Object) {
 	f, err := quarantine.ParseFingerprint(o.Name)
 	var stored quarantine.Stored
 	if err == nil {
