--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -66,12 +66,12 @@
 	})
 }
 
-// mostReads bounds the tries of a box that starts; another one that lives tells it all the same.
-const mostReads = 1000
+// holdReadTries bounds the tries of a box that starts; another one that lives tells it all the same.
+const holdReadTries = 1000
 
 // readHolds takes in what the store keeps.
 func (n *Node) readHolds() {
-	n.retryCall(mostReads, "reading holds from the store", n.readHoldsOnce)
+	n.retryCall(holdReadTries, "reading holds from the store", n.readHoldsOnce)
 }
 
 func (n *Node) readHoldsOnce(ctx context.Context) error {
