--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -84,8 +84,8 @@
 
 // poolKey tells the connections to servers apart.
 type poolKey struct {
-	life    string
-	address string
+	incarnation string
+	address     string
 }
 
 // pool returns the connections to a backend server. Each life of a server has
@@ -109,7 +109,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for key, p := range n.pools {
-		if !n.Set.ListsAt(key.life, key.address) {
+		if !n.Set.ListsAt(key.incarnation, key.address) {
 			p.Close()
 			delete(n.pools, key)
 		}
