--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -174,7 +174,7 @@
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
 	n.seeds.Store(&s.Seeds)
-	n.learnIdle(logging.For(logger, "connections"))
+	n.logIdleLimits(logging.For(logger, "connections"))
 	n.newMembers(logging.For(logger, "members"))
 	n.newSet(logging.For(logger, "backend"))
 	n.setPolicy(s.Policy)
--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -63,9 +63,9 @@
 	return &net.TCPAddr{IP: address.Addr().AsSlice()}
 }
 
-// learnIdle logs for how long connections may rest where backend servers have
+// logIdleLimits logs for how long connections may rest where backend servers have
 // closed some while they were idle.
-func (n *Node) learnIdle(log *logging.Part) {
+func (n *Node) logIdleLimits(log *logging.Part) {
 	n.idle.Learnt = func(limit, rested time.Duration) {
 		log.Info("a server closed an idle connection", map[string]any{
 			"rested_ms": rested.Milliseconds(), "may_rest_ms": limit.Milliseconds(),
