--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -30,7 +30,7 @@
 	// them it would hear nothing more for as long as it may wait.
 	probeIdle  = 2 * time.Second
 	probeEvery = time.Second
-	probes     = 3
+	probeCount = 3
 	// tcpUserTimeout is Linux's socket option TCP_USER_TIMEOUT, see tcp(7).
 	tcpUserTimeout = 18
 	// idleConnections bounds the idle connections kept to one backend server.
@@ -43,7 +43,7 @@
 		Timeout:   dialTime,
 		LocalAddr: n.localAddress(),
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probes,
+			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -62,7 +62,7 @@
 		for _, o := range []struct{ level, name, want int }{
 			{syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
 			{syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, int(probeIdle.Seconds())},
-			{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, probes},
+			{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, probeCount},
 			{syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTime.Milliseconds())},
 		} {
 			got, err := syscall.GetsockoptInt(int(fd), o.level, o.name)
