--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -19,8 +19,8 @@
 // ================================================================
 
 const (
-	// dialTime bounds the opening of a connection to a backend server.
-	dialTime = 600 * time.Millisecond
+	// dialTimeout bounds the opening of a connection to a backend server.
+	dialTimeout = 600 * time.Millisecond
 	// unackedTime bounds how long sent bytes may stay unacknowledged: a
 	// machine without power says nothing.
 	unackedTime = 1500 * time.Millisecond
@@ -40,7 +40,7 @@
 // dialer opens connections that notice a machine without power.
 func (n *Node) dialer() *net.Dialer {
 	return &net.Dialer{
-		Timeout:   dialTime,
+		Timeout:   dialTimeout,
 		LocalAddr: n.localAddress(),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
