--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -21,9 +21,9 @@
 const (
 	// dialTimeout bounds the opening of a connection to a backend server.
 	dialTimeout = 600 * time.Millisecond
-	// unackedTime bounds how long sent bytes may stay unacknowledged: a
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a
 	// machine without power says nothing.
-	unackedTime = 1500 * time.Millisecond
+	unackedTimeout = 1500 * time.Millisecond
 	// probeIdle, probeEvery and probes are the keep-alive probes on a connection that
 	// rests: one whose other end has gone silent for good is found within three
 	// seconds. A watch of the store that waits sends nothing by itself, so without
@@ -47,7 +47,7 @@
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTime.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 			})
 		},
 	}
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -63,7 +63,7 @@
 			{syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1},
 			{syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, int(probeIdle.Seconds())},
 			{syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, probeCount},
-			{syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTime.Milliseconds())},
+			{syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds())},
 		} {
 			got, err := syscall.GetsockoptInt(int(fd), o.level, o.name)
 			is.NoErr(err)
