--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -33,8 +33,8 @@
 	probeCount = 3
 	// tcpUserTimeout is Linux's socket option TCP_USER_TIMEOUT, see tcp(7).
 	tcpUserTimeout = 18
-	// idleConnections bounds the idle connections kept to one backend server.
-	idleConnections = 16
+	// maxIdleConnections bounds the idle connections kept to one backend server.
+	maxIdleConnections = 16
 )
 
 // dialer opens connections that notice a machine without power.
@@ -96,7 +96,7 @@
 	defer n.mu.Unlock()
 	p := n.pools[key]
 	if p == nil {
-		p = exchange.NewPool(v.Address, idleConnections, n.dialServer)
+		p = exchange.NewPool(v.Address, maxIdleConnections, n.dialServer)
 		p.Now = n.Clock.Now
 		p.Idle = n.idle
 		n.pools[key] = p
