--- a/pkg/node/node_crash.go
+++ b/pkg/node/node_crash.go
@@ -10,10 +10,10 @@
 	"github.com/stoneworks/stoneworks/pkg/backend"
 )
 
-// crashCheckTime bounds how long a box tries to reach a backend server that has closed a
+// crashCheckTimeout bounds how long a box tries to reach a backend server that has closed a
 // connection without an answer: two ways between regions and back. The port of one that
 // has ended refuses at once.
-const crashCheckTime = 250 * time.Millisecond
+const crashCheckTimeout = 250 * time.Millisecond
 
 // crashChecks are the checks that run, by server. All requests that a server took with it
 // wait for the same one.
@@ -59,7 +59,7 @@
 		<-check.done
 		return check.crashed
 	}
-	ctx, cancel := context.WithTimeout(n.context, crashCheckTime)
+	ctx, cancel := context.WithTimeout(n.context, crashCheckTimeout)
 	defer cancel()
 	err := n.pool(v).Probe(ctx)
 	crashed := errors.Is(err, syscall.ECONNREFUSED)
