--- a/pkg/node/node_lines.go
+++ b/pkg/node/node_lines.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// mostLines bounds the log lines of one kind in a second. A box that starts would else write one for each of
+// maxLinesPerSecond bounds the log lines of one kind in a second. A box that starts would else write one for each of
 // thousands of servers before it serves anybody.
-const mostLines = 64
+const maxLinesPerSecond = 64
 
 // lineBudget bounds the log lines of one kind and counts those that are left out.
 type lineBudget struct {
@@ -25,7 +25,7 @@
 	if second := int64(now / time.Second); second != b.second {
 		b.second, b.written = second, 0
 	}
-	if b.written >= mostLines {
+	if b.written >= maxLinesPerSecond {
 		b.left++
 		return false
 	}
--- a/pkg/node/node_lines_test.go
+++ b/pkg/node/node_lines_test.go
@@ -17,8 +17,8 @@
 			written++
 		}
 	}
-	is.Equal(written, 2*mostLines)
-	is.Equal(b.take(), 10000-2*mostLines)
+	is.Equal(written, 2*maxLinesPerSecond)
+	is.Equal(b.take(), 10000-2*maxLinesPerSecond)
 	is.Equal(b.take(), 0)
 	is.True(b.pass(5 * time.Second))
 }
