--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -297,7 +297,7 @@
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
 	n.Set.Found = n.findings.Add
 	n.Set.Changed = func(v backend.Server, what string) {
-		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.pass(n.uptime()) {
+		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.allow(n.uptime()) {
 			return
 		}
 		log.Info("server "+what, map[string]any{
--- a/pkg/node/node_lines.go
+++ b/pkg/node/node_lines.go
@@ -17,9 +17,9 @@
 	left    int
 }
 
-// pass reports whether a line may be written now, and counts it if not; the time counts from any fixed
+// allow reports whether a line may be written now, and counts it if not; the time counts from any fixed
 // moment.
-func (b *lineBudget) pass(now time.Duration) bool {
+func (b *lineBudget) allow(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if second := int64(now / time.Second); second != b.second {
--- a/pkg/node/node_lines_test.go
+++ b/pkg/node/node_lines_test.go
@@ -13,12 +13,12 @@
 	var b lineBudget
 	written := 0
 	for i := range 10000 {
-		if b.pass(time.Duration(i) * 200 * time.Microsecond) {
+		if b.allow(time.Duration(i) * 200 * time.Microsecond) {
 			written++
 		}
 	}
 	is.Equal(written, 2*maxLinesPerSecond)
 	is.Equal(b.take(), 10000-2*maxLinesPerSecond)
 	is.Equal(b.take(), 0)
-	is.True(b.pass(5 * time.Second))
+	is.True(b.allow(5 * time.Second))
 }
