--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -30,7 +30,7 @@
 func (n *Node) heartbeat() {
 	n.Members.Expire()
 	n.Set.Expire()
-	if more := n.listedLines.take(); more > 0 {
+	if more := n.listedLines.takeOmitted(); more > 0 {
 		n.log.Info("servers listed or cold, not told one by one", map[string]any{"lines": more})
 	}
 	n.checkReady()
--- a/pkg/node/node_lines.go
+++ b/pkg/node/node_lines.go
@@ -33,8 +33,8 @@
 	return true
 }
 
-// take returns how many lines were left out since it was last called.
-func (b *lineBudget) take() int {
+// takeOmitted returns how many lines were left out since it was last called.
+func (b *lineBudget) takeOmitted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left := b.left
--- a/pkg/node/node_lines_test.go
+++ b/pkg/node/node_lines_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	is.Equal(written, 2*maxLinesPerSecond)
-	is.Equal(b.take(), 10000-2*maxLinesPerSecond)
-	is.Equal(b.take(), 0)
+	is.Equal(b.takeOmitted(), 10000-2*maxLinesPerSecond)
+	is.Equal(b.takeOmitted(), 0)
 	is.True(b.allow(5 * time.Second))
 }
