--- a/pkg/node/node_lines.go
+++ b/pkg/node/node_lines.go
@@ -14,7 +14,7 @@
 	mu      sync.Mutex
 	second  int64
 	written int
-	left    int
+	omitted int
 }
 
 // allow reports whether a line may be written now, and counts it if not; the time counts from any fixed
@@ -26,7 +26,7 @@
 		b.second, b.written = second, 0
 	}
 	if b.written >= maxLinesPerSecond {
-		b.left++
+		b.omitted++
 		return false
 	}
 	b.written++
@@ -37,7 +37,7 @@
 func (b *lineBudget) takeOmitted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	left := b.left
-	b.left = 0
+	left := b.omitted
+	b.omitted = 0
 	return left
 }
