--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -22,10 +22,10 @@
 // ================================================================
 
 const (
-	// roomTime bounds how long a request waits for its box to find out whether a server's
+	// serverLimitWait bounds how long a request waits for its box to find out whether a server's
 	// limit has room: a way between regions and back, and the ways in two zones. Where nothing
 	// is to come it is told so sooner, and goes to another server.
-	roomTime = 100 * time.Millisecond
+	serverLimitWait = 100 * time.Millisecond
 )
 
 func (n *Node) newLimits(log *logging.Part) {
@@ -145,7 +145,7 @@
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
 	id := quota.ServerIDOf(server.Life())
 	n.sendQuota()
-	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), roomTime)
+	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), serverLimitWait)
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
 		return true
