--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -35,7 +35,7 @@
 			n.statusChanged.Store(true)
 			return
 		}
-		n.bindLimit(&r, what)
+		n.applyLimit(&r, what)
 		log.Info("limit of server "+what.String(), map[string]any{
 			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.Number,
 		})
@@ -50,8 +50,8 @@
 	n.Set.IsLeaving = n.Statuses.IsLeaving
 }
 
-// bindLimit has a server's limit hold, or hold no more.
-func (n *Node) bindLimit(r *serverstatus.Record, what serverstatus.Change) {
+// applyLimit has a server's limit hold, or hold no more.
+func (n *Node) applyLimit(r *serverstatus.Record, what serverstatus.Change) {
 	id := quota.ServerIDOf(r.Server)
 	switch what {
 	case serverstatus.Ended:
