--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -45,7 +45,7 @@
 		_, named := n.Statuses.Of(v.Life())
 		return named
 	}
-	n.Set.Admit = n.admitTo
+	n.Set.Admit = n.admitToServer
 	n.Set.Release = n.releaseRoom
 	n.Set.IsLeaving = n.Statuses.IsLeaving
 }
@@ -113,9 +113,9 @@
 // Each box by itself cannot keep a limit that holds for all of them together, so each request takes a
 // token of the limit's sum over all boxes.
 
-// admitTo reports whether the limit that a server may name leaves room for one more request, and
+// admitToServer reports whether the limit that a server may name leaves room for one more request, and
 // has that take it. One that yields leaves it to more urgent ones.
-func (n *Node) admitTo(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
+func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
 	life := server.Life()
 	if _, named := n.Statuses.Of(life); !named {
 		return backend.Unlimited, 0
