--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -84,8 +84,8 @@
 // What servers say
 // ----------------------------------------------------------------
 
-// heardLimit takes in what an answer says of its server's limit.
-func (n *Node) heardLimit(server *backend.Server, v *ingress.Verdict, sent time.Time) {
+// noteLimit takes in what an answer says of its server's limit.
+func (n *Node) noteLimit(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	if v.Limit.Malformed {
 		metrics.GetOrRegisterCounter("limits.unread", n.Metrics).Inc(1)
 		return
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -53,7 +53,7 @@
 	}
 	n.heardLeaving(server, v)
 	n.heardRest(server, v)
-	n.heardLimit(server, v, sent)
+	n.noteLimit(server, v, sent)
 	if n.statusChanged.Swap(false) {
 		n.tellStatuses()
 		n.tickQuota()
