--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -334,7 +334,7 @@
 		Crashed:    n.noteCrash,
 		Released:   n.removeHold,
 		Quarantine: n.Quarantine,
-		Heard:      n.heardOf,
+		Heard:      n.noteAnswer,
 		Attempted:  n.noteAttempt,
 		Unread:     n.unreadHeader,
 		Background: n.background.Go,
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -39,9 +39,9 @@
 	gone = time.Minute
 )
 
-// heardOf takes in what an answer says of its server. One that another server gave in its place
+// noteAnswer takes in what an answer says of its server. One that another server gave in its place
 // says nothing of it.
-func (n *Node) heardOf(server *backend.Server, v *ingress.Verdict, sent time.Time) {
+func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
 		if n.malformedHeaders.pass(n.uptime(), wordsEvery) {
