--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -51,7 +51,7 @@
 	if v.Stale {
 		return
 	}
-	n.heardLeaving(server, v)
+	n.noteLeaving(server, v)
 	n.heardRest(server, v)
 	n.noteLimit(server, v, sent)
 	if n.statusChanged.Swap(false) {
@@ -64,8 +64,8 @@
 // long as the store is silent. So the word is kept for the server's life, whatever the list says, and told
 // to all boxes: each would else send it requests until it was told itself.
 
-// heardLeaving takes in that a server says that it leaves.
-func (n *Node) heardLeaving(server *backend.Server, v *ingress.Verdict) {
+// noteLeaving takes in that a server says that it leaves.
+func (n *Node) noteLeaving(server *backend.Server, v *ingress.Verdict) {
 	if !v.Leaving {
 		return
 	}
