--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -52,7 +52,7 @@
 		return
 	}
 	n.noteLeaving(server, v)
-	n.heardRest(server, v)
+	n.noteBackoff(server, v)
 	n.noteLimit(server, v, sent)
 	if n.statusChanged.Swap(false) {
 		n.tellStatuses()
@@ -74,9 +74,9 @@
 	n.Set.Leave(server.Life())
 }
 
-// heardRest takes in that a server wants no requests from this box for a time. What it asks of one
+// noteBackoff takes in that a server wants no requests from this box for a time. What it asks of one
 // box is no word to others.
-func (n *Node) heardRest(server *backend.Server, v *ingress.Verdict) {
+func (n *Node) noteBackoff(server *backend.Server, v *ingress.Verdict) {
 	if v.Rest == 0 {
 		return
 	}
