--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -23,9 +23,9 @@
 // ================================================================
 
 const (
-	// wordsEvery is how often something that a server may say in each answer is logged. All
+	// malformedHeaderEvery is how often something that a server may say in each answer is logged. All
 	// answers are counted.
-	wordsEvery = time.Second
+	malformedHeaderEvery = time.Second
 	// configurationEvery is how often a configuration is looked at for fields that nothing reads.
 	configurationEvery = 30 * time.Second
 	// statusesEvery is how often a box looks whether anything that servers say is to be told again.
@@ -44,7 +44,7 @@
 func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
-		if n.malformedHeaders.pass(n.uptime(), wordsEvery) {
+		if n.malformedHeaders.pass(n.uptime(), malformedHeaderEvery) {
 			n.log.Warn("header of answers malformed", map[string]any{"server": server.ID, "error": problem.Error()})
 		}
 	}
