--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -26,8 +26,8 @@
 	// malformedHeaderEvery is how often something that a server may say in each answer is logged. All
 	// answers are counted.
 	malformedHeaderEvery = time.Second
-	// configurationEvery is how often a configuration is looked at for fields that nothing reads.
-	configurationEvery = 30 * time.Second
+	// configurationFieldsEvery is how often a configuration is looked at for fields that nothing reads.
+	configurationFieldsEvery = 30 * time.Second
 	// statusesEvery is how often a box looks whether anything that servers say is to be told again.
 	statusesEvery = 100 * time.Millisecond
 	// spreadRecords bounds the servers of which a box tells some others each spreadEvery: what
@@ -225,7 +225,7 @@
 // noteFields tells once of each field of the store's objects that nothing here reads. Of
 // configurations, which are large and each of which is whole, it looks at one in a while.
 func (n *Node) noteFields(kind string, o objects.Object) {
-	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.pass(n.uptime(), configurationEvery) {
+	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.pass(n.uptime(), configurationFieldsEvery) {
 		return
 	}
 	for _, field := range n.adapter.UnreadFields(kind, o) {
