--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -33,8 +33,8 @@
 	// spreadRecords bounds the servers of which a box tells some others each spreadEvery: what
 	// that sends must stay a small part of what control may take.
 	spreadRecords = 8
-	// endSpreads is for how long boxes are told that a limit has ended.
-	endSpreads = time.Minute
+	// endedLimitSpreadTime is for how long boxes are told that a limit has ended.
+	endedLimitSpreadTime = time.Minute
 	// gone is how long a life of a server may be missing from the list until it is forgotten.
 	gone = time.Minute
 )
@@ -116,7 +116,7 @@
 		listed[known[i].Server] = n.Set.Lists(known[i].Server)
 	}
 	n.Statuses.Expire(func(life string) bool { return listed[life] }, gone)
-	records := n.Statuses.InForce(endSpreads)
+	records := n.Statuses.InForce(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(spreadRecords, len(records))])
