--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -35,8 +35,8 @@
 	spreadRecords = 8
 	// endedLimitSpreadTime is for how long boxes are told that a limit has ended.
 	endedLimitSpreadTime = time.Minute
-	// gone is how long a life of a server may be missing from the list until it is forgotten.
-	gone = time.Minute
+	// unlistedTime is how long a life of a server may be missing from the list until it is forgotten.
+	unlistedTime = time.Minute
 )
 
 // noteAnswer takes in what an answer says of its server. One that another server gave in its place
@@ -115,7 +115,7 @@
 	for i := range known {
 		listed[known[i].Server] = n.Set.Lists(known[i].Server)
 	}
-	n.Statuses.Expire(func(life string) bool { return listed[life] }, gone)
+	n.Statuses.Expire(func(life string) bool { return listed[life] }, unlistedTime)
 	records := n.Statuses.InForce(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
