--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -30,9 +30,9 @@
 	configurationFieldsEvery = 30 * time.Second
 	// statusesEvery is how often a box looks whether anything that servers say is to be told again.
 	statusesEvery = 100 * time.Millisecond
-	// spreadRecords bounds the servers of which a box tells some others each spreadEvery: what
+	// maxSpreadRecords bounds the servers of which a box tells some others each spreadEvery: what
 	// that sends must stay a small part of what control may take.
-	spreadRecords = 8
+	maxSpreadRecords = 8
 	// endedLimitSpreadTime is for how long boxes are told that a limit has ended.
 	endedLimitSpreadTime = time.Minute
 	// unlistedTime is how long a life of a server may be missing from the list until it is forgotten.
@@ -119,7 +119,7 @@
 	records := n.Statuses.InForce(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(spreadRecords, len(records))])
+	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(maxSpreadRecords, len(records))])
 }
 
 func (n *Node) sendStatuses(to []string, records []serverstatus.Record) {
