--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -121,9 +121,9 @@
 	// listedLines bounds the log lines of servers that are listed, or cold.
 	listedLines lineBudget
 	// malformedHeaders bounds the log lines of headers that cannot be read.
-	malformedHeaders logGate
+	malformedHeaders logLimiter
 	// configurationFields bounds how often configurations are looked at for unread fields.
-	configurationFields logGate
+	configurationFields logLimiter
 	// membersChanged: a box has come, gone or come back since limits last looked.
 	membersChanged atomic.Bool
 	// statusChanged: what a backend server says has changed since boxes were last told.
--- a/pkg/node/node_limits_test.go
+++ b/pkg/node/node_limits_test.go
@@ -11,7 +11,7 @@
 // answer does not fill the log.
 func TestLogGateLetsOneLinePass(t *testing.T) {
 	is := is.New(t)
-	var g logGate
+	var g logLimiter
 	lines := 0
 	for now := time.Duration(0); now <= 10*time.Second; now += 10 * time.Millisecond {
 		if g.pass(now, time.Second) {
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -178,12 +178,12 @@
 // What nothing reads
 // ----------------------------------------------------------------
 
-// logGate lets one log line pass in a time. What is kept is one more than when the last one did, in
+// logLimiter lets one log line pass in a time. What is kept is one more than when the last one did, in
 // nanoseconds, and 0 before the first.
-type logGate struct{ last atomic.Int64 }
+type logLimiter struct{ last atomic.Int64 }
 
 // pass reports whether a line may be written now; the time counts from any fixed moment.
-func (g *logGate) pass(now, every time.Duration) bool {
+func (g *logLimiter) pass(now, every time.Duration) bool {
 	last := g.last.Load()
 	if last != 0 && now+1-time.Duration(last) < every {
 		return false
