--- a/pkg/node/node_limits_test.go
+++ b/pkg/node/node_limits_test.go
@@ -14,7 +14,7 @@
 	var g logLimiter
 	lines := 0
 	for now := time.Duration(0); now <= 10*time.Second; now += 10 * time.Millisecond {
-		if g.pass(now, time.Second) {
+		if g.allow(now, time.Second) {
 			lines++
 		}
 	}
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -44,7 +44,7 @@
 func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
-		if n.malformedHeaders.pass(n.uptime(), malformedHeaderEvery) {
+		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
 			n.log.Warn("header of answers malformed", map[string]any{"server": server.ID, "error": problem.Error()})
 		}
 	}
@@ -182,8 +182,8 @@
 // nanoseconds, and 0 before the first.
 type logLimiter struct{ last atomic.Int64 }
 
-// pass reports whether a line may be written now; the time counts from any fixed moment.
-func (g *logLimiter) pass(now, every time.Duration) bool {
+// allow reports whether a line may be written now; the time counts from any fixed moment.
+func (g *logLimiter) allow(now, every time.Duration) bool {
 	last := g.last.Load()
 	if last != 0 && now+1-time.Duration(last) < every {
 		return false
@@ -225,7 +225,7 @@
 // noteFields tells once of each field of the store's objects that nothing here reads. Of
 // configurations, which are large and each of which is whole, it looks at one in a while.
 func (n *Node) noteFields(kind string, o objects.Object) {
-	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.pass(n.uptime(), configurationFieldsEvery) {
+	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.allow(n.uptime(), configurationFieldsEvery) {
 		return
 	}
 	for _, field := range n.adapter.UnreadFields(kind, o) {
