--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -42,7 +42,7 @@
 	n.Timers.Every(findingsEvery, n.broadcastFindings)
 	n.Timers.Every(quarantineEvery, n.broadcastCrashes)
 	n.Timers.Every(spreadEvery, n.spreadHolds)
-	n.Timers.Every(statusesEvery, n.tellStatuses)
+	n.Timers.Every(statusesEvery, n.broadcastStatuses)
 	n.Timers.Every(spreadEvery, n.spreadStatuses)
 	if n.Settings.Platform.Rollouts {
 		n.Timers.Every(rolloutsEvery, n.tickRollouts)
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -55,7 +55,7 @@
 	n.noteBackoff(server, v)
 	n.noteLimit(server, v, sent)
 	if n.statusChanged.Swap(false) {
-		n.tellStatuses()
+		n.broadcastStatuses()
 		n.tickQuota()
 	}
 }
@@ -90,9 +90,9 @@
 // What boxes tell each other
 // ----------------------------------------------------------------
 
-// tellStatuses tells others of what has changed: all boxes, and in a large fleet those that serve
+// broadcastStatuses tells others of what has changed: all boxes, and in a large fleet those that serve
 // clients and those that grant tokens of limits.
-func (n *Node) tellStatuses() {
+func (n *Node) broadcastStatuses() {
 	records := n.Statuses.Due()
 	if len(records) == 0 {
 		return
