--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -222,9 +222,9 @@
 	}
 }
 
-// noteFields tells once of each field of the store's objects that nothing here reads. Of
+// logUnreadFields tells once of each field of the store's objects that nothing here reads. Of
 // configurations, which are large and each of which is whole, it looks at one in a while.
-func (n *Node) noteFields(kind string, o objects.Object) {
+func (n *Node) logUnreadFields(kind string, o objects.Object) {
 	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.allow(n.uptime(), configurationFieldsEvery) {
 		return
 	}
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -46,7 +46,7 @@
 		n.Replica.OnChange(kind, func(o objects.Object, gone bool) {
 			changed(o, gone)
 			if !gone && kind != kinds.Servers {
-				n.noteFields(kind, o)
+				n.logUnreadFields(kind, o)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 	}
 	v, hasUnread, err := n.adapter.Server(o)
 	if hasUnread {
-		n.noteFields(n.adapter.Kinds.Servers, o)
+		n.logUnreadFields(n.adapter.Kinds.Servers, o)
 	}
 	if err == nil {
 		err = n.checkServer(&v)
