--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -336,7 +336,7 @@
 		Quarantine: n.Quarantine,
 		Heard:      n.noteAnswer,
 		Attempted:  n.noteAttempt,
-		Unread:     n.unreadHeader,
+		Unread:     n.logUnreadHeader,
 		Background: n.background.Go,
 		Now:        n.Clock.Now,
 		SyncClock:  n.Clock.Sync,
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -214,9 +214,9 @@
 	return true
 }
 
-// unreadHeader tells once of a header of answers that nothing here reads: it may say what
+// logUnreadHeader tells once of a header of answers that nothing here reads: it may say what
 // the platform's pages say and the adapter does not know.
-func (n *Node) unreadHeader(name string) {
+func (n *Node) logUnreadHeader(name string) {
 	if n.unreadNames.first(name) {
 		n.log.Warn("header of answers not read", map[string]any{"header": name})
 	}
