--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -98,7 +98,7 @@
 		err = json.Unmarshal(o.Spec, &stored)
 	}
 	if err != nil {
-		n.unreadObject(n.log, err)
+		n.noteUnreadObject(n.log, err)
 		return
 	}
 	r, ok := stored.Record(f, time.Now())
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -36,7 +36,7 @@
 	}
 	order, err := n.adapter.Rollout(o)
 	if err != nil {
-		n.unreadObject(log, err)
+		n.noteUnreadObject(log, err)
 		return
 	}
 	n.Rollouts.Set(order)
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -23,7 +23,7 @@
 	}
 	n.store = n.adapter.Store(s.Platform.Address, n.dialPeer, func(verb string) {
 		metrics.GetOrRegisterCounter("store."+verb, n.Metrics).Inc(1)
-	}, func(err error) { n.unreadObject(log, err) })
+	}, func(err error) { n.noteUnreadObject(log, err) })
 	n.Replica = replica.New(replica.Options{
 		Kinds: kinds, Zone: s.Zone, Contact: s.Bounds.Contact, Drain: s.Bounds.Drain,
 		Client:  n.store,
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// unreadObject notes an object of the store that cannot be read; the others hold.
-func (n *Node) unreadObject(log *logging.Part, err error) {
+// noteUnreadObject notes an object of the store that cannot be read; the others hold.
+func (n *Node) noteUnreadObject(log *logging.Part, err error) {
 	metrics.GetOrRegisterCounter("store.unread", n.Metrics).Inc(1)
 	log.Warn("object not understood", map[string]any{"error": err.Error()})
 }
@@ -137,7 +137,7 @@
 	if err != nil {
 		// The entry is another writer's. It names no server, also where it has taken the
 		// place of one that did.
-		n.unreadObject(log, err)
+		n.noteUnreadObject(log, err)
 		n.Set.Remove(o.Name, true)
 		return
 	}
