--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -57,18 +57,18 @@
 		return nil, &PeerError{Address: source, Status: answer.StatusCode}
 	}
 	body := &replica.Handover{}
-	arriving := &arrivingBody{body: answer.Body, arrived: func() { idle.Reset(replica.PullTime) }}
+	arriving := &progressReader{body: answer.Body, arrived: func() { idle.Reset(replica.PullTime) }}
 	return body, json.NewDecoder(arriving).Decode(body)
 }
 
-// arrivingBody tells whenever a part of a body has arrived.
-type arrivingBody struct {
+// progressReader tells whenever a part of a body has arrived.
+type progressReader struct {
 	body    io.Reader
 	arrived func()
 }
 
 // Read implements io.Reader.
-func (b *arrivingBody) Read(p []byte) (int, error) {
+func (b *progressReader) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if n > 0 {
 		b.arrived()
