--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -101,7 +101,7 @@
 
 	// packed are whole copies as they are handed over, and told is what this box last
 	// announced of itself.
-	packed    packedMirrors
+	packed    compressedMirrors
 	announced announcedState
 	// findings are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// packedMirrors are whole mirrors as they were last handed over: the boxes of a
+// compressedMirrors are whole mirrors as they were last handed over: the boxes of a
 // zone that start together ask for the same one.
-type packedMirrors struct {
+type compressedMirrors struct {
 	mu   sync.Mutex
 	last map[string]packedMirror
 }
@@ -126,7 +126,7 @@
 // of returns the mirror as it is sent. Entries are much alike: packed, a tenth of
 // the bytes is left. A version is packed once, since the boxes of a zone that start
 // together all ask for it.
-func (p *packedMirrors) of(m *objects.Mirror) ([]byte, error) {
+func (p *compressedMirrors) of(m *objects.Mirror) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	version := m.Version()
--- a/pkg/node/node_mirrors_test.go
+++ b/pkg/node/node_mirrors_test.go
@@ -31,7 +31,7 @@
 func TestPackedMirrorFollowsTheMirror(t *testing.T) {
 	is := is.New(t)
 	m := newMirror(100)
-	var p packedMirrors
+	var p compressedMirrors
 	first, err := p.of(m)
 	is.NoErr(err)
 	again, err := p.of(m)
@@ -54,14 +54,14 @@
 	m := newMirror(1617)
 	b.Run("anew", func(b *testing.B) {
 		for range b.N {
-			var p packedMirrors
+			var p compressedMirrors
 			if _, err := p.of(m); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 	b.Run("kept", func(b *testing.B) {
-		var p packedMirrors
+		var p compressedMirrors
 		for range b.N {
 			if _, err := p.of(m); err != nil {
 				b.Fatal(err)
