--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -114,11 +114,11 @@
 // zone that start together ask for the same one.
 type compressedMirrors struct {
 	mu   sync.Mutex
-	last map[string]packedMirror
+	last map[string]compressedMirror
 }
 
-// packedMirror is a mirror as it is sent, of one version.
-type packedMirror struct {
+// compressedMirror is a mirror as it is sent, of one version.
+type compressedMirror struct {
 	version objects.Version
 	body    []byte
 }
@@ -143,8 +143,8 @@
 		return nil, err
 	}
 	if p.last == nil {
-		p.last = map[string]packedMirror{}
+		p.last = map[string]compressedMirror{}
 	}
-	p.last[m.Kind] = packedMirror{version, b.Bytes()}
+	p.last[m.Kind] = compressedMirror{version, b.Bytes()}
 	return b.Bytes(), nil
 }
