--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -99,10 +99,10 @@
 	seeds   atomic.Pointer[[]string]
 	policy  atomic.Pointer[policy.Policy]
 
-	// packed are whole copies as they are handed over, and told is what this box last
+	// compressed are whole copies as they are handed over, and told is what this box last
 	// announced of itself.
-	packed    compressedMirrors
-	announced announcedState
+	compressed compressedMirrors
+	announced  announcedState
 	// findings are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
 	findings *findings.Outbox
--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	packed, err := n.packed.of(m)
+	packed, err := n.compressed.of(m)
 	if err != nil {
 		n.log.Warn("mirror not packed", map[string]any{"kind": m.Kind, "error": err.Error()})
 		w.WriteHeader(http.StatusInternalServerError)
