--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -31,15 +31,15 @@
 	// serves only the connections that it has.
 	front   *http.Server
 	fronts  []*http.Server
-	intake  *intake
+	intake  *handoffListener
 	limits  routing.Limits
 	handler http.Handler
 	// ahead serves requests that clients send ahead.
 	ahead *pipeline.Handler
 }
 
-// intake is a listener that is handed its connections.
-type intake struct {
+// handoffListener is a listener that is handed its connections.
+type handoffListener struct {
 	net.Listener
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -47,7 +47,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *intake) Accept() (net.Conn, error) {
+func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accepted:
 		return c, nil
@@ -57,7 +57,7 @@
 }
 
 // Close implements net.Listener.
-func (l *intake) Close() error {
+func (l *handoffListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
@@ -86,7 +86,7 @@
 		ConnContext:    pipeline.ConnContext,
 	}
 	p.fronts = append(p.fronts, p.front)
-	p.intake = &intake{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	p.intake = &handoffListener{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
 	server, in := p.front, p.intake
 	go func() { _ = server.Serve(in) }()
 	if old != nil {
