--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -31,7 +31,7 @@
 	// serves only the connections that it has.
 	front   *http.Server
 	fronts  []*http.Server
-	intake  *handoffListener
+	handoff *handoffListener
 	limits  routing.Limits
 	handler http.Handler
 	// ahead serves requests that clients send ahead.
@@ -75,7 +75,7 @@
 }
 
 func (p *ports) replaceFront() {
-	old := p.intake
+	old := p.handoff
 	p.front = &http.Server{
 		Handler:           p.handler,
 		ReadHeaderTimeout: p.limits.HeaderTimeout,
@@ -86,8 +86,8 @@
 		ConnContext:    pipeline.ConnContext,
 	}
 	p.fronts = append(p.fronts, p.front)
-	p.intake = &handoffListener{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
-	server, in := p.front, p.intake
+	p.handoff = &handoffListener{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	server, in := p.front, p.handoff
 	go func() { _ = server.Serve(in) }()
 	if old != nil {
 		_ = old.Close()
@@ -119,14 +119,14 @@
 func (p *ports) hand(c net.Conn) {
 	for {
 		p.mu.Lock()
-		in := p.intake
+		in := p.handoff
 		p.mu.Unlock()
 		select {
 		case in.accepted <- c:
 			return
 		case <-in.closed:
 			p.mu.Lock()
-			same := in == p.intake
+			same := in == p.handoff
 			p.mu.Unlock()
 			if same {
 				_ = c.Close()
