--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -71,10 +71,10 @@
 		return
 	}
 	p.limits = limits
-	p.replaceFront()
+	p.replaceClientServer()
 }
 
-func (p *ports) replaceFront() {
+func (p *ports) replaceClientServer() {
 	old := p.handoff
 	p.front = &http.Server{
 		Handler:           p.handler,
@@ -101,7 +101,7 @@
 	if p.limits == (routing.Limits{}) {
 		p.limits = routing.DefaultLimits
 	}
-	p.replaceFront()
+	p.replaceClientServer()
 	p.mu.Unlock()
 	for {
 		c, err := p.clients.Accept()
