--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -112,11 +112,11 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		p.hand(p.ahead.Wrap(c))
+		p.handOff(p.ahead.Wrap(c))
 	}
 }
 
-func (p *ports) hand(c net.Conn) {
+func (p *ports) handOff(c net.Conn) {
 	for {
 		p.mu.Lock()
 		in := p.handoff
