--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -34,8 +34,8 @@
 	handoff *handoffListener
 	limits  routing.Limits
 	handler http.Handler
-	// ahead serves requests that clients send ahead.
-	ahead *pipeline.Handler
+	// pipelined serves requests that clients send pipelined.
+	pipelined *pipeline.Handler
 }
 
 // handoffListener is a listener that is handed its connections.
@@ -97,7 +97,7 @@
 // serveClients hands the clients' connections to the server in force.
 func (p *ports) serveClients(handler *pipeline.Handler) {
 	p.mu.Lock()
-	p.handler, p.ahead = handler, handler
+	p.handler, p.pipelined = handler, handler
 	if p.limits == (routing.Limits{}) {
 		p.limits = routing.DefaultLimits
 	}
@@ -112,7 +112,7 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		p.handOff(p.ahead.Wrap(c))
+		p.handOff(p.pipelined.Wrap(c))
 	}
 }
 
@@ -141,7 +141,7 @@
 func (p *ports) shut(ctx context.Context) {
 	_ = p.clients.Close()
 	p.mu.Lock()
-	fronts, ahead := p.fronts, p.ahead
+	fronts, ahead := p.fronts, p.pipelined
 	p.mu.Unlock()
 	for ahead != nil && ahead.Running() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPoll)
