--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// shut stops taking connections and waits for requests that are on their way. What is served ahead
+// shutdown stops taking connections and waits for requests that are on their way. What is served ahead
 // is waited for first, since the answer in front of it closes its connection from then on.
-func (p *ports) shut(ctx context.Context) {
+func (p *ports) shutdown(ctx context.Context) {
 	_ = p.clients.Close()
 	p.mu.Lock()
 	fronts, ahead := p.fronts, p.pipelined
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -101,7 +101,7 @@
 	left := grace - endMargin - n.Clock.Since(start)
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	n.ports.shut(ctx)
+	n.ports.shutdown(ctx)
 	for n.inFlight.Load() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPoll)
 	}
