--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// limit makes a server with the limits serve new connections.
-func (p *ports) limit(limits routing.Limits) {
+// setLimits makes a server with the limits serve new connections.
+func (p *ports) setLimits(limits routing.Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.handler == nil || limits == p.limits {
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -80,7 +80,7 @@
 	n.Set.SetServices(terms)
 	n.Quota.SetCustomers(c.Customers)
 	n.table.Store(t)
-	n.ports.limit(c.Limits)
+	n.ports.setLimits(c.Limits)
 	log.Info("configuration in force", map[string]any{"version": c.Version, "revision": o.Revision, "routes": len(c.Routes), "customers": len(c.Customers)})
 }
 
