--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -222,12 +222,12 @@
 // clients serves clients' requests, those that a client sends ahead at the same time.
 func (n *Node) clients() *pipeline.Handler {
 	return &pipeline.Handler{
-		Next: n.counting(n.Ingress), MayRunAhead: n.Ingress.MayRunAhead, Count: n.Ingress.Count,
+		Next: n.countRequests(n.Ingress), MayRunAhead: n.Ingress.MayRunAhead, Count: n.Ingress.Count,
 	}
 }
 
-// counting counts the requests on their way, and notes when the last one came.
-func (n *Node) counting(h http.Handler) http.Handler {
+// countRequests counts the requests on their way, and notes when the last one came.
+func (n *Node) countRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.Clock.Sync()
 		n.lastRequest.Store(int64(n.uptime()))
