--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// clients serves clients' requests, those that a client sends ahead at the same time.
-func (n *Node) clients() *pipeline.Handler {
+// clientHandler serves clientHandler' requests, those that a client sends ahead at the same time.
+func (n *Node) clientHandler() *pipeline.Handler {
 	return &pipeline.Handler{
 		Next: n.countRequests(n.Ingress), MayRunAhead: n.Ingress.MayRunAhead, Count: n.Ingress.Count,
 	}
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -50,7 +50,7 @@
 	n.Timers.Every(dropPoolsEvery, n.dropPools)
 	n.background.Go(func() { n.Timers.Run(n.context) })
 	n.background.Go(n.receiveDatagrams)
-	n.background.Go(func() { n.ports.serveClients(n.clients()) })
+	n.background.Go(func() { n.ports.serveClients(n.clientHandler()) })
 	n.Replica.Run()
 	n.heartbeat()
 	n.background.Go(n.meet)
