--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -32,11 +32,11 @@
 	// firstBoxes is how many of each zone's first boxes may become its allocators:
 	// those that do not answer are passed over.
 	firstBoxes = 4
-	// zoneSettles is how long after a box has become ready it waits for its zone to
+	// zoneSettleTime is how long after a box has become ready it waits for its zone to
 	// know of that before it holds a part of limits, and aloneSettles for how long
 	// one that has heard of no other box of its zone does.
-	zoneSettles  = 60 * time.Millisecond
-	aloneSettles = 2 * time.Second
+	zoneSettleTime = 60 * time.Millisecond
+	aloneSettles   = 2 * time.Second
 )
 
 func (n *Node) newQuota() {
@@ -111,7 +111,7 @@
 func (n *Node) quotaWeight(s *gossip.Standing) float64 {
 	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
-	case !n.ready.Load() || settled < zoneSettles:
+	case !n.ready.Load() || settled < zoneSettleTime:
 		return 0
 	case s.Neighbours > 0:
 		return s.Part
