--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -35,8 +35,8 @@
 	// zoneSettleTime is how long after a box has become ready it waits for its zone to
 	// know of that before it holds a part of limits, and aloneSettles for how long
 	// one that has heard of no other box of its zone does.
-	zoneSettleTime = 60 * time.Millisecond
-	aloneSettles   = 2 * time.Second
+	zoneSettleTime  = 60 * time.Millisecond
+	aloneSettleTime = 2 * time.Second
 )
 
 func (n *Node) newQuota() {
@@ -115,7 +115,7 @@
 		return 0
 	case s.Neighbours > 0:
 		return s.Part
-	case settled < aloneSettles || s.Others == 0 && n.hasOtherSeeds():
+	case settled < aloneSettleTime || s.Others == 0 && n.hasOtherSeeds():
 		return 0
 	}
 	return s.Part
