--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -23,9 +23,9 @@
 // ================================================================
 
 const (
-	// admitTime bounds how long a request waits for its box to find out whether its
+	// customerLimitWait bounds how long a request waits for its box to find out whether its
 	// customer's limit has room: two ways between regions and back.
-	admitTime = 150 * time.Millisecond
+	customerLimitWait = 150 * time.Millisecond
 	// firstAdmitTime is the same for a box that has just started and was granted
 	// nothing yet: until it and its zone know each other.
 	firstAdmitTime = 350 * time.Millisecond
@@ -161,7 +161,7 @@
 	d := n.Quota.Arrive(id)
 	if d.Verdict == quota.Waiting {
 		n.sendQuota()
-		wait := admitTime
+		wait := customerLimitWait
 		if !n.Quota.Granted() {
 			wait = firstAdmitTime
 		}
