--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -26,9 +26,9 @@
 	// customerLimitWait bounds how long a request waits for its box to find out whether its
 	// customer's limit has room: two ways between regions and back.
 	customerLimitWait = 150 * time.Millisecond
-	// firstAdmitTime is the same for a box that has just started and was granted
+	// startupLimitWait is the same for a box that has just started and was granted
 	// nothing yet: until it and its zone know each other.
-	firstAdmitTime = 350 * time.Millisecond
+	startupLimitWait = 350 * time.Millisecond
 	// firstBoxes is how many of each zone's first boxes may become its allocators:
 	// those that do not answer are passed over.
 	firstBoxes = 4
@@ -163,7 +163,7 @@
 		n.sendQuota()
 		wait := customerLimitWait
 		if !n.Quota.Granted() {
-			wait = firstAdmitTime
+			wait = startupLimitWait
 		}
 		d = n.awaitDecision(ctx, id, d, wait)
 	}
