--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -29,9 +29,9 @@
 	// startupLimitWait is the same for a box that has just started and was granted
 	// nothing yet: until it and its zone know each other.
 	startupLimitWait = 350 * time.Millisecond
-	// firstBoxes is how many of each zone's first boxes may become its allocators:
+	// allocatorCandidates is how many of each zone's first boxes may become its allocators:
 	// those that do not answer are passed over.
-	firstBoxes = 4
+	allocatorCandidates = 4
 	// zoneSettleTime is how long after a box has become ready it waits for its zone to
 	// know of that before it holds a part of limits, and aloneSettles for how long
 	// one that has heard of no other box of its zone does.
@@ -92,7 +92,7 @@
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*meetTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Standing(firstBoxes, quota.Allocators)
+		h.standing = n.Members.Standing(allocatorCandidates, quota.Allocators)
 		h.zones = map[string][]quota.Box{}
 		for zone, list := range h.standing.First {
 			if zone == n.Settings.Zone {
