--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -191,15 +191,15 @@
 	return d
 }
 
-// mostCustomerMetrics bounds the customers that have a metric of their own.
-const mostCustomerMetrics = 100
+// maxCustomerMetrics bounds the customers that have a metric of their own.
+const maxCustomerMetrics = 100
 
 // countRefused counts a refusal by customer; where many have been refused, the others
 // share a metric.
 func (n *Node) countRefused(customer string) {
 	n.refusedMu.Lock()
 	if !n.refused[customer] {
-		if len(n.refused) < mostCustomerMetrics {
+		if len(n.refused) < maxCustomerMetrics {
 			n.refused[customer] = true
 		} else {
 			customer = "others"
