--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -61,7 +61,7 @@
 	}
 	changes := n.Rollouts.Changes()
 	n.Set.SetVersions(n.Rollouts.Rules())
-	sendMessages(n, rollout.Wire, "rollouts.sent", n.judges(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
+	sendMessages(n, rollout.Wire, "rollouts.sent", n.storePollers(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
 	if self := n.Members.Self(); self.StoreHealthy {
 		for i := range changes {
 			n.noteState(&changes[i])
@@ -69,8 +69,8 @@
 	}
 }
 
-// judges are where the other boxes take datagrams that ask the store.
-func (n *Node) judges() []string {
+// storePollers are where the other boxes take datagrams that ask the store.
+func (n *Node) storePollers() []string {
 	var list []string
 	n.Members.EachLive(func(r *gossip.Record) {
 		if r.StoreHealthy {
