--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -64,7 +64,7 @@
 	sendMessages(n, rollout.Wire, "rollouts.sent", n.storePollers(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
 	if self := n.Members.Self(); self.StoreHealthy {
 		for i := range changes {
-			n.noteState(&changes[i])
+			n.writeRolloutStatus(&changes[i])
 		}
 	}
 }
@@ -80,8 +80,8 @@
 	return list
 }
 
-// noteState writes a state to the store. Another box may have done so first, which all hear of.
-func (n *Node) noteState(c *rollout.Change) {
+// writeRolloutStatus writes a state to the store. Another box may have done so first, which all hear of.
+func (n *Node) writeRolloutStatus(c *rollout.Change) {
 	ctx, cancel := context.WithTimeout(n.context, noteTime)
 	defer cancel()
 	err := n.store.SetStatus(ctx, n.adapter.Kinds.Rollouts, c.Order.Service, c.Order.Revision, n.adapter.RolloutStatus(c))
