--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -22,8 +22,8 @@
 const (
 	// rolloutsEvery is how often shares are worked out anew, and boxes tell what they have counted.
 	rolloutsEvery = 500 * time.Millisecond
-	// noteTime bounds a call that notes a state.
-	noteTime = 1200 * time.Millisecond
+	// statusWriteTimeout bounds a call that notes a state.
+	statusWriteTimeout = 1200 * time.Millisecond
 )
 
 // rolloutChanged takes in an order.
@@ -82,7 +82,7 @@
 
 // writeRolloutStatus writes a state to the store. Another box may have done so first, which all hear of.
 func (n *Node) writeRolloutStatus(c *rollout.Change) {
-	ctx, cancel := context.WithTimeout(n.context, noteTime)
+	ctx, cancel := context.WithTimeout(n.context, statusWriteTimeout)
 	defer cancel()
 	err := n.store.SetStatus(ctx, n.adapter.Kinds.Rollouts, c.Order.Service, c.Order.Revision, n.adapter.RolloutStatus(c))
 	fields := map[string]any{
