--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -165,7 +165,7 @@
 			continue
 		}
 		if rollout.Wire.Is(buffer[:size]) {
-			n.receiveReport(buffer[:size], from)
+			n.receiveRolloutReport(buffer[:size], from)
 			continue
 		}
 		if quota.Is(buffer[:size]) {
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// receiveReport takes in what another box has counted.
-func (n *Node) receiveReport(datagram []byte, from *net.UDPAddr) {
+// receiveRolloutReport takes in what another box has counted.
+func (n *Node) receiveRolloutReport(datagram []byte, from *net.UDPAddr) {
 	r, err := rollout.Wire.Decode(datagram)
 	if err != nil {
 		n.noteUnreadDatagram(from, err)
