--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -53,7 +53,7 @@
 	n.background.Go(func() { n.ports.serveClients(n.clientHandler()) })
 	n.Replica.Run()
 	n.heartbeat()
-	n.background.Go(n.meet)
+	n.background.Go(n.discover)
 	n.background.Go(n.readHolds)
 	n.log.Info("started", map[string]any{"box": n.Settings.Box, "zone": n.Settings.Zone, "life": n.started.UnixNano()})
 	return nil
@@ -67,8 +67,8 @@
 	meetTime  = 400 * time.Millisecond
 )
 
-// meet makes a box that starts known to others, and its zone to it.
-func (n *Node) meet() {
+// discover makes a box that starts known to others, and its zone to it.
+func (n *Node) discover() {
 	for n.uptime() < meetTime && n.context.Err() == nil {
 		sleep(n.context, meetEvery)
 		if n.Members.Alone() {
