--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -60,17 +60,17 @@
 }
 
 const (
-	// meetEvery is how often a box that has just started asks the seeds for others, and
+	// discoverEvery is how often a box that has just started asks the seeds for others, and
 	// meetTime for how long: seeds that start at the same time as it do not hear its
 	// first heartbeat. Until a zone whose boxes all lost power knows itself, it holds no part of limits.
-	meetEvery = 20 * time.Millisecond
-	meetTime  = 400 * time.Millisecond
+	discoverEvery = 20 * time.Millisecond
+	meetTime      = 400 * time.Millisecond
 )
 
 // discover makes a box that starts known to others, and its zone to it.
 func (n *Node) discover() {
 	for n.uptime() < meetTime && n.context.Err() == nil {
-		sleep(n.context, meetEvery)
+		sleep(n.context, discoverEvery)
 		if n.Members.Alone() {
 			n.sendHeartbeats()
 		}
