--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -90,7 +90,7 @@
 	h := &n.quotaCache
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*meetTime {
+	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*discoverTime {
 		h.at = n.Clock.Now()
 		h.standing = n.Members.Standing(allocatorCandidates, quota.Allocators)
 		h.zones = map[string][]quota.Box{}
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -64,12 +64,12 @@
 	// meetTime for how long: seeds that start at the same time as it do not hear its
 	// first heartbeat. Until a zone whose boxes all lost power knows itself, it holds no part of limits.
 	discoverEvery = 20 * time.Millisecond
-	meetTime      = 400 * time.Millisecond
+	discoverTime  = 400 * time.Millisecond
 )
 
 // discover makes a box that starts known to others, and its zone to it.
 func (n *Node) discover() {
-	for n.uptime() < meetTime && n.context.Err() == nil {
+	for n.uptime() < discoverTime && n.context.Err() == nil {
 		sleep(n.context, discoverEvery)
 		if n.Members.Alone() {
 			n.sendHeartbeats()
