--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -24,8 +24,8 @@
 	closeShare = 0.4
 	// endMargin is how long before the end of the grace the box stops waiting
 	// for requests, and stopTime how long it then waits for its own work.
-	endMargin = 500 * time.Millisecond
-	stopTime  = 200 * time.Millisecond
+	endMargin   = 500 * time.Millisecond
+	stopTimeout = 200 * time.Millisecond
 	// drainPoll is how often a stopping box looks whether it is done.
 	drainPoll = 20 * time.Millisecond
 )
@@ -133,7 +133,7 @@
 		n.background.Wait()
 		close(done)
 	})
-	timer := time.NewTimer(stopTime)
+	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
