--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -178,7 +178,7 @@
 	n.newMembers(logging.For(logger, "members"))
 	n.newSet(logging.For(logger, "backend"))
 	n.setPolicy(s.Policy)
-	n.Budget = retry.NewBudget(retry.Terms{
+	n.Budget = retry.NewBudget(retry.Bounds{
 		Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow,
 	}, n.boxCount, n.Clock.Now)
 	n.Directory = &directory.Directory{
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -17,8 +17,8 @@
 // that have just joined and are not counted yet: one in five of them.
 const usableSlack = 0.8
 
-// Terms are the bounds on repeats in any window.
-type Terms struct {
+// Bounds are the bounds on repeats in any window.
+type Bounds struct {
 	// Ratio bounds repeats by the number of requests.
 	Ratio float64
 	// Slack is what all boxes together may send beyond that.
@@ -35,7 +35,7 @@
 // a window stay within Ratio of its requests and the part, which is what binds
 // where the part is less than one repeat.
 type Budget struct {
-	Terms Terms
+	Terms Bounds
 	// Boxes returns among how many boxes the slack is divided; 0 when that
 	// is not known, and then nobody may use it.
 	Boxes func() int
@@ -63,7 +63,7 @@
 }
 
 // NewBudget makes a budget in which nothing is spent.
-func NewBudget(terms Terms, boxes func() int, now func() time.Time) *Budget {
+func NewBudget(terms Bounds, boxes func() int, now func() time.Time) *Budget {
 	return &Budget{Terms: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
 }
 
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -14,7 +14,7 @@
 func TestBudgetHoldsOverAllBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := rapid.IntRange(1, 12).Draw(t, "boxes")
-		terms := Terms{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+		terms := Bounds{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 		now := time.Unix(1000, 0)
 		var budgets []*Budget
 		for range boxes {
@@ -53,13 +53,13 @@
 		tick  = 20 * time.Millisecond
 		wave  = 36 * time.Second
 	)
-	terms := Terms{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
+	terms := Bounds{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
 	for onset := time.Duration(0); onset < wave; onset += 3 * time.Second {
 		checkWaves(t, terms, boxes, day, tick, wave, onset)
 	}
 }
 
-func checkWaves(t *testing.T, terms Terms, boxes int, day, tick, wave, onset time.Duration) {
+func checkWaves(t *testing.T, terms Bounds, boxes int, day, tick, wave, onset time.Duration) {
 	start := time.Unix(1000, 0)
 	now := start
 	var budgets []*Budget
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	boxes := 10
-	b := NewBudget(Terms{Ratio: 1, Slack: 100, Window: 10 * time.Second}, func() int { return boxes }, func() time.Time { return now })
+	b := NewBudget(Bounds{Ratio: 1, Slack: 100, Window: 10 * time.Second}, func() int { return boxes }, func() time.Time { return now })
 	spend := func() int {
 		for range 200 {
 			b.Request("shop")
@@ -128,14 +128,14 @@
 
 func TestNoSlackBeforeTheBoxesAreKnown(t *testing.T) {
 	is := is.New(t)
-	b := NewBudget(Terms{Ratio: 0.2, Slack: 100, Window: time.Second}, func() int { return 0 }, time.Now)
+	b := NewBudget(Bounds{Ratio: 0.2, Slack: 100, Window: time.Second}, func() int { return 0 }, time.Now)
 	is.Equal(b.Spend("shop"), false)
 }
 
 func TestBudgetIsOfEachServiceItsOwn(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	b := NewBudget(Terms{Ratio: 1, Window: 10 * time.Second}, func() int { return 1 }, func() time.Time { return now })
+	b := NewBudget(Bounds{Ratio: 1, Window: 10 * time.Second}, func() int { return 1 }, func() time.Time { return now })
 	b.Request("shop")
 	is.Equal(b.Spend("desk"), false)
 	is.Equal(b.Spend("shop"), true)
@@ -156,7 +156,7 @@
 		perTick = 450
 	)
 	for _, boxes := range []int{30, 295, 3000} {
-		terms := Terms{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
+		terms := Bounds{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
 		now := time.Unix(1000, 0)
 		var budgets []*Budget
 		for range boxes {
