--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -35,7 +35,7 @@
 // a window stay within Ratio of its requests and the part, which is what binds
 // where the part is less than one repeat.
 type Budget struct {
-	Terms Bounds
+	Bounds Bounds
 	// Boxes returns among how many boxes the slack is divided; 0 when that
 	// is not known, and then nobody may use it.
 	Boxes func() int
@@ -64,7 +64,7 @@
 
 // NewBudget makes a budget in which nothing is spent.
 func NewBudget(terms Bounds, boxes func() int, now func() time.Time) *Budget {
-	return &Budget{Terms: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
+	return &Budget{Bounds: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
 }
 
 // Request counts a request for the service.
@@ -73,7 +73,7 @@
 	defer b.mu.Unlock()
 	a := b.advance(service)
 	a.requests[a.at%bucketCount]++
-	a.tokens = min(a.tokens+b.Terms.Ratio, max(1, b.slackPerBox()))
+	a.tokens = min(a.tokens+b.Bounds.Ratio, max(1, b.slackPerBox()))
 }
 
 // Spend takes one repeat from the budget and reports whether there was one.
@@ -93,25 +93,25 @@
 // left out, since they may lie outside the judged window.
 func (b *Budget) allowed(a *serviceCounts) float64 {
 	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
-	return b.Terms.Ratio*requests + b.slackPerBox()
+	return b.Bounds.Ratio*requests + b.slackPerBox()
 }
 
 // slackPerBox is this box's part of the slack.
 func (b *Budget) slackPerBox() float64 {
 	now := b.Now()
-	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.mostAt) > b.Terms.Window {
+	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.mostAt) > b.Bounds.Window {
 		b.maxBoxes = n
 		b.mostAt = now
 	}
 	if b.maxBoxes <= 0 {
 		return 0
 	}
-	return usableSlack * b.Terms.Slack / float64(b.maxBoxes)
+	return usableSlack * b.Bounds.Slack / float64(b.maxBoxes)
 }
 
 // advance returns the service's account, with what is too old forgotten.
 func (b *Budget) advance(service string) *serviceCounts {
-	now := int64(b.Now().Sub(b.began) / (b.Terms.Window / (bucketCount - 1)))
+	now := int64(b.Now().Sub(b.began) / (b.Bounds.Window / (bucketCount - 1)))
 	a := b.services[service]
 	if a == nil {
 		a = &serviceCounts{at: now}
