--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -28,9 +28,9 @@
 	return last > 0 && n.uptime()-time.Duration(last) < servingWindow
 }
 
-// broadcastFindings sends what this box has found to all boxes that serve clients.
+// broadcastFailureReports sends what this box has found to all boxes that serve clients.
 // Others have no use for it.
-func (n *Node) broadcastFindings() {
+func (n *Node) broadcastFailureReports() {
 	messages := n.findings.Take()
 	if len(messages) == 0 {
 		return
