--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// receiveFindings takes in what another box has found.
-func (n *Node) receiveFindings(datagram []byte, from *net.UDPAddr) {
+// receiveFailureReports takes in what another box has found.
+func (n *Node) receiveFailureReports(datagram []byte, from *net.UDPAddr) {
 	m, err := findings.Wire.Decode(datagram)
 	if err != nil {
 		n.noteUnreadDatagram(from, err)
--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -153,7 +153,7 @@
 		}
 		n.Clock.Sync()
 		if findings.Wire.Is(buffer[:size]) {
-			n.receiveFindings(buffer[:size], from)
+			n.receiveFailureReports(buffer[:size], from)
 			continue
 		}
 		if quarantine.Wire.Is(buffer[:size]) {
