--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -14,9 +14,9 @@
 // ================================================================
 
 const (
-	// findingsEvery is how soon others are told of a server that is gone: a
+	// failureReportsEvery is how soon others are told of a server that is gone: a
 	// fraction of the time that finding it out takes each of them.
-	findingsEvery = 100 * time.Millisecond
+	failureReportsEvery = 100 * time.Millisecond
 	// servingWindow is for how long after a request a box counts as one that
 	// serves clients: a few times as long as clients keep what they looked up.
 	servingWindow = 15 * time.Second
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -39,7 +39,7 @@
 	n.Timers.Every(gossip.Interval, n.heartbeat)
 	n.Timers.Every(announceEvery, n.announce)
 	n.Timers.Every(quota.ReportEvery, n.tickQuota)
-	n.Timers.Every(findingsEvery, n.broadcastFailureReports)
+	n.Timers.Every(failureReportsEvery, n.broadcastFailureReports)
 	n.Timers.Every(quarantineEvery, n.broadcastCrashes)
 	n.Timers.Every(spreadEvery, n.spreadHolds)
 	n.Timers.Every(statusesEvery, n.broadcastStatuses)
