--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -103,10 +103,10 @@
 	// announced of itself.
 	compressed compressedMirrors
 	announced  announcedState
-	// findings are what other boxes are to know of backend servers, and
+	// failureReports are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
-	findings *findings.Outbox
-	crashes  crashChecks
+	failureReports *findings.Outbox
+	crashes        crashChecks
 	// crashSendPending: others are about to be told of a crash.
 	crashSendPending atomic.Bool
 	lastRequest      atomic.Int64
@@ -170,7 +170,7 @@
 	}
 	n.Timers.Now = c.Now
 	n.watchSuspensions()
-	n.findings = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
+	n.failureReports = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
 	n.seeds.Store(&s.Seeds)
@@ -295,7 +295,7 @@
 	}, n.Settings.Zone, n.Topology.RegionOf, n.boxCount, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
-	n.Set.Found = n.findings.Add
+	n.Set.Found = n.failureReports.Add
 	n.Set.Changed = func(v backend.Server, what string) {
 		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.allow(n.uptime()) {
 			return
--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -31,7 +31,7 @@
 // broadcastFailureReports sends what this box has found to all boxes that serve clients.
 // Others have no use for it.
 func (n *Node) broadcastFailureReports() {
-	messages := n.findings.Take()
+	messages := n.failureReports.Take()
 	if len(messages) == 0 {
 		return
 	}
