--- a/pkg/node/node_limits_test.go
+++ b/pkg/node/node_limits_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestLogGateLetsOneLinePass in each time, so that a server that names what is no limit in each
+// TestLogLimiterAllowsOneLinePerInterval in each time, so that a server that names what is no limit in each
 // answer does not fill the log.
-func TestLogGateLetsOneLinePass(t *testing.T) {
+func TestLogLimiterAllowsOneLinePerInterval(t *testing.T) {
 	is := is.New(t)
 	var g logLimiter
 	lines := 0
