--- a/pkg/node/node_mirrors_test.go
+++ b/pkg/node/node_mirrors_test.go
@@ -26,9 +26,9 @@
 	return m
 }
 
-// TestPackedMirrorFollowsTheMirror: what is handed over is what the mirror holds
+// TestCompressedMirrorMatchesTheMirror: what is handed over is what the mirror holds
 // now, packed once for each version.
-func TestPackedMirrorFollowsTheMirror(t *testing.T) {
+func TestCompressedMirrorMatchesTheMirror(t *testing.T) {
 	is := is.New(t)
 	m := newMirror(100)
 	var p compressedMirrors
