--- a/pkg/node/node_mirrors_slow_test.go
+++ b/pkg/node/node_mirrors_slow_test.go
@@ -52,10 +52,10 @@
 	return n.fetchMirror(ctx, source, objects.NewMirror("servers"))
 }
 
-// TestListThatComesSlowlyIsTakenOver. The story: after all boxes had lost power a fleet of 985 boxes served nobody for
+// TestSlowListIsFetched. The story: after all boxes had lost power a fleet of 985 boxes served nobody for
 // three seconds. A whole list had to be taken over within one second, on small boxes with a sixth of a processor
 // too: the more servers, the more of them broke it off and began anew. What counts is that something comes.
-func TestListThatComesSlowlyIsTakenOver(t *testing.T) {
+func TestSlowListIsFetched(t *testing.T) {
 	is := is.New(t)
 	h, err := pull(t, serveSlowly(t, 12, 200*time.Millisecond))
 	is.NoErr(err)
