--- a/pkg/node/node_mirrors_slow_test.go
+++ b/pkg/node/node_mirrors_slow_test.go
@@ -62,8 +62,8 @@
 	is.Equal(len(h.Items), 1)
 }
 
-// TestListThatDoesNotComeIsGivenUp: soon, so that another box is asked.
-func TestListThatDoesNotComeIsGivenUp(t *testing.T) {
+// TestStalledListIsGivenUp: soon, so that another box is asked.
+func TestStalledListIsGivenUp(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	_, err := pull(t, serveSlowly(t, 1, 10*time.Second))
