--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -132,7 +132,7 @@
 	is.Equal(b.Spend("shop"), false)
 }
 
-func TestBudgetIsOfEachServiceItsOwn(t *testing.T) {
+func TestEachServiceHasItsOwnBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	b := NewBudget(Bounds{Ratio: 1, Window: 10 * time.Second}, func() int { return 1 }, func() time.Time { return now })
