--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestUnfitConfigurationsAreRefused(t *testing.T) {
+func TestInvalidConfigurationsAreRejected(t *testing.T) {
 	is := is.New(t)
 	services := []Service{{Name: "shop"}}
 	shop := Backend{Service: "shop", Weight: 1}
