--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -49,8 +49,8 @@
 	services map[string]*serviceCounts
 	// maxBoxes is the largest number of boxes that was seen within a window, as
 	// of mostAt: those that were lost sight of may still use their part.
-	maxBoxes int
-	mostAt   time.Time
+	maxBoxes   int
+	maxBoxesAt time.Time
 }
 
 // serviceCounts is what is known of one service.
@@ -99,9 +99,9 @@
 // slackPerBox is this box's part of the slack.
 func (b *Budget) slackPerBox() float64 {
 	now := b.Now()
-	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.mostAt) > b.Bounds.Window {
+	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.maxBoxesAt) > b.Bounds.Window {
 		b.maxBoxes = n
-		b.mostAt = now
+		b.maxBoxesAt = now
 	}
 	if b.maxBoxes <= 0 {
 		return 0
