--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -29,11 +29,11 @@
 	mu sync.Mutex
 	// front serves clients; it is replaced when limits change, and then
 	// serves only the connections that it has.
-	front   *http.Server
-	fronts  []*http.Server
-	handoff *handoffListener
-	limits  routing.Limits
-	handler http.Handler
+	front         *http.Server
+	clientServers []*http.Server
+	handoff       *handoffListener
+	limits        routing.Limits
+	handler       http.Handler
 	// pipelined serves requests that clients send pipelined.
 	pipelined *pipeline.Handler
 }
@@ -85,7 +85,7 @@
 		ErrorLog:       nil,
 		ConnContext:    pipeline.ConnContext,
 	}
-	p.fronts = append(p.fronts, p.front)
+	p.clientServers = append(p.clientServers, p.front)
 	p.handoff = &handoffListener{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
 	server, in := p.front, p.handoff
 	go func() { _ = server.Serve(in) }()
@@ -141,7 +141,7 @@
 func (p *ports) shutdown(ctx context.Context) {
 	_ = p.clients.Close()
 	p.mu.Lock()
-	fronts, ahead := p.fronts, p.pipelined
+	fronts, ahead := p.clientServers, p.pipelined
 	p.mu.Unlock()
 	for ahead != nil && ahead.Running() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPoll)
@@ -160,7 +160,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range append(p.servers, p.fronts...) {
+	for _, s := range append(p.servers, p.clientServers...) {
 		_ = s.Close()
 	}
 }
