--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -27,9 +27,9 @@
 	servers   []*http.Server
 
 	mu sync.Mutex
-	// front serves clients; it is replaced when limits change, and then
+	// clientServer serves clients; it is replaced when limits change, and then
 	// serves only the connections that it has.
-	front         *http.Server
+	clientServer  *http.Server
 	clientServers []*http.Server
 	handoff       *handoffListener
 	limits        routing.Limits
@@ -76,7 +76,7 @@
 
 func (p *ports) replaceClientServer() {
 	old := p.handoff
-	p.front = &http.Server{
+	p.clientServer = &http.Server{
 		Handler:           p.handler,
 		ReadHeaderTimeout: p.limits.HeaderTimeout,
 		IdleTimeout:       p.limits.IdleTimeout,
@@ -85,9 +85,9 @@
 		ErrorLog:       nil,
 		ConnContext:    pipeline.ConnContext,
 	}
-	p.clientServers = append(p.clientServers, p.front)
+	p.clientServers = append(p.clientServers, p.clientServer)
 	p.handoff = &handoffListener{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
-	server, in := p.front, p.handoff
+	server, in := p.clientServer, p.handoff
 	go func() { _ = server.Serve(in) }()
 	if old != nil {
 		_ = old.Close()
