--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -34,8 +34,8 @@
 	Version string `json:"version,omitempty"`
 }
 
-// Life names one life of the server, from its start to its end.
-func (v *Server) Life() string {
+// Incarnation names one life of the server, from its start to its end.
+func (v *Server) Incarnation() string {
 	if v.Born == 0 {
 		return v.ID
 	}
--- a/pkg/backend/life.go
+++ b/pkg/backend/life.go
@@ -6,7 +6,7 @@
 func (s *Set) ofLife(life string) *server {
 	id, _, _ := strings.Cut(life, lifeMark)
 	v := s.servers[id]
-	if v == nil || v.Life() != life {
+	if v == nil || v.Incarnation() != life {
 		return nil
 	}
 	return v
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -20,8 +20,8 @@
 	waiting, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(waiting.ID, home.ID)
-	is.True(s.Rest(home.Life(), 3*time.Second))
-	is.True(!s.Rest(home.Life(), time.Second)) // the longer one holds
+	is.True(s.Rest(home.Incarnation(), 3*time.Second))
+	is.True(!s.Rest(home.Incarnation(), time.Second)) // the longer one holds
 	home.Done(Shed, nil)
 	is.True(!waiting.Wanted())
 	is.True(waiting.Usable()) // it does not leave
@@ -153,7 +153,7 @@
 			}
 			if rapid.Bool().Draw(t, "rests") {
 				d := time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
-				s.Rest(l.Life(), d)
+				s.Rest(l.Incarnation(), d)
 				if end := c.at.Add(d); end.After(ends[l.ID]) {
 					ends[l.ID] = end
 				}
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -241,7 +241,7 @@
 		old = nil
 	}
 	if old == nil {
-		old = &server{hash: Hash(v.ID), leaving: s.IsLeaving(v.Life())}
+		old = &server{hash: Hash(v.ID), leaving: s.IsLeaving(v.Incarnation())}
 		s.servers[v.ID] = old
 		s.Changed(v, Listed)
 	}
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -40,7 +40,7 @@
 		f, server := c.fingerprint(), lease.Server
 		c.server.Background(func() {
 			if c.server.HasCrashed(&server) {
-				c.server.Crashed(f, server.Life())
+				c.server.Crashed(f, server.Incarnation())
 			}
 		})
 		return backend.Broken
@@ -49,7 +49,7 @@
 		return backend.Broken
 	}
 	c.crashes++
-	c.server.Crashed(c.fingerprint(), lease.Life())
+	c.server.Crashed(c.fingerprint(), lease.Incarnation())
 	return backend.Crashed
 }
 
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -92,7 +92,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	life := server.Life()
+	life := server.Incarnation()
 	e := t.records[life]
 	switch {
 	case limit.Named:
@@ -107,7 +107,7 @@
 func (t *Table) Leave(server *backend.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	life := server.Life()
+	life := server.Incarnation()
 	e := t.records[life]
 	if e == nil {
 		if e = t.add(life); e == nil {
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -40,25 +40,25 @@
 	l, c, changes := newTestTable()
 	is.True(l.Empty())
 	l.Answered(server, backend.RateLimit{}, true, c.at)
-	_, named := l.Of(server.Life())
+	_, named := l.Of(server.Incarnation())
 	is.True(!named)
 	l.Answered(server, names(2.7), true, c.at)
 	l.Answered(server, names(2.7), true, c.at)
-	perSecond, named := l.Of(server.Life())
+	perSecond, named := l.Of(server.Incarnation())
 	is.True(named)
 	is.Equal(perSecond, 2.7)
 	is.True(!l.Empty())
 	l.Answered(server, names(0), true, c.at)
-	perSecond, named = l.Of(server.Life())
+	perSecond, named = l.Of(server.Incarnation())
 	is.True(named && perSecond == 0) // it takes none
 	c.advance(time.Second)
 	sent := c.at
 	c.advance(time.Second)
 	l.Answered(server, backend.RateLimit{}, false, sent)
-	_, named = l.Of(server.Life())
+	_, named = l.Of(server.Incarnation())
 	is.True(named) // one that was not run says nothing
 	l.Answered(server, backend.RateLimit{}, true, sent)
-	_, named = l.Of(server.Life())
+	_, named = l.Of(server.Incarnation())
 	is.True(!named)
 	is.True(l.Empty())
 	is.Equal(*changes, []string{"begun 2.7", "changed 0", "ended 0"})
@@ -73,13 +73,13 @@
 	c.advance(100 * time.Millisecond)
 	l.Answered(server, names(3), true, sent)
 	l.Answered(server, backend.RateLimit{}, true, sent)
-	_, named := l.Of(server.Life())
+	_, named := l.Of(server.Incarnation())
 	is.True(named)
 	l.Answered(server, backend.RateLimit{}, true, c.at)
-	_, named = l.Of(server.Life())
+	_, named = l.Of(server.Incarnation())
 	is.True(named) // sent in the same moment
 	l.Answered(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
-	_, named = l.Of(server.Life())
+	_, named = l.Of(server.Incarnation())
 	is.True(!named)
 }
 
@@ -90,9 +90,9 @@
 	l.Answered(server, names(3), true, c.at)
 	again := *server
 	again.Born = 8
-	_, named := l.Of(again.Life())
+	_, named := l.Of(again.Incarnation())
 	is.True(!named)
-	listed := func(life string) bool { return life == again.Life() }
+	listed := func(life string) bool { return life == again.Incarnation() }
 	l.Expire(listed, time.Minute)
 	c.advance(time.Minute)
 	l.Expire(listed, time.Minute)
@@ -137,8 +137,8 @@
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
 	old, anew := NewTable(c.now), NewTable(c.now)
-	old.Learn(Record{Server: server.Life(), Named: true, PerSecond: 3, Number: 3})
-	old.Learn(Record{Server: server.Life(), Number: 4})
+	old.Learn(Record{Server: server.Incarnation(), Named: true, PerSecond: 3, Number: 3})
+	old.Learn(Record{Server: server.Incarnation(), Number: 4})
 	is.Equal(len(old.Due()), 0)
 	anew.Answered(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
@@ -153,7 +153,7 @@
 	for _, r := range anew.Due() {
 		old.Learn(r)
 	}
-	perSecond, named := old.Of(server.Life())
+	perSecond, named := old.Of(server.Incarnation())
 	is.True(named && perSecond == 2)
 }
 
@@ -222,7 +222,7 @@
 			if fmt.Sprint(b.All()) != fmt.Sprint(boxes[0].All()) {
 				t.Fatalf("%v and %v", b.All(), boxes[0].All())
 			}
-			if b.IsLeaving(server.Life()) != boxes[0].IsLeaving(server.Life()) {
+			if b.IsLeaving(server.Incarnation()) != boxes[0].IsLeaving(server.Incarnation()) {
 				t.Fatal("one knows that it leaves and the other does not")
 			}
 			if b.Empty() != boxes[0].Empty() {
@@ -237,24 +237,24 @@
 func TestLeavingHoldsForALife(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
-	is.True(!l.IsLeaving(server.Life()))
+	is.True(!l.IsLeaving(server.Incarnation()))
 	l.Leave(server)
 	l.Leave(server)
-	is.True(l.IsLeaving(server.Life()))
+	is.True(l.IsLeaving(server.Incarnation()))
 	is.True(l.Empty()) // it names no limit
 	l.Answered(server, names(3), true, c.at)
 	c.advance(time.Second)
 	l.Answered(server, backend.RateLimit{}, true, c.at)
-	l.Learn(Record{Server: server.Life(), Number: 9})
-	is.True(l.IsLeaving(server.Life()))
+	l.Learn(Record{Server: server.Incarnation(), Number: 9})
+	is.True(l.IsLeaving(server.Incarnation()))
 	again := *server
 	again.Born = 8
-	is.True(!l.IsLeaving(again.Life()))
+	is.True(!l.IsLeaving(again.Incarnation()))
 	listed := func(string) bool { return false }
 	l.Expire(listed, time.Minute)
 	c.advance(time.Minute + time.Second)
 	l.Expire(listed, time.Minute)
-	is.True(!l.IsLeaving(server.Life()))
+	is.True(!l.IsLeaving(server.Incarnation()))
 	is.Equal(*changes, []string{"leaves 0", "begun 3", "ended 0", "forgotten 0"})
 }
 
@@ -273,7 +273,7 @@
 	is.Equal(len(l.InForce(time.Minute)), 1)
 	other := NewTable(c.now)
 	other.Learn(due[0])
-	is.True(other.IsLeaving(server.Life()))
+	is.True(other.IsLeaving(server.Incarnation()))
 	is.Equal(len(other.Due()), 0)
 	is.Equal(len(other.InForce(time.Minute)), 1)
 }
@@ -286,7 +286,7 @@
 	for i := range mostRecords + 10 {
 		l.Learn(Record{Server: fmt.Sprint("j-", i), Number: 1})
 	}
-	is.True(l.IsLeaving(server.Life()))
+	is.True(l.IsLeaving(server.Incarnation()))
 	is.Equal(len(l.All()), mostRecords)
 }
 
--- a/pkg/steering/steering_crash.go
+++ b/pkg/steering/steering_crash.go
@@ -54,7 +54,7 @@
 // hasCrashed reports whether the server's port refuses connections. One that leaves as
 // planned has not crashed, and one that cannot be reached may be cut off.
 func (n *Node) hasCrashed(v *backend.Server) bool {
-	check, first := n.crashes.begin(v.Life())
+	check, first := n.crashes.begin(v.Incarnation())
 	if !first {
 		<-check.done
 		return check.crashed
@@ -66,6 +66,6 @@
 	if crashed {
 		n.log.Info("server crashed", map[string]any{"server": v.ID, "service": v.Service, "address": v.Address})
 	}
-	n.crashes.end(v.Life(), check, crashed)
+	n.crashes.end(v.Incarnation(), check, crashed)
 	return crashed
 }
--- a/pkg/steering/steering_dial.go
+++ b/pkg/steering/steering_dial.go
@@ -91,7 +91,7 @@
 // pool returns the connections to a backend server. Each life of a server has
 // its own, so that no connection to an earlier one at the address is used.
 func (n *Node) pool(v *backend.Server) *exchange.Pool {
-	key := poolKey{v.Life(), v.Address}
+	key := poolKey{v.Incarnation(), v.Address}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.pools[key]
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -42,7 +42,7 @@
 	}
 	n.Set.Limited = func() bool { return !n.Statuses.Empty() }
 	n.Set.NamesLimit = func(v *backend.Server) bool {
-		_, named := n.Statuses.Of(v.Life())
+		_, named := n.Statuses.Of(v.Incarnation())
 		return named
 	}
 	n.Set.Admit = n.admitTo
@@ -116,7 +116,7 @@
 // admitTo reports whether the limit that a server may name leaves room for one more request, and
 // has that take it. One that yields leaves it to more urgent ones.
 func (n *Node) admitTo(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
-	life := server.Life()
+	life := server.Incarnation()
 	if _, named := n.Statuses.Of(life); !named {
 		return backend.Unlimited, 0
 	}
@@ -143,7 +143,7 @@
 // awaitRoom waits for what the zone's allocator says of a request for which admitTo left that
 // open, and reports whether it has room.
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
-	id := quota.ServerIDOf(server.Life())
+	id := quota.ServerIDOf(server.Incarnation())
 	n.sendQuota()
 	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), roomTime)
 	if d.Verdict == quota.Admitted {
@@ -156,7 +156,7 @@
 
 // releaseRoom gives back what a request has taken of a server's limit and not used.
 func (n *Node) releaseRoom(server *backend.Server) {
-	n.Quota.GiveBack(quota.ServerIDOf(server.Life()))
+	n.Quota.GiveBack(quota.ServerIDOf(server.Incarnation()))
 }
 
 // ----------------------------------------------------------------
--- a/pkg/steering/steering_status.go
+++ b/pkg/steering/steering_status.go
@@ -71,7 +71,7 @@
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
 	n.Statuses.Leave(server)
-	n.Set.Leave(server.Life())
+	n.Set.Leave(server.Incarnation())
 }
 
 // heardRest takes in that a server wants no requests from this box for a time. What it asks of one
@@ -81,7 +81,7 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.Rest(server.Life(), v.Rest) {
+	if n.Set.Rest(server.Incarnation(), v.Rest) {
 		n.log.Info("server asks for rest", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
 	}
 }
@@ -155,7 +155,7 @@
 	rests := map[string]int64{}
 	records := n.Statuses.InForce(0)
 	for _, r := range n.Set.Resting() {
-		life := r.Server.Life()
+		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
 		known := func(other serverstatus.Record) bool { return other.Server == life }
 		if !slices.ContainsFunc(records, known) {
