--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -27,19 +27,19 @@
 	Draining bool `json:"draining,omitempty"`
 	// Cold is for how much longer it stays cold, counted from when it was told.
 	Cold time.Duration `json:"cold,omitempty"`
-	// Born is when it started, in milliseconds since 1970 by its own clock; 0 if it does not
+	// StartedAtMs is when it started, in milliseconds since 1970 by its own clock; 0 if it does not
 	// say. It tells its lives apart.
-	Born int64 `json:"born,omitempty"`
+	StartedAtMs int64 `json:"born,omitempty"`
 	// Version is that of its software.
 	Version string `json:"version,omitempty"`
 }
 
 // Incarnation names one life of the server, from its start to its end.
 func (v *Server) Incarnation() string {
-	if v.Born == 0 {
+	if v.StartedAtMs == 0 {
 		return v.ID
 	}
-	return v.ID + lifeMark + strconv.FormatInt(v.Born, 10)
+	return v.ID + lifeMark + strconv.FormatInt(v.StartedAtMs, 10)
 }
 
 // lifeMark stands between the ID and the start in the name of a life.
--- a/pkg/backend/born_test.go
+++ b/pkg/backend/born_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	first := servers("east-a", 1, 4)[0]
-	first.Born = 1000
+	first.StartedAtMs = 1000
 	s.Put(first)
 	old, err := choose(s, 7)
 	is.NoErr(err)
@@ -26,12 +26,12 @@
 	is.True(err != nil)
 
 	second := first
-	second.Born = 2000
+	second.StartedAtMs = 2000
 	s.Put(second)
 	is.True(!old.Usable()) // what was chosen for the earlier life is chosen anew
 	lease, err := choose(s, 7)
 	is.NoErr(err)
-	is.Equal(lease.Born, int64(2000))
+	is.Equal(lease.StartedAtMs, int64(2000))
 	is.True(!lease.Known)
 	is.Equal(lease.Busy, 0.0) // it holds nothing
 	old.Done(Broken, nil)     // the end of the earlier life
@@ -50,16 +50,16 @@
 	third.Draining = true
 	s.Put(third)
 	s.Remove(first.ID, false)
-	third.Draining, third.Born = false, 3000
+	third.Draining, third.StartedAtMs = false, 3000
 	s.Put(third)
 	_, err = choose(s, 7)
 	is.NoErr(err)
 
 	// Each life is cold from its own start.
-	third.Born, third.Cold = 4000, 2*time.Second
+	third.StartedAtMs, third.Cold = 4000, 2*time.Second
 	s.Put(third)
 	c.advance(1900 * time.Millisecond)
-	third.Born = 5000
+	third.StartedAtMs = 5000
 	s.Put(third)
 	c.advance(1900 * time.Millisecond)
 	is.True(c.at.Before(s.servers[first.ID].coldUntil))
@@ -73,7 +73,7 @@
 	for _, result := range []Result{Refused, Crashed} {
 		s, c := newTestSet(4)
 		v := servers("east-a", 1, 4)[0]
-		v.Born = 1000
+		v.StartedAtMs = 1000
 		sent := func(span time.Duration) (n int) {
 			for end := c.at.Add(span); c.at.Before(end); c.advance(10 * time.Millisecond) {
 				if lease, err := choose(s, 7); err == nil {
@@ -89,14 +89,14 @@
 		s.Put(v)                   // and its entry as it was
 		is.True(sent(time.Second) <= 5)
 		renewed := v
-		renewed.Born = 2000
+		renewed.StartedAtMs = 2000
 		s.Put(renewed)
 		is.Equal(sent(time.Second), 100)
 		lose(s, v.ID, result)
 		c.advance(startedAgainTime)
 		is.Equal(sent(time.Second), 100) // it was the same one
 		// Without word of its starts each has an id of its own.
-		v.Born = 0
+		v.StartedAtMs = 0
 		s.Put(v)
 		lose(s, v.ID, result)
 		c.advance(3 * time.Second)
@@ -112,7 +112,7 @@
 	s, c := newTestSet(4)
 	s.Trusted = func() bool { return false }
 	v := servers("east-a", 1, 4)[0]
-	v.Born = 1000
+	v.StartedAtMs = 1000
 	s.Put(v)
 	lose(s, v.ID, Refused)
 	c.advance(startedAgainTime)
--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -118,13 +118,13 @@
 // cold, while the list still has the entry of before. A server that does not tell its starts
 // apart has another ID with each.
 func (s *Set) mayHaveStartedAgain(v *server, now time.Time) bool {
-	return v.Born != 0 && !v.refused.IsZero() && now.Sub(v.refused) < startedAgainTime
+	return v.StartedAtMs != 0 && !v.refused.IsZero() && now.Sub(v.refused) < startedAgainTime
 }
 
 // isProbed reports whether a request is on its way that finds out whether such a server is there
 // again, where the list cannot tell later either: one request of this box at a time does.
 func (s *Set) isProbed(v *server, now time.Time) bool {
-	return v.Born != 0 && !v.refused.IsZero() && !s.mayHaveStartedAgain(v, now) && !s.Trusted() && v.load.own > 0
+	return v.StartedAtMs != 0 && !v.refused.IsZero() && !s.mayHaveStartedAgain(v, now) && !s.Trusted() && v.load.own > 0
 }
 
 // answersAgain notes that a server answers whose port had refused. A list that can be trusted tells
@@ -136,7 +136,7 @@
 		return
 	}
 	v.refused = time.Time{}
-	if v.Born != 0 && !trusted {
+	if v.StartedAtMs != 0 && !trusted {
 		s.startCold(v, s.terms[v.Service].ColdStart)
 	}
 }
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -132,9 +132,9 @@
 	s.Remove("east-a-1", true)
 	is.Equal(got(), []string{"east-a-2"})
 	again := servers("east-a", 3, 4)[2]
-	again.Born = 9
+	again.StartedAtMs = 9
 	s.Put(again)
 	is.Equal(got(), []string{"east-a-2"})
 	is.Equal(len(s.services["shop"].index), 1)
-	is.Equal(fmt.Sprint(s.services["shop"].index[0].server.Born), "9")
+	is.Equal(fmt.Sprint(s.services["shop"].index[0].server.StartedAtMs), "9")
 }
--- a/pkg/backend/life.go
+++ b/pkg/backend/life.go
@@ -17,7 +17,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.servers[id]
-	return v != nil && v.Born != 0
+	return v != nil && v.StartedAtMs != 0
 }
 
 // Lists reports whether the life of a server is known, see Server.Life.
--- a/pkg/backend/life_test.go
+++ b/pkg/backend/life_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	list := servers("east-a", 1, 4)
-	list[0].Born = 7
+	list[0].StartedAtMs = 7
 	s.Replace(list, true)
 	waiting, err := choose(s, 1)
 	is.NoErr(err)
@@ -29,7 +29,7 @@
 	s.Put(list[0])
 	_, err = choose(s, 1)
 	is.True(err != nil) // the list says that it is ready
-	list[0].Born = 8
+	list[0].StartedAtMs = 8
 	s.Put(list[0])
 	_, err = choose(s, 1)
 	is.NoErr(err)
@@ -42,7 +42,7 @@
 	s, _ := newTestSet(1)
 	s.IsLeaving = func(life string) bool { return life == "east-a-0@7" }
 	list := servers("east-a", 1, 4)
-	list[0].Born = 7
+	list[0].StartedAtMs = 7
 	s.Leave("east-a-0@7") // nothing to do yet
 	s.Replace(list, true)
 	_, err := choose(s, 1)
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -112,7 +112,7 @@
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	list := servers("east-a", 1, 4)
-	list[0].Born = 7
+	list[0].StartedAtMs = 7
 	s.Replace(list, true)
 	is.True(!s.Rest("east-a-0@6", time.Minute))
 	is.True(s.Rest("east-a-0@7", time.Minute))
@@ -120,7 +120,7 @@
 	s.Put(list[0])
 	_, err := choose(s, 1)
 	is.True(err != nil) // the list knows nothing of rest
-	list[0].Born = 8
+	list[0].StartedAtMs = 8
 	s.Put(list[0])
 	_, err = choose(s, 1)
 	is.NoErr(err)
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -233,7 +233,7 @@
 
 func (s *Set) put(v Server) {
 	old := s.servers[v.ID]
-	if old != nil && old.Born != v.Born {
+	if old != nil && old.StartedAtMs != v.StartedAtMs {
 		// It has started again and knows nothing of before, nor does anything hold that was
 		// known of it; what was chosen for its earlier life is chosen anew.
 		s.leave(old)
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -20,7 +20,7 @@
 func (c *clock) now() time.Time          { return c.at }
 func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 
-var server = &backend.Server{ID: "i-1", Zone: "east-a", Born: 7}
+var server = &backend.Server{ID: "i-1", Zone: "east-a", StartedAtMs: 7}
 
 func newTestTable() (*Table, *clock, *[]string) {
 	c := &clock{at: time.Unix(1000, 0)}
@@ -89,7 +89,7 @@
 	l, c, changes := newTestTable()
 	l.Answered(server, names(3), true, c.at)
 	again := *server
-	again.Born = 8
+	again.StartedAtMs = 8
 	_, named := l.Of(again.Incarnation())
 	is.True(!named)
 	listed := func(life string) bool { return life == again.Incarnation() }
@@ -248,7 +248,7 @@
 	l.Learn(Record{Server: server.Incarnation(), Number: 9})
 	is.True(l.IsLeaving(server.Incarnation()))
 	again := *server
-	again.Born = 8
+	again.StartedAtMs = 8
 	is.True(!l.IsLeaving(again.Incarnation()))
 	listed := func(string) bool { return false }
 	l.Expire(listed, time.Minute)
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -16,7 +16,7 @@
 
 // lifeOf names the life of a server as boxes do.
 func lifeOf(s *Server) string {
-	return (&backend.Server{ID: s.ID, Born: s.Born}).Incarnation()
+	return (&backend.Server{ID: s.ID, StartedAtMs: s.Born}).Incarnation()
 }
 
 // allHold reports whether all boxes know that the server names this limit, or with "" none.
