--- a/pkg/backend/finding.go
+++ b/pkg/backend/finding.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Finding is what a box found of a server that others should know before the
+// FailureReport is what a box found of a server that others should know before the
 // platform's list tells them.
-type Finding struct {
+type FailureReport struct {
 	// Server names the server's life, see Server.Life: another one under its ID is not
 	// concerned.
 	Server string
@@ -35,9 +35,9 @@
 func (s *Set) found(l *Lease, result Result, now time.Time) {
 	switch {
 	case result == Stale:
-		s.Found(Finding{Server: l.Incarnation(), Stale: true})
+		s.Found(FailureReport{Server: l.Incarnation(), Stale: true})
 	case (result == Unreachable || result == Refused) && now.Sub(s.zoneHeard[l.Zone]) < zoneFresh:
-		s.Found(Finding{Server: l.Incarnation()})
+		s.Found(FailureReport{Server: l.Incarnation()})
 	}
 }
 
@@ -45,7 +45,7 @@
 // server is a fact. That a server cannot be reached is believed when a second
 // box says so, or this box has lately failed with it, and has had no answer of it
 // since; it then rests like one that this box could not reach.
-func (s *Set) Learn(box string, f Finding) {
+func (s *Set) Learn(box string, f FailureReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.ofLife(f.Server)
--- a/pkg/backend/finding_test.go
+++ b/pkg/backend/finding_test.go
@@ -22,10 +22,10 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
-	var told []Finding
-	s.Found = func(f Finding) { told = append(told, f) }
+	var told []FailureReport
+	s.Found = func(f FailureReport) { told = append(told, f) }
 	lose(s, "east-a-0", Stale)
-	is.Equal(told, []Finding{{Server: "east-a-0", Stale: true}})
+	is.Equal(told, []FailureReport{{Server: "east-a-0", Stale: true}})
 	told = nil
 	lose(s, "east-a-1", Unreachable) // nothing was heard of the zone
 	lose(s, "east-a-2", Answered)
@@ -34,7 +34,7 @@
 	is.Equal(len(told), 0)
 	lose(s, "east-a-2", Answered)
 	lose(s, "east-a-1", Unreachable)
-	is.Equal(told, []Finding{{Server: "east-a-1"}})
+	is.Equal(told, []FailureReport{{Server: "east-a-1"}})
 }
 
 // TestToldServersGetNothing: a stale server gets no request of a box that was told
@@ -44,18 +44,18 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
 	resting := func(id string) bool { return s.servers[id].health.resting(c.at) }
-	s.Learn("box-2", Finding{Server: "east-a-0", Stale: true})
+	s.Learn("box-2", FailureReport{Server: "east-a-0", Stale: true})
 	is.True(s.servers["east-a-0"].stale)
-	s.Learn("box-2", Finding{Server: "east-a-1"})
-	s.Learn("box-2", Finding{Server: "east-a-1"})
+	s.Learn("box-2", FailureReport{Server: "east-a-1"})
+	s.Learn("box-2", FailureReport{Server: "east-a-1"})
 	is.True(!resting("east-a-1")) // one box may be wrong
-	s.Learn("box-3", Finding{Server: "east-a-1"})
+	s.Learn("box-3", FailureReport{Server: "east-a-1"})
 	is.True(resting("east-a-1"))
-	s.Learn("box-2", Finding{Server: "east-a-2"})
+	s.Learn("box-2", FailureReport{Server: "east-a-2"})
 	c.advance(tellWindow + time.Millisecond)
-	s.Learn("box-3", Finding{Server: "east-a-2"})
+	s.Learn("box-3", FailureReport{Server: "east-a-2"})
 	is.True(!resting("east-a-2")) // too far apart
-	s.Learn("box-2", Finding{Server: "no-such-server"})
+	s.Learn("box-2", FailureReport{Server: "no-such-server"})
 }
 
 // TestOwnAnswersCountMoreThanHearsay: a box that a server has just answered
@@ -66,10 +66,10 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
 	lose(s, "east-a-0", Answered)
-	s.Learn("box-2", Finding{Server: "east-a-0"})
-	s.Learn("box-3", Finding{Server: "east-a-0"})
+	s.Learn("box-2", FailureReport{Server: "east-a-0"})
+	s.Learn("box-3", FailureReport{Server: "east-a-0"})
 	is.True(!s.servers["east-a-0"].health.resting(c.at))
 	lose(s, "east-a-1", Broken)
-	s.Learn("box-2", Finding{Server: "east-a-1"})
+	s.Learn("box-2", FailureReport{Server: "east-a-1"})
 	is.True(s.servers["east-a-1"].health.resting(c.at))
 }
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -67,7 +67,7 @@
 	IsLeaving func(life string) bool
 	// Found is told what other boxes should know of a server. It runs under the
 	// set's lock and must not call it.
-	Found func(f Finding)
+	Found func(f FailureReport)
 
 	mu sync.Mutex
 	// zoneHeard is when a server of a zone last answered this box.
@@ -164,7 +164,7 @@
 		Peers:      func() (Peer, []Peer) { return Peer{}, nil },
 		Trusted:    func() bool { return true },
 		Changed:    func(Server, string) {},
-		Found:      func(Finding) {},
+		Found:      func(FailureReport) {},
 		Limited:    func() bool { return false },
 		NamesLimit: func(*Server) bool { return false },
 		Admit:      func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
--- a/pkg/findings/findings.go
+++ b/pkg/findings/findings.go
@@ -32,7 +32,7 @@
 type Message struct {
 	// Box is the sender's name.
 	Box      string
-	Findings []backend.Finding
+	Findings []backend.FailureReport
 }
 
 // Wire packs messages.
@@ -46,17 +46,17 @@
 	Now func() time.Time
 
 	mu      sync.Mutex
-	waiting []backend.Finding
-	told    map[backend.Finding]time.Time
+	waiting []backend.FailureReport
+	told    map[backend.FailureReport]time.Time
 }
 
 // Add takes in a finding; one that was told a moment ago is left out.
-func (o *Outbox) Add(f backend.Finding) {
+func (o *Outbox) Add(f backend.FailureReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
 	if o.told == nil {
-		o.told = map[backend.Finding]time.Time{}
+		o.told = map[backend.FailureReport]time.Time{}
 	}
 	if at, ok := o.told[f]; ok && now.Sub(at) < again {
 		return
--- a/pkg/findings/findings_test.go
+++ b/pkg/findings/findings_test.go
@@ -15,7 +15,7 @@
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	is := is.New(t)
-	m := &Message{Box: "edge-1", Findings: []backend.Finding{{Server: "i-1", Stale: true}, {Server: "i-2"}}}
+	m := &Message{Box: "edge-1", Findings: []backend.FailureReport{{Server: "i-1", Stale: true}, {Server: "i-2"}}}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
 	back, err := Wire.Decode(datagram)
@@ -41,7 +41,7 @@
 	o := &Outbox{Box: "edge-1", Now: func() time.Time { return now }}
 	for range 2 {
 		for i := range 60 {
-			o.Add(backend.Finding{Server: fmt.Sprintf("i-%010d", i)})
+			o.Add(backend.FailureReport{Server: fmt.Sprintf("i-%010d", i)})
 		}
 	}
 	messages := o.Take()
@@ -53,10 +53,10 @@
 		is.True(len(datagram) < 1400)
 	}
 	is.Equal(len(o.Take()), 0)
-	o.Add(backend.Finding{Server: "i-0000000000"})
+	o.Add(backend.FailureReport{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 0)
 	now = now.Add(again)
 	is.Equal(len(o.Take()), 0)
-	o.Add(backend.Finding{Server: "i-0000000000"})
+	o.Add(backend.FailureReport{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 1)
 }
