--- a/pkg/backend/born_test.go
+++ b/pkg/backend/born_test.go
@@ -21,7 +21,7 @@
 	is.NoErr(err)
 	again.Done(Answered, &Load{Running: 4, Waiting: 8, Slots: 4})
 	lose(s, first.ID, Unreachable)
-	s.Learn("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
 	_, err = choose(s, 7)
 	is.True(err != nil)
 
@@ -40,9 +40,9 @@
 	is.Equal(s.servers[first.ID].health.failures, 0)
 
 	// What is told of the earlier life does not concern the later one.
-	s.Learn("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
 	is.True(!s.servers[first.ID].stale)
-	s.Learn("box-2", FailureReport{Server: second.Incarnation(), Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: second.Incarnation(), Stale: true})
 	is.True(s.servers[first.ID].stale)
 
 	// One that left and starts again is ready.
--- a/pkg/backend/finding.go
+++ b/pkg/backend/finding.go
@@ -41,11 +41,11 @@
 	}
 }
 
-// Learn takes in what another box found. That an address has gone to another
+// ApplyFailureReport takes in what another box found. That an address has gone to another
 // server is a fact. That a server cannot be reached is believed when a second
 // box says so, or this box has lately failed with it, and has had no answer of it
 // since; it then rests like one that this box could not reach.
-func (s *Set) Learn(box string, f FailureReport) {
+func (s *Set) ApplyFailureReport(box string, f FailureReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.ofLife(f.Server)
--- a/pkg/backend/finding_test.go
+++ b/pkg/backend/finding_test.go
@@ -44,18 +44,18 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
 	resting := func(id string) bool { return s.servers[id].health.resting(c.at) }
-	s.Learn("box-2", FailureReport{Server: "east-a-0", Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0", Stale: true})
 	is.True(s.servers["east-a-0"].stale)
-	s.Learn("box-2", FailureReport{Server: "east-a-1"})
-	s.Learn("box-2", FailureReport{Server: "east-a-1"})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
 	is.True(!resting("east-a-1")) // one box may be wrong
-	s.Learn("box-3", FailureReport{Server: "east-a-1"})
+	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-1"})
 	is.True(resting("east-a-1"))
-	s.Learn("box-2", FailureReport{Server: "east-a-2"})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-2"})
 	c.advance(tellWindow + time.Millisecond)
-	s.Learn("box-3", FailureReport{Server: "east-a-2"})
+	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-2"})
 	is.True(!resting("east-a-2")) // too far apart
-	s.Learn("box-2", FailureReport{Server: "no-such-server"})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "no-such-server"})
 }
 
 // TestOwnAnswersCountMoreThanHearsay: a box that a server has just answered
@@ -66,10 +66,10 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
 	lose(s, "east-a-0", Answered)
-	s.Learn("box-2", FailureReport{Server: "east-a-0"})
-	s.Learn("box-3", FailureReport{Server: "east-a-0"})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0"})
+	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-0"})
 	is.True(!s.servers["east-a-0"].health.resting(c.at))
 	lose(s, "east-a-1", Broken)
-	s.Learn("box-2", FailureReport{Server: "east-a-1"})
+	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
 	is.True(s.servers["east-a-1"].health.resting(c.at))
 }
--- a/pkg/steering/steering_findings.go
+++ b/pkg/steering/steering_findings.go
@@ -55,7 +55,7 @@
 		return
 	}
 	for _, f := range m.Findings {
-		n.Set.Learn(m.Box, f)
+		n.Set.ApplyFailureReport(m.Box, f)
 	}
 	metrics.GetOrRegisterCounter("findings.received", n.Metrics).Inc(int64(len(m.Findings)))
 }
