--- a/pkg/backend/finding.go
+++ b/pkg/backend/finding.go
@@ -35,9 +35,9 @@
 func (s *Set) found(l *Lease, result Result, now time.Time) {
 	switch {
 	case result == Stale:
-		s.Found(FailureReport{Server: l.Incarnation(), Stale: true})
+		s.ReportFailure(FailureReport{Server: l.Incarnation(), Stale: true})
 	case (result == Unreachable || result == Refused) && now.Sub(s.zoneHeard[l.Zone]) < zoneFresh:
-		s.Found(FailureReport{Server: l.Incarnation()})
+		s.ReportFailure(FailureReport{Server: l.Incarnation()})
 	}
 }
 
--- a/pkg/backend/finding_test.go
+++ b/pkg/backend/finding_test.go
@@ -23,7 +23,7 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
 	var told []FailureReport
-	s.Found = func(f FailureReport) { told = append(told, f) }
+	s.ReportFailure = func(f FailureReport) { told = append(told, f) }
 	lose(s, "east-a-0", Stale)
 	is.Equal(told, []FailureReport{{Server: "east-a-0", Stale: true}})
 	told = nil
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -65,9 +65,9 @@
 	// IsLeaving reports whether a life of a server has said that it leaves; see Leave. It runs under
 	// the set's lock and must not call it.
 	IsLeaving func(life string) bool
-	// Found is told what other boxes should know of a server. It runs under the
+	// ReportFailure is told what other boxes should know of a server. It runs under the
 	// set's lock and must not call it.
-	Found func(f FailureReport)
+	ReportFailure func(f FailureReport)
 
 	mu sync.Mutex
 	// zoneHeard is when a server of a zone last answered this box.
@@ -161,22 +161,22 @@
 func NewSet(terms Terms, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
 		Terms: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
-		Peers:      func() (Peer, []Peer) { return Peer{}, nil },
-		Trusted:    func() bool { return true },
-		Changed:    func(Server, string) {},
-		Found:      func(FailureReport) {},
-		Limited:    func() bool { return false },
-		NamesLimit: func(*Server) bool { return false },
-		Admit:      func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
-		Release:    func(*Server) {},
-		IsLeaving:  func(string) bool { return false },
-		zoneHeard:  map[string]time.Time{},
-		servers:    map[string]*server{},
-		services:   map[string]*group{},
-		evacuated:  map[string]bool{},
-		terms:      map[string]ServiceTerms{},
-		rested:     map[*server]bool{},
-		missing:    map[string]*server{},
+		Peers:         func() (Peer, []Peer) { return Peer{}, nil },
+		Trusted:       func() bool { return true },
+		Changed:       func(Server, string) {},
+		ReportFailure: func(FailureReport) {},
+		Limited:       func() bool { return false },
+		NamesLimit:    func(*Server) bool { return false },
+		Admit:         func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
+		Release:       func(*Server) {},
+		IsLeaving:     func(string) bool { return false },
+		zoneHeard:     map[string]time.Time{},
+		servers:       map[string]*server{},
+		services:      map[string]*group{},
+		evacuated:     map[string]bool{},
+		terms:         map[string]ServiceTerms{},
+		rested:        map[*server]bool{},
+		missing:       map[string]*server{},
 	}
 }
 
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -295,7 +295,7 @@
 	}, n.Settings.Zone, n.Topology.RegionOf, n.boxes, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
-	n.Set.Found = n.findings.Add
+	n.Set.ReportFailure = n.findings.Add
 	n.Set.Changed = func(v backend.Server, what string) {
 		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.pass(n.age()) {
 			return
