--- a/pkg/backend/life.go
+++ b/pkg/backend/life.go
@@ -35,10 +35,10 @@
 	return v != nil && v.missing.IsZero() && v.Address == address
 }
 
-// Leave takes a life of a server to leave, whatever the list says of it: it gets nothing new, and
+// MarkLeaving takes a life of a server to leave, whatever the list says of it: it gets nothing new, and
 // what waits to be sent to it goes elsewhere. The platform's store may be silent, and its list
 // say that the server is ready, for as long as that lasts.
-func (s *Set) Leave(life string) {
+func (s *Set) MarkLeaving(life string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.ofLife(life)
--- a/pkg/backend/life_test.go
+++ b/pkg/backend/life_test.go
@@ -17,9 +17,9 @@
 	s.Replace(list, true)
 	waiting, err := choose(s, 1)
 	is.NoErr(err)
-	s.Leave("east-a-0@6") // another life
+	s.MarkLeaving("east-a-0@6") // another life
 	is.True(waiting.Usable())
-	s.Leave("east-a-0@7")
+	s.MarkLeaving("east-a-0@7")
 	is.True(!waiting.Usable())
 	waiting.Done(Withdrawn, nil)
 	_, err = choose(s, 1)
@@ -43,7 +43,7 @@
 	s.IsLeaving = func(life string) bool { return life == "east-a-0@7" }
 	list := servers("east-a", 1, 4)
 	list[0].StartedAtMs = 7
-	s.Leave("east-a-0@7") // nothing to do yet
+	s.MarkLeaving("east-a-0@7") // nothing to do yet
 	s.Replace(list, true)
 	_, err := choose(s, 1)
 	is.True(err != nil)
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
-	s.Leave("east-a-0")
+	s.MarkLeaving("east-a-0")
 	s.Remove("east-a-0", false)
 	s.Remove("east-a-1", false)
 	is.True(!s.Lists("east-a-0"))
@@ -69,7 +69,7 @@
 	s, c := newTestSet(1)
 	s.Replace(append(servers("east-a", 2, 4), servers("west-a", 2, 4)...), true)
 	for _, id := range []string{"east-a-0", "east-a-1"} {
-		s.Leave(id)
+		s.MarkLeaving(id)
 	}
 	for key := range 100 {
 		l, err := choose(s, uint64(key))
--- a/pkg/steering/steering_status.go
+++ b/pkg/steering/steering_status.go
@@ -71,7 +71,7 @@
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
 	n.Statuses.Leave(server)
-	n.Set.Leave(server.Incarnation())
+	n.Set.MarkLeaving(server.Incarnation())
 }
 
 // heardRest takes in that a server wants no requests from this box for a time. What it asks of one
@@ -137,7 +137,7 @@
 	for _, r := range m.Records {
 		n.Statuses.Learn(r)
 		if r.Leaving {
-			n.Set.Leave(r.Server)
+			n.Set.MarkLeaving(r.Server)
 		}
 	}
 	metrics.GetOrRegisterCounter("statuses.received", n.Metrics).Inc(int64(len(m.Records)))
