--- a/pkg/backend/rest.go
+++ b/pkg/backend/rest.go
@@ -26,9 +26,9 @@
 	return now.Before(r.until) || r.returning && r.trial
 }
 
-// Rest has a life of a server get nothing from this box for a time, or for the rest of a longer one,
+// BackOff has a life of a server get nothing from this box for a time, or for the rest of a longer one,
 // and reports whether that began now.
-func (s *Set) Rest(life string, d time.Duration) (began bool) {
+func (s *Set) BackOff(life string, d time.Duration) (began bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.ofLife(life)
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -20,8 +20,8 @@
 	waiting, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(waiting.ID, home.ID)
-	is.True(s.Rest(home.Incarnation(), 3*time.Second))
-	is.True(!s.Rest(home.Incarnation(), time.Second)) // the longer one holds
+	is.True(s.BackOff(home.Incarnation(), 3*time.Second))
+	is.True(!s.BackOff(home.Incarnation(), time.Second)) // the longer one holds
 	home.Done(Shed, nil)
 	is.True(!waiting.Wanted())
 	is.True(waiting.Usable()) // it does not leave
@@ -59,7 +59,7 @@
 	s.Replace(servers("east-a", 1, 4), true)
 	before, err := choose(s, 1)
 	is.NoErr(err)
-	s.Rest("east-a-0", time.Second)
+	s.BackOff("east-a-0", time.Second)
 	c.advance(time.Second)
 	before.Done(Answered, nil)
 	for _, result := range []Result{Shed, Broken, Abandoned, Withdrawn} {
@@ -86,7 +86,7 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
 	for i, id := range []string{"east-a-0", "east-a-1", "east-a-2"} {
-		s.Rest(id, time.Duration(2+i)*time.Second)
+		s.BackOff(id, time.Duration(2+i)*time.Second)
 	}
 	c.advance(500 * time.Millisecond)
 	_, err := choose(s, 1)
@@ -114,8 +114,8 @@
 	list := servers("east-a", 1, 4)
 	list[0].StartedAtMs = 7
 	s.Replace(list, true)
-	is.True(!s.Rest("east-a-0@6", time.Minute))
-	is.True(s.Rest("east-a-0@7", time.Minute))
+	is.True(!s.BackOff("east-a-0@6", time.Minute))
+	is.True(s.BackOff("east-a-0@7", time.Minute))
 	list[0].Slots = 5
 	s.Put(list[0])
 	_, err := choose(s, 1)
@@ -153,7 +153,7 @@
 			}
 			if rapid.Bool().Draw(t, "rests") {
 				d := time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
-				s.Rest(l.Incarnation(), d)
+				s.BackOff(l.Incarnation(), d)
 				if end := c.at.Add(d); end.After(ends[l.ID]) {
 					ends[l.ID] = end
 				}
--- a/pkg/steering/steering_status.go
+++ b/pkg/steering/steering_status.go
@@ -81,7 +81,7 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.Rest(server.Incarnation(), v.Rest) {
+	if n.Set.BackOff(server.Incarnation(), v.Rest) {
 		n.log.Info("server asks for rest", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
 	}
 }
