--- a/pkg/backend/rest.go
+++ b/pkg/backend/rest.go
@@ -51,8 +51,8 @@
 	Left   time.Duration
 }
 
-// Resting returns the servers that rest now, by ID.
-func (s *Set) Resting() []RestOf {
+// BackedOff returns the servers that rest now, by ID.
+func (s *Set) BackedOff() []RestOf {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
--- a/pkg/steering/steering_status.go
+++ b/pkg/steering/steering_status.go
@@ -154,7 +154,7 @@
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
 	records := n.Statuses.InForce(0)
-	for _, r := range n.Set.Resting() {
+	for _, r := range n.Set.BackedOff() {
 		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
 		known := func(other serverstatus.Record) bool { return other.Server == life }
