--- a/pkg/backend/rest.go
+++ b/pkg/backend/rest.go
@@ -45,24 +45,24 @@
 	return began
 }
 
-// RestOf is a server that has asked this box for rest, and for how much longer.
-type RestOf struct {
+// Backoff is a server that has asked this box for rest, and for how much longer.
+type Backoff struct {
 	Server Server
 	Left   time.Duration
 }
 
 // BackedOff returns the servers that rest now, by ID.
-func (s *Set) BackedOff() []RestOf {
+func (s *Set) BackedOff() []Backoff {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	var list []RestOf
+	var list []Backoff
 	for _, v := range s.servers {
 		if now.Before(v.rest.until) {
-			list = append(list, RestOf{Server: v.Server, Left: v.rest.until.Sub(now)})
+			list = append(list, Backoff{Server: v.Server, Left: v.rest.until.Sub(now)})
 		}
 	}
-	slices.SortFunc(list, func(a, b RestOf) int { return strings.Compare(a.Server.ID, b.Server.ID) })
+	slices.SortFunc(list, func(a, b Backoff) int { return strings.Compare(a.Server.ID, b.Server.ID) })
 	return list
 }
 
