--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -94,7 +94,7 @@
 		}
 		best.order.met(&s.Policy, r.Priority, best.fill(), now)
 		l := s.lease(best, place, r.Key, now)
-		l.Metered, l.Denied, l.Resting = admission == Granted, denied.count, s.resting.count
+		l.Metered, l.Denied, l.BackedOff = admission == Granted, denied.count, s.resting.count
 		return l, nil
 	}
 	return nil, s.noServer(&denied, r.Service, now)
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -21,8 +21,8 @@
 	// and Denied is how many servers were passed over whose limits leave no room.
 	Metered bool
 	Denied  int
-	// Resting is how many servers were passed over that have asked for rest.
-	Resting int
+	// BackedOff is how many servers were passed over that have asked for rest.
+	BackedOff int
 	// Known is true if the server has lately answered this box for the key.
 	Known bool
 	// Expected is how long the server was expected to take, from its typical
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -30,7 +30,7 @@
 		l, err := choose(s, 7)
 		is.NoErr(err)
 		is.True(l.ID != home.ID)
-		is.Equal(l.Resting, 1)
+		is.Equal(l.BackedOff, 1)
 		l.Done(Answered, nil)
 		c.advance(100 * time.Millisecond)
 	}
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -255,8 +255,8 @@
 	if l.Denied > 0 {
 		fields[name+"_denied"] = l.Denied
 	}
-	if l.Resting > 0 {
-		fields[name+"_resting"] = l.Resting
+	if l.BackedOff > 0 {
+		fields[name+"_resting"] = l.BackedOff
 	}
 	if t.problem != nil {
 		fields[name+"_error"] = t.problem.Error()
