--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -9,9 +9,9 @@
 	Remote bool
 	// Cold is true if the server was cold.
 	Cold bool
-	// Home is the server's place in the order in which the key prefers
+	// Rank is the server's place in the order in which the key prefers
 	// servers, from 0, its home.
-	Home int
+	Rank int
 	// Busy is how many requests the server held, as far as was known.
 	Busy float64
 	// LoadAge is how old the server's last word on its load was; 0 if it has
@@ -54,7 +54,7 @@
 		s.suspect(v, "slow")
 	}
 	l := &Lease{
-		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Home: place, Busy: c.busy,
+		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, Busy: c.busy,
 		Known: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
 	if v.rest.returning {
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -62,7 +62,7 @@
 	is.NoErr(err)
 	is.True(next.ID != home.ID)
 	is.Equal(next.Denied, 1)
-	is.Equal(next.Home, 1)
+	is.Equal(next.Rank, 1)
 	again, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(again.ID, next.ID)
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -233,7 +233,7 @@
 func (t *step) log(name string, fields map[string]any) {
 	l := t.lease
 	fields[name] = l.ID + " " + t.result.String()
-	fields[name+"_home"] = l.Home
+	fields[name+"_home"] = l.Rank
 	fields[name+"_busy"] = int(l.Busy + 0.5)
 	fields[name+"_slots"] = l.Slots
 	fields[name+"_ms"] = t.took.Milliseconds()
