--- a/pkg/backend/born_test.go
+++ b/pkg/backend/born_test.go
@@ -33,8 +33,8 @@
 	is.NoErr(err)
 	is.Equal(lease.StartedAtMs, int64(2000))
 	is.True(!lease.Known)
-	is.Equal(lease.Busy, 0.0) // it holds nothing
-	old.Done(Broken, nil)     // the end of the earlier life
+	is.Equal(lease.InFlight, 0.0) // it holds nothing
+	old.Done(Broken, nil)         // the end of the earlier life
 	old = nil
 	is.Equal(s.servers[first.ID].load.own, 1)
 	is.Equal(s.servers[first.ID].health.failures, 0)
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -12,8 +12,8 @@
 	// Rank is the server's place in the order in which the key prefers
 	// servers, from 0, its home.
 	Rank int
-	// Busy is how many requests the server held, as far as was known.
-	Busy float64
+	// InFlight is how many requests the server held, as far as was known.
+	InFlight float64
 	// LoadAge is how old the server's last word on its load was; 0 if it has
 	// said none.
 	LoadAge time.Duration
@@ -54,7 +54,7 @@
 		s.suspect(v, "slow")
 	}
 	l := &Lease{
-		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, Busy: c.busy,
+		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
 		Known: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
 	if v.rest.returning {
@@ -103,7 +103,7 @@
 		v.health.heard = now
 		s.zoneHeard[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
-		if l.Known && l.Busy < float64(l.Slots) {
+		if l.Known && l.InFlight < float64(l.Slots) {
 			v.speed.took(&s.Policy, now.Sub(l.start))
 		}
 		v.keys.answered(l.key)
@@ -176,6 +176,6 @@
 // workTime is how long the server took, without the time for which the
 // request must have waited for a slot.
 func (l *Lease) workTime(now time.Time) time.Duration {
-	fill := l.Busy / float64(max(1, l.Slots))
+	fill := l.InFlight / float64(max(1, l.Slots))
 	return time.Duration(float64(now.Sub(l.start)) / max(1, fill))
 }
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -115,7 +115,7 @@
 		second, err := choose(s, 1)
 		is.NoErr(err)
 		is.Equal(second.ID, first.ID)
-		is.Equal(second.Busy, e.busy)
+		is.Equal(second.InFlight, e.busy)
 	}
 }
 
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -234,7 +234,7 @@
 	l := t.lease
 	fields[name] = l.ID + " " + t.result.String()
 	fields[name+"_home"] = l.Rank
-	fields[name+"_busy"] = int(l.Busy + 0.5)
+	fields[name+"_busy"] = int(l.InFlight + 0.5)
 	fields[name+"_slots"] = l.Slots
 	fields[name+"_ms"] = t.took.Milliseconds()
 	if l.LoadAge > 0 {
