--- a/pkg/backend/born_test.go
+++ b/pkg/backend/born_test.go
@@ -32,7 +32,7 @@
 	lease, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(lease.StartedAtMs, int64(2000))
-	is.True(!lease.Known)
+	is.True(!lease.KeyKnown)
 	is.Equal(lease.InFlight, 0.0) // it holds nothing
 	old.Done(Broken, nil)         // the end of the earlier life
 	old = nil
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -23,8 +23,8 @@
 	Denied  int
 	// BackedOff is how many servers were passed over that have asked for rest.
 	BackedOff int
-	// Known is true if the server has lately answered this box for the key.
-	Known bool
+	// KeyKnown is true if the server has lately answered this box for the key.
+	KeyKnown bool
 	// Expected is how long the server was expected to take, from its typical
 	// time and its queue; 0 before its first answer.
 	Expected time.Duration
@@ -55,7 +55,7 @@
 	}
 	l := &Lease{
 		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
-		Known: v.keys.has(key), set: s, server: v, key: key, start: now,
+		KeyKnown: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
 	if v.rest.returning {
 		v.rest.trial, l.trial = true, true
@@ -103,7 +103,7 @@
 		v.health.heard = now
 		s.zoneHeard[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
-		if l.Known && l.InFlight < float64(l.Slots) {
+		if l.KeyKnown && l.InFlight < float64(l.Slots) {
 			v.speed.took(&s.Policy, now.Sub(l.start))
 		}
 		v.keys.answered(l.key)
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -243,7 +243,7 @@
 	if l.Expected > 0 {
 		fields[name+"_expected_ms"] = l.Expected.Milliseconds()
 	}
-	if l.Known {
+	if l.KeyKnown {
 		fields[name+"_known"] = true
 	}
 	if l.Remote {
