--- a/pkg/backend/rest.go
+++ b/pkg/backend/rest.go
@@ -89,9 +89,9 @@
 	return max(0, r.until.Sub(now))
 }
 
-// Wanted reports whether the server may still get the request: since it was chosen it may have left,
+// MaySend reports whether the server may still get the request: since it was chosen it may have left,
 // or asked for rest.
-func (l *Lease) Wanted() bool {
+func (l *Lease) MaySend() bool {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
 	return l.usable() && !l.set.Now().Before(l.server.rest.until)
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -23,7 +23,7 @@
 	is.True(s.BackOff(home.Incarnation(), 3*time.Second))
 	is.True(!s.BackOff(home.Incarnation(), time.Second)) // the longer one holds
 	home.Done(Shed, nil)
-	is.True(!waiting.Wanted())
+	is.True(!waiting.MaySend())
 	is.True(waiting.Usable()) // it does not leave
 	waiting.Done(Withdrawn, nil)
 	for range 29 {
@@ -38,7 +38,7 @@
 	trial, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(trial.ID, home.ID)
-	is.True(trial.Wanted())
+	is.True(trial.MaySend())
 	other, err := choose(s, 7)
 	is.NoErr(err)
 	is.True(other.ID != home.ID) // one at a time
@@ -148,8 +148,8 @@
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "lease")
 			l := open[i]
 			open = append(open[:i], open[i+1:]...)
-			if l.Wanted() == c.at.Before(ends[l.ID]) {
-				t.Fatalf("%s: wanted %t", l.ID, l.Wanted())
+			if l.MaySend() == c.at.Before(ends[l.ID]) {
+				t.Fatalf("%s: wanted %t", l.ID, l.MaySend())
 			}
 			if rapid.Bool().Draw(t, "rests") {
 				d := time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
