--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -130,9 +130,9 @@
 	// is known to have the key. Both are set where Reason is Full.
 	HomeFill  float64
 	FreeSlots int
-	// RoomIn is after what time the home is expected to have worked off what it has too
+	// RetryAfter is after what time the home is expected to have worked off what it has too
 	// much, a limit to leave room again, or a time of rest to end, 0 if that is not known.
-	RoomIn time.Duration
+	RetryAfter time.Duration
 	// Server is the one whose limit is to be asked for, where Reason is Undecided.
 	Server Server
 }
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -76,7 +76,7 @@
 		}
 		if best.fill() >= limit {
 			best.order.met(&s.Policy, r.Priority, best.fill(), now)
-			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RoomIn: best.roomIn(limit, g.typicalLatency(now))}
+			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.roomIn(limit, g.typicalLatency(now))}
 		}
 		admission, roomIn := s.admit(best, r, now)
 		if admission == Open {
@@ -104,15 +104,15 @@
 // over: of the region in which the key has its home, if it has any. Clients that are asked back sooner
 // are refused again.
 func (s *Set) allFail(service string, now time.Time, near, far []candidate) *ChoiceError {
-	e := &ChoiceError{Reason: Failing, Service: service, RoomIn: s.resting.roomIn(now)}
+	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.resting.roomIn(now)}
 	list := near
 	if len(list) == 0 {
 		list = far
 	}
 	for i := range list {
 		c := &list[i]
-		if in := c.health.restUntil.Sub(now); c.failing && !c.tried && (e.RoomIn == 0 || in < e.RoomIn) {
-			e.RoomIn = in
+		if in := c.health.restUntil.Sub(now); c.failing && !c.tried && (e.RetryAfter == 0 || in < e.RetryAfter) {
+			e.RetryAfter = in
 		}
 	}
 	return e
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -55,10 +55,10 @@
 func (s *Set) noServer(denied *denials, service string, now time.Time) *ChoiceError {
 	e := &ChoiceError{Reason: NoServer, Service: service}
 	if s.resting.count > 0 {
-		e.Reason, e.RoomIn = Resting, s.resting.roomIn(now)
+		e.Reason, e.RetryAfter = Resting, s.resting.roomIn(now)
 	}
-	if denied.count > 0 && (e.RoomIn == 0 || denied.roomIn < e.RoomIn) {
-		e.Reason, e.RoomIn = Limited, denied.roomIn
+	if denied.count > 0 && (e.RetryAfter == 0 || denied.roomIn < e.RetryAfter) {
+		e.Reason, e.RetryAfter = Limited, denied.roomIn
 	}
 	return e
 }
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -94,7 +94,7 @@
 		switch {
 		case errors.As(err, &choice):
 			is.Equal(choice.Reason, Limited)
-			is.Equal(choice.RoomIn, time.Second)
+			is.Equal(choice.RetryAfter, time.Second)
 			refused++
 		case l.Remote && l.Denied > 0:
 			away++
--- a/pkg/backend/region_test.go
+++ b/pkg/backend/region_test.go
@@ -98,9 +98,9 @@
 	// 9 requests at 4 slots of 200 ms, where 8.4 are full: 1.6 to work off.
 	is.Equal(len(leases), 9)
 	is.Equal(choice.Reason, Full)
-	is.Equal(choice.RoomIn.Round(time.Millisecond), 80*time.Millisecond)
+	is.Equal(choice.RetryAfter.Round(time.Millisecond), 80*time.Millisecond)
 	leases[0].Done(Shed, &Load{Running: 4, Waiting: 12, Slots: 4})
 	_, err = choose(s, 1)
 	is.True(errors.As(err, &choice))
-	is.True(choice.RoomIn > 300*time.Millisecond)
+	is.True(choice.RetryAfter > 300*time.Millisecond)
 }
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -93,7 +93,7 @@
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
 	is.Equal(choice.Reason, Resting)
-	is.Equal(choice.RoomIn, 1500*time.Millisecond)
+	is.Equal(choice.RetryAfter, 1500*time.Millisecond)
 	s.Replace(append(servers("east-a", 3, 4), servers("west-a", 3, 4)...), true)
 	moved := 0
 	for key := range 400 {
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -576,8 +576,8 @@
 	_, err := choose(s, 1)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.RoomIn, s.Policy.FirstRest-200*time.Millisecond) // the first one's rest
-	c.advance(choice.RoomIn)
+	is.Equal(choice.RetryAfter, s.Policy.FirstRest-200*time.Millisecond) // the first one's rest
+	c.advance(choice.RetryAfter)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 }
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -105,13 +105,13 @@
 	switch choice.Reason {
 	case backend.Full:
 		c.full = choice
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
 	case backend.Limited:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
 	case backend.Resting:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	case backend.Failing:
-		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	}
 	if c.server.Starting() > 0 {
 		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.comeBackStarted())
