--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -155,10 +155,10 @@
 	RegionAllowed func(region string) bool
 	// Tried lists the servers that the request was already sent to.
 	Tried []string
-	// Asked: it has been asked whether a server's limit leaves room for the request, and Granted
+	// AdmissionAsked: it has been asked whether a server's limit leaves room for the request, and Granted
 	// is the life of the one that has, empty for none. It is not asked twice.
-	Asked   bool
-	Granted string
+	AdmissionAsked bool
+	Granted        string
 }
 
 // Admission is whether a server's limit leaves room for one more request.
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -62,7 +62,7 @@
 		return nil, &ChoiceError{Reason: NoServer, Service: r.Service}
 	}
 	near, far := s.candidatesOfVersion(g, r, now)
-	if !r.Asked {
+	if !r.AdmissionAsked {
 		s.spill.request(&s.Terms, now)
 	}
 	var denied denials
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -72,5 +72,5 @@
 	if r.Granted != "" && r.Granted == c.Incarnation() {
 		return Granted, 0
 	}
-	return s.Admit(&c.Server, !r.Asked, c.order.yieldsToken(r.Priority, now))
+	return s.Admit(&c.Server, !r.AdmissionAsked, c.order.yieldsToken(r.Priority, now))
 }
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -123,7 +123,7 @@
 	is.True(errors.As(err, &choice))
 	is.Equal(choice.Reason, Undecided)
 	is.Equal(choice.Server.ID, home.ID)
-	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, Asked: true, Granted: home.Incarnation()}
+	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, AdmissionAsked: true, Granted: home.Incarnation()}
 	l, err := s.Choose(r)
 	is.NoErr(err)
 	is.Equal(l.ID, home.ID)
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -86,7 +86,7 @@
 // chooseAsking asks for room by a server's limit and chooses anew: that server, if it has room,
 // or another one.
 func (c *call) chooseAsking(r *backend.Request, server *backend.Server) (*backend.Lease, error) {
-	r.Asked = true
+	r.AdmissionAsked = true
 	if c.server.AwaitRoom(c.ctx, server) {
 		r.Granted = server.Incarnation()
 	}
