--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -172,8 +172,8 @@
 	Granted
 	// Denied: it leaves none.
 	Denied
-	// Open: that is not known here.
-	Open
+	// AdmissionUnknown: that is not known here.
+	AdmissionUnknown
 )
 
 // Hash is the one hash of affinity keys: equal on all boxes.
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -79,7 +79,7 @@
 			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.roomIn(limit, g.typicalLatency(now))}
 		}
 		admission, roomIn := s.admit(best, r, now)
-		if admission == Open {
+		if admission == AdmissionUnknown {
 			return nil, &ChoiceError{Reason: Undecided, Service: r.Service, Server: best.Server}
 		}
 		if admission == Denied {
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -32,7 +32,7 @@
 		case yield:
 			return Denied, 0
 		case rs.open && ask:
-			return Open, 0
+			return AdmissionUnknown, 0
 		case n == 0:
 			return Denied, time.Second
 		}
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -128,7 +128,7 @@
 	d := n.Quota.Arrive(id)
 	if d.Verdict == quota.Waiting {
 		if ask {
-			return backend.Open, 0
+			return backend.AdmissionUnknown, 0
 		}
 		d = n.Quota.Again(id, true)
 	}
