--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -116,9 +116,9 @@
 	Resting Reason = "resting"
 	// Failing: those that may take it have failed a moment ago, and rest.
 	Failing Reason = "failing"
-	// Undecided: whether the limit of the server that it prefers leaves room is to be asked
+	// AdmissionPending: whether the limit of the server that it prefers leaves room is to be asked
 	// first; see Request.Asked.
-	Undecided Reason = "undecided"
+	AdmissionPending Reason = "undecided"
 )
 
 // ChoiceError is a request for which no server was found.
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -80,7 +80,7 @@
 		}
 		admission, roomIn := s.admit(best, r, now)
 		if admission == AdmissionUnknown {
-			return nil, &ChoiceError{Reason: Undecided, Service: r.Service, Server: best.Server}
+			return nil, &ChoiceError{Reason: AdmissionPending, Service: r.Service, Server: best.Server}
 		}
 		if admission == Denied {
 			best.order.met(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -121,7 +121,7 @@
 	_, err = choose(s, 7)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.Reason, Undecided)
+	is.Equal(choice.Reason, AdmissionPending)
 	is.Equal(choice.Server.ID, home.ID)
 	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, AdmissionAsked: true, Granted: home.Incarnation()}
 	l, err := s.Choose(r)
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -74,7 +74,7 @@
 	}
 	lease, err := c.server.Set.Choose(r)
 	var choice *backend.ChoiceError
-	if errors.As(err, &choice) && choice.Reason == backend.Undecided {
+	if errors.As(err, &choice) && choice.Reason == backend.AdmissionPending {
 		lease, err = c.chooseAsking(r, &choice.Server)
 	}
 	if err == nil {
