--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -112,8 +112,8 @@
 	Full Reason = "full"
 	// Limited: those that may take it have named limits, which leave no room now.
 	Limited Reason = "limited"
-	// Resting: those that may take it have asked this box for rest.
-	Resting Reason = "resting"
+	// BackingOff: those that may take it have asked this box for rest.
+	BackingOff Reason = "resting"
 	// Failing: those that may take it have failed a moment ago, and rest.
 	Failing Reason = "failing"
 	// AdmissionPending: whether the limit of the server that it prefers leaves room is to be asked
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -55,7 +55,7 @@
 func (s *Set) noServer(denied *denials, service string, now time.Time) *ChoiceError {
 	e := &ChoiceError{Reason: NoServer, Service: service}
 	if s.resting.count > 0 {
-		e.Reason, e.RetryAfter = Resting, s.resting.roomIn(now)
+		e.Reason, e.RetryAfter = BackingOff, s.resting.roomIn(now)
 	}
 	if denied.count > 0 && (e.RetryAfter == 0 || denied.roomIn < e.RetryAfter) {
 		e.Reason, e.RetryAfter = Limited, denied.roomIn
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -92,7 +92,7 @@
 	_, err := choose(s, 1)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.Reason, Resting)
+	is.Equal(choice.Reason, BackingOff)
 	is.Equal(choice.RetryAfter, 1500*time.Millisecond)
 	s.Replace(append(servers("east-a", 3, 4), servers("west-a", 3, 4)...), true)
 	moved := 0
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -108,7 +108,7 @@
 		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
 	case backend.Limited:
 		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
-	case backend.Resting:
+	case backend.BackingOff:
 		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	case backend.Failing:
 		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
