--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -80,8 +80,8 @@
 	Refused
 	// Broken: the exchange failed after something was sent.
 	Broken
-	// Late: no answer came in time.
-	Late
+	// TimedOut: no answer came in time.
+	TimedOut
 	// Stale: another server has the address now.
 	Stale
 	// Abandoned: the client left; this says nothing of the server.
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -129,7 +129,7 @@
 		rests = v.health.failed(&s.Policy, now, 1)
 	case Abandoned:
 		v.health.unfinished(&s.Policy, l.workTime(now))
-	case Late:
+	case TimedOut:
 		v.health.unfinished(&s.Policy, l.workTime(now))
 		if now.Sub(v.health.heard) > s.Policy.Silence {
 			rests = v.health.failed(&s.Policy, now, 1)
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -407,7 +407,7 @@
 // much as slow answers do. (On a recorded day servers that took eight times as
 // long went on getting their keys for ten seconds.)
 func TestSlowServerIsSparedThoughNothingEnds(t *testing.T) {
-	for _, result := range []Result{Late, Abandoned} {
+	for _, result := range []Result{TimedOut, Abandoned} {
 		t.Run(result.String(), func(t *testing.T) {
 			is := is.New(t)
 			s, c := newTestSet(1)
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -235,7 +235,7 @@
 	case !sent:
 		c.finish(lease, backend.Unreachable, nil, start, err)
 	case late:
-		c.finish(lease, backend.Late, nil, start, err)
+		c.finish(lease, backend.TimedOut, nil, start, err)
 	default:
 		c.finish(lease, c.lost(lease, err), nil, start, err)
 	}
