--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -158,7 +158,7 @@
 	// AdmissionAsked: it has been asked whether a server's limit leaves room for the request, and Granted
 	// is the life of the one that has, empty for none. It is not asked twice.
 	AdmissionAsked bool
-	Granted        string
+	GrantedBy      string
 }
 
 // Admission is whether a server's limit leaves room for one more request.
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -69,7 +69,7 @@
 	if !s.Limited() {
 		return Unlimited, 0
 	}
-	if r.Granted != "" && r.Granted == c.Incarnation() {
+	if r.GrantedBy != "" && r.GrantedBy == c.Incarnation() {
 		return Granted, 0
 	}
 	return s.Admit(&c.Server, !r.AdmissionAsked, c.order.yieldsToken(r.Priority, now))
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -123,12 +123,12 @@
 	is.True(errors.As(err, &choice))
 	is.Equal(choice.Reason, AdmissionPending)
 	is.Equal(choice.Server.ID, home.ID)
-	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, AdmissionAsked: true, Granted: home.Incarnation()}
+	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, AdmissionAsked: true, GrantedBy: home.Incarnation()}
 	l, err := s.Choose(r)
 	is.NoErr(err)
 	is.Equal(l.ID, home.ID)
 	is.True(l.Metered)
-	r.Granted = ""
+	r.GrantedBy = ""
 	l, err = s.Choose(r)
 	is.NoErr(err)
 	is.True(l.ID != home.ID)
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -88,10 +88,10 @@
 func (c *call) chooseAsking(r *backend.Request, server *backend.Server) (*backend.Lease, error) {
 	r.AdmissionAsked = true
 	if c.server.AwaitRoom(c.ctx, server) {
-		r.Granted = server.Incarnation()
+		r.GrantedBy = server.Incarnation()
 	}
 	lease, err := c.server.Set.Choose(r)
-	if r.Granted != "" && (lease == nil || lease.Incarnation() != r.Granted) {
+	if r.GrantedBy != "" && (lease == nil || lease.Incarnation() != r.GrantedBy) {
 		// Something has changed while it was asked for.
 		c.server.ReleaseRoom(server)
 	}
