--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -54,8 +54,8 @@
 
 // RateLimit is what an answer of a server says of how many requests it takes.
 type RateLimit struct {
-	// Named: the answer names a limit.
-	Named bool
+	// Present: the answer names a limit.
+	Present bool
 	// PerSecond is how many requests a second the server takes from all boxes together.
 	PerSecond float64
 	// Malformed: it names something that cannot be read, which ends no limit of before.
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -87,7 +87,7 @@
 // With ran false the server has not run the request; that such an answer names no limit says
 // nothing.
 func (t *Table) Answered(server *backend.Server, limit backend.RateLimit, ran bool, sent time.Time) {
-	if !limit.Named && t.Empty() {
+	if !limit.Present && t.Empty() {
 		return
 	}
 	t.mu.Lock()
@@ -95,7 +95,7 @@
 	life := server.Incarnation()
 	e := t.records[life]
 	switch {
-	case limit.Named:
+	case limit.Present:
 		t.namedBy(e, Record{Server: life, Zone: server.Zone, Named: true, PerSecond: limit.PerSecond})
 	case e != nil && e.Named && ran && sent.After(e.heard):
 		t.set(e, Record{Server: life, Zone: server.Zone, Number: e.Number + 1})
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -31,7 +31,7 @@
 }
 
 func names(perSecond float64) backend.RateLimit {
-	return backend.RateLimit{Named: true, PerSecond: perSecond}
+	return backend.RateLimit{Present: true, PerSecond: perSecond}
 }
 
 // TestLimitBeginsChangesAndEnds with the server's answers.
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -90,7 +90,7 @@
 		metrics.GetOrRegisterCounter("limits.unread", n.Metrics).Inc(1)
 		return
 	}
-	if v.Limit.Named {
+	if v.Limit.Present {
 		metrics.GetOrRegisterCounter("limits.answers", n.Metrics).Inc(1)
 	}
 	n.Statuses.Answered(server, v.Limit, v.Signed, sent)
