--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -58,8 +58,8 @@
 	Region string
 	// Hash is that of the box's name, see Hash.
 	Hash uint64
-	// Named: clients of its zone are told of it, others only where there are none of these.
-	Named bool
+	// Advertised: clients of its zone are told of it, others only where there are none of these.
+	Advertised bool
 }
 
 // The ranks of boxes in the order in which they send to a cold server.
@@ -75,7 +75,7 @@
 // those of its region, which have most of its keys.
 func (p *Peer) coldRank(v *server) int {
 	switch {
-	case !p.Named:
+	case !p.Advertised:
 		return rankOther
 	case p.Zone == v.Zone:
 		return rankZone
--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -22,7 +22,7 @@
 	for i := range boxes {
 		zone := zones[i%len(zones)]
 		names = append(names, fmt.Sprintf("%s.%d", zone, i))
-		peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(names[i]), Named: i/len(zones)%oneIn == 0})
+		peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(names[i]), Advertised: i/len(zones)%oneIn == 0})
 	}
 	var sets []*Set
 	for i := range boxes {
@@ -147,7 +147,7 @@
 		var peers []Peer
 		for _, zone := range zones {
 			for i := range large + small {
-				peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(zone, fmt.Sprint(i)), Named: i < large})
+				peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(zone, fmt.Sprint(i)), Advertised: i < large})
 			}
 		}
 		terms := Terms{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
@@ -160,7 +160,7 @@
 			view := slices.Clone(peers)
 			for j := range view {
 				if view[j].Zone == "west-a" && changed {
-					view[j].Named = !view[j].Named
+					view[j].Advertised = !view[j].Advertised
 				}
 			}
 			s := NewSet(terms, peers[i].Zone, regionOf, func() int { return len(peers) }, c.now)
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -267,9 +267,9 @@
 	isNamed := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
 	}
-	p.self.Named = isNamed(capacities[0], p.self.Zone)
+	p.self.Advertised = isNamed(capacities[0], p.self.Zone)
 	for i := range p.list {
-		p.list[i].Named = isNamed(capacities[i+1], p.list[i].Zone)
+		p.list[i].Advertised = isNamed(capacities[i+1], p.list[i].Zone)
 	}
 }
 
