--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -27,7 +27,7 @@
 	var sets []*Set
 	for i := range boxes {
 		zone := zones[i%len(zones)]
-		s := NewSet(Terms{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second}, zone, regionOf, func() int { return boxes }, c.now)
+		s := NewSet(Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second}, zone, regionOf, func() int { return boxes }, c.now)
 		s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 		others := slices.Delete(slices.Clone(peers), i, i+1)
 		s.Peers = func() (Peer, []Peer) { return peers[i], others }
@@ -150,7 +150,7 @@
 				peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(zone, fmt.Sprint(i)), Advertised: i < large})
 			}
 		}
-		terms := Terms{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
+		terms := Bounds{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
 		bound := int(perSecond*terms.ColdOverage + terms.ColdSlack)
 		c := &clock{at: time.Unix(1000, 0)}
 		sent := 0
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -9,8 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/rollout"
 )
 
-// Terms are the bounds that hold for choices, from the settings.
-type Terms struct {
+// Bounds are the bounds that hold for choices, from the settings.
+type Bounds struct {
 	// ColdOverage and ColdSlack bound what a cold server gets in any second
 	// from all boxes together: its rate x ColdOverage + ColdSlack.
 	ColdOverage float64
@@ -32,7 +32,7 @@
 
 // Set holds the backend servers of all services.
 type Set struct {
-	Terms Terms
+	Terms Bounds
 	// Policy holds the figures of the choice; see SetPolicy.
 	Policy policy.Policy
 	// Zone and Region are the box's own.
@@ -158,7 +158,7 @@
 }
 
 // NewSet makes a set without servers.
-func NewSet(terms Terms, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
+func NewSet(terms Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
 		Terms: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
 		Peers:         func() (Peer, []Peer) { return Peer{}, nil },
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -24,7 +24,7 @@
 
 func newTestSet(boxes int) (*Set, *clock) {
 	c := &clock{at: time.Unix(1000, 0)}
-	terms := Terms{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, Forget: 1750 * time.Millisecond}
+	terms := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, Forget: 1750 * time.Millisecond}
 	s := NewSet(terms, "east-a", regionOf, func() int { return boxes }, c.now)
 	s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 	return s, c
--- a/pkg/backend/spill.go
+++ b/pkg/backend/spill.go
@@ -17,14 +17,14 @@
 }
 
 // request counts a request.
-func (g *spillGuard) request(terms *Terms, now time.Time) {
+func (g *spillGuard) request(terms *Bounds, now time.Time) {
 	g.advance(terms, now)
 	g.requests[g.at%int64(len(g.requests))]++
 }
 
 // allow takes one request that leaves the region, if the share of such requests
 // rises by no more than the given rise from one window to the next.
-func (g *spillGuard) allow(rise float64, terms *Terms, now time.Time) bool {
+func (g *spillGuard) allow(rise float64, terms *Bounds, now time.Time) bool {
 	g.advance(terms, now)
 	requests, spilled := g.sum(0)
 	before, spilledBefore := g.sum(spillBuckets)
@@ -50,7 +50,7 @@
 	return requests, spilled
 }
 
-func (g *spillGuard) advance(terms *Terms, now time.Time) {
+func (g *spillGuard) advance(terms *Bounds, now time.Time) {
 	if g.began.IsZero() {
 		g.began = now
 	}
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -289,7 +289,7 @@
 
 func (n *Node) newSet(log *logging.Part) {
 	b := n.Settings.Bounds
-	n.Set = backend.NewSet(backend.Terms{
+	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
 		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, Forget: forgetAfter(b.Drain),
 	}, n.Settings.Zone, n.Topology.RegionOf, n.boxes, n.Clock.Now)
