--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -63,7 +63,7 @@
 	}
 	near, far := s.candidatesOfVersion(g, r, now)
 	if !r.AdmissionAsked {
-		s.spill.request(&s.Terms, now)
+		s.spill.request(&s.Bounds, now)
 	}
 	var denied denials
 	for {
@@ -273,7 +273,7 @@
 		}
 		return other, otherPlace, limit
 	}
-	if other != nil && !other.last() && other.fill() < s.Policy.IdleFill && s.spill.allow(s.Policy.SpillShare*s.Terms.MaxShift, &s.Terms, now) {
+	if other != nil && !other.last() && other.fill() < s.Policy.IdleFill && s.spill.allow(s.Policy.SpillShare*s.Bounds.MaxShift, &s.Bounds, now) {
 		return other, otherPlace, s.Policy.FullFill
 	}
 	return best, place, limit
--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -39,7 +39,7 @@
 		return 0
 	}
 	terms := s.terms[v.Service]
-	total := int(coldShare * (terms.ColdPerSecond*s.Terms.ColdOverage + s.Terms.ColdSlack))
+	total := int(coldShare * (terms.ColdPerSecond*s.Bounds.ColdOverage + s.Bounds.ColdSlack))
 	if total >= boxes {
 		return total / boxes
 	}
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -105,7 +105,7 @@
 		c.advance(10 * time.Millisecond)
 	}
 	is.True(refused > 0)
-	is.True(float64(away) <= s.Terms.MaxShift*100) // of the region's requests, within a window
+	is.True(float64(away) <= s.Bounds.MaxShift*100) // of the region's requests, within a window
 }
 
 // TestRoomIsAskedForOnce: where it is open whether the preferred server has room the choice says
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -87,7 +87,7 @@
 		return target
 	}
 	target = g.fills.wanted(&s.Policy, l.value, target, now)
-	step := s.Policy.ShareStep * s.Terms.MaxShift * now.Sub(l.at).Seconds() / s.Terms.ShiftWindow.Seconds()
+	step := s.Policy.ShareStep * s.Bounds.MaxShift * now.Sub(l.at).Seconds() / s.Bounds.ShiftWindow.Seconds()
 	l.value += max(-step, min(step, target-l.value))
 	l.at = now
 	return l.value
--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/rest_test.go
@@ -104,7 +104,7 @@
 		}
 		c.advance(time.Millisecond)
 	}
-	is.True(moved > 0 && float64(moved) <= s.Policy.SpillShare*s.Terms.MaxShift*400+1)
+	is.True(moved > 0 && float64(moved) <= s.Policy.SpillShare*s.Bounds.MaxShift*400+1)
 }
 
 // TestRestOfAnotherLife: what one life asked for is nothing to the next.
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -32,7 +32,7 @@
 
 // Set holds the backend servers of all services.
 type Set struct {
-	Terms Bounds
+	Bounds Bounds
 	// Policy holds the figures of the choice; see SetPolicy.
 	Policy policy.Policy
 	// Zone and Region are the box's own.
@@ -160,7 +160,7 @@
 // NewSet makes a set without servers.
 func NewSet(terms Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
-		Terms: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
+		Bounds: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
 		Peers:         func() (Peer, []Peer) { return Peer{}, nil },
 		Trusted:       func() bool { return true },
 		Changed:       func(Server, string) {},
@@ -381,5 +381,5 @@
 
 // forgotten reports whether the server has been missing for too long.
 func (s *Set) forgotten(v *server) bool {
-	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Terms.Forget
+	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Bounds.Forget
 }
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -56,7 +56,7 @@
 	s.Remove("east-a-0", false)
 	_, err := choose(s, 1)
 	is.NoErr(err) // a platform that was down may have lost the entry of a server that is well
-	c.advance(s.Terms.Forget + time.Millisecond)
+	c.advance(s.Bounds.Forget + time.Millisecond)
 	s.Expire()
 	_, err = choose(s, 1)
 	is.True(err != nil)
@@ -71,7 +71,7 @@
 	lease, err := choose(s, 1)
 	is.NoErr(err)
 	s.Remove("east-a-0", false)
-	c.advance(s.Terms.Forget)
+	c.advance(s.Bounds.Forget)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 	is.True(lease.Usable())
