--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -28,7 +28,7 @@
 	for i := range boxes {
 		zone := zones[i%len(zones)]
 		s := NewSet(Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second}, zone, regionOf, func() int { return boxes }, c.now)
-		s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
+		s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 		others := slices.Delete(slices.Clone(peers), i, i+1)
 		s.Peers = func() (Peer, []Peer) { return peers[i], others }
 		list := servers("west-a", 1, 4)
@@ -164,7 +164,7 @@
 				}
 			}
 			s := NewSet(terms, peers[i].Zone, regionOf, func() int { return len(peers) }, c.now)
-			s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: perSecond}})
+			s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: perSecond}})
 			self, others := view[i], slices.Delete(slices.Clone(view), i, i+1)
 			s.Peers = func() (Peer, []Peer) { return self, others }
 			list := servers("west-a", 1, 4)
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -24,8 +24,8 @@
 	Forget time.Duration
 }
 
-// ServiceTerms are what a configuration says of a service's cold servers.
-type ServiceTerms struct {
+// ColdStartConfig are what a configuration says of a service's cold servers.
+type ColdStartConfig struct {
 	ColdStart     time.Duration
 	ColdPerSecond float64
 }
@@ -81,7 +81,7 @@
 	servers   map[string]*server
 	services  map[string]*group
 	evacuated map[string]bool
-	terms     map[string]ServiceTerms
+	terms     map[string]ColdStartConfig
 	spill     spillGuard
 	// missing are the servers that have vanished from a list that is not trusted, by ID.
 	missing map[string]*server
@@ -174,14 +174,14 @@
 		servers:       map[string]*server{},
 		services:      map[string]*group{},
 		evacuated:     map[string]bool{},
-		terms:         map[string]ServiceTerms{},
+		terms:         map[string]ColdStartConfig{},
 		rested:        map[*server]bool{},
 		missing:       map[string]*server{},
 	}
 }
 
 // SetServices sets what the configuration says of the services.
-func (s *Set) SetServices(terms map[string]ServiceTerms) {
+func (s *Set) SetServices(terms map[string]ColdStartConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.terms = terms
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -26,7 +26,7 @@
 	c := &clock{at: time.Unix(1000, 0)}
 	terms := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, Forget: 1750 * time.Millisecond}
 	s := NewSet(terms, "east-a", regionOf, func() int { return boxes }, c.now)
-	s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
+	s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 	return s, c
 }
 
--- a/pkg/steering/steering_store.go
+++ b/pkg/steering/steering_store.go
@@ -73,9 +73,9 @@
 		log.Warn("configuration refused", map[string]any{"version": c.Version, "error": err.Error()})
 		return
 	}
-	terms := map[string]backend.ServiceTerms{}
+	terms := map[string]backend.ColdStartConfig{}
 	for _, s := range c.Services {
-		terms[s.Name] = backend.ServiceTerms{ColdStart: s.ColdStart, ColdPerSecond: s.ColdPerSecond}
+		terms[s.Name] = backend.ColdStartConfig{ColdStart: s.ColdStart, ColdPerSecond: s.ColdPerSecond}
 	}
 	n.Set.SetServices(terms)
 	n.Quota.SetCustomers(c.Customers)
