--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -19,9 +19,9 @@
 	// the region in which they run within ShiftWindow.
 	MaxShift    float64
 	ShiftWindow time.Duration
-	// Forget is for how long a server is kept that vanished from the list
+	// MissingTTL is for how long a server is kept that vanished from the list
 	// while the list could not be trusted.
-	Forget time.Duration
+	MissingTTL time.Duration
 }
 
 // ColdStartConfig are what a configuration says of a service's cold servers.
@@ -381,5 +381,5 @@
 
 // forgotten reports whether the server has been missing for too long.
 func (s *Set) forgotten(v *server) bool {
-	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Bounds.Forget
+	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Bounds.MissingTTL
 }
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -24,7 +24,7 @@
 
 func newTestSet(boxes int) (*Set, *clock) {
 	c := &clock{at: time.Unix(1000, 0)}
-	terms := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, Forget: 1750 * time.Millisecond}
+	terms := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, MissingTTL: 1750 * time.Millisecond}
 	s := NewSet(terms, "east-a", regionOf, func() int { return boxes }, c.now)
 	s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 	return s, c
@@ -56,7 +56,7 @@
 	s.Remove("east-a-0", false)
 	_, err := choose(s, 1)
 	is.NoErr(err) // a platform that was down may have lost the entry of a server that is well
-	c.advance(s.Bounds.Forget + time.Millisecond)
+	c.advance(s.Bounds.MissingTTL + time.Millisecond)
 	s.Expire()
 	_, err = choose(s, 1)
 	is.True(err != nil)
@@ -71,7 +71,7 @@
 	lease, err := choose(s, 1)
 	is.NoErr(err)
 	s.Remove("east-a-0", false)
-	c.advance(s.Bounds.Forget)
+	c.advance(s.Bounds.MissingTTL)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 	is.True(lease.Usable())
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -64,7 +64,7 @@
 	b.stop = stop
 	log := logging.For(logging.New(logging.NewAsyncJSONHandler(io.Discard), logging.ParseLevel("info")), "test")
 	region := func(string) string { return "east" }
-	b.set = backend.NewSet(backend.Bounds{ShiftWindow: 2 * time.Second, Forget: 1500 * time.Millisecond}, "east-a", region, func() int { return 1 }, time.Now)
+	b.set = backend.NewSet(backend.Bounds{ShiftWindow: 2 * time.Second, MissingTTL: 1500 * time.Millisecond}, "east-a", region, func() int { return 1 }, time.Now)
 	b.Replica = New(Options{
 		Now:   time.Now,
 		Kinds: storeKinds, Zone: "east-a", Contact: contactTime, Drain: drainTime,
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -291,7 +291,7 @@
 	b := n.Settings.Bounds
 	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
-		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, Forget: forgetAfter(b.Drain),
+		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, MissingTTL: forgetAfter(b.Drain),
 	}, n.Settings.Zone, n.Topology.RegionOf, n.boxes, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
