--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -13,7 +13,7 @@
 	end := len(list)
 	for i := 0; i < end; {
 		c := &list[i]
-		if c.passed || !s.NamesLimit(&c.Server) {
+		if c.passed || !s.HasLimit(&c.Server) {
 			i++
 			continue
 		}
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -20,7 +20,7 @@
 	s, c := newTestSet(1)
 	rs := &rooms{left: left}
 	s.Limited = func() bool { return true }
-	s.NamesLimit = func(v *Server) bool {
+	s.HasLimit = func(v *Server) bool {
 		_, limited := rs.left[v.ID]
 		return limited
 	}
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -58,10 +58,10 @@
 	// false the answer is not Open, and with yield set a server that names a limit is denied,
 	// whatever it has room for. Release gives back what was granted and not used. All run
 	// under the set's lock and must not call it.
-	Limited    func() bool
-	NamesLimit func(server *Server) bool
-	Admit      func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
-	Release    func(server *Server)
+	Limited  func() bool
+	HasLimit func(server *Server) bool
+	Admit    func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
+	Release  func(server *Server)
 	// IsLeaving reports whether a life of a server has said that it leaves; see Leave. It runs under
 	// the set's lock and must not call it.
 	IsLeaving func(life string) bool
@@ -166,7 +166,7 @@
 		Changed:       func(Server, string) {},
 		ReportFailure: func(FailureReport) {},
 		Limited:       func() bool { return false },
-		NamesLimit:    func(*Server) bool { return false },
+		HasLimit:      func(*Server) bool { return false },
 		Admit:         func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
 		Release:       func(*Server) {},
 		IsLeaving:     func(string) bool { return false },
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -41,7 +41,7 @@
 		})
 	}
 	n.Set.Limited = func() bool { return !n.Statuses.Empty() }
-	n.Set.NamesLimit = func(v *backend.Server) bool {
+	n.Set.HasLimit = func(v *backend.Server) bool {
 		_, named := n.Statuses.Of(v.Incarnation())
 		return named
 	}
