--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -115,7 +115,7 @@
 // shortCandidates returns the same first candidates as candidates does, from short lists. It is not ok where
 // these do not tell.
 func (s *Set) shortCandidates(g *group, r *Request, version versionChoice, stays bool, now time.Time) (near, far []candidate, ok bool) {
-	if s.Limited() || s.anyRests(now) {
+	if s.AnyLimited() || s.anyRests(now) {
 		// Servers that are passed over count, wherever they stand.
 		return nil, nil, false
 	}
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -31,7 +31,7 @@
 // limits.
 func (s *Set) frontOf(r *Request) int {
 	front := 2 + len(r.Tried)
-	if s.Limited() {
+	if s.AnyLimited() {
 		front += mostDenied
 	}
 	return front
@@ -66,7 +66,7 @@
 // admit reports whether the limit that the server may have named leaves room for the request, and
 // for more urgent ones that lately found none.
 func (s *Set) admit(c *candidate, r *Request, now time.Time) (a Admission, roomIn time.Duration) {
-	if !s.Limited() {
+	if !s.AnyLimited() {
 		return Unlimited, 0
 	}
 	if r.GrantedBy != "" && r.GrantedBy == c.Incarnation() {
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -19,7 +19,7 @@
 func newLimitedSet(left map[string]int) (*Set, *clock, *rooms) {
 	s, c := newTestSet(1)
 	rs := &rooms{left: left}
-	s.Limited = func() bool { return true }
+	s.AnyLimited = func() bool { return true }
 	s.HasLimit = func(v *Server) bool {
 		_, limited := rs.left[v.ID]
 		return limited
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -52,16 +52,16 @@
 	Now func() time.Time
 	// Changed is told what the set came to believe of a server.
 	Changed func(server Server, what string)
-	// Limited reports whether any server is known to name a limit, NamesLimit whether one does, and
+	// AnyLimited reports whether any server is known to name a limit, NamesLimit whether one does, and
 	// Admit whether that of a server leaves room for one more request, and when it will where it is
 	// denied. With ask
 	// false the answer is not Open, and with yield set a server that names a limit is denied,
 	// whatever it has room for. Release gives back what was granted and not used. All run
 	// under the set's lock and must not call it.
-	Limited  func() bool
-	HasLimit func(server *Server) bool
-	Admit    func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
-	Release  func(server *Server)
+	AnyLimited func() bool
+	HasLimit   func(server *Server) bool
+	Admit      func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
+	Release    func(server *Server)
 	// IsLeaving reports whether a life of a server has said that it leaves; see Leave. It runs under
 	// the set's lock and must not call it.
 	IsLeaving func(life string) bool
@@ -165,7 +165,7 @@
 		Trusted:       func() bool { return true },
 		Changed:       func(Server, string) {},
 		ReportFailure: func(FailureReport) {},
-		Limited:       func() bool { return false },
+		AnyLimited:    func() bool { return false },
 		HasLimit:      func(*Server) bool { return false },
 		Admit:         func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
 		Release:       func(*Server) {},
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -40,7 +40,7 @@
 			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.Number,
 		})
 	}
-	n.Set.Limited = func() bool { return !n.Statuses.Empty() }
+	n.Set.AnyLimited = func() bool { return !n.Statuses.Empty() }
 	n.Set.HasLimit = func(v *backend.Server) bool {
 		_, named := n.Statuses.Of(v.Incarnation())
 		return named
