--- a/pkg/backend/life.go
+++ b/pkg/backend/life.go
@@ -12,8 +12,8 @@
 	return v
 }
 
-// TellsStart reports whether the server is known and tells when it started.
-func (s *Set) TellsStart(id string) bool {
+// ReportsStart reports whether the server is known and tells when it started.
+func (s *Set) ReportsStart(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.servers[id]
--- a/pkg/steering/steering_store.go
+++ b/pkg/steering/steering_store.go
@@ -110,7 +110,7 @@
 	if n.Topology.RegionOf(v.Zone) == "" {
 		return &ZoneError{Server: v.ID, Zone: v.Zone}
 	}
-	if v.StartedAtMs == 0 && n.Set.TellsStart(v.ID) {
+	if v.StartedAtMs == 0 && n.Set.ReportsStart(v.ID) {
 		return &StartError{Server: v.ID}
 	}
 	return nil
