--- a/pkg/backend/life.go
+++ b/pkg/backend/life.go
@@ -20,8 +20,8 @@
 	return v != nil && v.StartedAtMs != 0
 }
 
-// Lists reports whether the life of a server is known, see Server.Life.
-func (s *Set) Lists(life string) bool {
+// HasIncarnation reports whether the life of a server is known, see Server.Life.
+func (s *Set) HasIncarnation(life string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ofLife(life) != nil
--- a/pkg/backend/life_test.go
+++ b/pkg/backend/life_test.go
@@ -58,8 +58,8 @@
 	s.MarkLeaving("east-a-0")
 	s.Remove("east-a-0", false)
 	s.Remove("east-a-1", false)
-	is.True(!s.Lists("east-a-0"))
-	is.True(s.Lists("east-a-1"))
+	is.True(!s.HasIncarnation("east-a-0"))
+	is.True(s.HasIncarnation("east-a-1"))
 }
 
 // TestRegionOfLeavingServersHasNoSlots: its keys go to others within the cap on shifts, as when the list
--- a/pkg/steering/steering_status.go
+++ b/pkg/steering/steering_status.go
@@ -113,7 +113,7 @@
 	}
 	listed := map[string]bool{}
 	for i := range known {
-		listed[known[i].Server] = n.Set.Lists(known[i].Server)
+		listed[known[i].Server] = n.Set.HasIncarnation(known[i].Server)
 	}
 	n.Statuses.Expire(func(life string) bool { return listed[life] }, gone)
 	records := n.Statuses.InForce(endSpreads)
