--- a/pkg/backend/life.go
+++ b/pkg/backend/life.go
@@ -27,8 +27,8 @@
 	return s.ofLife(life) != nil
 }
 
-// ListsAt reports whether the life of a server is listed at an address now.
-func (s *Set) ListsAt(life, address string) bool {
+// IsListedAt reports whether the life of a server is listed at an address now.
+func (s *Set) IsListedAt(life, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.ofLife(life)
--- a/pkg/steering/steering_dial.go
+++ b/pkg/steering/steering_dial.go
@@ -109,7 +109,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for key, p := range n.pools {
-		if !n.Set.ListsAt(key.life, key.address) {
+		if !n.Set.IsListedAt(key.life, key.address) {
 			p.Close()
 			delete(n.pools, key)
 		}
