--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -25,8 +25,8 @@
 	// Slots is how many requests it works on at once.
 	Slots    int  `json:"slots"`
 	Draining bool `json:"draining,omitempty"`
-	// Cold is for how much longer it stays cold, counted from when it was told.
-	Cold time.Duration `json:"cold,omitempty"`
+	// ColdFor is for how much longer it stays cold, counted from when it was told.
+	ColdFor time.Duration `json:"cold,omitempty"`
 	// StartedAtMs is when it started, in milliseconds since 1970 by its own clock; 0 if it does not
 	// say. It tells its lives apart.
 	StartedAtMs int64 `json:"born,omitempty"`
--- a/pkg/backend/born_test.go
+++ b/pkg/backend/born_test.go
@@ -56,7 +56,7 @@
 	is.NoErr(err)
 
 	// Each life is cold from its own start.
-	third.StartedAtMs, third.Cold = 4000, 2*time.Second
+	third.StartedAtMs, third.ColdFor = 4000, 2*time.Second
 	s.Put(third)
 	c.advance(1900 * time.Millisecond)
 	third.StartedAtMs = 5000
--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -32,7 +32,7 @@
 		others := slices.Delete(slices.Clone(peers), i, i+1)
 		s.Peers = func() (Peer, []Peer) { return peers[i], others }
 		list := servers("west-a", 1, 4)
-		list[0].Cold = time.Minute
+		list[0].ColdFor = time.Minute
 		s.Replace(list, true)
 		if i/len(zones)%oneIn == 0 {
 			sets = append(sets, s)
@@ -68,7 +68,7 @@
 	s, c := newTestSet(1)
 	list := servers("east-a", 3, 4)
 	for i := range list {
-		list[i].Cold = 3 * time.Second
+		list[i].ColdFor = 3 * time.Second
 	}
 	s.Replace(list, true)
 	got := map[string]int{}
@@ -168,7 +168,7 @@
 			self, others := view[i], slices.Delete(slices.Clone(view), i, i+1)
 			s.Peers = func() (Peer, []Peer) { return self, others }
 			list := servers("west-a", 1, 4)
-			list[0].Cold = time.Minute
+			list[0].ColdFor = time.Minute
 			s.Replace(list, true)
 			for range 3 {
 				if _, err := choose(s, 1); err == nil {
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -21,7 +21,7 @@
 	for i := range list {
 		list[i].Draining = r.Float64() < 0.1
 		if r.Float64() < trouble {
-			list[i].Cold = time.Second
+			list[i].ColdFor = time.Second
 		}
 	}
 	s.Replace(list, true)
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -248,10 +248,10 @@
 	if old.Server != v && v.Draining && !old.Draining {
 		s.Changed(v, "draining")
 	}
-	cold := v.Cold != old.Cold
+	cold := v.ColdFor != old.ColdFor
 	old.Server = v
 	if cold {
-		s.startCold(old, v.Cold)
+		s.startCold(old, v.ColdFor)
 	}
 	old.region = s.RegionOf(v.Zone)
 	old.missing = time.Time{}
@@ -354,7 +354,7 @@
 	for _, v := range s.servers {
 		if v.missing.IsZero() {
 			out := v.Server
-			out.Cold = max(0, v.coldUntil.Sub(s.Now()))
+			out.ColdFor = max(0, v.coldUntil.Sub(s.Now()))
 			list = append(list, out)
 		}
 	}
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -145,9 +145,9 @@
 	is := is.New(t)
 	s, c := newTestSet(12)
 	s.Replace(servers("east-a", 8, 4), true)
-	joined := Server{ID: "east-a-joined", Service: "shop", Address: "10.0.0.9:1", Zone: "east-a", Slots: 4, Cold: 3 * time.Second}
+	joined := Server{ID: "east-a-joined", Service: "shop", Address: "10.0.0.9:1", Zone: "east-a", Slots: 4, ColdFor: 3 * time.Second}
 	s.Put(joined)
-	c.advance(joined.Cold + policy.Default().ColdMargin + time.Millisecond)
+	c.advance(joined.ColdFor + policy.Default().ColdMargin + time.Millisecond)
 	got := 0
 	for i := range 4 * 25 { // four seconds of a box's part of 300 requests a second
 		lease, err := choose(s, mix(uint64(i%80)))
@@ -252,7 +252,7 @@
 		for range boxes {
 			s, c := newTestSet(boxes)
 			cold := servers("east-a", 1, 100)[0]
-			cold.Cold = 3 * time.Second
+			cold.ColdFor = 3 * time.Second
 			s.Put(cold)
 			for c.at.Before(time.Unix(1003, 0)) {
 				if lease, err := choose(s, 1); err == nil {
@@ -288,7 +288,7 @@
 		told = append(told, what)
 	}
 	v := servers("east-a", 1, 4)[0]
-	v.Cold = time.Second
+	v.ColdFor = time.Second
 	s.Put(v)
 	v.Draining = true
 	s.Put(v)
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -121,7 +121,7 @@
 		m := s.moods["box"]
 		s.mu.Unlock()
 		if m == serving {
-			s.put(storeKinds.Servers, fmt.Sprint("replaced-", i%5), backend.Server{ID: fmt.Sprint("replaced-", i%5), Service: "shop", Cold: time.Duration(i)})
+			s.put(storeKinds.Servers, fmt.Sprint("replaced-", i%5), backend.Server{ID: fmt.Sprint("replaced-", i%5), Service: "shop", ColdFor: time.Duration(i)})
 		}
 		time.Sleep(600 * time.Millisecond)
 	}
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -301,7 +301,7 @@
 			return
 		}
 		log.Info("server "+what, map[string]any{
-			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.Cold.Milliseconds(),
+			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.ColdFor.Milliseconds(),
 		})
 	}
 }
