--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -148,9 +148,9 @@
 	Key uint64
 	// Priority is the rank of the request, 0 the most urgent.
 	Priority int
-	// Heavy requests carry large bodies; they are kept near where that costs
+	// LargeBody requests carry large bodies; they are kept near where that costs
 	// nothing else.
-	Heavy bool
+	LargeBody bool
 	// RegionAllowed reports whether the request may run in a region.
 	RegionAllowed func(region string) bool
 	// Tried lists the servers that the request was already sent to.
--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -86,7 +86,7 @@
 			list = near
 		}
 		list.offer(score, e.server)
-		if r.Heavy && e.inZone {
+		if r.LargeBody && e.inZone {
 			zone.offer(score, e.server)
 		}
 	}
@@ -127,7 +127,7 @@
 	if !nearOK || !farOK {
 		return nil, nil, false
 	}
-	if r.Heavy {
+	if r.LargeBody {
 		inZone, zoneOK := s.fromShort(s.zone, shortZone, g, r, version, 1, now)
 		s.zone = inZone
 		if !zoneOK {
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -60,7 +60,7 @@
 	for range 3000 {
 		s, c := drawSet(r)
 		g := s.services["shop"]
-		request := &Request{Service: "shop", Key: r.Uint64(), Heavy: r.IntN(3) == 0, RegionAllowed: anyRegion}
+		request := &Request{Service: "shop", Key: r.Uint64(), LargeBody: r.IntN(3) == 0, RegionAllowed: anyRegion}
 		for range r.IntN(3) {
 			request.Tried = append(request.Tried, g.servers[r.IntN(len(g.servers))].ID)
 		}
@@ -70,7 +70,7 @@
 			continue
 		}
 		short++
-		if request.Heavy {
+		if request.LargeBody {
 			s.weigh(near, front, c.at)
 			s.zoneFirst(near, c.at)
 		}
@@ -78,7 +78,7 @@
 		near, far = s.allCandidates(g, request, versionChoice{}, stays, c.at)
 		bestFirst(near, front)
 		bestFirst(far, front)
-		if request.Heavy {
+		if request.LargeBody {
 			s.weigh(near, front, c.at)
 			s.zoneFirst(near, c.at)
 		}
