--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -151,6 +151,6 @@
 	until := s.Now().Add(d + s.Policy.ColdMargin)
 	if until.After(v.coldUntil) {
 		v.coldUntil = until
-		s.Changed(v.Server, Cold)
+		s.OnChange(v.Server, Cold)
 	}
 }
--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -77,5 +77,5 @@
 	if v.group != nil {
 		v.group.changed = true
 	}
-	s.Changed(v.Server, "stale")
+	s.OnChange(v.Server, "stale")
 }
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -49,5 +49,5 @@
 	if v.group != nil {
 		v.group.changed = true
 	}
-	s.Changed(v.Server, "leaving")
+	s.OnChange(v.Server, "leaving")
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -159,7 +159,7 @@
 // suspect tells that a server rests from now on.
 func (s *Set) suspect(v *server, what string) {
 	v.health.suspected = true
-	s.Changed(v.Server, what)
+	s.OnChange(v.Server, what)
 }
 
 // clear ends the rest of a server that has answered and is as good as others
@@ -170,7 +170,7 @@
 	}
 	v.health.suspected = false
 	v.health.restUntil = time.Time{}
-	s.Changed(v.Server, "recovered")
+	s.OnChange(v.Server, "recovered")
 }
 
 // workTime is how long the server took, without the time for which the
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -50,8 +50,8 @@
 	Trusted func() bool
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Changed is told what the set came to believe of a server.
-	Changed func(server Server, what string)
+	// OnChange is told what the set came to believe of a server.
+	OnChange func(server Server, what string)
 	// AnyLimited reports whether any server is known to name a limit, NamesLimit whether one does, and
 	// Admit whether that of a server leaves room for one more request, and when it will where it is
 	// denied. With ask
@@ -163,7 +163,7 @@
 		Bounds: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
 		Peers:         func() (Peer, []Peer) { return Peer{}, nil },
 		Trusted:       func() bool { return true },
-		Changed:       func(Server, string) {},
+		OnChange:      func(Server, string) {},
 		ReportFailure: func(FailureReport) {},
 		AnyLimited:    func() bool { return false },
 		HasLimit:      func(*Server) bool { return false },
@@ -237,16 +237,16 @@
 		// It has started again and knows nothing of before, nor does anything hold that was
 		// known of it; what was chosen for its earlier life is chosen anew.
 		s.leave(old)
-		s.Changed(v, "started again")
+		s.OnChange(v, "started again")
 		old = nil
 	}
 	if old == nil {
 		old = &server{hash: Hash(v.ID), leaving: s.IsLeaving(v.Incarnation())}
 		s.servers[v.ID] = old
-		s.Changed(v, Listed)
+		s.OnChange(v, Listed)
 	}
 	if old.Server != v && v.Draining && !old.Draining {
-		s.Changed(v, "draining")
+		s.OnChange(v, "draining")
 	}
 	cold := v.ColdFor != old.ColdFor
 	old.Server = v
@@ -304,13 +304,13 @@
 		s.leave(v)
 		delete(s.servers, id)
 		delete(s.missing, id)
-		s.Changed(v.Server, "gone")
+		s.OnChange(v.Server, "gone")
 		return
 	}
 	if v.missing.IsZero() {
 		v.missing = s.Now()
 		s.missing[id] = v
-		s.Changed(v.Server, "missing")
+		s.OnChange(v.Server, "missing")
 	}
 }
 
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -282,7 +282,7 @@
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	var told []string
-	s.Changed = func(v Server, what string) {
+	s.OnChange = func(v Server, what string) {
 		is.Equal(v.ID, "east-a-0")
 		is.Equal(v.Service, "shop")
 		told = append(told, what)
@@ -487,7 +487,7 @@
 	s.Replace(servers("east-a", 6, 4), true)
 	const slowServer = "east-a-0"
 	var told []string
-	s.Changed = func(v Server, what string) { told = append(told, v.ID+" "+what) }
+	s.OnChange = func(v Server, what string) { told = append(told, v.ID+" "+what) }
 	play := func(length, slowTook time.Duration) (atSlow int) {
 		for end := c.at.Add(length); c.at.Before(end); c.advance(20 * time.Millisecond) {
 			lease, err := choose(s, Hash(fmt.Sprint(c.at.UnixNano())))
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -296,7 +296,7 @@
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
 	n.Set.ReportFailure = n.findings.Add
-	n.Set.Changed = func(v backend.Server, what string) {
+	n.Set.OnChange = func(v backend.Server, what string) {
 		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.pass(n.age()) {
 			return
 		}
