--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -39,11 +39,11 @@
 	if v.StartedAtMs == 0 {
 		return v.ID
 	}
-	return v.ID + lifeMark + strconv.FormatInt(v.StartedAtMs, 10)
+	return v.ID + incarnationSeparator + strconv.FormatInt(v.StartedAtMs, 10)
 }
 
-// lifeMark stands between the ID and the start in the name of a life.
-const lifeMark = "@"
+// incarnationSeparator stands between the ID and the start in the name of a life.
+const incarnationSeparator = "@"
 
 // Load is what a server said of itself in an answer.
 type Load struct {
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -4,7 +4,7 @@
 
 // ofLife returns the server of a life, nil if that is not known.
 func (s *Set) ofLife(life string) *server {
-	id, _, _ := strings.Cut(life, lifeMark)
+	id, _, _ := strings.Cut(life, incarnationSeparator)
 	v := s.servers[id]
 	if v == nil || v.Incarnation() != life {
 		return nil
