--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -22,8 +22,8 @@
 	// tried: the request was already sent to it. It keeps its place, so that
 	// what a busy home refuses does not go to a server that is no home.
 	tried bool
-	// passed: its limit leaves no room. It keeps its place too.
-	passed bool
+	// skipped: its limit leaves no room. It keeps its place too.
+	skipped bool
 }
 
 // weigh works out how busy the server is. Of a thousand servers that may get a
@@ -84,7 +84,7 @@
 		}
 		if admission == Denied {
 			best.order.met(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
-			best.passed = true
+			best.skipped = true
 			denied.add(roomIn)
 			if denied.count == mostDenied {
 				s.passLimited(near, r, now)
@@ -297,7 +297,7 @@
 // sent to and that has room by its limit, and its place.
 func firstUntried(list []candidate) (best *candidate, place int) {
 	for i := range list {
-		if !list[i].tried && !list[i].passed {
+		if !list[i].tried && !list[i].skipped {
 			return &list[i], i
 		}
 	}
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -13,11 +13,11 @@
 	end := len(list)
 	for i := 0; i < end; {
 		c := &list[i]
-		if c.passed || !s.HasLimit(&c.Server) {
+		if c.skipped || !s.HasLimit(&c.Server) {
 			i++
 			continue
 		}
-		c.passed = true
+		c.skipped = true
 		end--
 		list[i], list[end] = list[end], list[i]
 	}
