--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -15,8 +15,8 @@
 	// busy is set for those that may be picked; see weigh.
 	busy float64
 	cold bool
-	// failing: it has failed a moment ago, and rests by this box's own judgement.
-	failing bool
+	// ejected: it has failed a moment ago, and rests by this box's own judgement.
+	ejected bool
 	// slow: the request would find out whether the server has recovered.
 	slow bool
 	// tried: the request was already sent to it. It keeps its place, so that
@@ -30,13 +30,13 @@
 // request a handful comes to be weighed, since weighing takes longer than ordering.
 func (c *candidate) weigh(p *policy.Policy, now time.Time) {
 	c.busy = c.load.busy(p, c.Slots, c.health.latency, now)
-	if c.failing {
+	if c.ejected {
 		c.busy += float64(c.Slots) * p.FullFill
 	}
 }
 
 // last reports whether the server comes after all others: it is cold, or has failed.
-func (c *candidate) last() bool { return c.cold || c.failing }
+func (c *candidate) last() bool { return c.cold || c.ejected }
 
 // fill is how much of its slots the server has taken.
 func (c *candidate) fill() float64 { return c.busy / float64(max(1, c.Slots)) }
@@ -71,7 +71,7 @@
 		if best == nil {
 			break
 		}
-		if best.failing {
+		if best.ejected {
 			return nil, s.allFail(r.Service, now, near, far)
 		}
 		if best.fill() >= limit {
@@ -111,7 +111,7 @@
 	}
 	for i := range list {
 		c := &list[i]
-		if in := c.health.restUntil.Sub(now); c.failing && !c.tried && (e.RetryAfter == 0 || in < e.RetryAfter) {
+		if in := c.health.restUntil.Sub(now); c.ejected && !c.tried && (e.RetryAfter == 0 || in < e.RetryAfter) {
 			e.RetryAfter = in
 		}
 	}
@@ -197,7 +197,7 @@
 	}
 	switch {
 	case v.health.resting(now):
-		c.failing = true
+		c.ejected = true
 		c.score = math.Inf(-1)
 	case c.cold:
 		// Below all others, in the key's order.
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -43,7 +43,7 @@
 	var ids []string
 	for _, c := range list[:min(front, len(list))] {
 		id := c.ID
-		if c.failing {
+		if c.ejected {
 			id = "failing"
 		}
 		ids = append(ids, id)
