--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -26,9 +26,9 @@
 	skipped bool
 }
 
-// weigh works out how busy the server is. Of a thousand servers that may get a
+// estimateLoad works out how busy the server is. Of a thousand servers that may get a
 // request a handful comes to be weighed, since weighing takes longer than ordering.
-func (c *candidate) weigh(p *policy.Policy, now time.Time) {
+func (c *candidate) estimateLoad(p *policy.Policy, now time.Time) {
 	c.busy = c.load.busy(p, c.Slots, c.health.latency, now)
 	if c.ejected {
 		c.busy += float64(c.Slots) * p.FullFill
@@ -209,7 +209,7 @@
 // weigh works out how busy the first servers of the list are.
 func (s *Set) weigh(list []candidate, count int, now time.Time) {
 	for i := range min(count, len(list)) {
-		list[i].weigh(&s.Policy, now)
+		list[i].estimateLoad(&s.Policy, now)
 	}
 }
 
@@ -240,7 +240,7 @@
 	if at < 0 {
 		return
 	}
-	list[at].weigh(&s.Policy, now)
+	list[at].estimateLoad(&s.Policy, now)
 	if list[at].fill() >= 1 && list[0].fill() < list[at].fill() {
 		return
 	}
@@ -334,7 +334,7 @@
 			continue
 		}
 		c := candidate{server: v}
-		c.weigh(&s.Policy, now)
+		c.estimateLoad(&s.Policy, now)
 		free += max(0, float64(c.Slots)-c.busy)
 	}
 	return int(free)
