--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -148,8 +148,8 @@
 		bestFirst(near, front)
 		bestFirst(far, front)
 	}
-	s.weigh(near, front, now)
-	s.weigh(far, front, now)
+	s.estimateLoads(near, front, now)
+	s.estimateLoads(far, front, now)
 	if r.LargeBody {
 		s.zoneFirst(near, now)
 	}
@@ -206,8 +206,8 @@
 	return c, true
 }
 
-// weigh works out how busy the first servers of the list are.
-func (s *Set) weigh(list []candidate, count int, now time.Time) {
+// estimateLoads works out how busy the first servers of the list are.
+func (s *Set) estimateLoads(list []candidate, count int, now time.Time) {
 	for i := range min(count, len(list)) {
 		list[i].estimateLoad(&s.Policy, now)
 	}
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -71,7 +71,7 @@
 		}
 		short++
 		if request.LargeBody {
-			s.weigh(near, front, c.at)
+			s.estimateLoads(near, front, c.at)
 			s.zoneFirst(near, c.at)
 		}
 		gotNear, gotFar := firstOf(near, front), firstOf(far, front)
@@ -79,7 +79,7 @@
 		bestFirst(near, front)
 		bestFirst(far, front)
 		if request.LargeBody {
-			s.weigh(near, front, c.at)
+			s.estimateLoads(near, front, c.at)
 			s.zoneFirst(near, c.at)
 		}
 		is.Equal(gotNear, firstOf(near, front))
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -23,7 +23,7 @@
 	}
 	front := s.frontOf(r)
 	bestFirst(list[:end], front)
-	s.weigh(list[:end], front, now)
+	s.estimateLoads(list[:end], front, now)
 }
 
 // frontOf is how many servers of a list a choice may have to look at: a key's home, and the next one
