--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// last reports whether the server comes after all others: it is cold, or has failed.
-func (c *candidate) last() bool { return c.cold || c.ejected }
+// lastResort reports whether the server comes after all others: it is cold, or has failed.
+func (c *candidate) lastResort() bool { return c.cold || c.ejected }
 
 // fill is how much of its slots the server has taken.
 func (c *candidate) fill() float64 { return c.busy / float64(max(1, c.Slots)) }
@@ -262,7 +262,7 @@
 	best, place = s.home(near, r.Key)
 	if best != nil {
 		limit = best.order.limit(&s.Policy, r.Priority, now)
-		if best.fill() < limit && !best.last() {
+		if best.fill() < limit && !best.lastResort() {
 			return best, place, limit
 		}
 	}
@@ -273,7 +273,7 @@
 		}
 		return other, otherPlace, limit
 	}
-	if other != nil && !other.last() && other.fill() < s.Policy.IdleFill && s.spill.allow(s.Policy.SpillShare*s.Bounds.MaxShift, &s.Bounds, now) {
+	if other != nil && !other.lastResort() && other.fill() < s.Policy.IdleFill && s.spill.allow(s.Policy.SpillShare*s.Bounds.MaxShift, &s.Bounds, now) {
 		return other, otherPlace, s.Policy.FullFill
 	}
 	return best, place, limit
--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -103,7 +103,7 @@
 		if !isCandidate {
 			continue
 		}
-		if !c.last() {
+		if !c.lastResort() {
 			normal++
 		}
 		list = append(list, c)
