--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -41,9 +41,9 @@
 // fill is how much of its slots the server has taken.
 func (c *candidate) fill() float64 { return c.busy / float64(max(1, c.Slots)) }
 
-// roomIn is after what time the server has worked off what makes it full and one more
+// retryAfter is after what time the server has worked off what makes it full and one more
 // request, given how long a typical server takes.
-func (c *candidate) roomIn(limit float64, typical time.Duration) time.Duration {
+func (c *candidate) retryAfter(limit float64, typical time.Duration) time.Duration {
 	latency := c.health.latency
 	if latency == 0 {
 		latency = typical
@@ -76,7 +76,7 @@
 		}
 		if best.fill() >= limit {
 			best.order.met(&s.Policy, r.Priority, best.fill(), now)
-			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.roomIn(limit, g.typicalLatency(now))}
+			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.retryAfter(limit, g.typicalLatency(now))}
 		}
 		admission, roomIn := s.admit(best, r, now)
 		if admission == AdmissionUnknown {
