--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -72,7 +72,7 @@
 			break
 		}
 		if best.ejected {
-			return nil, s.allFail(r.Service, now, near, far)
+			return nil, s.allEjected(r.Service, now, near, far)
 		}
 		if best.fill() >= limit {
 			best.order.met(&s.Policy, r.Priority, best.fill(), now)
@@ -100,10 +100,10 @@
 	return nil, s.noServer(&denied, r.Service, now)
 }
 
-// allFail says when the first server is tried again, all of which have failed a moment ago or are passed
+// allEjected says when the first server is tried again, all of which have failed a moment ago or are passed
 // over: of the region in which the key has its home, if it has any. Clients that are asked back sooner
 // are refused again.
-func (s *Set) allFail(service string, now time.Time, near, far []candidate) *ChoiceError {
+func (s *Set) allEjected(service string, now time.Time, near, far []candidate) *ChoiceError {
 	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.resting.roomIn(now)}
 	list := near
 	if len(list) == 0 {
