--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -9,7 +9,7 @@
 // health is what a box makes of the exchanges with one server.
 type health struct {
 	failures  int
-	rests     int
+	ejections int
 	restUntil time.Time
 	// latency is a moving average of the time without waiting for a slot, 0
 	// before the first answer.
@@ -24,7 +24,7 @@
 // succeeded takes in an answer.
 func (h *health) succeeded(p *policy.Policy, latency time.Duration) {
 	h.failures = 0
-	h.rests = 0
+	h.ejections = 0
 	h.took(p, latency)
 }
 
@@ -60,8 +60,8 @@
 	if h.failures < p.FailuresToRest {
 		return false
 	}
-	rest := min(p.FirstRest<<min(h.rests, 10), p.LongestRest)
-	h.rests++
+	rest := min(p.FirstRest<<min(h.ejections, 10), p.LongestRest)
+	h.ejections++
 	h.failures = 0
 	h.restUntil = now.Add(rest)
 	return true
