--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -111,7 +111,7 @@
 	}
 	for i := range list {
 		c := &list[i]
-		if in := c.health.restUntil.Sub(now); c.ejected && !c.tried && (e.RetryAfter == 0 || in < e.RetryAfter) {
+		if in := c.health.ejectedUntil.Sub(now); c.ejected && !c.tried && (e.RetryAfter == 0 || in < e.RetryAfter) {
 			e.RetryAfter = in
 		}
 	}
--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -8,9 +8,9 @@
 
 // health is what a box makes of the exchanges with one server.
 type health struct {
-	failures  int
-	ejections int
-	restUntil time.Time
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
 	// latency is a moving average of the time without waiting for a slot, 0
 	// before the first answer.
 	latency time.Duration
@@ -63,11 +63,11 @@
 	rest := min(p.FirstRest<<min(h.ejections, 10), p.LongestRest)
 	h.ejections++
 	h.failures = 0
-	h.restUntil = now.Add(rest)
+	h.ejectedUntil = now.Add(rest)
 	return true
 }
 
-func (h *health) resting(now time.Time) bool { return now.Before(h.restUntil) }
+func (h *health) resting(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
 // loadEstimate is how busy a server is: this box's own requests, and those of
 // others as far as the server has lately told.
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -27,7 +27,7 @@
 	s.Replace(list, true)
 	for _, v := range s.services["shop"].servers {
 		if r.Float64() < trouble {
-			v.health.restUntil = c.at.Add(time.Second)
+			v.health.ejectedUntil = c.at.Add(time.Second)
 		}
 		if r.Float64() < 0.2 {
 			v.speed.part = 0.5 + r.Float64()
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -50,7 +50,7 @@
 	}
 	if c.slow {
 		// It gets one request after each rest, to see whether it has recovered.
-		v.health.restUntil = now.Add(s.Policy.SlowRest)
+		v.health.ejectedUntil = now.Add(s.Policy.SlowRest)
 		s.suspect(v, "slow")
 	}
 	l := &Lease{
@@ -169,7 +169,7 @@
 		return
 	}
 	v.health.suspected = false
-	v.health.restUntil = time.Time{}
+	v.health.ejectedUntil = time.Time{}
 	s.OnChange(v.Server, "recovered")
 }
 
