--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -196,7 +196,7 @@
 		return c, false
 	}
 	switch {
-	case v.health.resting(now):
+	case v.health.ejected(now):
 		c.ejected = true
 		c.score = math.Inf(-1)
 	case c.cold:
@@ -330,7 +330,7 @@
 func (s *Set) freeSlots(g *group, r *Request, now time.Time) int {
 	free := 0.0
 	for _, v := range g.servers {
-		if !s.usable(v) || !r.RegionAllowed(v.region) || now.Before(v.coldUntil) || v.health.resting(now) {
+		if !s.usable(v) || !r.RegionAllowed(v.region) || now.Before(v.coldUntil) || v.health.ejected(now) {
 			continue
 		}
 		c := candidate{server: v}
--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
-	resting := func(id string) bool { return s.servers[id].health.resting(c.at) }
+	resting := func(id string) bool { return s.servers[id].health.ejected(c.at) }
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0", Stale: true})
 	is.True(s.servers["east-a-0"].stale)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
@@ -68,8 +68,8 @@
 	lose(s, "east-a-0", Answered)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0"})
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-0"})
-	is.True(!s.servers["east-a-0"].health.resting(c.at))
+	is.True(!s.servers["east-a-0"].health.ejected(c.at))
 	lose(s, "east-a-1", Broken)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
-	is.True(s.servers["east-a-1"].health.resting(c.at))
+	is.True(s.servers["east-a-1"].health.ejected(c.at))
 }
--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (h *health) resting(now time.Time) bool { return now.Before(h.ejectedUntil) }
+func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
 // loadEstimate is how busy a server is: this box's own requests, and those of
 // others as far as the server has lately told.
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -555,11 +555,11 @@
 		exchange(near, 3*time.Second)
 	}
 	exchange(near, 200*time.Millisecond) // the trial: the average is still high
-	is.True(near.health.resting(c.at))
+	is.True(near.health.ejected(c.at))
 	for near.health.suspected {
 		exchange(near, 100*time.Millisecond)
 	}
-	is.True(!near.health.resting(c.at))
+	is.True(!near.health.ejected(c.at))
 }
 
 // TestWhereAllHaveFailedTheEndOfTheirRestIsTold. The story: the only servers that may take a request had failed and
