--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -57,7 +57,7 @@
 		s.dropStale(v)
 		return
 	}
-	if v.health.ejected(now) || now.Sub(v.health.heard) < s.Policy.FirstRest {
+	if v.health.ejected(now) || now.Sub(v.health.answeredAt) < s.Policy.FirstRest {
 		return
 	}
 	first := v.hearsay
--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -17,8 +17,8 @@
 	answers int
 	// suspected: it rests, or has rested and not shown that it has recovered.
 	suspected bool
-	// heard is when the server last answered anything.
-	heard time.Time
+	// answeredAt is when the server last answered anything.
+	answeredAt time.Time
 }
 
 // succeeded takes in an answer.
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -100,7 +100,7 @@
 	case Answered:
 		v.rest.returning = v.rest.returning && !l.trial
 		s.answersAgain(v, now)
-		v.health.heard = now
+		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
 		if l.KeyKnown && l.InFlight < float64(l.Slots) {
@@ -110,7 +110,7 @@
 		s.clear(v, now)
 	case Shed:
 		s.answersAgain(v, now)
-		v.health.heard = now
+		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
 		if !load.HasRoom() {
 			// It is full, whatever was believed before.
@@ -131,7 +131,7 @@
 		v.health.unfinished(&s.Policy, l.workTime(now))
 	case TimedOut:
 		v.health.unfinished(&s.Policy, l.workTime(now))
-		if now.Sub(v.health.heard) > s.Policy.Silence {
+		if now.Sub(v.health.answeredAt) > s.Policy.Silence {
 			rests = v.health.failed(&s.Policy, now, 1)
 		}
 	case Withdrawn:
