--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -25,18 +25,18 @@
 func (h *health) succeeded(p *policy.Policy, latency time.Duration) {
 	h.failures = 0
 	h.ejections = 0
-	h.took(p, latency)
+	h.addLatency(p, latency)
 }
 
 // unfinished takes in an exchange that was given up after some time: it would
 // have taken at least as long.
 func (h *health) unfinished(p *policy.Policy, latency time.Duration) {
 	if latency >= h.latency {
-		h.took(p, latency)
+		h.addLatency(p, latency)
 	}
 }
 
-func (h *health) took(p *policy.Policy, latency time.Duration) {
+func (h *health) addLatency(p *policy.Policy, latency time.Duration) {
 	h.answers++
 	weight := p.LatencyWeight
 	if latency < h.latency/2 {
