--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -77,9 +77,9 @@
 	at     time.Time
 }
 
-// told takes in what the server said, while own requests of this box, this
+// update takes in what the server said, while own requests of this box, this
 // one included, were at the server.
-func (l *loadEstimate) told(load Load, now time.Time) {
+func (l *loadEstimate) update(load Load, now time.Time) {
 	l.others = max(0, float64(load.Running+load.Waiting-l.own))
 	l.at = now
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -85,7 +85,7 @@
 	defer s.mu.Unlock()
 	now := s.Now()
 	if load != nil {
-		v.load.told(*load, now)
+		v.load.update(*load, now)
 		s.toldFill(l, load, now)
 	}
 	v.load.own--
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -187,10 +187,10 @@
 		is.Equal(home(hot), first) // with free slots, it stays
 		home(rare[i%len(rare)])
 	}
-	s.servers[first].load.told(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
+	s.servers[first].load.update(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
 	is.True(home(hot) != first)
 	for _, key := range rare {
-		s.servers[first].load.told(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
+		s.servers[first].load.update(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
 		is.Equal(home(key), first)
 	}
 }
