--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -84,10 +84,10 @@
 	l.at = now
 }
 
-// loadTimes is for how many times of working off what a server holds its word on that
+// loadHoldFactor is for how many times of working off what a server holds its word on that
 // counts in full. A box that takes a server for full sends it nothing, and hears nothing from
 // it either: a quick one would be refused requests for long that it could have done.
-const loadTimes = 6
+const loadHoldFactor = 6
 
 // busy returns how many requests the server holds, as far as is known, given how long it
 // works on one; 0 if that is not known.
@@ -95,7 +95,7 @@
 	pace := 1.0
 	if work > 0 {
 		fill := (float64(l.own) + l.others) / float64(max(1, slots))
-		pace = min(1, loadTimes*float64(work)*max(1, fill)/float64(p.LoadHolds))
+		pace = min(1, loadHoldFactor*float64(work)*max(1, fill)/float64(p.LoadHolds))
 	}
 	age := time.Duration(float64(now.Sub(l.at)) / pace)
 	left := float64(p.LoadFades-age) / float64(p.LoadFades-p.LoadHolds)
