--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -12,10 +12,10 @@
 	coldPlaceEvery = 500 * time.Millisecond
 )
 
-// mayWarm reports whether this box may send one more request to a cold
+// maySendToCold reports whether this box may send one more request to a cold
 // server. The bound holds for the sum over all boxes, which do not ask each
 // other: each has its part of it.
-func (s *Set) mayWarm(v *server, now time.Time) bool {
+func (s *Set) maySendToCold(v *server, now time.Time) bool {
 	part := s.coldPart(v, now)
 	if part < 1 {
 		return false
