--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -16,7 +16,7 @@
 // server. The bound holds for the sum over all boxes, which do not ask each
 // other: each has its part of it.
 func (s *Set) maySendToCold(v *server, now time.Time) bool {
-	part := s.coldPart(v, now)
+	part := s.coldAllowance(v, now)
 	if part < 1 {
 		return false
 	}
@@ -30,10 +30,10 @@
 	return len(recent) < part
 }
 
-// coldPart is how many requests in any second this box may send: an even part, or where that is less
+// coldAllowance is how many requests in any second this box may send: an even part, or where that is less
 // than one, one at as many boxes as the server bears requests. A box that counts a few others too
 // many or too few is wrong about its place by as many.
-func (s *Set) coldPart(v *server, now time.Time) int {
+func (s *Set) coldAllowance(v *server, now time.Time) int {
 	boxes := s.Boxes()
 	if boxes <= 0 {
 		return 0
