--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -109,16 +109,16 @@
 	return place
 }
 
-// startedAgainTime is within what time of its end a server that has started again is listed
+// restartWindow is within what time of its end a server that has started again is listed
 // anew, or else listed no more: three of its heartbeats of 1.5 s, and a second and more for the list to be known.
-const startedAgainTime = 6 * time.Second
+const restartWindow = 6 * time.Second
 
 // mayHaveStartedAgain reports whether the server's port has lately refused a connection: that
 // life has ended, and what answers there next, under the same ID, has just started and is
 // cold, while the list still has the entry of before. A server that does not tell its starts
 // apart has another ID with each.
 func (s *Set) mayHaveStartedAgain(v *server, now time.Time) bool {
-	return v.StartedAtMs != 0 && !v.refused.IsZero() && now.Sub(v.refused) < startedAgainTime
+	return v.StartedAtMs != 0 && !v.refused.IsZero() && now.Sub(v.refused) < restartWindow
 }
 
 // isProbed reports whether a request is on its way that finds out whether such a server is there
--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -93,7 +93,7 @@
 		s.Put(renewed)
 		is.Equal(sent(time.Second), 100)
 		lose(s, v.ID, result)
-		c.advance(startedAgainTime)
+		c.advance(restartWindow)
 		is.Equal(sent(time.Second), 100) // it was the same one
 		// Without word of its starts each has an id of its own.
 		v.StartedAtMs = 0
@@ -115,13 +115,13 @@
 	v.StartedAtMs = 1000
 	s.Put(v)
 	lose(s, v.ID, Refused)
-	c.advance(startedAgainTime)
+	c.advance(restartWindow)
 	first, err := choose(s, 7)
 	is.NoErr(err)
 	_, err = choose(s, 8)
 	is.True(err != nil) // one at a time
 	first.Done(Refused, nil)
-	c.advance(startedAgainTime)
+	c.advance(restartWindow)
 	again, err := choose(s, 7)
 	is.NoErr(err)
 	again.Done(Answered, nil)
