--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -190,7 +190,7 @@
 	}
 	c = candidate{
 		server: v, score: weightedScore(mix(r.Key^v.hash), v.speed.weight()), slow: v.health.slow(&s.Policy, g.typicalLatency(now)),
-		cold: now.Before(v.coldUntil) || s.mayHaveStartedAgain(v, now), tried: slices.Contains(r.Tried, v.ID),
+		cold: now.Before(v.coldUntil) || s.mayHaveRestarted(v, now), tried: slices.Contains(r.Tried, v.ID),
 	}
 	if c.cold && !s.maySendToCold(v, now) {
 		return c, false
--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -113,18 +113,18 @@
 // anew, or else listed no more: three of its heartbeats of 1.5 s, and a second and more for the list to be known.
 const restartWindow = 6 * time.Second
 
-// mayHaveStartedAgain reports whether the server's port has lately refused a connection: that
+// mayHaveRestarted reports whether the server's port has lately refused a connection: that
 // life has ended, and what answers there next, under the same ID, has just started and is
 // cold, while the list still has the entry of before. A server that does not tell its starts
 // apart has another ID with each.
-func (s *Set) mayHaveStartedAgain(v *server, now time.Time) bool {
+func (s *Set) mayHaveRestarted(v *server, now time.Time) bool {
 	return v.StartedAtMs != 0 && !v.refused.IsZero() && now.Sub(v.refused) < restartWindow
 }
 
 // isProbed reports whether a request is on its way that finds out whether such a server is there
 // again, where the list cannot tell later either: one request of this box at a time does.
 func (s *Set) isProbed(v *server, now time.Time) bool {
-	return v.StartedAtMs != 0 && !v.refused.IsZero() && !s.mayHaveStartedAgain(v, now) && !s.Trusted() && v.load.own > 0
+	return v.StartedAtMs != 0 && !v.refused.IsZero() && !s.mayHaveRestarted(v, now) && !s.Trusted() && v.load.own > 0
 }
 
 // answersAgain notes that a server answers whose port had refused. A list that can be trusted tells
@@ -132,7 +132,7 @@
 // known.
 func (s *Set) answersAgain(v *server, now time.Time) {
 	trusted := s.Trusted()
-	if v.refused.IsZero() || trusted && s.mayHaveStartedAgain(v, now) {
+	if v.refused.IsZero() || trusted && s.mayHaveRestarted(v, now) {
 		return
 	}
 	v.refused = time.Time{}
