--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -127,10 +127,10 @@
 	return v.StartedAtMs != 0 && !v.refused.IsZero() && !s.mayHaveRestarted(v, now) && !s.Trusted() && v.load.own > 0
 }
 
-// answersAgain notes that a server answers whose port had refused. A list that can be trusted tells
+// answeredAfterRefusal notes that a server answers whose port had refused. A list that can be trusted tells
 // in time whether it has started again; where it cannot be, it has just started for all that is
 // known.
-func (s *Set) answersAgain(v *server, now time.Time) {
+func (s *Set) answeredAfterRefusal(v *server, now time.Time) {
 	trusted := s.Trusted()
 	if v.refused.IsZero() || trusted && s.mayHaveRestarted(v, now) {
 		return
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -99,7 +99,7 @@
 	switch result {
 	case Answered:
 		v.rest.returning = v.rest.returning && !l.trial
-		s.answersAgain(v, now)
+		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
@@ -109,7 +109,7 @@
 		v.keys.answered(l.key)
 		s.clear(v, now)
 	case Shed:
-		s.answersAgain(v, now)
+		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
 		if !load.HasRoom() {
