--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -137,14 +137,14 @@
 	}
 	v.refused = time.Time{}
 	if v.StartedAtMs != 0 && !trusted {
-		s.startCold(v, s.terms[v.Service].ColdStart)
+		s.markCold(v, s.terms[v.Service].ColdStart)
 	}
 }
 
-// startCold takes a server to be cold for a time. What is told may have been on
+// markCold takes a server to be cold for a time. What is told may have been on
 // its way for a while, so it is counted from now, with a margin for clocks
 // that run apart.
-func (s *Set) startCold(v *server, d time.Duration) {
+func (s *Set) markCold(v *server, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -251,7 +251,7 @@
 	cold := v.ColdFor != old.ColdFor
 	old.Server = v
 	if cold {
-		s.startCold(old, v.ColdFor)
+		s.markCold(old, v.ColdFor)
 	}
 	old.region = s.RegionOf(v.Zone)
 	old.missing = time.Time{}
@@ -337,7 +337,7 @@
 	}
 	for _, v := range s.servers {
 		if s.evacuated[v.Zone] && !evacuated[v.Zone] {
-			s.startCold(v, s.terms[v.Service].ColdStart)
+			s.markCold(v, s.terms[v.Service].ColdStart)
 		}
 	}
 	s.evacuated = evacuated
