--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -13,9 +13,9 @@
 	Stale bool
 }
 
-// tellWindow is within what time two boxes must tell that a server cannot be
+// confirmWindow is within what time two boxes must tell that a server cannot be
 // reached for a third one to believe it.
-const tellWindow = 2 * time.Second
+const confirmWindow = 2 * time.Second
 
 // zoneFresh is within what time another server of the zone must have answered for
 // a server that cannot be reached to be told: less than a
@@ -61,7 +61,7 @@
 		return
 	}
 	first := v.hearsay
-	if v.health.failures == 0 && (first.box == "" || first.box == box || now.Sub(first.at) > tellWindow) {
+	if v.health.failures == 0 && (first.box == "" || first.box == box || now.Sub(first.at) > confirmWindow) {
 		v.hearsay = hearsay{box: box, at: now}
 		return
 	}
--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -52,7 +52,7 @@
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-1"})
 	is.True(resting("east-a-1"))
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-2"})
-	c.advance(tellWindow + time.Millisecond)
+	c.advance(confirmWindow + time.Millisecond)
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-2"})
 	is.True(!resting("east-a-2")) // too far apart
 	s.ApplyFailureReport("box-2", FailureReport{Server: "no-such-server"})
