--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -17,10 +17,10 @@
 // reached for a third one to believe it.
 const confirmWindow = 2 * time.Second
 
-// zoneFresh is within what time another server of the zone must have answered for
+// zoneAnswerMaxAge is within what time another server of the zone must have answered for
 // a server that cannot be reached to be told: less than a
 // connection in vain takes, so that the way there is known to have been open since.
-const zoneFresh = 500 * time.Millisecond
+const zoneAnswerMaxAge = 500 * time.Millisecond
 
 // hearsay is what other boxes told of a server.
 type hearsay struct {
@@ -36,7 +36,7 @@
 	switch {
 	case result == Stale:
 		s.ReportFailure(FailureReport{Server: l.Incarnation(), Stale: true})
-	case (result == Unreachable || result == Refused) && now.Sub(s.zoneHeard[l.Zone]) < zoneFresh:
+	case (result == Unreachable || result == Refused) && now.Sub(s.zoneHeard[l.Zone]) < zoneAnswerMaxAge:
 		s.ReportFailure(FailureReport{Server: l.Incarnation()})
 	}
 }
--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -29,7 +29,7 @@
 	told = nil
 	lose(s, "east-a-1", Unreachable) // nothing was heard of the zone
 	lose(s, "east-a-2", Answered)
-	c.advance(zoneFresh)
+	c.advance(zoneAnswerMaxAge)
 	lose(s, "east-a-1", Unreachable) // nor lately
 	is.Equal(len(told), 0)
 	lose(s, "east-a-2", Answered)
