--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -22,8 +22,8 @@
 // connection in vain takes, so that the way there is known to have been open since.
 const zoneAnswerMaxAge = 500 * time.Millisecond
 
-// hearsay is what other boxes told of a server.
-type hearsay struct {
+// unconfirmedReport is what other boxes told of a server.
+type unconfirmedReport struct {
 	// box was the first to tell that it cannot be reached, at the time.
 	box string
 	at  time.Time
@@ -62,10 +62,10 @@
 	}
 	first := v.hearsay
 	if v.health.failures == 0 && (first.box == "" || first.box == box || now.Sub(first.at) > confirmWindow) {
-		v.hearsay = hearsay{box: box, at: now}
+		v.hearsay = unconfirmedReport{box: box, at: now}
 		return
 	}
-	v.hearsay = hearsay{}
+	v.hearsay = unconfirmedReport{}
 	if v.health.failed(&s.Policy, now, s.Policy.FailuresToRest) {
 		s.suspect(v, "resting")
 	}
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -124,7 +124,7 @@
 
 	health  health
 	rest    rest
-	hearsay hearsay
+	hearsay unconfirmedReport
 	load    loadEstimate
 	// keys is nil until the server is sent its first request: most boxes of a
 	// zone serve no clients.
