--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -60,12 +60,12 @@
 	if v.health.ejected(now) || now.Sub(v.health.answeredAt) < s.Policy.FirstRest {
 		return
 	}
-	first := v.hearsay
+	first := v.unconfirmed
 	if v.health.failures == 0 && (first.box == "" || first.box == box || now.Sub(first.at) > confirmWindow) {
-		v.hearsay = unconfirmedReport{box: box, at: now}
+		v.unconfirmed = unconfirmedReport{box: box, at: now}
 		return
 	}
-	v.hearsay = unconfirmedReport{}
+	v.unconfirmed = unconfirmedReport{}
 	if v.health.failed(&s.Policy, now, s.Policy.FailuresToRest) {
 		s.suspect(v, "resting")
 	}
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -122,10 +122,10 @@
 	coldPlace   int
 	coldPlaceAt time.Time
 
-	health  health
-	rest    rest
-	hearsay unconfirmedReport
-	load    loadEstimate
+	health      health
+	rest        rest
+	unconfirmed unconfirmedReport
+	load        loadEstimate
 	// keys is nil until the server is sent its first request: most boxes of a
 	// zone serve no clients.
 	keys  *keyTable
