--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -29,10 +29,10 @@
 	at  time.Time
 }
 
-// found tells others what an exchange has shown. A box that cannot reach a server
+// reportFailure tells others what an exchange has shown. A box that cannot reach a server
 // may be cut off itself: it tells so only if another server of that zone has just
 // answered it.
-func (s *Set) found(l *Lease, result Result, now time.Time) {
+func (s *Set) reportFailure(l *Lease, result Result, now time.Time) {
 	switch {
 	case result == Stale:
 		s.ReportFailure(FailureReport{Server: l.Incarnation(), Stale: true})
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -138,7 +138,7 @@
 	case Stale:
 		s.dropStale(v)
 	}
-	s.found(l, result, now)
+	s.reportFailure(l, result, now)
 	if rests {
 		s.suspect(v, "resting")
 	}
