--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -54,7 +54,7 @@
 	}
 	now := s.Now()
 	if f.Stale {
-		s.dropStale(v)
+		s.markStale(v)
 		return
 	}
 	if v.health.ejected(now) || now.Sub(v.health.answeredAt) < s.Policy.FirstRest {
@@ -71,8 +71,8 @@
 	}
 }
 
-// dropStale takes a server for gone whose address another one has.
-func (s *Set) dropStale(v *server) {
+// markStale takes a server for gone whose address another one has.
+func (s *Set) markStale(v *server) {
 	v.stale = true
 	if v.group != nil {
 		v.group.changed = true
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -136,7 +136,7 @@
 		}
 	case Withdrawn:
 	case Stale:
-		s.dropStale(v)
+		s.markStale(v)
 	}
 	s.reportFailure(l, result, now)
 	if rests {
