--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -86,7 +86,7 @@
 	now := s.Now()
 	if load != nil {
 		v.load.update(*load, now)
-		s.toldFill(l, load, now)
+		s.updateFill(l, load, now)
 	}
 	v.load.own--
 	if l.Metered && result.unsent() {
@@ -144,8 +144,8 @@
 	}
 }
 
-// toldFill takes in a server's load for the average of its group.
-func (s *Set) toldFill(l *Lease, load *Load, now time.Time) {
+// updateFill takes in a server's load for the average of its group.
+func (s *Set) updateFill(l *Lease, load *Load, now time.Time) {
 	g := l.server.group
 	switch {
 	case g == nil || l.Cold:
--- a/pkg/backend/region_test.go
+++ b/pkg/backend/region_test.go
@@ -33,7 +33,7 @@
 			}
 			// What is told of others' requests would make the server full.
 			lease.Done(Answered, nil)
-			s.toldFill(lease, load, c.now())
+			s.updateFill(lease, load, c.now())
 		}
 		return float64(stayed) / 1000
 	}
