--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -67,7 +67,7 @@
 	}
 	v.unconfirmed = unconfirmedReport{}
 	if v.health.failed(&s.Policy, now, s.Policy.FailuresToRest) {
-		s.suspect(v, "resting")
+		s.markSuspected(v, "resting")
 	}
 }
 
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -51,7 +51,7 @@
 	if c.slow {
 		// It gets one request after each rest, to see whether it has recovered.
 		v.health.ejectedUntil = now.Add(s.Policy.SlowRest)
-		s.suspect(v, "slow")
+		s.markSuspected(v, "slow")
 	}
 	l := &Lease{
 		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
@@ -140,7 +140,7 @@
 	}
 	s.reportFailure(l, result, now)
 	if rests {
-		s.suspect(v, "resting")
+		s.markSuspected(v, "resting")
 	}
 }
 
@@ -156,8 +156,8 @@
 	}
 }
 
-// suspect tells that a server rests from now on.
-func (s *Set) suspect(v *server, what string) {
+// markSuspected tells that a server rests from now on.
+func (s *Set) markSuspected(v *server, what string) {
 	v.health.suspected = true
 	s.OnChange(v.Server, what)
 }
