--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -107,7 +107,7 @@
 			v.speed.took(&s.Policy, now.Sub(l.start))
 		}
 		v.keys.answered(l.key)
-		s.clear(v, now)
+		s.clearSuspicion(v, now)
 	case Shed:
 		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
@@ -162,9 +162,9 @@
 	s.OnChange(v.Server, what)
 }
 
-// clear ends the rest of a server that has answered and is as good as others
+// clearSuspicion ends the rest of a server that has answered and is as good as others
 // again, and tells of it.
-func (s *Set) clear(v *server, now time.Time) {
+func (s *Set) clearSuspicion(v *server, now time.Time) {
 	if !v.health.suspected || v.group == nil || v.health.slow(&s.Policy, v.group.typicalLatency(now)) {
 		return
 	}
