--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -19,9 +19,9 @@
 	server *server
 }
 
-// shortest is how many servers come into a short list: a key's home, and enough others for those that are
+// shortListSize is how many servers come into a short list: a key's home, and enough others for those that are
 // passed over on most days.
-const shortest = 12
+const shortListSize = 12
 
 // reindex makes the index anew after the group or the parts of its servers have changed.
 func (s *Set) reindex(g *group) {
@@ -37,7 +37,7 @@
 
 // shortList is the first servers of a list in a key's order, the best first.
 type shortList struct {
-	best  [shortest]ranked
+	best  [shortListSize]ranked
 	count int
 	// all is how many servers the list has.
 	all int
@@ -51,10 +51,10 @@
 // offer takes in a server if it is among the first.
 func (l *shortList) offer(score float64, v *server) {
 	l.all++
-	if l.count == shortest && score <= l.best[shortest-1].score {
+	if l.count == shortListSize && score <= l.best[shortListSize-1].score {
 		return
 	}
-	if l.count < shortest {
+	if l.count < shortListSize {
 		l.count++
 	}
 	at := l.count - 1
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -102,7 +102,7 @@
 			is.NoErr(err)
 			lease.Done(Answered, nil)
 		}
-		is.True(asked <= 50*(2*shortest+4)) // and the regions themselves
+		is.True(asked <= 50*(2*shortListSize+4)) // and the regions themselves
 	}
 }
 
