--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -10,8 +10,8 @@
 // which there may be thousands, so that has to be little for each: their hashes lie in one list, and only those
 // that come first are looked at.
 
-// indexed is what a server's place in keys' orders follows from.
-type indexed struct {
+// indexEntry is what a server's place in keys' orders follows from.
+type indexEntry struct {
 	hash   uint64
 	weight float64
 	isNear bool
@@ -30,7 +30,7 @@
 	for _, v := range g.servers {
 		weight := v.speed.weight()
 		g.isWeighted = g.isWeighted || weight != 1
-		g.index = append(g.index, indexed{hash: v.hash, weight: weight, isNear: v.region == s.Region, inZone: v.Zone == s.Zone, server: v})
+		g.index = append(g.index, indexEntry{hash: v.hash, weight: weight, isNear: v.region == s.Region, inZone: v.Zone == s.Zone, server: v})
 	}
 	g.isIndexed = true
 }
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -152,7 +152,7 @@
 	heavy    float64
 	versions versionSlots
 	// index holds the servers for choices, if isIndexed; isWeighted: their weights are not all 1.
-	index      []indexed
+	index      []indexEntry
 	isIndexed  bool
 	isWeighted bool
 }
