--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -37,13 +37,13 @@
 
 // shortList is the first servers of a list in a key's order, the best first.
 type shortList struct {
-	best  [shortListSize]ranked
+	best  [shortListSize]scoredServer
 	count int
 	// all is how many servers the list has.
 	all int
 }
 
-type ranked struct {
+type scoredServer struct {
 	score  float64
 	server *server
 }
@@ -62,7 +62,7 @@
 		l.best[at] = l.best[at-1]
 		at--
 	}
-	l.best[at] = ranked{score, v}
+	l.best[at] = scoredServer{score, v}
 }
 
 // shortLists returns the first servers of the region in which the key has its home, of all others, and of
