--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -48,8 +48,8 @@
 	server *server
 }
 
-// offer takes in a server if it is among the first.
-func (l *shortList) offer(score float64, v *server) {
+// insert takes in a server if it is among the first.
+func (l *shortList) insert(score float64, v *server) {
 	l.all++
 	if l.count == shortListSize && score <= l.best[shortListSize-1].score {
 		return
@@ -85,9 +85,9 @@
 		if e.isNear == stays {
 			list = near
 		}
-		list.offer(score, e.server)
+		list.insert(score, e.server)
 		if r.LargeBody && e.inZone {
-			zone.offer(score, e.server)
+			zone.insert(score, e.server)
 		}
 	}
 	return near, far, zone
