--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -39,8 +39,8 @@
 type shortList struct {
 	best  [shortListSize]scoredServer
 	count int
-	// all is how many servers the list has.
-	all int
+	// total is how many servers the list has.
+	total int
 }
 
 type scoredServer struct {
@@ -50,7 +50,7 @@
 
 // insert takes in a server if it is among the first.
 func (l *shortList) insert(score float64, v *server) {
-	l.all++
+	l.total++
 	if l.count == shortListSize && score <= l.best[shortListSize-1].score {
 		return
 	}
@@ -72,7 +72,7 @@
 		s.reindex(g)
 	}
 	near, far, zone = &s.short[0], &s.short[1], &s.short[2]
-	near.count, near.all, far.count, far.all, zone.count, zone.all = 0, 0, 0, 0, 0, 0
+	near.count, near.total, far.count, far.total, zone.count, zone.total = 0, 0, 0, 0, 0, 0
 	for i := range g.index {
 		e := &g.index[i]
 		hash := mix(r.Key ^ e.hash)
@@ -109,7 +109,7 @@
 		list = append(list, c)
 	}
 	slices.SortStableFunc(list, func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
-	return list, normal >= front || l.count == l.all
+	return list, normal >= front || l.count == l.total
 }
 
 // shortCandidates returns the same first candidates as candidates does, from short lists. It is not ok where
