--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -93,9 +93,9 @@
 	return near, far, zone
 }
 
-// fromShort makes the candidates of a short list. It is not ok if the list may lack one that comes before
+// candidatesFromShortList makes the candidates of a short list. It is not ok if the list may lack one that comes before
 // those that it has: they are cold or have failed.
-func (s *Set) fromShort(to []candidate, l *shortList, g *group, r *Request, version versionChoice, front int, now time.Time) (list []candidate, ok bool) {
+func (s *Set) candidatesFromShortList(to []candidate, l *shortList, g *group, r *Request, version versionChoice, front int, now time.Time) (list []candidate, ok bool) {
 	list = to[:0]
 	normal := 0
 	for i := range l.count {
@@ -121,14 +121,14 @@
 	}
 	front := s.frontOf(r)
 	shortNear, shortFar, shortZone := s.shortLists(g, r, stays)
-	near, nearOK := s.fromShort(s.near, shortNear, g, r, version, front, now)
-	far, farOK := s.fromShort(s.far, shortFar, g, r, version, front, now)
+	near, nearOK := s.candidatesFromShortList(s.near, shortNear, g, r, version, front, now)
+	far, farOK := s.candidatesFromShortList(s.far, shortFar, g, r, version, front, now)
 	s.near, s.far = near, far
 	if !nearOK || !farOK {
 		return nil, nil, false
 	}
 	if r.LargeBody {
-		inZone, zoneOK := s.fromShort(s.zone, shortZone, g, r, version, 1, now)
+		inZone, zoneOK := s.candidatesFromShortList(s.zone, shortZone, g, r, version, 1, now)
 		s.zone = inZone
 		if !zoneOK {
 			return nil, nil, false
