--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -115,7 +115,7 @@
 // shortCandidates returns the same first candidates as candidates does, from short lists. It is not ok where
 // these do not tell.
 func (s *Set) shortCandidates(g *group, r *Request, version versionChoice, stays bool, now time.Time) (near, far []candidate, ok bool) {
-	if s.AnyLimited() || s.anyRests(now) {
+	if s.AnyLimited() || s.anyBackedOff(now) {
 		// Servers that are passed over count, wherever they stand.
 		return nil, nil, false
 	}
@@ -138,8 +138,8 @@
 	return near, far, true
 }
 
-// anyRests reports whether any server has asked this box for rest and is not yet sent requests as before.
-func (s *Set) anyRests(now time.Time) bool {
+// anyBackedOff reports whether any server has asked this box for rest and is not yet sent requests as before.
+func (s *Set) anyBackedOff(now time.Time) bool {
 	for v := range s.rested {
 		if !v.rest.returning && !now.Before(v.rest.until) {
 			delete(s.rested, v)
