--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -41,7 +41,7 @@
 		v.rest.until = until
 	}
 	v.rest.returning = true
-	s.rested[v] = true
+	s.backedOff[v] = true
 	return began
 }
 
--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -140,12 +140,12 @@
 
 // anyBackedOff reports whether any server has asked this box for rest and is not yet sent requests as before.
 func (s *Set) anyBackedOff(now time.Time) bool {
-	for v := range s.rested {
+	for v := range s.backedOff {
 		if !v.rest.returning && !now.Before(v.rest.until) {
-			delete(s.rested, v)
+			delete(s.backedOff, v)
 		}
 	}
-	return len(s.rested) > 0
+	return len(s.backedOff) > 0
 }
 
 // addZone adds servers of this box's zone to those near, where they are of the same region.
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -76,8 +76,8 @@
 	near, far, zone []candidate
 	short           [3]shortList
 	resting         resting
-	// rested are the servers that have asked this box for rest and may not yet be sent requests as before.
-	rested    map[*server]bool
+	// backedOff are the servers that have asked this box for rest and may not yet be sent requests as before.
+	backedOff map[*server]bool
 	servers   map[string]*server
 	services  map[string]*group
 	evacuated map[string]bool
@@ -175,7 +175,7 @@
 		services:      map[string]*group{},
 		evacuated:     map[string]bool{},
 		terms:         map[string]ColdStartConfig{},
-		rested:        map[*server]bool{},
+		backedOff:     map[*server]bool{},
 		missing:       map[string]*server{},
 	}
 }
@@ -292,7 +292,7 @@
 	v.group.changed = true
 	v.group.isIndexed = false
 	v.group = nil
-	delete(s.rested, v)
+	delete(s.backedOff, v)
 }
 
 func (s *Set) remove(id string, trusted bool) {
