--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -36,11 +36,11 @@
 		return false
 	}
 	now := s.Now()
-	began = !now.Before(v.rest.until)
-	if until := now.Add(d); until.After(v.rest.until) {
-		v.rest.until = until
+	began = !now.Before(v.backoff.until)
+	if until := now.Add(d); until.After(v.backoff.until) {
+		v.backoff.until = until
 	}
-	v.rest.returning = true
+	v.backoff.returning = true
 	s.backedOff[v] = true
 	return began
 }
@@ -58,8 +58,8 @@
 	now := s.Now()
 	var list []Backoff
 	for _, v := range s.servers {
-		if now.Before(v.rest.until) {
-			list = append(list, Backoff{Server: v.Server, Left: v.rest.until.Sub(now)})
+		if now.Before(v.backoff.until) {
+			list = append(list, Backoff{Server: v.Server, Left: v.backoff.until.Sub(now)})
 		}
 	}
 	slices.SortFunc(list, func(a, b Backoff) int { return strings.Compare(a.Server.ID, b.Server.ID) })
@@ -79,7 +79,7 @@
 	if near {
 		r.near++
 	}
-	if until := v.rest.until; r.until.IsZero() || until.Before(r.until) {
+	if until := v.backoff.until; r.until.IsZero() || until.Before(r.until) {
 		r.until = until
 	}
 }
@@ -94,5 +94,5 @@
 func (l *Lease) MaySend() bool {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
-	return l.usable() && !l.set.Now().Before(l.server.rest.until)
+	return l.usable() && !l.set.Now().Before(l.server.backoff.until)
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -57,8 +57,8 @@
 		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
 		KeyKnown: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
-	if v.rest.returning {
-		v.rest.trial, l.trial = true, true
+	if v.backoff.returning {
+		v.backoff.trial, l.trial = true, true
 	}
 	if !v.load.at.IsZero() {
 		l.LoadAge = now.Sub(v.load.at)
@@ -93,12 +93,12 @@
 		s.Release(&l.Server)
 	}
 	if l.trial {
-		v.rest.trial = false
+		v.backoff.trial = false
 	}
 	rests := false
 	switch result {
 	case Answered:
-		v.rest.returning = v.rest.returning && !l.trial
+		v.backoff.returning = v.backoff.returning && !l.trial
 		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
