--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -11,8 +11,8 @@
 // other. After the time one request at a time finds out whether it takes requests again: all that its
 // keys ask for would else come back at once, to be turned away if it is not well yet.
 
-// rest is what a server has asked this box for.
-type rest struct {
+// backoffState is what a server has asked this box for.
+type backoffState struct {
 	// until is the end of the time for which it wants nothing.
 	until time.Time
 	// returning: it has asked for rest, and run no request since.
@@ -22,7 +22,7 @@
 }
 
 // refuses reports whether the server is to get nothing now.
-func (r *rest) refuses(now time.Time) bool {
+func (r *backoffState) refuses(now time.Time) bool {
 	return now.Before(r.until) || r.returning && r.trial
 }
 
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -123,7 +123,7 @@
 	coldPlaceAt time.Time
 
 	health      health
-	backoff     rest
+	backoff     backoffState
 	unconfirmed unconfirmedReport
 	load        loadEstimate
 	// keys is nil until the server is sent its first request: most boxes of a
