--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -15,15 +15,15 @@
 type backoffState struct {
 	// until is the end of the time for which it wants nothing.
 	until time.Time
-	// returning: it has asked for rest, and run no request since.
-	returning bool
+	// unproven: it has asked for rest, and run no request since.
+	unproven bool
 	// trial: a request is on its way that finds out.
 	trial bool
 }
 
 // refuses reports whether the server is to get nothing now.
 func (r *backoffState) refuses(now time.Time) bool {
-	return now.Before(r.until) || r.returning && r.trial
+	return now.Before(r.until) || r.unproven && r.trial
 }
 
 // BackOff has a life of a server get nothing from this box for a time, or for the rest of a longer one,
@@ -40,7 +40,7 @@
 	if until := now.Add(d); until.After(v.backoff.until) {
 		v.backoff.until = until
 	}
-	v.backoff.returning = true
+	v.backoff.unproven = true
 	s.backedOff[v] = true
 	return began
 }
--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -141,7 +141,7 @@
 // anyBackedOff reports whether any server has asked this box for rest and is not yet sent requests as before.
 func (s *Set) anyBackedOff(now time.Time) bool {
 	for v := range s.backedOff {
-		if !v.backoff.returning && !now.Before(v.backoff.until) {
+		if !v.backoff.unproven && !now.Before(v.backoff.until) {
 			delete(s.backedOff, v)
 		}
 	}
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -57,7 +57,7 @@
 		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
 		KeyKnown: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
-	if v.backoff.returning {
+	if v.backoff.unproven {
 		v.backoff.trial, l.trial = true, true
 	}
 	if !v.load.at.IsZero() {
@@ -98,7 +98,7 @@
 	rests := false
 	switch result {
 	case Answered:
-		v.backoff.returning = v.backoff.returning && !l.trial
+		v.backoff.unproven = v.backoff.unproven && !l.trial
 		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
