--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -21,8 +21,8 @@
 	trial bool
 }
 
-// refuses reports whether the server is to get nothing now.
-func (r *backoffState) refuses(now time.Time) bool {
+// blocks reports whether the server is to get nothing now.
+func (r *backoffState) blocks(now time.Time) bool {
 	return now.Before(r.until) || r.unproven && r.trial
 }
 
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -161,7 +161,7 @@
 	near, far = s.near[:0], s.far[:0]
 	for _, v := range g.servers {
 		isNear := (v.region == s.Region) == stays
-		if v.backoff.refuses(now) && s.mayTake(v, r, version, now) {
+		if v.backoff.blocks(now) && s.mayTake(v, r, version, now) {
 			s.resting.add(v, isNear)
 			continue
 		}
@@ -185,7 +185,7 @@
 
 // consider returns the server as a candidate, if it may get the request now.
 func (s *Set) consider(v *server, g *group, r *Request, version versionChoice, now time.Time) (c candidate, ok bool) {
-	if !s.mayTake(v, r, version, now) || v.backoff.refuses(now) {
+	if !s.mayTake(v, r, version, now) || v.backoff.blocks(now) {
 		return c, false
 	}
 	c = candidate{
