--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -66,15 +66,15 @@
 	return list
 }
 
-// resting are the servers that a choice has passed over since they have asked for rest.
-type resting struct {
+// skippedBackoffs are the servers that a choice has passed over since they have asked for rest.
+type skippedBackoffs struct {
 	// count is how many, and near how many of the region in which the key has its home.
 	count, near int
 	// until is when the first of them takes requests again, zero if that is not known.
 	until time.Time
 }
 
-func (r *resting) add(v *server, near bool) {
+func (r *skippedBackoffs) add(v *server, near bool) {
 	r.count++
 	if near {
 		r.near++
@@ -85,7 +85,7 @@
 }
 
 // roomIn is after what time the first of them takes requests again, 0 if that is not known.
-func (r *resting) roomIn(now time.Time) time.Duration {
+func (r *skippedBackoffs) roomIn(now time.Time) time.Duration {
 	return max(0, r.until.Sub(now))
 }
 
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -140,7 +140,7 @@
 	share := s.localShareOf(g, r, now)
 	stays := fraction(mix(r.Key+1)) < g.shareOfKind(share, r.LargeBody)
 	g.compareSpeeds(&s.Policy, now)
-	s.resting = resting{}
+	s.resting = skippedBackoffs{}
 	near, far, ok := s.shortCandidates(g, r, version, stays, now)
 	front := s.frontOf(r)
 	if !ok {
