--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -67,7 +67,7 @@
 	}
 	var denied denials
 	for {
-		best, place, limit := s.pick(near, far, r, denied.count > 0 || s.resting.near > 0, now)
+		best, place, limit := s.pick(near, far, r, denied.count > 0 || s.skippedBackoffs.near > 0, now)
 		if best == nil {
 			break
 		}
@@ -94,7 +94,7 @@
 		}
 		best.order.met(&s.Policy, r.Priority, best.fill(), now)
 		l := s.lease(best, place, r.Key, now)
-		l.Metered, l.Denied, l.BackedOff = admission == Granted, denied.count, s.resting.count
+		l.Metered, l.Denied, l.BackedOff = admission == Granted, denied.count, s.skippedBackoffs.count
 		return l, nil
 	}
 	return nil, s.noServer(&denied, r.Service, now)
@@ -104,7 +104,7 @@
 // over: of the region in which the key has its home, if it has any. Clients that are asked back sooner
 // are refused again.
 func (s *Set) allEjected(service string, now time.Time, near, far []candidate) *ChoiceError {
-	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.resting.roomIn(now)}
+	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.skippedBackoffs.roomIn(now)}
 	list := near
 	if len(list) == 0 {
 		list = far
@@ -123,7 +123,7 @@
 func (s *Set) candidatesOfVersion(g *group, r *Request, now time.Time) (near, far []candidate) {
 	version := s.versionOf(g, r, now)
 	near, far = s.candidates(g, r, version, now)
-	if len(near)+len(far) > 0 || s.resting.count > 0 {
+	if len(near)+len(far) > 0 || s.skippedBackoffs.count > 0 {
 		return near, far
 	}
 	if other, ok := version.other(); ok {
@@ -140,7 +140,7 @@
 	share := s.localShareOf(g, r, now)
 	stays := fraction(mix(r.Key+1)) < g.shareOfKind(share, r.LargeBody)
 	g.compareSpeeds(&s.Policy, now)
-	s.resting = skippedBackoffs{}
+	s.skippedBackoffs = skippedBackoffs{}
 	near, far, ok := s.shortCandidates(g, r, version, stays, now)
 	front := s.frontOf(r)
 	if !ok {
@@ -162,7 +162,7 @@
 	for _, v := range g.servers {
 		isNear := (v.region == s.Region) == stays
 		if v.backoff.blocks(now) && s.mayTake(v, r, version, now) {
-			s.resting.add(v, isNear)
+			s.skippedBackoffs.add(v, isNear)
 			continue
 		}
 		c, isCandidate := s.consider(v, g, r, version, now)
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -54,8 +54,8 @@
 // noServer says why no server is left, and when the first of those that were passed over has room.
 func (s *Set) noServer(denied *denials, service string, now time.Time) *ChoiceError {
 	e := &ChoiceError{Reason: NoServer, Service: service}
-	if s.resting.count > 0 {
-		e.Reason, e.RetryAfter = BackingOff, s.resting.roomIn(now)
+	if s.skippedBackoffs.count > 0 {
+		e.Reason, e.RetryAfter = BackingOff, s.skippedBackoffs.roomIn(now)
 	}
 	if denied.count > 0 && (e.RetryAfter == 0 || denied.roomIn < e.RetryAfter) {
 		e.Reason, e.RetryAfter = Limited, denied.roomIn
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -75,7 +75,7 @@
 	// near and far are the room of candidates, and resting what the last choice passed over.
 	near, far, zone []candidate
 	short           [3]shortList
-	resting         skippedBackoffs
+	skippedBackoffs skippedBackoffs
 	// backedOff are the servers that have asked this box for rest and may not yet be sent requests as before.
 	backedOff map[*server]bool
 	servers   map[string]*server
