--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -86,7 +86,7 @@
 			best.order.met(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
 			best.skipped = true
 			denied.add(roomIn)
-			if denied.count == mostDenied {
+			if denied.count == maxDenied {
 				s.passLimited(near, r, now)
 				s.passLimited(far, r, now)
 			}
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// mostDenied bounds how many servers are asked for a token of their limits in vain. After that only
+// maxDenied bounds how many servers are asked for a token of their limits in vain. After that only
 // those that name no limit are considered.
-const mostDenied = 4
+const maxDenied = 4
 
 // passLimited passes over all servers of the list that name limits, and puts those that the key
 // prefers of the others first. Without it, where most servers of a service name limits, requests
@@ -32,7 +32,7 @@
 func (s *Set) frontOf(r *Request) int {
 	front := 2 + len(r.Tried)
 	if s.AnyLimited() {
-		front += mostDenied
+		front += maxDenied
 	}
 	return front
 }
