--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -87,8 +87,8 @@
 			best.skipped = true
 			denied.add(roomIn)
 			if denied.count == maxDenied {
-				s.passLimited(near, r, now)
-				s.passLimited(far, r, now)
+				s.skipLimited(near, r, now)
+				s.skipLimited(far, r, now)
 			}
 			continue
 		}
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -6,10 +6,10 @@
 // those that name no limit are considered.
 const maxDenied = 4
 
-// passLimited passes over all servers of the list that name limits, and puts those that the key
+// skipLimited passes over all servers of the list that name limits, and puts those that the key
 // prefers of the others first. Without it, where most servers of a service name limits, requests
 // would be refused that the few others can serve.
-func (s *Set) passLimited(list []candidate, r *Request, now time.Time) {
+func (s *Set) skipLimited(list []candidate, r *Request, now time.Time) {
 	end := len(list)
 	for i := 0; i < end; {
 		c := &list[i]
