--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -142,7 +142,7 @@
 	g.compareSpeeds(&s.Policy, now)
 	s.skippedBackoffs = skippedBackoffs{}
 	near, far, ok := s.shortCandidates(g, r, version, stays, now)
-	front := s.frontOf(r)
+	front := s.frontSize(r)
 	if !ok {
 		near, far = s.allCandidates(g, r, version, stays, now)
 		bestFirst(near, front)
--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -119,7 +119,7 @@
 		// Servers that are passed over count, wherever they stand.
 		return nil, nil, false
 	}
-	front := s.frontOf(r)
+	front := s.frontSize(r)
 	shortNear, shortFar, shortZone := s.shortLists(g, r, stays)
 	near, nearOK := s.candidatesFromShortList(s.near, shortNear, g, r, version, front, now)
 	far, farOK := s.candidatesFromShortList(s.far, shortFar, g, r, version, front, now)
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -64,7 +64,7 @@
 		for range r.IntN(3) {
 			request.Tried = append(request.Tried, g.servers[r.IntN(len(g.servers))].ID)
 		}
-		stays, front := r.IntN(4) > 0, s.frontOf(request)
+		stays, front := r.IntN(4) > 0, s.frontSize(request)
 		near, far, ok := s.shortCandidates(g, request, versionChoice{}, stays, c.at)
 		if !ok {
 			continue
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -21,15 +21,15 @@
 		end--
 		list[i], list[end] = list[end], list[i]
 	}
-	front := s.frontOf(r)
+	front := s.frontSize(r)
 	bestFirst(list[:end], front)
 	s.estimateLoads(list[:end], front, now)
 }
 
-// frontOf is how many servers of a list a choice may have to look at: a key's home, and the next one
+// frontSize is how many servers of a list a choice may have to look at: a key's home, and the next one
 // for a hot key, besides those that are passed over since they were tried or have no room by their
 // limits.
-func (s *Set) frontOf(r *Request) int {
+func (s *Set) frontSize(r *Request) int {
 	front := 2 + len(r.Tried)
 	if s.AnyLimited() {
 		front += maxDenied
