--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -40,13 +40,13 @@
 // denials are the servers that a choice has passed over since their limits leave no room.
 type denials struct {
 	count int
-	// roomIn is when the first of them has room again.
-	roomIn time.Duration
+	// retryAfter is when the first of them has room again.
+	retryAfter time.Duration
 }
 
 func (d *denials) add(roomIn time.Duration) {
-	if d.count == 0 || roomIn < d.roomIn {
-		d.roomIn = roomIn
+	if d.count == 0 || roomIn < d.retryAfter {
+		d.retryAfter = roomIn
 	}
 	d.count++
 }
@@ -57,8 +57,8 @@
 	if s.skippedBackoffs.count > 0 {
 		e.Reason, e.RetryAfter = BackingOff, s.skippedBackoffs.roomIn(now)
 	}
-	if denied.count > 0 && (e.RetryAfter == 0 || denied.roomIn < e.RetryAfter) {
-		e.Reason, e.RetryAfter = Limited, denied.roomIn
+	if denied.count > 0 && (e.RetryAfter == 0 || denied.retryAfter < e.RetryAfter) {
+		e.Reason, e.RetryAfter = Limited, denied.retryAfter
 	}
 	return e
 }
