--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -31,7 +31,7 @@
 func (s *Set) BackOff(life string, d time.Duration) (began bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.ofLife(life)
+	v := s.byIncarnation(life)
 	if v == nil || d <= 0 {
 		return false
 	}
--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -48,7 +48,7 @@
 func (s *Set) ApplyFailureReport(box string, f FailureReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.ofLife(f.Server)
+	v := s.byIncarnation(f.Server)
 	if v == nil || v.stale {
 		return
 	}
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// ofLife returns the server of a life, nil if that is not known.
-func (s *Set) ofLife(life string) *server {
+// byIncarnation returns the server of a life, nil if that is not known.
+func (s *Set) byIncarnation(life string) *server {
 	id, _, _ := strings.Cut(life, incarnationSeparator)
 	v := s.servers[id]
 	if v == nil || v.Incarnation() != life {
@@ -24,14 +24,14 @@
 func (s *Set) HasIncarnation(life string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ofLife(life) != nil
+	return s.byIncarnation(life) != nil
 }
 
 // IsListedAt reports whether the life of a server is listed at an address now.
 func (s *Set) IsListedAt(life, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.ofLife(life)
+	v := s.byIncarnation(life)
 	return v != nil && v.missing.IsZero() && v.Address == address
 }
 
@@ -41,7 +41,7 @@
 func (s *Set) MarkLeaving(life string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.ofLife(life)
+	v := s.byIncarnation(life)
 	if v == nil || v.leaving {
 		return
 	}
