--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -7,10 +7,10 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// order knows which priorities are short of room at a server, so that less urgent requests
+// shortages knows which priorities are short of room at a server, so that less urgent requests
 // leave them some there. It is known for each server: for a whole service, requests would be
 // refused at servers that nobody more urgent asks.
-type order struct {
+type shortages struct {
 	pressures map[int]*pressure
 	// yields counts the requests that were to leave room.
 	yields int
@@ -50,7 +50,7 @@
 }
 
 // met notes how full a request of a priority found its server.
-func (o *order) met(p *policy.Policy, priority int, fill float64, now time.Time) {
+func (o *shortages) met(p *policy.Policy, priority int, fill float64, now time.Time) {
 	if o.pressures == nil {
 		o.pressures = map[int]*pressure{}
 	}
@@ -69,7 +69,7 @@
 
 // limit is how much of its slots a server may have taken to be given a request of a
 // priority: less where more urgent ones are short of room.
-func (o *order) limit(p *policy.Policy, priority int, now time.Time) float64 {
+func (o *shortages) limit(p *policy.Policy, priority int, now time.Time) float64 {
 	most := o.moreUrgent(priority, now)
 	if most < leastPressure {
 		return p.FullFill
@@ -83,7 +83,7 @@
 
 // yieldsToken reports whether a request of a priority leaves what the server takes by its limit to
 // more urgent ones, which lately found no room there.
-func (o *order) yieldsToken(priority int, now time.Time) bool {
+func (o *shortages) yieldsToken(priority int, now time.Time) bool {
 	if o.moreUrgent(priority, now) < leastPressure {
 		return false
 	}
@@ -93,7 +93,7 @@
 }
 
 // moreUrgent is the greatest share of a more urgent priority's requests that found no room.
-func (o *order) moreUrgent(priority int, now time.Time) float64 {
+func (o *shortages) moreUrgent(priority int, now time.Time) float64 {
 	most := 0.0
 	for other, c := range o.pressures {
 		if other < priority {
--- a/pkg/backend/order_test.go
+++ b/pkg/backend/order_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	p := policy.Default()
 	now := time.Unix(1000, 0)
-	o := order{}
+	o := shortages{}
 	is.Equal(o.limit(&p, 2, now), p.FullFill)
 	for range 20 {
 		o.met(&p, 2, p.FullFill, now) // its own shortage moves nothing
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -130,7 +130,7 @@
 	// zone serve no clients.
 	keys  *keyTable
 	speed speed
-	order order
+	order shortages
 }
 
 // group is the servers of one service.
