--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -75,7 +75,7 @@
 			return nil, s.allEjected(r.Service, now, near, far)
 		}
 		if best.fill() >= limit {
-			best.order.met(&s.Policy, r.Priority, best.fill(), now)
+			best.order.record(&s.Policy, r.Priority, best.fill(), now)
 			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.retryAfter(limit, g.typicalLatency(now))}
 		}
 		admission, roomIn := s.admit(best, r, now)
@@ -83,7 +83,7 @@
 			return nil, &ChoiceError{Reason: AdmissionPending, Service: r.Service, Server: best.Server}
 		}
 		if admission == Denied {
-			best.order.met(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
+			best.order.record(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
 			best.skipped = true
 			denied.add(roomIn)
 			if denied.count == maxDenied {
@@ -92,7 +92,7 @@
 			}
 			continue
 		}
-		best.order.met(&s.Policy, r.Priority, best.fill(), now)
+		best.order.record(&s.Policy, r.Priority, best.fill(), now)
 		l := s.lease(best, place, r.Key, now)
 		l.Metered, l.Denied, l.BackedOff = admission == Granted, denied.count, s.skippedBackoffs.count
 		return l, nil
--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -49,8 +49,8 @@
 	return c.share * math.Exp(-now.Sub(c.at).Seconds()/pressureSpan.Seconds())
 }
 
-// met notes how full a request of a priority found its server.
-func (o *shortages) met(p *policy.Policy, priority int, fill float64, now time.Time) {
+// record notes how full a request of a priority found its server.
+func (o *shortages) record(p *policy.Policy, priority int, fill float64, now time.Time) {
 	if o.pressures == nil {
 		o.pressures = map[int]*pressure{}
 	}
--- a/pkg/backend/order_test.go
+++ b/pkg/backend/order_test.go
@@ -18,13 +18,13 @@
 	o := shortages{}
 	is.Equal(o.limit(&p, 2, now), p.FullFill)
 	for range 20 {
-		o.met(&p, 2, p.FullFill, now) // its own shortage moves nothing
-		o.met(&p, 1, p.ShortFill-0.1, now)
+		o.record(&p, 2, p.FullFill, now) // its own shortage moves nothing
+		o.record(&p, 1, p.ShortFill-0.1, now)
 	}
 	is.Equal(o.limit(&p, 1, now), p.FullFill)
 	is.Equal(o.limit(&p, 2, now), p.FullFill)
 	for range 20 {
-		o.met(&p, 1, p.ShortFill, now)
+		o.record(&p, 1, p.ShortFill, now)
 	}
 	is.Equal(o.limit(&p, 1, now), p.FullFill)
 	limits := map[float64]int{}
