--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -34,8 +34,8 @@
 	// fullPressure is from which share on less urgent requests leave all the room that they
 	// are to leave.
 	fullPressure = 0.2
-	// leastPressure is below what nobody is short.
-	leastPressure = 0.005
+	// minPressure is below what nobody is short.
+	minPressure = 0.005
 	// sparedOneIn: of the requests that are to leave room one in so many is not, so that no
 	// kind is served less than a third as often as more urgent ones, however long the
 	// shortage lasts.
@@ -71,7 +71,7 @@
 // priority: less where more urgent ones are short of room.
 func (o *shortages) limit(p *policy.Policy, priority int, now time.Time) float64 {
 	most := o.moreUrgent(priority, now)
-	if most < leastPressure {
+	if most < minPressure {
 		return p.FullFill
 	}
 	o.yields++
@@ -84,7 +84,7 @@
 // yieldsToken reports whether a request of a priority leaves what the server takes by its limit to
 // more urgent ones, which lately found no room there.
 func (o *shortages) yieldsToken(priority int, now time.Time) bool {
-	if o.moreUrgent(priority, now) < leastPressure {
+	if o.moreUrgent(priority, now) < minPressure {
 		return false
 	}
 	o.tokenYields++
