--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -36,10 +36,10 @@
 	fullPressure = 0.2
 	// minPressure is below what nobody is short.
 	minPressure = 0.005
-	// sparedOneIn: of the requests that are to leave room one in so many is not, so that no
+	// exemptOneIn: of the requests that are to leave room one in so many is not, so that no
 	// kind is served less than a third as often as more urgent ones, however long the
 	// shortage lasts.
-	sparedOneIn = 3
+	exemptOneIn = 3
 	// sparedTokenOneIn is the same at a server that names a limit, of which the first to ask gets
 	// what there is.
 	sparedTokenOneIn = 2
@@ -75,7 +75,7 @@
 		return p.FullFill
 	}
 	o.yields++
-	if o.yields%sparedOneIn == 0 {
+	if o.yields%exemptOneIn == 0 {
 		return p.FullFill
 	}
 	return p.FullFill - (p.FullFill-p.YieldFill)*min(1, most/fullPressure)
