--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -40,9 +40,9 @@
 	// kind is served less than a third as often as more urgent ones, however long the
 	// shortage lasts.
 	exemptOneIn = 3
-	// sparedTokenOneIn is the same at a server that names a limit, of which the first to ask gets
+	// exemptTokenOneIn is the same at a server that names a limit, of which the first to ask gets
 	// what there is.
-	sparedTokenOneIn = 2
+	exemptTokenOneIn = 2
 )
 
 func (c *pressure) now(now time.Time) float64 {
@@ -89,7 +89,7 @@
 	}
 	o.tokenYields++
 	// Drawn, and not in turn: tokens and requests may both come in turn.
-	return mix(uint64(o.tokenYields))%sparedTokenOneIn != 0
+	return mix(uint64(o.tokenYields))%exemptTokenOneIn != 0
 }
 
 // moreUrgent is the greatest share of a more urgent priority's requests that found no room.
