--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -70,7 +70,7 @@
 // limit is how much of its slots a server may have taken to be given a request of a
 // priority: less where more urgent ones are short of room.
 func (o *shortages) limit(p *policy.Policy, priority int, now time.Time) float64 {
-	most := o.moreUrgent(priority, now)
+	most := o.moreUrgentPressure(priority, now)
 	if most < minPressure {
 		return p.FullFill
 	}
@@ -84,7 +84,7 @@
 // yieldsToken reports whether a request of a priority leaves what the server takes by its limit to
 // more urgent ones, which lately found no room there.
 func (o *shortages) yieldsToken(priority int, now time.Time) bool {
-	if o.moreUrgent(priority, now) < minPressure {
+	if o.moreUrgentPressure(priority, now) < minPressure {
 		return false
 	}
 	o.tokenYields++
@@ -92,8 +92,8 @@
 	return mix(uint64(o.tokenYields))%exemptTokenOneIn != 0
 }
 
-// moreUrgent is the greatest share of a more urgent priority's requests that found no room.
-func (o *shortages) moreUrgent(priority int, now time.Time) float64 {
+// moreUrgentPressure is the greatest share of a more urgent priority's requests that found no room.
+func (o *shortages) moreUrgentPressure(priority int, now time.Time) float64 {
 	most := 0.0
 	for other, c := range o.pressures {
 		if other < priority {
