--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -150,9 +150,9 @@
 	switch {
 	case g == nil || l.Cold:
 	case l.Remote:
-		g.fills.far.told(load, now)
+		g.fills.far.add(load, now)
 	default:
-		g.fills.near.told(load, now)
+		g.fills.near.add(load, now)
 	}
 }
 
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -33,8 +33,8 @@
 // fillSpan is the span of the averages: as long as a window of the cap on shifts.
 const fillSpan = 2 * time.Second
 
-// told takes in what a server told.
-func (f *fill) told(load *Load, now time.Time) {
+// add takes in what a server add.
+func (f *fill) add(load *Load, now time.Time) {
 	sample := float64(load.Running+load.Waiting) / float64(max(1, load.Slots))
 	if f.at.IsZero() {
 		f.value, f.at = sample, now
