--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -10,8 +10,8 @@
 // which there may be thousands, so that has to be little for each: their hashes lie in one list, and only those
 // that come first are looked at.
 
-// indexed is what a server's place in keys' orders follows from.
-type indexed struct {
+// indexEntry is what a server's place in keys' orders follows from.
+type indexEntry struct {
 	hash   uint64
 	weight float64
 	isNear bool
@@ -19,9 +19,9 @@
 	server *server
 }
 
-// shortest is how many servers come into a short list: a key's home, and enough others for those that are
+// shortListSize is how many servers come into a short list: a key's home, and enough others for those that are
 // passed over on most days.
-const shortest = 12
+const shortListSize = 12
 
 // reindex makes the index anew after the group or the parts of its servers have changed.
 func (s *Set) reindex(g *group) {
@@ -30,31 +30,31 @@
 	for _, v := range g.servers {
 		weight := v.speed.weight()
 		g.isWeighted = g.isWeighted || weight != 1
-		g.index = append(g.index, indexed{hash: v.hash, weight: weight, isNear: v.region == s.Region, inZone: v.Zone == s.Zone, server: v})
+		g.index = append(g.index, indexEntry{hash: v.hash, weight: weight, isNear: v.region == s.Region, inZone: v.Zone == s.Zone, server: v})
 	}
 	g.isIndexed = true
 }
 
 // shortList is the first servers of a list in a key's order, the best first.
 type shortList struct {
-	best  [shortest]ranked
+	best  [shortListSize]scoredServer
 	count int
-	// all is how many servers the list has.
-	all int
+	// total is how many servers the list has.
+	total int
 }
 
-type ranked struct {
+type scoredServer struct {
 	score  float64
 	server *server
 }
 
-// offer takes in a server if it is among the first.
-func (l *shortList) offer(score float64, v *server) {
-	l.all++
-	if l.count == shortest && score <= l.best[shortest-1].score {
+// insert takes in a server if it is among the first.
+func (l *shortList) insert(score float64, v *server) {
+	l.total++
+	if l.count == shortListSize && score <= l.best[shortListSize-1].score {
 		return
 	}
-	if l.count < shortest {
+	if l.count < shortListSize {
 		l.count++
 	}
 	at := l.count - 1
@@ -62,7 +62,7 @@
 		l.best[at] = l.best[at-1]
 		at--
 	}
-	l.best[at] = ranked{score, v}
+	l.best[at] = scoredServer{score, v}
 }
 
 // shortLists returns the first servers of the region in which the key has its home, of all others, and of
@@ -72,7 +72,7 @@
 		s.reindex(g)
 	}
 	near, far, zone = &s.short[0], &s.short[1], &s.short[2]
-	near.count, near.all, far.count, far.all, zone.count, zone.all = 0, 0, 0, 0, 0, 0
+	near.count, near.total, far.count, far.total, zone.count, zone.total = 0, 0, 0, 0, 0, 0
 	for i := range g.index {
 		e := &g.index[i]
 		hash := mix(r.Key ^ e.hash)
@@ -85,17 +85,17 @@
 		if e.isNear == stays {
 			list = near
 		}
-		list.offer(score, e.server)
-		if r.Heavy && e.inZone {
-			zone.offer(score, e.server)
+		list.insert(score, e.server)
+		if r.LargeBody && e.inZone {
+			zone.insert(score, e.server)
 		}
 	}
 	return near, far, zone
 }
 
-// fromShort makes the candidates of a short list. It is not ok if the list may lack one that comes before
+// candidatesFromShortList makes the candidates of a short list. It is not ok if the list may lack one that comes before
 // those that it has: they are cold or have failed.
-func (s *Set) fromShort(to []candidate, l *shortList, g *group, r *Request, version versionChoice, front int, now time.Time) (list []candidate, ok bool) {
+func (s *Set) candidatesFromShortList(to []candidate, l *shortList, g *group, r *Request, version versionChoice, front int, now time.Time) (list []candidate, ok bool) {
 	list = to[:0]
 	normal := 0
 	for i := range l.count {
@@ -103,32 +103,32 @@
 		if !isCandidate {
 			continue
 		}
-		if !c.last() {
+		if !c.lastResort() {
 			normal++
 		}
 		list = append(list, c)
 	}
 	slices.SortStableFunc(list, func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
-	return list, normal >= front || l.count == l.all
+	return list, normal >= front || l.count == l.total
 }
 
 // shortCandidates returns the same first candidates as candidates does, from short lists. It is not ok where
 // these do not tell.
 func (s *Set) shortCandidates(g *group, r *Request, version versionChoice, stays bool, now time.Time) (near, far []candidate, ok bool) {
-	if s.Limited() || s.anyRests(now) {
+	if s.AnyLimited() || s.anyBackedOff(now) {
 		// Servers that are passed over count, wherever they stand.
 		return nil, nil, false
 	}
-	front := s.frontOf(r)
+	front := s.frontSize(r)
 	shortNear, shortFar, shortZone := s.shortLists(g, r, stays)
-	near, nearOK := s.fromShort(s.near, shortNear, g, r, version, front, now)
-	far, farOK := s.fromShort(s.far, shortFar, g, r, version, front, now)
+	near, nearOK := s.candidatesFromShortList(s.near, shortNear, g, r, version, front, now)
+	far, farOK := s.candidatesFromShortList(s.far, shortFar, g, r, version, front, now)
 	s.near, s.far = near, far
 	if !nearOK || !farOK {
 		return nil, nil, false
 	}
-	if r.Heavy {
-		inZone, zoneOK := s.fromShort(s.zone, shortZone, g, r, version, 1, now)
+	if r.LargeBody {
+		inZone, zoneOK := s.candidatesFromShortList(s.zone, shortZone, g, r, version, 1, now)
 		s.zone = inZone
 		if !zoneOK {
 			return nil, nil, false
@@ -138,14 +138,14 @@
 	return near, far, true
 }
 
-// anyRests reports whether any server has asked this box for rest and is not yet sent requests as before.
-func (s *Set) anyRests(now time.Time) bool {
-	for v := range s.rested {
-		if !v.rest.returning && !now.Before(v.rest.until) {
-			delete(s.rested, v)
+// anyBackedOff reports whether any server has asked this box for rest and is not yet sent requests as before.
+func (s *Set) anyBackedOff(now time.Time) bool {
+	for v := range s.backedOff {
+		if !v.backoff.unproven && !now.Before(v.backoff.until) {
+			delete(s.backedOff, v)
 		}
 	}
-	return len(s.rested) > 0
+	return len(s.backedOff) > 0
 }
 
 // addZone adds servers of this box's zone to those near, where they are of the same region.
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -19,8 +19,8 @@
 func newLimitedSet(left map[string]int) (*Set, *clock, *rooms) {
 	s, c := newTestSet(1)
 	rs := &rooms{left: left}
-	s.Limited = func() bool { return true }
-	s.NamesLimit = func(v *Server) bool {
+	s.AnyLimited = func() bool { return true }
+	s.HasLimit = func(v *Server) bool {
 		_, limited := rs.left[v.ID]
 		return limited
 	}
@@ -32,7 +32,7 @@
 		case yield:
 			return Denied, 0
 		case rs.open && ask:
-			return Open, 0
+			return AdmissionUnknown, 0
 		case n == 0:
 			return Denied, time.Second
 		}
@@ -62,7 +62,7 @@
 	is.NoErr(err)
 	is.True(next.ID != home.ID)
 	is.Equal(next.Denied, 1)
-	is.Equal(next.Home, 1)
+	is.Equal(next.Rank, 1)
 	again, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(again.ID, next.ID)
@@ -94,7 +94,7 @@
 		switch {
 		case errors.As(err, &choice):
 			is.Equal(choice.Reason, Limited)
-			is.Equal(choice.RoomIn, time.Second)
+			is.Equal(choice.RetryAfter, time.Second)
 			refused++
 		case l.Remote && l.Denied > 0:
 			away++
@@ -105,7 +105,7 @@
 		c.advance(10 * time.Millisecond)
 	}
 	is.True(refused > 0)
-	is.True(float64(away) <= s.Terms.MaxShift*100) // of the region's requests, within a window
+	is.True(float64(away) <= s.Bounds.MaxShift*100) // of the region's requests, within a window
 }
 
 // TestRoomIsAskedForOnce: where it is open whether the preferred server has room the choice says
@@ -121,14 +121,14 @@
 	_, err = choose(s, 7)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.Reason, Undecided)
+	is.Equal(choice.Reason, AdmissionPending)
 	is.Equal(choice.Server.ID, home.ID)
-	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, Asked: true, Granted: home.Life()}
+	r := &Request{Service: "shop", Key: 7, RegionAllowed: anyRegion, AdmissionAsked: true, GrantedBy: home.Incarnation()}
 	l, err := s.Choose(r)
 	is.NoErr(err)
 	is.Equal(l.ID, home.ID)
 	is.True(l.Metered)
-	r.Granted = ""
+	r.GrantedBy = ""
 	l, err = s.Choose(r)
 	is.NoErr(err)
 	is.True(l.ID != home.ID)
--- a/pkg/backend/order.go
+++ b/pkg/backend/order.go
@@ -7,10 +7,10 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// order knows which priorities are short of room at a server, so that less urgent requests
+// shortages knows which priorities are short of room at a server, so that less urgent requests
 // leave them some there. It is known for each server: for a whole service, requests would be
 // refused at servers that nobody more urgent asks.
-type order struct {
+type shortages struct {
 	pressures map[int]*pressure
 	// yields counts the requests that were to leave room.
 	yields int
@@ -34,23 +34,23 @@
 	// fullPressure is from which share on less urgent requests leave all the room that they
 	// are to leave.
 	fullPressure = 0.2
-	// leastPressure is below what nobody is short.
-	leastPressure = 0.005
-	// sparedOneIn: of the requests that are to leave room one in so many is not, so that no
+	// minPressure is below what nobody is short.
+	minPressure = 0.005
+	// exemptOneIn: of the requests that are to leave room one in so many is not, so that no
 	// kind is served less than a third as often as more urgent ones, however long the
 	// shortage lasts.
-	sparedOneIn = 3
-	// sparedTokenOneIn is the same at a server that names a limit, of which the first to ask gets
+	exemptOneIn = 3
+	// exemptTokenOneIn is the same at a server that names a limit, of which the first to ask gets
 	// what there is.
-	sparedTokenOneIn = 2
+	exemptTokenOneIn = 2
 )
 
 func (c *pressure) now(now time.Time) float64 {
 	return c.share * math.Exp(-now.Sub(c.at).Seconds()/pressureSpan.Seconds())
 }
 
-// met notes how full a request of a priority found its server.
-func (o *order) met(p *policy.Policy, priority int, fill float64, now time.Time) {
+// record notes how full a request of a priority found its server.
+func (o *shortages) record(p *policy.Policy, priority int, fill float64, now time.Time) {
 	if o.pressures == nil {
 		o.pressures = map[int]*pressure{}
 	}
@@ -69,13 +69,13 @@
 
 // limit is how much of its slots a server may have taken to be given a request of a
 // priority: less where more urgent ones are short of room.
-func (o *order) limit(p *policy.Policy, priority int, now time.Time) float64 {
-	most := o.moreUrgent(priority, now)
-	if most < leastPressure {
+func (o *shortages) limit(p *policy.Policy, priority int, now time.Time) float64 {
+	most := o.moreUrgentPressure(priority, now)
+	if most < minPressure {
 		return p.FullFill
 	}
 	o.yields++
-	if o.yields%sparedOneIn == 0 {
+	if o.yields%exemptOneIn == 0 {
 		return p.FullFill
 	}
 	return p.FullFill - (p.FullFill-p.YieldFill)*min(1, most/fullPressure)
@@ -83,17 +83,17 @@
 
 // yieldsToken reports whether a request of a priority leaves what the server takes by its limit to
 // more urgent ones, which lately found no room there.
-func (o *order) yieldsToken(priority int, now time.Time) bool {
-	if o.moreUrgent(priority, now) < leastPressure {
+func (o *shortages) yieldsToken(priority int, now time.Time) bool {
+	if o.moreUrgentPressure(priority, now) < minPressure {
 		return false
 	}
 	o.tokenYields++
 	// Drawn, and not in turn: tokens and requests may both come in turn.
-	return mix(uint64(o.tokenYields))%sparedTokenOneIn != 0
+	return mix(uint64(o.tokenYields))%exemptTokenOneIn != 0
 }
 
-// moreUrgent is the greatest share of a more urgent priority's requests that found no room.
-func (o *order) moreUrgent(priority int, now time.Time) float64 {
+// moreUrgentPressure is the greatest share of a more urgent priority's requests that found no room.
+func (o *shortages) moreUrgentPressure(priority int, now time.Time) float64 {
 	most := 0.0
 	for other, c := range o.pressures {
 		if other < priority {
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -233,8 +233,8 @@
 func (t *step) log(name string, fields map[string]any) {
 	l := t.lease
 	fields[name] = l.ID + " " + t.result.String()
-	fields[name+"_home"] = l.Home
-	fields[name+"_busy"] = int(l.Busy + 0.5)
+	fields[name+"_home"] = l.Rank
+	fields[name+"_busy"] = int(l.InFlight + 0.5)
 	fields[name+"_slots"] = l.Slots
 	fields[name+"_ms"] = t.took.Milliseconds()
 	if l.LoadAge > 0 {
@@ -243,7 +243,7 @@
 	if l.Expected > 0 {
 		fields[name+"_expected_ms"] = l.Expected.Milliseconds()
 	}
-	if l.Known {
+	if l.KeyKnown {
 		fields[name+"_known"] = true
 	}
 	if l.Remote {
@@ -255,8 +255,8 @@
 	if l.Denied > 0 {
 		fields[name+"_denied"] = l.Denied
 	}
-	if l.Resting > 0 {
-		fields[name+"_resting"] = l.Resting
+	if l.BackedOff > 0 {
+		fields[name+"_resting"] = l.BackedOff
 	}
 	if t.problem != nil {
 		fields[name+"_error"] = t.problem.Error()
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -267,9 +267,9 @@
 	isNamed := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
 	}
-	p.self.Named = isNamed(capacities[0], p.self.Zone)
+	p.self.Advertised = isNamed(capacities[0], p.self.Zone)
 	for i := range p.list {
-		p.list[i].Named = isNamed(capacities[i+1], p.list[i].Zone)
+		p.list[i].Advertised = isNamed(capacities[i+1], p.list[i].Zone)
 	}
 }
 
@@ -289,19 +289,19 @@
 
 func (n *Node) newSet(log *logging.Part) {
 	b := n.Settings.Bounds
-	n.Set = backend.NewSet(backend.Terms{
+	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
-		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, Forget: forgetAfter(b.Drain),
+		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, MissingTTL: forgetAfter(b.Drain),
 	}, n.Settings.Zone, n.Topology.RegionOf, n.boxCount, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
-	n.Set.Found = n.findings.Add
-	n.Set.Changed = func(v backend.Server, what string) {
+	n.Set.ReportFailure = n.findings.Add
+	n.Set.OnChange = func(v backend.Server, what string) {
 		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.allow(n.uptime()) {
 			return
 		}
 		log.Info("server "+what, map[string]any{
-			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.Cold.Milliseconds(),
+			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.ColdFor.Milliseconds(),
 		})
 	}
 }
--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -40,9 +40,9 @@
 			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.Number,
 		})
 	}
-	n.Set.Limited = func() bool { return !n.Statuses.Empty() }
-	n.Set.NamesLimit = func(v *backend.Server) bool {
-		_, named := n.Statuses.Of(v.Life())
+	n.Set.AnyLimited = func() bool { return !n.Statuses.Empty() }
+	n.Set.HasLimit = func(v *backend.Server) bool {
+		_, named := n.Statuses.Of(v.Incarnation())
 		return named
 	}
 	n.Set.Admit = n.admitToServer
@@ -90,7 +90,7 @@
 		metrics.GetOrRegisterCounter("limits.unread", n.Metrics).Inc(1)
 		return
 	}
-	if v.Limit.Named {
+	if v.Limit.Present {
 		metrics.GetOrRegisterCounter("limits.answers", n.Metrics).Inc(1)
 	}
 	n.Statuses.Answered(server, v.Limit, v.Signed, sent)
@@ -116,7 +116,7 @@
 // admitToServer reports whether the limit that a server may name leaves room for one more request, and
 // has that take it. One that yields leaves it to more urgent ones.
 func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
-	life := server.Life()
+	life := server.Incarnation()
 	if _, named := n.Statuses.Of(life); !named {
 		return backend.Unlimited, 0
 	}
@@ -128,7 +128,7 @@
 	d := n.Quota.Arrive(id)
 	if d.Verdict == quota.Waiting {
 		if ask {
-			return backend.Open, 0
+			return backend.AdmissionUnknown, 0
 		}
 		d = n.Quota.Again(id, true)
 	}
@@ -143,7 +143,7 @@
 // awaitRoom waits for what the zone's allocator says of a request for which admitTo left that
 // open, and reports whether it has room.
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
-	id := quota.ServerIDOf(server.Life())
+	id := quota.ServerIDOf(server.Incarnation())
 	n.sendQuota()
 	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), serverLimitWait)
 	if d.Verdict == quota.Admitted {
@@ -156,7 +156,7 @@
 
 // releaseRoom gives back what a request has taken of a server's limit and not used.
 func (n *Node) releaseRoom(server *backend.Server) {
-	n.Quota.GiveBack(quota.ServerIDOf(server.Life()))
+	n.Quota.GiveBack(quota.ServerIDOf(server.Incarnation()))
 }
 
 // ----------------------------------------------------------------
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -71,7 +71,7 @@
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
 	n.Statuses.Leave(server)
-	n.Set.Leave(server.Life())
+	n.Set.MarkLeaving(server.Incarnation())
 }
 
 // noteBackoff takes in that a server wants no requests from this box for a time. What it asks of one
@@ -81,7 +81,7 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.Rest(server.Life(), v.Rest) {
+	if n.Set.BackOff(server.Incarnation(), v.Rest) {
 		n.log.Info("server asks for rest", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	listed := map[string]bool{}
 	for i := range known {
-		listed[known[i].Server] = n.Set.Lists(known[i].Server)
+		listed[known[i].Server] = n.Set.HasIncarnation(known[i].Server)
 	}
 	n.Statuses.Expire(func(life string) bool { return listed[life] }, unlistedTime)
 	records := n.Statuses.InForce(endedLimitSpreadTime)
@@ -137,7 +137,7 @@
 	for _, r := range m.Records {
 		n.Statuses.Learn(r)
 		if r.Leaving {
-			n.Set.Leave(r.Server)
+			n.Set.MarkLeaving(r.Server)
 		}
 	}
 	metrics.GetOrRegisterCounter("statuses.received", n.Metrics).Inc(int64(len(m.Records)))
@@ -154,8 +154,8 @@
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
 	records := n.Statuses.InForce(0)
-	for _, r := range n.Set.Resting() {
-		life := r.Server.Life()
+	for _, r := range n.Set.BackedOff() {
+		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
 		known := func(other serverstatus.Record) bool { return other.Server == life }
 		if !slices.ContainsFunc(records, known) {
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -73,9 +73,9 @@
 		log.Warn("configuration refused", map[string]any{"version": c.Version, "error": err.Error()})
 		return
 	}
-	terms := map[string]backend.ServiceTerms{}
+	terms := map[string]backend.ColdStartConfig{}
 	for _, s := range c.Services {
-		terms[s.Name] = backend.ServiceTerms{ColdStart: s.ColdStart, ColdPerSecond: s.ColdPerSecond}
+		terms[s.Name] = backend.ColdStartConfig{ColdStart: s.ColdStart, ColdPerSecond: s.ColdPerSecond}
 	}
 	n.Set.SetServices(terms)
 	n.Quota.SetCustomers(c.Customers)
@@ -110,7 +110,7 @@
 	if n.Topology.RegionOf(v.Zone) == "" {
 		return &ZoneError{Server: v.ID, Zone: v.Zone}
 	}
-	if v.Born == 0 && n.Set.TellsStart(v.ID) {
+	if v.StartedAtMs == 0 && n.Set.ReportsStart(v.ID) {
 		return &StartError{Server: v.ID}
 	}
 	return nil
