--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -18,7 +18,7 @@
 	record := func(i int) Record {
 		return Record{
 			Box: fmt.Sprint("box-", i), Zone: fmt.Sprint("zone-", i%zones), Clients: fmt.Sprint("10.0.0.", i, ":1"), Peers: fmt.Sprint("10.0.0.", i, ":2"),
-			Started: int64(i + 1), Beat: 1, Capacity: 320,
+			Started: int64(i + 1), Sequence: 1, Capacity: 320,
 		}
 	}
 	t := NewTable(record(0), func() time.Time { return now }, random.IntN)
@@ -81,7 +81,7 @@
 		t, m := newCrowd(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
-				m.From.Beat++
+				m.From.Sequence++
 				for i := range m.Seen {
 					m.Seen[i].Beat++
 				}
--- a/pkg/gossip/operators_test.go
+++ b/pkg/gossip/operators_test.go
@@ -15,7 +15,7 @@
 	table, _ := newCrowd(1000, 9)
 	table.Update(func(self *Record) { self.Versions = map[string]objects.Version{"servers": {At: 9}} })
 	behind := table.members["box-9"].Record
-	behind.Beat, behind.Serving, behind.StoreHealthy = 99, true, true
+	behind.Sequence, behind.Serving, behind.StoreHealthy = 99, true, true
 	behind.Versions = map[string]objects.Version{"servers": {At: 7}}
 	table.Receive(&Message{From: behind})
 	zones := table.Overview("servers")
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -72,7 +72,7 @@
 // It goes to the own zone at least: no other zone may know a higher beat of a
 // box that ends than its own, which tells that it is silent.
 func (t *Table) fromNow() Message {
-	t.self.Beat++
+	t.self.Sequence++
 	return t.from()
 }
 
@@ -139,7 +139,7 @@
 		t.toldSilent(e, s)
 		return true
 	}
-	least := e.Beat + 1
+	least := e.Sequence + 1
 	if e.silent && zone != e.Zone {
 		least += strayBeats
 	}
@@ -161,14 +161,14 @@
 		return
 	}
 	if e.silent {
-		e.Beat = max(e.Beat, uint64(s.Beat))
+		e.Sequence = max(e.Sequence, uint64(s.Beat))
 		return
 	}
-	if uint64(s.Beat) < e.Beat && t.Now().Sub(e.heard) < SuspectAfter {
+	if uint64(s.Beat) < e.Sequence && t.Now().Sub(e.heard) < SuspectAfter {
 		return
 	}
 	// What others heard of it before that is no sign of life.
-	e.Beat = max(e.Beat, uint64(s.Beat))
+	e.Sequence = max(e.Sequence, uint64(s.Beat))
 	t.silence(e)
 	t.setTell(e, passSilent)
 }
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -19,10 +19,10 @@
 	// Capacity is about how many requests a second the box bears; 0 if that is
 	// not known.
 	Capacity float64 `json:"capacity,omitempty"`
-	// Beat rises with each message of a life.
-	Beat    uint64 `json:"beat"`
-	Ready   bool   `json:"ready,omitempty"`
-	Leaving bool   `json:"leaving,omitempty"`
+	// Sequence rises with each message of a life.
+	Sequence uint64 `json:"beat"`
+	Ready    bool   `json:"ready,omitempty"`
+	Leaving  bool   `json:"leaving,omitempty"`
 	// StoreHealthy: the store has answered this box without fail for a while.
 	StoreHealthy bool `json:"store_healthy,omitempty"`
 	// Trying: the box asks the store, but has no healthy contact with it.
@@ -44,7 +44,7 @@
 	if r.Started != old.Started {
 		return r.Started > old.Started
 	}
-	return r.Beat > old.Beat
+	return r.Sequence > old.Sequence
 }
 
 // precedes reports whether r comes before the other box of its zone in the
@@ -64,7 +64,7 @@
 
 // sighting is the record in short.
 func (r *Record) sighting() Sighting {
-	s := Sighting{ID: r.id(), Beat: uint32(r.Beat)}
+	s := Sighting{ID: r.id(), Beat: uint32(r.Sequence)}
 	for _, f := range []struct {
 		set  bool
 		flag Flags
@@ -80,7 +80,7 @@
 
 // apply takes over what a sighting says of this life of the box.
 func (r *Record) apply(s Sighting) {
-	r.Beat = uint64(s.Beat)
+	r.Sequence = uint64(s.Beat)
 	r.Ready = s.Flags&FlagReady != 0
 	r.Leaving = s.Flags&FlagLeaving != 0
 	r.StoreHealthy = s.Flags&FlagStoreHealthy != 0
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -16,7 +16,7 @@
 func fullRecord(box string) Record {
 	return Record{
 		Box: box, Zone: "brum-digbeth", Clients: "10.1.0.34:8548", Peers: "10.1.0.34:8544",
-		Started: 1775555009001108062, Capacity: 640, Beat: 117, Ready: true, StoreHealthy: true, Serving: true,
+		Started: 1775555009001108062, Capacity: 640, Sequence: 117, Ready: true, StoreHealthy: true, Serving: true,
 		ConfirmedAgo: 2400, ListConfirmedAgo: 1250,
 		Versions: map[string]objects.Version{
 			"config": {At: 227, Digest: 4012345678}, "servers": {At: 231, Digest: 312345678}, "evacuations": {At: 227},
--- a/pkg/replica/poll_test.go
+++ b/pkg/replica/poll_test.go
@@ -18,7 +18,7 @@
 		*beat++
 		told := 1 + uint32(ago().Milliseconds())
 		m := gossip.Message{From: gossip.Record{
-			Box: "a-box", Zone: "east-a", Peers: "a-box", Started: 1, Beat: *beat, Ready: true,
+			Box: "a-box", Zone: "east-a", Peers: "a-box", Started: 1, Sequence: *beat, Ready: true,
 			StoreHealthy: true, ConfirmedAgo: told, ListConfirmedAgo: told,
 		}}
 		m.From.Versions = b.ownVersions()
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -283,7 +283,7 @@
 	n.Members.Seeds = func() []string { return *n.seeds.Load() }
 	n.Members.Changed = func(r gossip.Record, what string) {
 		n.membersChanged.Store(true)
-		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Beat})
+		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Sequence})
 	}
 }
 
