--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -124,7 +124,7 @@
 // each. A box that asks the store tells all of the zone: the others take its
 // silence for its end, and learn from it of changes.
 func (t *Table) zoneTargets(zone []*entry) []string {
-	if len(zone) <= zoneFanOut || t.self.StoreHealthy || t.self.Trying {
+	if len(zone) <= zoneFanOut || t.self.StoreHealthy || t.self.StoreUnanswered {
 		return peers(zone)
 	}
 	place := sort.Search(len(zone), func(i int) bool { return zone[i].Box > t.self.Box })
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -280,7 +280,7 @@
 			z.Healthy++
 		case e.StoreHealthy:
 			z.Healthy++
-		case e.Trying && before:
+		case e.StoreUnanswered && before:
 			z.TryingBefore++
 		case before:
 			z.IdleBefore++
--- a/pkg/gossip/operators.go
+++ b/pkg/gossip/operators.go
@@ -90,12 +90,12 @@
 	for _, f := range []struct {
 		set   bool
 		count *int
-	}{{r.Ready, &o.Ready}, {r.Leaving, &o.Leaving}, {r.Serving, &o.Serving}, {r.Trying, &o.Unanswered}} {
+	}{{r.Ready, &o.Ready}, {r.Leaving, &o.Leaving}, {r.Serving, &o.Serving}, {r.StoreUnanswered, &o.Unanswered}} {
 		if f.set {
 			*f.count++
 		}
 	}
-	if (r.StoreHealthy || r.Trying) && len(o.Asking) < mostNamed {
+	if (r.StoreHealthy || r.StoreUnanswered) && len(o.Asking) < mostNamed {
 		o.Asking = append(o.Asking, r.Box)
 	}
 }
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -25,8 +25,8 @@
 	Leaving  bool   `json:"leaving,omitempty"`
 	// StoreHealthy: the store has answered this box without fail for a while.
 	StoreHealthy bool `json:"store_healthy,omitempty"`
-	// Trying: the box asks the store, but has no healthy contact with it.
-	Trying bool `json:"trying,omitempty"`
+	// StoreUnanswered: the box asks the store, but has no healthy contact with it.
+	StoreUnanswered bool `json:"trying,omitempty"`
 	// Serving: clients have lately sent it requests.
 	Serving bool `json:"serving,omitempty"`
 	// ConfirmedAgo is how long before this was sent the store last told the box, or
@@ -69,7 +69,7 @@
 		set  bool
 		flag Flags
 	}{
-		{r.Ready, FlagReady}, {r.Leaving, FlagLeaving}, {r.StoreHealthy, FlagStoreHealthy}, {r.Trying, FlagTrying}, {r.Serving, FlagServing},
+		{r.Ready, FlagReady}, {r.Leaving, FlagLeaving}, {r.StoreHealthy, FlagStoreHealthy}, {r.StoreUnanswered, FlagTrying}, {r.Serving, FlagServing},
 	} {
 		if f.set {
 			s.Flags |= f.flag
@@ -84,7 +84,7 @@
 	r.Ready = s.Flags&FlagReady != 0
 	r.Leaving = s.Flags&FlagLeaving != 0
 	r.StoreHealthy = s.Flags&FlagStoreHealthy != 0
-	r.Trying = s.Flags&FlagTrying != 0
+	r.StoreUnanswered = s.Flags&FlagTrying != 0
 	r.Serving = s.Flags&FlagServing != 0
 }
 
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -167,7 +167,7 @@
 		news := b.replica.TakeNews()
 		b.table.Update(b.replica.Tell)
 		self := b.table.Self()
-		if now := [2]bool{self.StoreHealthy, self.Trying}; news || now != b.told {
+		if now := [2]bool{self.StoreHealthy, self.StoreUnanswered}; news || now != b.told {
 			b.told = now
 			f.carry(b, b.table.Announce())
 		}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -171,7 +171,7 @@
 	self.ConfirmedAgo = r.contact.configuration.told(watching)
 	self.ListConfirmedAgo = r.contact.list.told(watching)
 	self.StoreHealthy = watching && r.synced() && r.contact.healthy()
-	self.Trying = watching && !self.StoreHealthy
+	self.StoreUnanswered = watching && !self.StoreHealthy
 }
 
 // ----------------------------------------------------------------
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -65,7 +65,7 @@
 	changed := n.Replica.TakeNews()
 	n.refreshSelf()
 	self := n.Members.Self()
-	now := told{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
+	now := told{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.StoreUnanswered, serving: self.Serving}
 	if changed || now != n.told {
 		n.told = now
 		n.send(n.Members.Announce())
--- a/pkg/watcher/fleet_test.go
+++ b/pkg/watcher/fleet_test.go
@@ -171,7 +171,7 @@
 		if b.synced {
 			self.Versions = map[string]objects.Version{"servers": {At: 1}}
 		}
-		self.StoreHealthy, self.Trying = now[0], now[1] && !now[0]
+		self.StoreHealthy, self.StoreUnanswered = now[0], now[1] && !now[0]
 	})
 	if now != b.told {
 		b.told = now
