--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -257,9 +257,9 @@
 	// Healthy are those that the store answers.
 	Healthy       int
 	HealthyBefore int
-	// TryingBefore ask the store without an answer, IdleBefore do not ask it.
-	TryingBefore int
-	IdleBefore   int
+	// UnansweredBefore ask the store without an answer, IdleBefore do not ask it.
+	UnansweredBefore int
+	IdleBefore       int
 }
 
 // Zone counts the boxes of this box's zone that have been heard within the time
@@ -281,7 +281,7 @@
 		case e.StoreHealthy:
 			z.Healthy++
 		case e.StoreUnanswered && before:
-			z.TryingBefore++
+			z.UnansweredBefore++
 		case before:
 			z.IdleBefore++
 		}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -249,7 +249,7 @@
 	z := r.Members.Zone(watcherSilence)
 	healthy := r.contact.healthy()
 	return watcher.View{
-		HealthyBefore: z.HealthyBefore, TryingBefore: z.TryingBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
+		HealthyBefore: z.HealthyBefore, TryingBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: r.synced(), Answered: r.watching.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
 	}
 }
