--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -221,9 +221,9 @@
 	return len(t.members) == 0
 }
 
-// AnyHealthy reports whether the store answers any other live box without fail. Boxes of the own zone are
+// AnyStoreHealthy reports whether the store answers any other live box without fail. Boxes of the own zone are
 // looked at first: one of them is, on most days.
-func (t *Table) AnyHealthy() bool {
+func (t *Table) AnyStoreHealthy() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -98,7 +98,7 @@
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
 				t.Zone(time.Second)
-				t.AnyHealthy()
+				t.AnyStoreHealthy()
 				t.Zone(time.Second)
 			}
 		})
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -203,7 +203,7 @@
 }
 
 // anyHealthy reports whether the store has answered any other live box without fail.
-func (r *Replica) anyHealthy() bool { return r.Members.AnyHealthy() }
+func (r *Replica) anyHealthy() bool { return r.Members.AnyStoreHealthy() }
 
 // synced reports whether this box has copies of all that the store holds.
 func (r *Replica) synced() bool {
