--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -251,9 +251,9 @@
 	}
 }
 
-// Zone is what the boxes of this box's own zone say of the store. "Before" are
+// StoreContacts is what the boxes of this box's own zone say of the store. "Before" are
 // those that come before this box in the order of the zone's work.
-type Zone struct {
+type StoreContacts struct {
 	// Healthy are those that the store answers.
 	Healthy       int
 	HealthyBefore int
@@ -264,10 +264,10 @@
 
 // Zone counts the boxes of this box's zone that have been heard within the time
 // and do not leave.
-func (t *Table) Zone(within time.Duration) Zone {
+func (t *Table) Zone(within time.Duration) StoreContacts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var z Zone
+	var z StoreContacts
 	now := t.Now()
 	for _, e := range t.own.members {
 		if e.Leaving || now.Sub(e.heard) > within {
