--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -262,9 +262,9 @@
 	IdleBefore       int
 }
 
-// Zone counts the boxes of this box's zone that have been heard within the time
+// StoreContacts counts the boxes of this box's zone that have been heard within the time
 // and do not leave.
-func (t *Table) Zone(within time.Duration) StoreContacts {
+func (t *Table) StoreContacts(within time.Duration) StoreContacts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var z StoreContacts
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -97,9 +97,9 @@
 		t, _ := newCrowd(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
-				t.Zone(time.Second)
+				t.StoreContacts(time.Second)
 				t.AnyStoreHealthy()
-				t.Zone(time.Second)
+				t.StoreContacts(time.Second)
 			}
 		})
 	}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -246,7 +246,7 @@
 
 // view is what this box's role follows from.
 func (r *Replica) view() watcher.View {
-	z := r.Members.Zone(watcherSilence)
+	z := r.Members.StoreContacts(watcherSilence)
 	healthy := r.contact.healthy()
 	return watcher.View{
 		HealthyBefore: z.HealthyBefore, TryingBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
--- a/pkg/watcher/fleet_test.go
+++ b/pkg/watcher/fleet_test.go
@@ -154,7 +154,7 @@
 }
 
 func (f *modelFleet) decide(b *modelBox) {
-	z := b.table.Zone(silence)
+	z := b.table.StoreContacts(silence)
 	answered := b.watches && b.synced && !f.refused(b)
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
