--- a/pkg/gossip/standing.go
+++ b/pkg/gossip/standing.go
@@ -10,8 +10,8 @@
 // its zone's work: by then the others know.
 const servesAfter = 2 * Interval
 
-// Standing is a box's place in its zone, and who comes first in each zone.
-type Standing struct {
+// Position is a box's place in its zone, and who comes first in each zone.
+type Position struct {
 	// Part is this box's part of the capacity of the boxes that share the zone's work:
 	// the first ones of the zone, and those whose clients have sent requests within the
 	// last minute. It is 0 for one that is neither. Those that have lately fallen silent
@@ -30,11 +30,11 @@
 // Standing returns this box's place, with up to count first boxes of each zone. The
 // first sharing boxes of its own zone share the zone's work whether clients come to
 // them or not.
-func (t *Table) Standing(count, sharing int) Standing {
+func (t *Table) Standing(count, sharing int) Position {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	s := Standing{First: map[string][]Record{}}
+	s := Position{First: map[string][]Record{}}
 	if !t.self.Leaving {
 		s.First[t.self.Zone] = []Record{t.self}
 	}
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -76,7 +76,7 @@
 type neighbourhood struct {
 	mu       sync.Mutex
 	at       time.Time
-	standing gossip.Standing
+	standing gossip.Position
 	first    []quota.Box
 	zones    map[string][]quota.Box
 }
@@ -108,7 +108,7 @@
 // quotaWeight is this box's part of its zone's part of limits: none until it knows its
 // zone. A box that has started while it is cut off knows nobody and holds nothing; one
 // that has nobody to know holds all of its zone's part.
-func (n *Node) quotaWeight(s *gossip.Standing) float64 {
+func (n *Node) quotaWeight(s *gossip.Position) float64 {
 	settled := n.age() - time.Duration(n.readySince.Load())
 	switch {
 	case !n.ready.Load() || settled < zoneSettles:
