--- a/pkg/gossip/standing.go
+++ b/pkg/gossip/standing.go
@@ -27,10 +27,10 @@
 	First map[string][]Record
 }
 
-// Standing returns this box's place, with up to count first boxes of each zone. The
+// Position returns this box's place, with up to count first boxes of each zone. The
 // first sharing boxes of its own zone share the zone's work whether clients come to
 // them or not.
-func (t *Table) Standing(count, sharing int) Position {
+func (t *Table) Position(count, sharing int) Position {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -92,7 +92,7 @@
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= neighbourhoodHolds || n.age() < 2*meetTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Standing(firstBoxes, quota.Allocators)
+		h.standing = n.Members.Position(firstBoxes, quota.Allocators)
 		h.zones = map[string][]quota.Box{}
 		for zone, list := range h.standing.First {
 			if zone == n.Settings.Zone {
