--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -392,7 +392,7 @@
 	sum := func() float64 {
 		total := 0.0
 		for _, b := range f.boxes {
-			total += b.Position(4, 2).Part
+			total += b.Position(4, 2).CapacityShare
 		}
 		return total
 	}
@@ -401,8 +401,8 @@
 	if total < 0.999 || total > 1.001 {
 		t.Fatalf("the parts sum up to %.3f", total)
 	}
-	is.True(f.boxes["box-00"].Position(4, 2).Part > 0.4)
-	is.Equal(f.boxes["box-09"].Position(4, 2).Part, 0.0)
+	is.True(f.boxes["box-00"].Position(4, 2).CapacityShare > 0.4)
+	is.Equal(f.boxes["box-09"].Position(4, 2).CapacityShare, 0.0)
 	for range 60 {
 		switch name := fmt.Sprintf("box-%02d", f.random.Intn(13)); f.random.Intn(4) {
 		case 0, 1:
--- a/pkg/gossip/standing.go
+++ b/pkg/gossip/standing.go
@@ -12,12 +12,12 @@
 
 // Position is a box's place in its zone, and who comes first in each zone.
 type Position struct {
-	// Part is this box's part of the capacity of the boxes that share the zone's work:
+	// CapacityShare is this box's part of the capacity of the boxes that share the zone's work:
 	// the first ones of the zone, and those whose clients have sent requests within the
 	// last minute. It is 0 for one that is neither. Those that have lately fallen silent
 	// count; while nothing is heard of the zone none is forgotten, since this box may be
 	// cut off.
-	Part float64
+	CapacityShare float64
 	// Neighbours is how many other boxes of the zone are known, Others how many boxes
 	// of other zones.
 	Neighbours int
@@ -48,7 +48,7 @@
 	}
 	neighbours := t.neighbours()
 	s.Neighbours = len(neighbours)
-	s.Part = t.part(neighbours, sharing, now)
+	s.CapacityShare = t.part(neighbours, sharing, now)
 	return s
 }
 
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -114,11 +114,11 @@
 	case !n.ready.Load() || settled < zoneSettles:
 		return 0
 	case s.Neighbours > 0:
-		return s.Part
+		return s.CapacityShare
 	case settled < aloneSettles || s.Others == 0 && n.hasOtherSeeds():
 		return 0
 	}
-	return s.Part
+	return s.CapacityShare
 }
 
 // hasOtherSeeds reports whether the settings name other boxes.
