--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -24,7 +24,7 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/objects"
-	"github.com/stoneworks/stoneworks/pkg/watcher"
+	"github.com/stoneworks/stoneworks/pkg/storepoller"
 )
 
 // Kinds are the names of the kinds of objects in the store.
@@ -94,7 +94,7 @@
 	changed  atomic.Bool
 	// roleMu keeps two decisions on the role apart.
 	roleMu sync.Mutex
-	role   *watcher.Role
+	role   *storepoller.Role
 
 	pulls  *pulls
 	claims claims
@@ -107,7 +107,7 @@
 	r := &Replica{
 		Options: o, mirrors: map[string]*objects.Mirror{}, followers: map[string]*objects.Follower{},
 		contact: newContact(o.Now, o.Contact), revisions: newRevisions(), pulls: newPulls(),
-		role: watcher.New(o.WatchersPerZone, o.Contact, now, rand.Float64()),
+		role: storepoller.New(o.WatchersPerZone, o.Contact, now, rand.Float64()),
 	}
 	for _, kind := range o.Kinds.all() {
 		r.mirrors[kind] = objects.NewMirror(kind)
@@ -245,10 +245,10 @@
 }
 
 // view is what this box's role follows from.
-func (r *Replica) view() watcher.View {
+func (r *Replica) view() storepoller.View {
 	z := r.Members.StoreContacts(watcherSilence)
 	healthy := r.contact.healthy()
-	return watcher.View{
+	return storepoller.View{
 		HealthyBefore: z.HealthyBefore, TryingBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: r.synced(), Answered: r.watching.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
 	}
--- a/pkg/watcher/watcher.go
+++ b/pkg/storepoller/storepoller.go
@@ -7,7 +7,7 @@
 // the first pages; within MeetTime they have heard of each other, the first two in
 // the order of the zone read on, and once one of them holds the whole list the
 // others take it from there.
-package watcher
+package storepoller
 
 import (
 	"math"
--- a/pkg/watcher/watcher_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -1,4 +1,4 @@
-package watcher
+package storepoller
 
 import (
 	"testing"
