--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -229,7 +229,7 @@
 func (r *Replica) chooseRole() {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	watching := r.role.Watches(r.view(), r.Now())
+	watching := r.role.ShouldPoll(r.view(), r.Now())
 	if watching == r.watching.Swap(watching) {
 		return
 	}
--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -158,7 +158,7 @@
 	answered := b.watches && b.synced && !f.refused(b)
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
-	watches := b.role.Watches(View{
+	watches := b.role.ShouldPoll(View{
 		HealthyBefore: z.HealthyBefore, TryingBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: b.synced, Answered: answered, StoreAnswers: answers,
 	}, f.now)
--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -77,9 +77,9 @@
 	return &Role{PerZone: perZone, Contact: contact, started: now, answered: now, patience: patience}
 }
 
-// Watches reports whether the box is to ask the store from now on. A box that is
+// ShouldPoll reports whether the box is to ask the store from now on. A box that is
 // to take the role up does so only when those before it have had time to.
-func (r *Role) Watches(v View, now time.Time) bool {
+func (r *Role) ShouldPoll(v View, now time.Time) bool {
 	if v.StoreAnswers {
 		r.answered = now
 	}
