--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -258,5 +258,5 @@
 func (r *Replica) readsOn() bool {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	return r.role.ReadsOn(r.Now())
+	return r.role.ReadsAllPages(r.Now())
 }
--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -136,7 +136,7 @@
 
 // read asks the store for a page if the box may.
 func (f *modelFleet) read(b *modelBox) {
-	if b.pages >= atOnce && !b.role.ReadsOn(f.now) {
+	if b.pages >= atOnce && !b.role.ReadsAllPages(f.now) {
 		return
 	}
 	b.calls++
--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -109,8 +109,8 @@
 	return v.HealthyBefore < r.PerZone() && (v.Answered || v.TryingBefore < mayTry)
 }
 
-// ReadsOn reports whether a box that has no list yet reads one of many pages: when
+// ReadsAllPages reports whether a box that has no list yet reads one of many pages: when
 // it is to ask the store, or when nobody has handed it the list for long.
-func (r *Role) ReadsOn(now time.Time) bool {
+func (r *Role) ReadsAllPages(now time.Time) bool {
 	return r.watching || now.Sub(r.started) >= r.patience
 }
--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -87,12 +87,12 @@
 func TestLongListsAreReadByThoseThatWatch(t *testing.T) {
 	is := is.New(t)
 	watches, early, late := newRole(0), newRole(0), newRole(0.99)
-	is.True(!watches.ReadsOn(start))
+	is.True(!watches.ReadsAllPages(start))
 	is.True(watches.ShouldPoll(View{}, start))
-	is.True(watches.ReadsOn(start))
+	is.True(watches.ReadsAllPages(start))
 	began := start.Add(-MeetTime)
-	is.True(!early.ReadsOn(began.Add(contact - 1)))
-	is.True(early.ReadsOn(began.Add(contact)))
-	is.True(!late.ReadsOn(began.Add(4 * contact)))
-	is.True(late.ReadsOn(began.Add(5 * contact)))
+	is.True(!early.ReadsAllPages(began.Add(contact - 1)))
+	is.True(early.ReadsAllPages(began.Add(contact)))
+	is.True(!late.ReadsAllPages(began.Add(4 * contact)))
+	is.True(late.ReadsAllPages(began.Add(5 * contact)))
 }
