--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -249,7 +249,7 @@
 	z := r.Members.StoreContacts(watcherSilence)
 	healthy := r.contact.healthy()
 	return storepoller.View{
-		HealthyBefore: z.HealthyBefore, TryingBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
+		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: r.synced(), Answered: r.watching.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
 	}
 }
--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -159,7 +159,7 @@
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
 	watches := b.role.ShouldPoll(View{
-		HealthyBefore: z.HealthyBefore, TryingBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
+		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: b.synced, Answered: answered, StoreAnswers: answers,
 	}, f.now)
 	if watches != b.watches {
--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -39,9 +39,9 @@
 	// HealthyBefore, TryingBefore and IdleBefore are the live boxes of the zone
 	// that come before this one: those that the store answers, those that ask
 	// it in vain, and those that do not ask it.
-	HealthyBefore int
-	TryingBefore  int
-	IdleBefore    int
+	HealthyBefore    int
+	UnansweredBefore int
+	IdleBefore       int
 	// ZoneHealthy are all live boxes of the zone that the store answers.
 	ZoneHealthy int
 	// Synced: this box has copies of all that the store holds.
@@ -106,7 +106,7 @@
 	}
 	without := now.Sub(r.answered)
 	mayTry := fewTrying + int(math.Log2(1+without.Seconds()/r.Contact.Seconds()))
-	return v.HealthyBefore < r.PerZone() && (v.Answered || v.TryingBefore < mayTry)
+	return v.HealthyBefore < r.PerZone() && (v.Answered || v.UnansweredBefore < mayTry)
 }
 
 // ReadsAllPages reports whether a box that has no list yet reads one of many pages: when
--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -44,10 +44,10 @@
 		tries int
 	}{{0, 2}, {contact - 1, 2}, {contact, 3}, {3 * contact, 4}, {7 * contact, 5}} {
 		now := start.Add(e.after)
-		is.True(r.ShouldPoll(View{Synced: true, TryingBefore: e.tries - 1}, now))
-		is.True(!r.ShouldPoll(View{Synced: true, TryingBefore: e.tries}, now))
+		is.True(r.ShouldPoll(View{Synced: true, UnansweredBefore: e.tries - 1}, now))
+		is.True(!r.ShouldPoll(View{Synced: true, UnansweredBefore: e.tries}, now))
 	}
-	is.True(!r.ShouldPoll(View{Synced: true, TryingBefore: 2, StoreAnswers: true}, start.Add(8*contact)))
+	is.True(!r.ShouldPoll(View{Synced: true, UnansweredBefore: 2, StoreAnswers: true}, start.Add(8*contact)))
 }
 
 // TestAnsweredBoxStays: where the store turns away the boxes that come first in the
@@ -56,9 +56,9 @@
 	is := is.New(t)
 	r := newRole(0)
 	later := start.Add(contact)
-	is.True(r.ShouldPoll(View{Synced: true, TryingBefore: 2}, later))
-	is.True(r.ShouldPoll(View{Synced: true, Answered: true, StoreAnswers: true, TryingBefore: 2}, later.Add(tick)))
-	is.True(!r.ShouldPoll(View{Synced: true, StoreAnswers: true, TryingBefore: 2}, later.Add(2*tick)))
+	is.True(r.ShouldPoll(View{Synced: true, UnansweredBefore: 2}, later))
+	is.True(r.ShouldPoll(View{Synced: true, Answered: true, StoreAnswers: true, UnansweredBefore: 2}, later.Add(tick)))
+	is.True(!r.ShouldPoll(View{Synced: true, StoreAnswers: true, UnansweredBefore: 2}, later.Add(2*tick)))
 }
 
 // TestBoxesTakeTheRoleUpOneAfterTheOther: when the box that watched is gone, the
