--- a/pkg/findings/findings.go
+++ b/pkg/failurereport/failurereport.go
@@ -8,7 +8,7 @@
 // client; with findings the first one or two do.
 //
 // This package has no input or output: messages are handed in and out.
-package findings
+package failurereport
 
 import (
 	"sync"
--- a/pkg/findings/findings_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -1,4 +1,4 @@
-package findings
+package failurereport
 
 import (
 	"errors"
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -19,7 +19,7 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 	"github.com/stoneworks/stoneworks/pkg/directory"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/ingress"
 	"github.com/stoneworks/stoneworks/pkg/logging"
@@ -105,7 +105,7 @@
 	told   told
 	// findings are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
-	findings *findings.Outbox
+	findings *failurereport.Outbox
 	crashes  crashChecks
 	// tellsCrashes: others are about to be told of a crash.
 	tellsCrashes atomic.Bool
@@ -170,7 +170,7 @@
 	}
 	n.Timers.Now = c.Now
 	n.noteSuspensions()
-	n.findings = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
+	n.findings = &failurereport.Outbox{Box: s.Box, Now: n.Clock.Now}
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
 	n.seeds.Store(&s.Seeds)
--- a/pkg/steering/steering_findings.go
+++ b/pkg/steering/steering_findings.go
@@ -6,7 +6,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 )
 
 // ================================================================
@@ -37,7 +37,7 @@
 	}
 	_, to := n.liveBoxes()
 	for i := range messages {
-		datagram, err := findings.Wire.Encode(&messages[i])
+		datagram, err := failurereport.Wire.Encode(&messages[i])
 		if err != nil {
 			n.log.Warn("findings not sent", map[string]any{"error": err.Error()})
 			continue
@@ -49,7 +49,7 @@
 
 // receiveFindings takes in what another box has found.
 func (n *Node) receiveFindings(datagram []byte, from *net.UDPAddr) {
-	m, err := findings.Wire.Decode(datagram)
+	m, err := failurereport.Wire.Decode(datagram)
 	if err != nil {
 		n.unread(from, err)
 		return
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -10,7 +10,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/packet"
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
@@ -152,7 +152,7 @@
 			continue
 		}
 		n.Clock.Sync()
-		if findings.Wire.Is(buffer[:size]) {
+		if failurereport.Wire.Is(buffer[:size]) {
 			n.receiveFindings(buffer[:size], from)
 			continue
 		}
