--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -31,8 +31,8 @@
 // Message is what one box found since its last message.
 type Message struct {
 	// Box is the sender's name.
-	Box      string
-	Findings []backend.Finding
+	Box     string
+	Reports []backend.Finding
 }
 
 // Wire packs messages.
@@ -78,7 +78,7 @@
 	var messages []Message
 	for len(o.waiting) > 0 {
 		n := min(len(o.waiting), together)
-		messages = append(messages, Message{Box: o.Box, Findings: o.waiting[:n:n]})
+		messages = append(messages, Message{Box: o.Box, Reports: o.waiting[:n:n]})
 		o.waiting = o.waiting[n:]
 	}
 	o.waiting = nil
--- a/pkg/failurereport/failurereport_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -15,7 +15,7 @@
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	is := is.New(t)
-	m := &Message{Box: "edge-1", Findings: []backend.Finding{{Server: "i-1", Stale: true}, {Server: "i-2"}}}
+	m := &Message{Box: "edge-1", Reports: []backend.Finding{{Server: "i-1", Stale: true}, {Server: "i-2"}}}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
 	back, err := Wire.Decode(datagram)
@@ -46,7 +46,7 @@
 	}
 	messages := o.Take()
 	is.Equal(len(messages), 2)
-	is.Equal(len(messages[0].Findings)+len(messages[1].Findings), 60)
+	is.Equal(len(messages[0].Reports)+len(messages[1].Reports), 60)
 	for i := range messages {
 		datagram, err := Wire.Encode(&messages[i])
 		is.NoErr(err)
--- a/pkg/steering/steering_findings.go
+++ b/pkg/steering/steering_findings.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		n.sendEach(to, datagram)
-		metrics.GetOrRegisterCounter("findings.sent", n.Metrics).Inc(int64(len(messages[i].Findings)))
+		metrics.GetOrRegisterCounter("findings.sent", n.Metrics).Inc(int64(len(messages[i].Reports)))
 	}
 }
 
@@ -54,8 +54,8 @@
 		n.unread(from, err)
 		return
 	}
-	for _, f := range m.Findings {
+	for _, f := range m.Reports {
 		n.Set.Learn(m.Box, f)
 	}
-	metrics.GetOrRegisterCounter("findings.received", n.Metrics).Inc(int64(len(m.Findings)))
+	metrics.GetOrRegisterCounter("findings.received", n.Metrics).Inc(int64(len(m.Reports)))
 }
