--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -69,8 +69,8 @@
 	Now func() time.Time
 	// Random returns a number in [0, n).
 	Random func(n int) int
-	// Changed is told when a box is first heard, comes back or falls silent.
-	Changed func(r Record, what string)
+	// OnChange is told when a box is first heard, comes back or falls silent.
+	OnChange func(r Record, what string)
 
 	mu   sync.Mutex
 	self Record
@@ -158,7 +158,7 @@
 // NewTable makes a table that knows only this box.
 func NewTable(self Record, now func() time.Time, random func(n int) int) *Table {
 	t := &Table{
-		Seeds: func() []string { return nil }, Now: now, Random: random, Changed: func(Record, string) {},
+		Seeds: func() []string { return nil }, Now: now, Random: random, OnChange: func(Record, string) {},
 		self: self, members: map[string]*entry{}, ids: map[uint32]*entry{},
 		zones: map[string]*zone{}, asked: map[uint32]time.Time{},
 	}
@@ -326,7 +326,7 @@
 // silence takes a box for silent.
 func (t *Table) silence(e *entry) {
 	e.silent = true
-	t.Changed(e.Record, "silent")
+	t.OnChange(e.Record, "silent")
 }
 
 // add puts a box that was not known into the table.
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -254,7 +254,7 @@
 func (f *fleet) countSilent() *int {
 	silent := 0
 	for _, table := range f.boxes {
-		table.Changed = func(_ Record, what string) {
+		table.OnChange = func(_ Record, what string) {
 			if what == "silent" {
 				silent++
 			}
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -88,7 +88,7 @@
 		t.add(e)
 		t.tellLive(e)
 		t.heard(e)
-		t.Changed(*r, "seen")
+		t.OnChange(*r, "seen")
 		return true
 	}
 	if !t.accepts(r, old, direct) {
@@ -190,7 +190,7 @@
 func (t *Table) back(e *entry) {
 	e.silent = false
 	t.tellLive(e)
-	t.Changed(e.Record, "back")
+	t.OnChange(e.Record, "back")
 }
 
 // tellLive makes it news that a box of this zone is there. Of others their own
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -281,7 +281,7 @@
 	}
 	n.Members = gossip.NewTable(self, n.Clock.Now, rand.IntN)
 	n.Members.Seeds = func() []string { return *n.seeds.Load() }
-	n.Members.Changed = func(r gossip.Record, what string) {
+	n.Members.OnChange = func(r gossip.Record, what string) {
 		n.membersChanged.Store(true)
 		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Sequence})
 	}
