--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -234,13 +234,13 @@
 // Count returns how many boxes may be sending requests, this one included.
 func (t *Table) Count() int {
 	count := 1
-	t.EachOther(func(*Record, bool) { count++ })
+	t.EachPossibleSender(func(*Record, bool) { count++ })
 	return count
 }
 
-// EachOther calls f for each of the other boxes that may be sending requests, and tells whether it is live.
+// EachPossibleSender calls f for each of the other boxes that may be sending requests, and tells whether it is live.
 // It must not call the table.
-func (t *Table) EachOther(f func(r *Record, live bool)) {
+func (t *Table) EachPossibleSender(f func(r *Record, live bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
--- a/pkg/steering/steering.go
+++ b/pkg/steering/steering.go
@@ -263,7 +263,7 @@
 	}
 	own := n.Members.Self()
 	p.self = add(&own, true)
-	n.Members.EachOther(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
+	n.Members.EachPossibleSender(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
 	isNamed := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
 	}
