--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -127,7 +127,7 @@
 // see takes in what a box of a zone heard, and reports whether the box that it
 // is of is known. Of its own zone a box believes its own zone alone: what others
 // say is older than what is heard here, and would delay that a silence is noticed.
-func (t *Table) see(s Sighting, zone string) (known bool) {
+func (t *Table) see(s LivenessRecord, zone string) (known bool) {
 	e := t.ids[s.ID]
 	if e == nil {
 		return s.ID == t.self.id()
@@ -156,7 +156,7 @@
 
 // toldSilent takes a box of another zone for silent since its own zone does,
 // unless something newer was heard of it, or it was heard a moment ago.
-func (t *Table) toldSilent(e *entry, s Sighting) {
+func (t *Table) toldSilent(e *entry, s LivenessRecord) {
 	if e.Zone == t.self.Zone {
 		return
 	}
@@ -204,7 +204,7 @@
 }
 
 // mayAsk reports whether the record of an unknown box is to be asked for now.
-func (t *Table) mayAsk(s Sighting) bool {
+func (t *Table) mayAsk(s LivenessRecord) bool {
 	now := t.Now()
 	if s.Flags&FlagSilent != 0 || now.Sub(t.asked[s.ID]) < askAgain {
 		return false
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -63,8 +63,8 @@
 }
 
 // sighting is the record in short.
-func (r *Record) sighting() Sighting {
-	s := Sighting{ID: r.id(), Beat: uint32(r.Sequence)}
+func (r *Record) sighting() LivenessRecord {
+	s := LivenessRecord{ID: r.id(), Beat: uint32(r.Sequence)}
 	for _, f := range []struct {
 		set  bool
 		flag Flags
@@ -79,7 +79,7 @@
 }
 
 // apply takes over what a sighting says of this life of the box.
-func (r *Record) apply(s Sighting) {
+func (r *Record) apply(s LivenessRecord) {
 	r.Sequence = uint64(s.Beat)
 	r.Ready = s.Flags&FlagReady != 0
 	r.Leaving = s.Flags&FlagLeaving != 0
@@ -102,9 +102,9 @@
 	FlagServing
 )
 
-// Sighting is what was heard of a box, for those that know its record: 9 bytes
+// LivenessRecord is what was heard of a box, for those that know its record: 9 bytes
 // in place of a whole record.
-type Sighting struct {
+type LivenessRecord struct {
 	// ID is a hash of the box's name and the start of its life. Two of 3,000
 	// boxes share one with a chance of 1 in 1,000; the one that is heard then
 	// stands for both until either starts anew.
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -30,7 +30,7 @@
 }
 
 // Sightings are packed on the wire.
-type Sightings []Sighting
+type Sightings []LivenessRecord
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (s Sightings) EncodeMsgpack(e *msgpack.Encoder) error {
@@ -55,7 +55,7 @@
 	}
 	*s = nil
 	for ; len(packed) > 0; packed = packed[sightingSize:] {
-		*s = append(*s, Sighting{
+		*s = append(*s, LivenessRecord{
 			ID: binary.BigEndian.Uint32(packed), Beat: binary.BigEndian.Uint32(packed[4:]), Flags: Flags(packed[8]),
 		})
 	}
