--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -181,7 +181,7 @@
 
 // risen returns the boxes of the own zone and of others that were heard since
 // the last heartbeat, in an order of chance, and the news.
-func (t *Table) risen() (near, others []*entry, news Sightings) {
+func (t *Table) risen() (near, others []*entry, news LivenessRecords) {
 	for _, e := range t.heardLately {
 		switch {
 		case e.silent:
@@ -201,7 +201,7 @@
 
 // news returns some of what is still to be told of boxes that fell silent, and
 // then of boxes that came or came back.
-func (t *Table) news() Sightings {
+func (t *Table) news() LivenessRecords {
 	var silent, live []*entry
 	still := t.newsOf[:0]
 	for _, e := range t.newsOf {
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -236,7 +236,7 @@
 
 // liveSightings returns the live boxes of a zone, and some of this box's own, for
 // a box of that zone that was not known or has come back.
-func (t *Table) liveSightings(zone string) Sightings {
+func (t *Table) liveSightings(zone string) LivenessRecords {
 	now := t.Now()
 	var near, own, others []*entry
 	for _, e := range t.sorted {
@@ -254,8 +254,8 @@
 	return append(sightings(pick(near, greetedNear, t.Random)), sightings(far[:min(len(far), greetedFar)])...)
 }
 
-func sightings(list []*entry) Sightings {
-	var out Sightings
+func sightings(list []*entry) LivenessRecords {
+	var out LivenessRecords
 	for _, e := range list {
 		out = append(out, e.told())
 	}
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -21,7 +21,7 @@
 	// Others are whole records, for a box that does not know them.
 	Others []Record `json:"others,omitempty"`
 	// Seen is what the sender heard of other boxes.
-	Seen Sightings `json:"seen,omitempty"`
+	Seen LivenessRecords `json:"seen,omitempty"`
 	// Ask names sightings whose records the sender lacks.
 	Ask []uint32 `json:"ask,omitempty"`
 	// Probe: the sender has not heard the receiver for a while and asks for an
@@ -29,11 +29,11 @@
 	Probe bool `json:"probe,omitempty"`
 }
 
-// Sightings are packed on the wire.
-type Sightings []LivenessRecord
+// LivenessRecords are packed on the wire.
+type LivenessRecords []LivenessRecord
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (s Sightings) EncodeMsgpack(e *msgpack.Encoder) error {
+func (s LivenessRecords) EncodeMsgpack(e *msgpack.Encoder) error {
 	packed := make([]byte, 0, len(s)*sightingSize)
 	for _, one := range s {
 		packed = binary.BigEndian.AppendUint32(packed, one.ID)
@@ -45,7 +45,7 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder. The error is a *packet.Error
 // or the library's.
-func (s *Sightings) DecodeMsgpack(d *msgpack.Decoder) error {
+func (s *LivenessRecords) DecodeMsgpack(d *msgpack.Decoder) error {
 	packed, err := d.DecodeBytes()
 	if err != nil {
 		return err
