--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -83,7 +83,7 @@
 			for range b.N {
 				m.From.Sequence++
 				for i := range m.Seen {
-					m.Seen[i].Beat++
+					m.Seen[i].Sequence++
 				}
 				t.Receive(m)
 			}
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -143,7 +143,7 @@
 	if e.silent && zone != e.Zone {
 		least += strayBeats
 	}
-	if uint64(s.Beat) < least {
+	if uint64(s.Sequence) < least {
 		return true
 	}
 	e.apply(s)
@@ -161,14 +161,14 @@
 		return
 	}
 	if e.silent {
-		e.Sequence = max(e.Sequence, uint64(s.Beat))
+		e.Sequence = max(e.Sequence, uint64(s.Sequence))
 		return
 	}
-	if uint64(s.Beat) < e.Sequence && t.Now().Sub(e.heard) < SuspectAfter {
+	if uint64(s.Sequence) < e.Sequence && t.Now().Sub(e.heard) < SuspectAfter {
 		return
 	}
 	// What others heard of it before that is no sign of life.
-	e.Sequence = max(e.Sequence, uint64(s.Beat))
+	e.Sequence = max(e.Sequence, uint64(s.Sequence))
 	t.silence(e)
 	t.setTell(e, passSilent)
 }
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -64,7 +64,7 @@
 
 // sighting is the record in short.
 func (r *Record) sighting() LivenessRecord {
-	s := LivenessRecord{ID: r.id(), Beat: uint32(r.Sequence)}
+	s := LivenessRecord{ID: r.id(), Sequence: uint32(r.Sequence)}
 	for _, f := range []struct {
 		set  bool
 		flag Flags
@@ -80,7 +80,7 @@
 
 // apply takes over what a sighting says of this life of the box.
 func (r *Record) apply(s LivenessRecord) {
-	r.Sequence = uint64(s.Beat)
+	r.Sequence = uint64(s.Sequence)
 	r.Ready = s.Flags&FlagReady != 0
 	r.Leaving = s.Flags&FlagLeaving != 0
 	r.StoreHealthy = s.Flags&FlagStoreHealthy != 0
@@ -109,7 +109,7 @@
 	// boxes share one with a chance of 1 in 1,000; the one that is heard then
 	// stands for both until either starts anew.
 	ID uint32
-	// Beat is the newest that was heard; a life of 68 years fits.
-	Beat  uint32
-	Flags Flags
+	// Sequence is the newest that was heard; a life of 68 years fits.
+	Sequence uint32
+	Flags    Flags
 }
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -37,7 +37,7 @@
 	packed := make([]byte, 0, len(s)*sightingSize)
 	for _, one := range s {
 		packed = binary.BigEndian.AppendUint32(packed, one.ID)
-		packed = binary.BigEndian.AppendUint32(packed, one.Beat)
+		packed = binary.BigEndian.AppendUint32(packed, one.Sequence)
 		packed = append(packed, byte(one.Flags))
 	}
 	return e.EncodeBytes(packed)
@@ -56,7 +56,7 @@
 	*s = nil
 	for ; len(packed) > 0; packed = packed[sightingSize:] {
 		*s = append(*s, LivenessRecord{
-			ID: binary.BigEndian.Uint32(packed), Beat: binary.BigEndian.Uint32(packed[4:]), Flags: Flags(packed[8]),
+			ID: binary.BigEndian.Uint32(packed), Sequence: binary.BigEndian.Uint32(packed[4:]), Flags: Flags(packed[8]),
 		})
 	}
 	return nil
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	m := &Message{
 		From: fullRecord("edge-1"), Others: []Record{fullRecord("edge-2"), {Box: "edge-3", Leaving: true}},
-		Seen: LivenessRecords{{ID: 1 << 31, Beat: 117, Flags: FlagReady | FlagSilent}, {ID: 3}}, Ask: []uint32{7, 1 << 30}, Probe: true,
+		Seen: LivenessRecords{{ID: 1 << 31, Sequence: 117, Flags: FlagReady | FlagSilent}, {ID: 3}}, Ask: []uint32{7, 1 << 30}, Probe: true,
 	}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
