--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -52,10 +52,10 @@
 	near, others, news := t.risen()
 	zone := t.fromNow()
 	far, probe := zone, zone
-	zone.Seen = slices.Concat(news, sightings(near), sightings(others[:min(len(others), seenTogether-len(news)-len(near))]))
-	far.Seen = news
+	zone.Liveness = slices.Concat(news, sightings(near), sightings(others[:min(len(others), seenTogether-len(news)-len(near))]))
+	far.Liveness = news
 	if t.beats%tellZoneEvery == 0 {
-		far.Seen = slices.Concat(news, sightings(near))
+		far.Liveness = slices.Concat(news, sightings(near))
 	}
 	probe.Probe = true
 	return []Envelope{
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -26,9 +26,9 @@
 	for i := 1; i < boxes; i++ {
 		r := record(i)
 		t.Receive(&Message{From: r})
-		if i > zones && len(m.Seen) < seenTogether {
-			m.Seen = append(m.Seen, r.sighting())
-			m.Seen[len(m.Seen)-1].ID = r.id()
+		if i > zones && len(m.Liveness) < seenTogether {
+			m.Liveness = append(m.Liveness, r.sighting())
+			m.Liveness[len(m.Liveness)-1].ID = r.id()
 		}
 	}
 	for range 20 {
@@ -82,8 +82,8 @@
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
 				m.From.Sequence++
-				for i := range m.Seen {
-					m.Seen[i].Sequence++
+				for i := range m.Liveness {
+					m.Liveness[i].Sequence++
 				}
 				t.Receive(m)
 			}
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -34,14 +34,14 @@
 		}
 	}
 	var unknown []uint32
-	for _, s := range m.Seen {
+	for _, s := range m.Liveness {
 		if !t.see(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayAsk(s) {
 			unknown = append(unknown, s.ID)
 		}
 	}
 	if isNew {
 		answer := t.from()
-		answer.Seen = t.liveSightings(m.From.Zone)
+		answer.Liveness = t.liveSightings(m.From.Zone)
 		answers = append(answers, answer)
 	}
 	if len(unknown) > 0 {
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -20,8 +20,8 @@
 	From Record `json:"from"`
 	// Others are whole records, for a box that does not know them.
 	Others []Record `json:"others,omitempty"`
-	// Seen is what the sender heard of other boxes.
-	Seen LivenessRecords `json:"seen,omitempty"`
+	// Liveness is what the sender heard of other boxes.
+	Liveness LivenessRecords `json:"seen,omitempty"`
 	// Ask names sightings whose records the sender lacks.
 	Ask []uint32 `json:"ask,omitempty"`
 	// Probe: the sender has not heard the receiver for a while and asks for an
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	m := &Message{
 		From: fullRecord("edge-1"), Others: []Record{fullRecord("edge-2"), {Box: "edge-3", Leaving: true}},
-		Seen: LivenessRecords{{ID: 1 << 31, Sequence: 117, Flags: FlagReady | FlagSilent}, {ID: 3}}, Ask: []uint32{7, 1 << 30}, Probe: true,
+		Liveness: LivenessRecords{{ID: 1 << 31, Sequence: 117, Flags: FlagReady | FlagSilent}, {ID: 3}}, Ask: []uint32{7, 1 << 30}, Probe: true,
 	}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
@@ -57,7 +57,7 @@
 	is := is.New(t)
 	alone, err := Wire.Encode(&Message{From: fullRecord("edge-1")})
 	is.NoErr(err)
-	m := &Message{From: fullRecord("edge-1"), Seen: make(LivenessRecords, seenTogether)}
+	m := &Message{From: fullRecord("edge-1"), Liveness: make(LivenessRecords, seenTogether)}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
 	is.True(len(datagram)-len(alone) <= seenTogether*sightingSize+2)
