--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -147,7 +147,7 @@
 
 // told is the box as it is told to others.
 func (e *entry) told() LivenessRecord {
-	s := e.sighting()
+	s := e.livenessRecord()
 	s.ID = e.ID
 	if e.silent {
 		s.Flags = FlagSilent
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -27,7 +27,7 @@
 		r := record(i)
 		t.Receive(&Message{From: r})
 		if i > zones && len(m.Liveness) < seenTogether {
-			m.Liveness = append(m.Liveness, r.sighting())
+			m.Liveness = append(m.Liveness, r.livenessRecord())
 			m.Liveness[len(m.Liveness)-1].ID = r.id()
 		}
 	}
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -62,8 +62,8 @@
 	return uint32(hashing.Of(r.Box, strconv.FormatInt(r.Started, 10)))
 }
 
-// sighting is the record in short.
-func (r *Record) sighting() LivenessRecord {
+// livenessRecord is the record in short.
+func (r *Record) livenessRecord() LivenessRecord {
 	s := LivenessRecord{ID: r.id(), Sequence: uint32(r.Sequence)}
 	for _, f := range []struct {
 		set  bool
