--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// told is the box as it is told to others.
-func (e *entry) told() LivenessRecord {
+// currentLiveness is the box as it is currentLiveness to others.
+func (e *entry) currentLiveness() LivenessRecord {
 	s := e.livenessRecord()
 	s.ID = e.ID
 	if e.silent {
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -257,7 +257,7 @@
 func sightings(list []*entry) LivenessRecords {
 	var out LivenessRecords
 	for _, e := range list {
-		out = append(out, e.told())
+		out = append(out, e.currentLiveness())
 	}
 	return out
 }
