--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -52,10 +52,10 @@
 	near, others, news := t.risen()
 	zone := t.fromNow()
 	far, probe := zone, zone
-	zone.Liveness = slices.Concat(news, sightings(near), sightings(others[:min(len(others), seenTogether-len(news)-len(near))]))
+	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), seenTogether-len(news)-len(near))]))
 	far.Liveness = news
 	if t.beats%tellZoneEvery == 0 {
-		far.Liveness = slices.Concat(news, sightings(near))
+		far.Liveness = slices.Concat(news, livenessRecords(near))
 	}
 	probe.Probe = true
 	return []Envelope{
@@ -225,7 +225,7 @@
 	for _, e := range list {
 		e.tell--
 	}
-	return sightings(list)
+	return livenessRecords(list)
 }
 
 // pick returns some of the list, drawn by chance.
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -251,10 +251,10 @@
 		}
 	}
 	far := append(pick(own, greetedFar, t.Random), pick(others, greetedFar, t.Random)...)
-	return append(sightings(pick(near, greetedNear, t.Random)), sightings(far[:min(len(far), greetedFar)])...)
+	return append(livenessRecords(pick(near, greetedNear, t.Random)), livenessRecords(far[:min(len(far), greetedFar)])...)
 }
 
-func sightings(list []*entry) LivenessRecords {
+func livenessRecords(list []*entry) LivenessRecords {
 	var out LivenessRecords
 	for _, e := range list {
 		out = append(out, e.currentLiveness())
