--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -41,7 +41,7 @@
 	}
 	if isNew {
 		answer := t.from()
-		answer.Liveness = t.liveSightings(m.From.Zone)
+		answer.Liveness = t.introduction(m.From.Zone)
 		answers = append(answers, answer)
 	}
 	if len(unknown) > 0 {
@@ -234,9 +234,9 @@
 	return messages
 }
 
-// liveSightings returns the live boxes of a zone, and some of this box's own, for
+// introduction returns the live boxes of a zone, and some of this box's own, for
 // a box of that zone that was not known or has come back.
-func (t *Table) liveSightings(zone string) LivenessRecords {
+func (t *Table) introduction(zone string) LivenessRecords {
 	now := t.Now()
 	var near, own, others []*entry
 	for _, e := range t.sorted {
