--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -12,8 +12,8 @@
 // wireVersion is the first byte of a heartbeat. It changes with the fields of Message.
 const wireVersion = 5
 
-// sightingSize is the size of a sighting on the wire, in bytes.
-const sightingSize = 9
+// livenessRecordSize is the size of a sighting on the wire, in bytes.
+const livenessRecordSize = 9
 
 // Message is one heartbeat.
 type Message struct {
@@ -34,7 +34,7 @@
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (s LivenessRecords) EncodeMsgpack(e *msgpack.Encoder) error {
-	packed := make([]byte, 0, len(s)*sightingSize)
+	packed := make([]byte, 0, len(s)*livenessRecordSize)
 	for _, one := range s {
 		packed = binary.BigEndian.AppendUint32(packed, one.ID)
 		packed = binary.BigEndian.AppendUint32(packed, one.Sequence)
@@ -50,11 +50,11 @@
 	if err != nil {
 		return err
 	}
-	if len(packed)%sightingSize != 0 {
+	if len(packed)%livenessRecordSize != 0 {
 		return &packet.Error{Kind: Wire.Kind, Problem: fmt.Sprintf("sightings of %d bytes", len(packed))}
 	}
 	*s = nil
-	for ; len(packed) > 0; packed = packed[sightingSize:] {
+	for ; len(packed) > 0; packed = packed[livenessRecordSize:] {
 		*s = append(*s, LivenessRecord{
 			ID: binary.BigEndian.Uint32(packed), Sequence: binary.BigEndian.Uint32(packed[4:]), Flags: Flags(packed[8]),
 		})
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -60,7 +60,7 @@
 	m := &Message{From: fullRecord("edge-1"), Liveness: make(LivenessRecords, seenTogether)}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
-	is.True(len(datagram)-len(alone) <= seenTogether*sightingSize+2)
+	is.True(len(datagram)-len(alone) <= seenTogether*livenessRecordSize+2)
 }
 
 func TestOtherDatagramsAreRefused(t *testing.T) {
