--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -14,8 +14,8 @@
 	// maxOwnZoneRecords and seenTogether bound the sightings of one heartbeat: of the
 	// own zone, and of all. With zoneFanOut a box of a zone of 125 hears of
 	// each other one more than once in an Interval.
-	maxOwnZoneRecords = 32
-	seenTogether      = 48
+	maxOwnZoneRecords  = 32
+	maxLivenessRecords = 48
 	// seenFar is the least that is kept for boxes of other zones. While a fleet starts
 	// the news of the own zone would take all; then nothing but a zone's own few
 	// heartbeats tells of it, some boxes hear none for SuspectFarAfter, and each
@@ -52,7 +52,7 @@
 	near, others, news := t.risen()
 	zone := t.fromNow()
 	far, probe := zone, zone
-	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), seenTogether-len(news)-len(near))]))
+	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
 	far.Liveness = news
 	if t.beats%tellZoneEvery == 0 {
 		far.Liveness = slices.Concat(news, livenessRecords(near))
@@ -196,7 +196,7 @@
 	shuffle(near, t.Random)
 	shuffle(others, t.Random)
 	news = t.news()
-	return near[:min(len(near), maxOwnZoneRecords, seenTogether-seenFar-len(news))], others, news
+	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-seenFar-len(news))], others, news
 }
 
 // news returns some of what is still to be told of boxes that fell silent, and
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -26,7 +26,7 @@
 	for i := 1; i < boxes; i++ {
 		r := record(i)
 		t.Receive(&Message{From: r})
-		if i > zones && len(m.Liveness) < seenTogether {
+		if i > zones && len(m.Liveness) < maxLivenessRecords {
 			m.Liveness = append(m.Liveness, r.livenessRecord())
 			m.Liveness[len(m.Liveness)-1].ID = r.id()
 		}
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -57,10 +57,10 @@
 	is := is.New(t)
 	alone, err := Wire.Encode(&Message{From: fullRecord("edge-1")})
 	is.NoErr(err)
-	m := &Message{From: fullRecord("edge-1"), Liveness: make(LivenessRecords, seenTogether)}
+	m := &Message{From: fullRecord("edge-1"), Liveness: make(LivenessRecords, maxLivenessRecords)}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
-	is.True(len(datagram)-len(alone) <= seenTogether*livenessRecordSize+2)
+	is.True(len(datagram)-len(alone) <= maxLivenessRecords*livenessRecordSize+2)
 }
 
 func TestOtherDatagramsAreRefused(t *testing.T) {
