--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -16,11 +16,11 @@
 	// each other one more than once in an Interval.
 	maxOwnZoneRecords  = 32
 	maxLivenessRecords = 48
-	// seenFar is the least that is kept for boxes of other zones. While a fleet starts
+	// minOtherZoneRecords is the least that is kept for boxes of other zones. While a fleet starts
 	// the news of the own zone would take all; then nothing but a zone's own few
 	// heartbeats tells of it, some boxes hear none for SuspectFarAfter, and each
 	// takes the whole zone for silent.
-	seenFar = 12
+	minOtherZoneRecords = 12
 	// newsTogether bounds the news of one heartbeat. What does not fit, as when a
 	// fleet starts, is told with the next ones.
 	newsTogether = 24
@@ -196,7 +196,7 @@
 	shuffle(near, t.Random)
 	shuffle(others, t.Random)
 	news = t.news()
-	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-seenFar-len(news))], others, news
+	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-minOtherZoneRecords-len(news))], others, news
 }
 
 // news returns some of what is still to be told of boxes that fell silent, and
