--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -21,9 +21,9 @@
 	// heartbeats tells of it, some boxes hear none for SuspectFarAfter, and each
 	// takes the whole zone for silent.
 	minOtherZoneRecords = 12
-	// newsTogether bounds the news of one heartbeat. What does not fit, as when a
+	// maxUpdates bounds the news of one heartbeat. What does not fit, as when a
 	// fleet starts, is told with the next ones.
-	newsTogether = 24
+	maxUpdates = 24
 	// tellZoneEvery: one in so many heartbeats to other zones tells what was
 	// heard of this zone's boxes.
 	tellZoneEvery = 4
@@ -221,7 +221,7 @@
 	shuffle(silent, t.Random)
 	shuffle(live, t.Random)
 	list := append(silent, live...)
-	list = list[:min(len(list), newsTogether)]
+	list = list[:min(len(list), maxUpdates)]
 	for _, e := range list {
 		e.tell--
 	}
