--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -24,9 +24,9 @@
 	// maxUpdates bounds the news of one heartbeat. What does not fit, as when a
 	// fleet starts, is told with the next ones.
 	maxUpdates = 24
-	// tellZoneEvery: one in so many heartbeats to other zones tells what was
+	// shareZoneEvery: one in so many heartbeats to other zones tells what was
 	// heard of this zone's boxes.
-	tellZoneEvery = 4
+	shareZoneEvery = 4
 	// deadEvery: one in so many heartbeats also goes to silent boxes, so that
 	// boxes find each other again after a cut.
 	deadEvery = 4
@@ -54,7 +54,7 @@
 	far, probe := zone, zone
 	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
 	far.Liveness = news
-	if t.beats%tellZoneEvery == 0 {
+	if t.beats%shareZoneEvery == 0 {
 		far.Liveness = slices.Concat(news, livenessRecords(near))
 	}
 	probe.Probe = true
