--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -27,9 +27,9 @@
 	// shareZoneEvery: one in so many heartbeats to other zones tells what was
 	// heard of this zone's boxes.
 	shareZoneEvery = 4
-	// deadEvery: one in so many heartbeats also goes to silent boxes, so that
+	// contactSilentEvery: one in so many heartbeats also goes to silent boxes, so that
 	// boxes find each other again after a cut.
-	deadEvery = 4
+	contactSilentEvery = 4
 )
 
 // Envelope is a message and the addresses that it goes to.
@@ -45,7 +45,7 @@
 	defer t.mu.Unlock()
 	t.beats++
 	to := t.farTargets()
-	if t.beats%deadEvery == 1 {
+	if t.beats%contactSilentEvery == 1 {
 		to = append(to, pick(t.silentAddresses(), farFanOut, t.Random)...)
 	}
 	live, quiet := t.neighbourhood()
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -146,7 +146,7 @@
 		delete(f.boxes, seed)
 	}
 	f.start("box-5")
-	f.beat(2 * deadEvery)
+	f.beat(2 * contactSilentEvery)
 	is.Equal(f.live("box-5"), 4)
 	is.Equal(f.live("box-4"), 4)
 }
@@ -278,7 +278,7 @@
 		is.Equal(f.live(name), 196)
 	}
 	f.start("box-57")
-	f.beat(2*deadEvery + 6)
+	f.beat(2*contactSilentEvery + 6)
 	for name := range f.boxes {
 		is.Equal(f.live(name), 197)
 	}
@@ -298,7 +298,7 @@
 	is.Equal(f.live("box-1"), 35)
 	is.Equal(f.live("box-4"), 3)
 	isCut = false
-	f.beat(3 * deadEvery)
+	f.beat(3 * contactSilentEvery)
 	is.Equal(f.live("box-1"), 39)
 	is.Equal(f.live("box-4"), 39)
 }
