--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -48,7 +48,7 @@
 	if t.beats%contactSilentEvery == 1 {
 		to = append(to, pick(t.silentAddresses(), farFanOut, t.Random)...)
 	}
-	live, quiet := t.neighbourhood()
+	live, quiet := t.liveInZone()
 	near, others, news := t.risen()
 	zone := t.fromNow()
 	far, probe := zone, zone
@@ -70,13 +70,13 @@
 func (t *Table) Announce() Envelope {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	live, _ := t.neighbourhood()
+	live, _ := t.liveInZone()
 	return Envelope{Message: t.fromNow(), To: peers(live)}
 }
 
-// neighbourhood returns the live boxes of the own zone in the order of names, and where those of them
+// liveInZone returns the live boxes of the own zone in the order of names, and where those of them
 // are that have been silent for a while.
-func (t *Table) neighbourhood() (live []*entry, quiet []string) {
+func (t *Table) liveInZone() (live []*entry, quiet []string) {
 	now := t.Now()
 	for _, e := range t.own.members {
 		if !t.live(e, now) {
