--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -49,7 +49,7 @@
 		to = append(to, pick(t.silentAddresses(), farFanOut, t.Random)...)
 	}
 	live, quiet := t.liveInZone()
-	near, others, news := t.risen()
+	near, others, news := t.takeRecent()
 	zone := t.fromNow()
 	far, probe := zone, zone
 	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
@@ -179,9 +179,9 @@
 	return out
 }
 
-// risen returns the boxes of the own zone and of others that were heard since
+// takeRecent returns the boxes of the own zone and of others that were heard since
 // the last heartbeat, in an order of chance, and the news.
-func (t *Table) risen() (near, others []*entry, news LivenessRecords) {
+func (t *Table) takeRecent() (near, others []*entry, news LivenessRecords) {
 	for _, e := range t.heardLately {
 		switch {
 		case e.silent:
