--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -190,7 +190,7 @@
 		default:
 			others = append(others, e)
 		}
-		e.risen = false
+		e.inRecent = false
 	}
 	t.heardLately = t.heardLately[:0]
 	shuffle(near, t.Random)
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -128,8 +128,8 @@
 	served time.Time
 	// silent: it was taken for silent, by this box or by its zone.
 	silent bool
-	// risen: its beat has risen since this box's last heartbeat.
-	risen bool
+	// inRecent: its beat has inRecent since this box's last heartbeat.
+	inRecent bool
 	// tell is for how many heartbeats it is still news; see setTell.
 	tell int
 	// inNews: it stands in the table's list of those that are.
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -176,8 +176,8 @@
 // heard notes that a higher beat of a box has come.
 func (t *Table) heard(e *entry) {
 	e.heard = t.Now()
-	if !e.risen {
-		e.risen = true
+	if !e.inRecent {
+		e.inRecent = true
 		t.heardLately = append(t.heardLately, e)
 	}
 	if e.Serving {
