--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -182,7 +182,7 @@
 // takeRecent returns the boxes of the own zone and of others that were heard since
 // the last heartbeat, in an order of chance, and the news.
 func (t *Table) takeRecent() (near, others []*entry, news LivenessRecords) {
-	for _, e := range t.heardLately {
+	for _, e := range t.recent {
 		switch {
 		case e.silent:
 		case e.zone == t.own:
@@ -192,7 +192,7 @@
 		}
 		e.inRecent = false
 	}
-	t.heardLately = t.heardLately[:0]
+	t.recent = t.recent[:0]
 	shuffle(near, t.Random)
 	shuffle(others, t.Random)
 	news = t.news()
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -95,9 +95,9 @@
 	turn int
 	// queue are the boxes of other zones whose turn is still to come.
 	queue []*entry
-	// heardLately are those that were heard since the last heartbeat, and newsOf those of which there
+	// recent are those that were heard since the last heartbeat, and newsOf those of which there
 	// is still something to tell. A heartbeat must not look at all boxes of the fleet for these.
-	heardLately, newsOf []*entry
+	recent, newsOf []*entry
 }
 
 // zone is what is known of an availability zone.
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -178,7 +178,7 @@
 	e.heard = t.Now()
 	if !e.inRecent {
 		e.inRecent = true
-		t.heardLately = append(t.heardLately, e)
+		t.recent = append(t.recent, e)
 	}
 	if e.Serving {
 		e.served = e.heard
