--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -203,8 +203,8 @@
 // then of boxes that came or came back.
 func (t *Table) news() LivenessRecords {
 	var silent, live []*entry
-	still := t.newsOf[:0]
-	for _, e := range t.newsOf {
+	still := t.updates[:0]
+	for _, e := range t.updates {
 		switch {
 		case e.tell == 0:
 			e.inNews = false
@@ -216,8 +216,8 @@
 		}
 		still = append(still, e)
 	}
-	clear(t.newsOf[len(still):])
-	t.newsOf = still
+	clear(t.updates[len(still):])
+	t.updates = still
 	shuffle(silent, t.Random)
 	shuffle(live, t.Random)
 	list := append(silent, live...)
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -95,9 +95,9 @@
 	turn int
 	// queue are the boxes of other zones whose turn is still to come.
 	queue []*entry
-	// recent are those that were heard since the last heartbeat, and newsOf those of which there
+	// recent are those that were heard since the last heartbeat, and updates those of which there
 	// is still something to tell. A heartbeat must not look at all boxes of the fleet for these.
-	recent, newsOf []*entry
+	recent, updates []*entry
 }
 
 // zone is what is known of an availability zone.
@@ -141,7 +141,7 @@
 	e.tell = beats
 	if beats > 0 && !e.inNews {
 		e.inNews = true
-		t.newsOf = append(t.newsOf, e)
+		t.updates = append(t.updates, e)
 	}
 }
 
