--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -195,13 +195,13 @@
 	t.recent = t.recent[:0]
 	shuffle(near, t.Random)
 	shuffle(others, t.Random)
-	news = t.news()
+	news = t.takeUpdates()
 	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-minOtherZoneRecords-len(news))], others, news
 }
 
-// news returns some of what is still to be told of boxes that fell silent, and
+// takeUpdates returns some of what is still to be told of boxes that fell silent, and
 // then of boxes that came or came back.
-func (t *Table) news() LivenessRecords {
+func (t *Table) takeUpdates() LivenessRecords {
 	var silent, live []*entry
 	still := t.updates[:0]
 	for _, e := range t.updates {
