--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -206,7 +206,7 @@
 	still := t.updates[:0]
 	for _, e := range t.updates {
 		switch {
-		case e.tell == 0:
+		case e.updatesLeft == 0:
 			e.inNews = false
 			continue
 		case e.silent:
@@ -223,7 +223,7 @@
 	list := append(silent, live...)
 	list = list[:min(len(list), maxUpdates)]
 	for _, e := range list {
-		e.tell--
+		e.updatesLeft--
 	}
 	return livenessRecords(list)
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -130,15 +130,15 @@
 	silent bool
 	// inRecent: its beat has inRecent since this box's last heartbeat.
 	inRecent bool
-	// tell is for how many heartbeats it is still news; see setTell.
-	tell int
+	// updatesLeft is for how many heartbeats it is still news; see setTell.
+	updatesLeft int
 	// inNews: it stands in the table's list of those that are.
 	inNews bool
 }
 
 // setTell makes a box news for so many heartbeats.
 func (t *Table) setTell(e *entry, beats int) {
-	e.tell = beats
+	e.updatesLeft = beats
 	if beats > 0 && !e.inNews {
 		e.inNews = true
 		t.updates = append(t.updates, e)
