--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -136,8 +136,8 @@
 	inNews bool
 }
 
-// setTell makes a box news for so many heartbeats.
-func (t *Table) setTell(e *entry, beats int) {
+// setUpdatesLeft makes a box news for so many heartbeats.
+func (t *Table) setUpdatesLeft(e *entry, beats int) {
 	e.updatesLeft = beats
 	if beats > 0 && !e.inNews {
 		e.inNews = true
@@ -313,7 +313,7 @@
 		}
 		t.silence(e)
 		if hears && e.Zone == t.self.Zone {
-			t.setTell(e, tellSilent)
+			t.setUpdatesLeft(e, tellSilent)
 		}
 	}
 	for id, at := range t.asked {
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -170,7 +170,7 @@
 	// What others heard of it before that is no sign of life.
 	e.Sequence = max(e.Sequence, uint64(s.Sequence))
 	t.silence(e)
-	t.setTell(e, passSilent)
+	t.setUpdatesLeft(e, passSilent)
 }
 
 // heard notes that a higher beat of a box has come.
@@ -200,7 +200,7 @@
 	if e.zone == t.own {
 		beats = tellLive
 	}
-	t.setTell(e, beats)
+	t.setUpdatesLeft(e, beats)
 }
 
 // mayAsk reports whether the record of an unknown box is to be asked for now.
