--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -207,7 +207,7 @@
 	for _, e := range t.updates {
 		switch {
 		case e.updatesLeft == 0:
-			e.inNews = false
+			e.inUpdates = false
 			continue
 		case e.silent:
 			silent = append(silent, e)
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -132,15 +132,15 @@
 	inRecent bool
 	// updatesLeft is for how many heartbeats it is still news; see setTell.
 	updatesLeft int
-	// inNews: it stands in the table's list of those that are.
-	inNews bool
+	// inUpdates: it stands in the table's list of those that are.
+	inUpdates bool
 }
 
 // setUpdatesLeft makes a box news for so many heartbeats.
 func (t *Table) setUpdatesLeft(e *entry, beats int) {
 	e.updatesLeft = beats
-	if beats > 0 && !e.inNews {
-		e.inNews = true
+	if beats > 0 && !e.inUpdates {
+		e.inUpdates = true
 		t.updates = append(t.updates, e)
 	}
 }
