--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -42,12 +42,12 @@
 	// ForgetAfter is how long a silent box counts among those that may still
 	// be sending requests.
 	ForgetAfter = time.Minute
-	// tellSilent is for how many heartbeats a box tells that another one of its
+	// silentRepeats is for how many heartbeats a box tells that another one of its
 	// zone is silent, and tellLive for how many that one has come or come back;
 	// passSilent is for how many boxes of other zones pass a silence on.
-	tellSilent = 12
-	tellLive   = 8
-	passSilent = 6
+	silentRepeats = 12
+	tellLive      = 8
+	passSilent    = 6
 )
 
 // Member is another box as this one sees it.
@@ -313,7 +313,7 @@
 		}
 		t.silence(e)
 		if hears && e.Zone == t.self.Zone {
-			t.setUpdatesLeft(e, tellSilent)
+			t.setUpdatesLeft(e, silentRepeats)
 		}
 	}
 	for id, at := range t.asked {
