--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -46,7 +46,7 @@
 	// zone is silent, and tellLive for how many that one has come or come back;
 	// passSilent is for how many boxes of other zones pass a silence on.
 	silentRepeats = 12
-	tellLive      = 8
+	liveRepeats   = 8
 	passSilent    = 6
 )
 
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -198,7 +198,7 @@
 func (t *Table) tellLive(e *entry) {
 	beats := 0
 	if e.zone == t.own {
-		beats = tellLive
+		beats = liveRepeats
 	}
 	t.setUpdatesLeft(e, beats)
 }
