--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -45,9 +45,9 @@
 	// silentRepeats is for how many heartbeats a box tells that another one of its
 	// zone is silent, and tellLive for how many that one has come or come back;
 	// passSilent is for how many boxes of other zones pass a silence on.
-	silentRepeats = 12
-	liveRepeats   = 8
-	passSilent    = 6
+	silentRepeats  = 12
+	liveRepeats    = 8
+	silentForwards = 6
 )
 
 // Member is another box as this one sees it.
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -170,7 +170,7 @@
 	// What others heard of it before that is no sign of life.
 	e.Sequence = max(e.Sequence, uint64(s.Sequence))
 	t.silence(e)
-	t.setUpdatesLeft(e, passSilent)
+	t.setUpdatesLeft(e, silentForwards)
 }
 
 // heard notes that a higher beat of a box has come.
