--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -86,7 +86,7 @@
 	if old == nil {
 		e := &entry{Record: *r, ID: r.id()}
 		t.add(e)
-		t.tellLive(e)
+		t.announceLive(e)
 		t.heard(e)
 		t.OnChange(*r, "seen")
 		return true
@@ -189,13 +189,13 @@
 // back takes a box for live again.
 func (t *Table) back(e *entry) {
 	e.silent = false
-	t.tellLive(e)
+	t.announceLive(e)
 	t.OnChange(e.Record, "back")
 }
 
-// tellLive makes it news that a box of this zone is there. Of others their own
+// announceLive makes it news that a box of this zone is there. Of others their own
 // zones tell, and a silence that was told ends.
-func (t *Table) tellLive(e *entry) {
+func (t *Table) announceLive(e *entry) {
 	beats := 0
 	if e.zone == t.own {
 		beats = liveRepeats
