--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -50,7 +50,7 @@
 	}
 	live, quiet := t.liveInZone()
 	near, others, news := t.takeRecent()
-	zone := t.fromNow()
+	zone := t.newHeartbeat()
 	far, probe := zone, zone
 	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
 	far.Liveness = news
@@ -71,7 +71,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	live, _ := t.liveInZone()
-	return Envelope{Message: t.fromNow(), To: peers(live)}
+	return Envelope{Message: t.newHeartbeat(), To: peers(live)}
 }
 
 // liveInZone returns the live boxes of the own zone in the order of names, and where those of them
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -51,7 +51,7 @@
 	}
 	answers = append(answers, t.records(m.Ask)...)
 	if m.Probe {
-		answers = append(answers, t.fromNow())
+		answers = append(answers, t.newHeartbeat())
 	}
 	return answers, greetings
 }
@@ -68,10 +68,10 @@
 	return Message{From: r}
 }
 
-// fromNow is the same with a beat that counts as a heartbeat where it arrives.
+// newHeartbeat is the same with a beat that counts as a heartbeat where it arrives.
 // It goes to the own zone at least: no other zone may know a higher beat of a
 // box that ends than its own, which tells that it is silent.
-func (t *Table) fromNow() Message {
+func (t *Table) newHeartbeat() Message {
 	t.self.Sequence++
 	return t.from()
 }
