--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -30,7 +30,7 @@
 	for i := range m.Others {
 		r := &m.Others[i]
 		if t.take(r, false) && r.Zone == t.self.Zone {
-			greetings = append(greetings, Envelope{Message: t.from(), To: []string{r.Peers}})
+			greetings = append(greetings, Envelope{Message: t.newMessage(), To: []string{r.Peers}})
 		}
 	}
 	var unknown []uint32
@@ -40,12 +40,12 @@
 		}
 	}
 	if isNew {
-		answer := t.from()
+		answer := t.newMessage()
 		answer.Liveness = t.introduction(m.From.Zone)
 		answers = append(answers, answer)
 	}
 	if len(unknown) > 0 {
-		answer := t.from()
+		answer := t.newMessage()
 		answer.Ask = unknown
 		answers = append(answers, answer)
 	}
@@ -56,8 +56,8 @@
 	return answers, greetings
 }
 
-// from returns a message that carries this box's own record, with spans of time as of now.
-func (t *Table) from() Message {
+// newMessage returns a message that carries this box's own record, with spans of time as of now.
+func (t *Table) newMessage() Message {
 	r := t.self
 	since := uint32(t.Now().Sub(t.updated).Milliseconds())
 	for _, ago := range []*uint32{&r.ConfirmedAgo, &r.ListConfirmedAgo} {
@@ -73,7 +73,7 @@
 // box that ends than its own, which tells that it is silent.
 func (t *Table) newHeartbeat() Message {
 	t.self.Sequence++
-	return t.from()
+	return t.newMessage()
 }
 
 // take takes in a record, direct if it came from the box itself, and reports
@@ -223,7 +223,7 @@
 		}
 		last := len(messages) - 1
 		if last < 0 || len(messages[last].Others) == recordsTogether {
-			messages = append(messages, t.from())
+			messages = append(messages, t.newMessage())
 			last++
 		}
 		r := e.Record
