--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -26,10 +26,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.received = t.Now()
-	isNew := t.take(&m.From, true)
+	isNew := t.applyRecord(&m.From, true)
 	for i := range m.Others {
 		r := &m.Others[i]
-		if t.take(r, false) && r.Zone == t.self.Zone {
+		if t.applyRecord(r, false) && r.Zone == t.self.Zone {
 			greetings = append(greetings, Envelope{Message: t.newMessage(), To: []string{r.Peers}})
 		}
 	}
@@ -76,9 +76,9 @@
 	return t.newMessage()
 }
 
-// take takes in a record, direct if it came from the box itself, and reports
+// applyRecord takes in a record, direct if it came from the box itself, and reports
 // whether that life of the box was not known, or was taken for silent.
-func (t *Table) take(r *Record, direct bool) (isNew bool) {
+func (t *Table) applyRecord(r *Record, direct bool) (isNew bool) {
 	if r.Box == "" || r.Box == t.self.Box {
 		return false
 	}
