--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -146,7 +146,7 @@
 		delete(f.boxes, seed)
 	}
 	f.start("box-5")
-	f.beat(2 * deadEvery)
+	f.beat(2 * contactSilentEvery)
 	is.Equal(f.live("box-5"), 4)
 	is.Equal(f.live("box-4"), 4)
 }
@@ -254,7 +254,7 @@
 func (f *fleet) countSilent() *int {
 	silent := 0
 	for _, table := range f.boxes {
-		table.Changed = func(_ Record, what string) {
+		table.OnChange = func(_ Record, what string) {
 			if what == "silent" {
 				silent++
 			}
@@ -278,7 +278,7 @@
 		is.Equal(f.live(name), 196)
 	}
 	f.start("box-57")
-	f.beat(2*deadEvery + 6)
+	f.beat(2*contactSilentEvery + 6)
 	for name := range f.boxes {
 		is.Equal(f.live(name), 197)
 	}
@@ -298,7 +298,7 @@
 	is.Equal(f.live("box-1"), 35)
 	is.Equal(f.live("box-4"), 3)
 	isCut = false
-	f.beat(3 * deadEvery)
+	f.beat(3 * contactSilentEvery)
 	is.Equal(f.live("box-1"), 39)
 	is.Equal(f.live("box-4"), 39)
 }
@@ -392,7 +392,7 @@
 	sum := func() float64 {
 		total := 0.0
 		for _, b := range f.boxes {
-			total += b.Standing(4, 2).Part
+			total += b.Position(4, 2).CapacityShare
 		}
 		return total
 	}
@@ -401,8 +401,8 @@
 	if total < 0.999 || total > 1.001 {
 		t.Fatalf("the parts sum up to %.3f", total)
 	}
-	is.True(f.boxes["box-00"].Standing(4, 2).Part > 0.4)
-	is.Equal(f.boxes["box-09"].Standing(4, 2).Part, 0.0)
+	is.True(f.boxes["box-00"].Position(4, 2).CapacityShare > 0.4)
+	is.Equal(f.boxes["box-09"].Position(4, 2).CapacityShare, 0.0)
 	for range 60 {
 		switch name := fmt.Sprintf("box-%02d", f.random.Intn(13)); f.random.Intn(4) {
 		case 0, 1:
--- a/pkg/gossip/standing.go
+++ b/pkg/gossip/position.go
@@ -10,14 +10,14 @@
 // its zone's work: by then the others know.
 const servesAfter = 2 * Interval
 
-// Standing is a box's place in its zone, and who comes first in each zone.
-type Standing struct {
-	// Part is this box's part of the capacity of the boxes that share the zone's work:
+// Position is a box's place in its zone, and who comes first in each zone.
+type Position struct {
+	// CapacityShare is this box's part of the capacity of the boxes that share the zone's work:
 	// the first ones of the zone, and those whose clients have sent requests within the
 	// last minute. It is 0 for one that is neither. Those that have lately fallen silent
 	// count; while nothing is heard of the zone none is forgotten, since this box may be
 	// cut off.
-	Part float64
+	CapacityShare float64
 	// Neighbours is how many other boxes of the zone are known, Others how many boxes
 	// of other zones.
 	Neighbours int
@@ -27,14 +27,14 @@
 	First map[string][]Record
 }
 
-// Standing returns this box's place, with up to count first boxes of each zone. The
+// Position returns this box's place, with up to count first boxes of each zone. The
 // first sharing boxes of its own zone share the zone's work whether clients come to
 // them or not.
-func (t *Table) Standing(count, sharing int) Standing {
+func (t *Table) Position(count, sharing int) Position {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	s := Standing{First: map[string][]Record{}}
+	s := Position{First: map[string][]Record{}}
 	if !t.self.Leaving {
 		s.First[t.self.Zone] = []Record{t.self}
 	}
@@ -48,7 +48,7 @@
 	}
 	neighbours := t.neighbours()
 	s.Neighbours = len(neighbours)
-	s.Part = t.part(neighbours, sharing, now)
+	s.CapacityShare = t.part(neighbours, sharing, now)
 	return s
 }
 
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -26,38 +26,38 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.received = t.Now()
-	isNew := t.take(&m.From, true)
+	isNew := t.applyRecord(&m.From, true)
 	for i := range m.Others {
 		r := &m.Others[i]
-		if t.take(r, false) && r.Zone == t.self.Zone {
-			greetings = append(greetings, Envelope{Message: t.from(), To: []string{r.Peers}})
+		if t.applyRecord(r, false) && r.Zone == t.self.Zone {
+			greetings = append(greetings, Envelope{Message: t.newMessage(), To: []string{r.Peers}})
 		}
 	}
 	var unknown []uint32
-	for _, s := range m.Seen {
+	for _, s := range m.Liveness {
 		if !t.see(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayAsk(s) {
 			unknown = append(unknown, s.ID)
 		}
 	}
 	if isNew {
-		answer := t.from()
-		answer.Seen = t.liveSightings(m.From.Zone)
+		answer := t.newMessage()
+		answer.Liveness = t.introduction(m.From.Zone)
 		answers = append(answers, answer)
 	}
 	if len(unknown) > 0 {
-		answer := t.from()
+		answer := t.newMessage()
 		answer.Ask = unknown
 		answers = append(answers, answer)
 	}
 	answers = append(answers, t.records(m.Ask)...)
 	if m.Probe {
-		answers = append(answers, t.fromNow())
+		answers = append(answers, t.newHeartbeat())
 	}
 	return answers, greetings
 }
 
-// from returns a message that carries this box's own record, with spans of time as of now.
-func (t *Table) from() Message {
+// newMessage returns a message that carries this box's own record, with spans of time as of now.
+func (t *Table) newMessage() Message {
 	r := t.self
 	since := uint32(t.Now().Sub(t.updated).Milliseconds())
 	for _, ago := range []*uint32{&r.ConfirmedAgo, &r.ListConfirmedAgo} {
@@ -68,17 +68,17 @@
 	return Message{From: r}
 }
 
-// fromNow is the same with a beat that counts as a heartbeat where it arrives.
+// newHeartbeat is the same with a beat that counts as a heartbeat where it arrives.
 // It goes to the own zone at least: no other zone may know a higher beat of a
 // box that ends than its own, which tells that it is silent.
-func (t *Table) fromNow() Message {
-	t.self.Beat++
-	return t.from()
+func (t *Table) newHeartbeat() Message {
+	t.self.Sequence++
+	return t.newMessage()
 }
 
-// take takes in a record, direct if it came from the box itself, and reports
+// applyRecord takes in a record, direct if it came from the box itself, and reports
 // whether that life of the box was not known, or was taken for silent.
-func (t *Table) take(r *Record, direct bool) (isNew bool) {
+func (t *Table) applyRecord(r *Record, direct bool) (isNew bool) {
 	if r.Box == "" || r.Box == t.self.Box {
 		return false
 	}
@@ -86,9 +86,9 @@
 	if old == nil {
 		e := &entry{Record: *r, ID: r.id()}
 		t.add(e)
-		t.tellLive(e)
+		t.announceLive(e)
 		t.heard(e)
-		t.Changed(*r, "seen")
+		t.OnChange(*r, "seen")
 		return true
 	}
 	if !t.accepts(r, old, direct) {
@@ -127,7 +127,7 @@
 // see takes in what a box of a zone heard, and reports whether the box that it
 // is of is known. Of its own zone a box believes its own zone alone: what others
 // say is older than what is heard here, and would delay that a silence is noticed.
-func (t *Table) see(s Sighting, zone string) (known bool) {
+func (t *Table) see(s LivenessRecord, zone string) (known bool) {
 	e := t.ids[s.ID]
 	if e == nil {
 		return s.ID == t.self.id()
@@ -139,11 +139,11 @@
 		t.toldSilent(e, s)
 		return true
 	}
-	least := e.Beat + 1
+	least := e.Sequence + 1
 	if e.silent && zone != e.Zone {
 		least += strayBeats
 	}
-	if uint64(s.Beat) < least {
+	if uint64(s.Sequence) < least {
 		return true
 	}
 	e.apply(s)
@@ -156,29 +156,29 @@
 
 // toldSilent takes a box of another zone for silent since its own zone does,
 // unless something newer was heard of it, or it was heard a moment ago.
-func (t *Table) toldSilent(e *entry, s Sighting) {
+func (t *Table) toldSilent(e *entry, s LivenessRecord) {
 	if e.Zone == t.self.Zone {
 		return
 	}
 	if e.silent {
-		e.Beat = max(e.Beat, uint64(s.Beat))
+		e.Sequence = max(e.Sequence, uint64(s.Sequence))
 		return
 	}
-	if uint64(s.Beat) < e.Beat && t.Now().Sub(e.heard) < SuspectAfter {
+	if uint64(s.Sequence) < e.Sequence && t.Now().Sub(e.heard) < SuspectAfter {
 		return
 	}
 	// What others heard of it before that is no sign of life.
-	e.Beat = max(e.Beat, uint64(s.Beat))
+	e.Sequence = max(e.Sequence, uint64(s.Sequence))
 	t.silence(e)
-	t.setTell(e, passSilent)
+	t.setUpdatesLeft(e, silentForwards)
 }
 
 // heard notes that a higher beat of a box has come.
 func (t *Table) heard(e *entry) {
 	e.heard = t.Now()
-	if !e.risen {
-		e.risen = true
-		t.heardLately = append(t.heardLately, e)
+	if !e.inRecent {
+		e.inRecent = true
+		t.recent = append(t.recent, e)
 	}
 	if e.Serving {
 		e.served = e.heard
@@ -189,22 +189,22 @@
 // back takes a box for live again.
 func (t *Table) back(e *entry) {
 	e.silent = false
-	t.tellLive(e)
-	t.Changed(e.Record, "back")
+	t.announceLive(e)
+	t.OnChange(e.Record, "back")
 }
 
-// tellLive makes it news that a box of this zone is there. Of others their own
+// announceLive makes it news that a box of this zone is there. Of others their own
 // zones tell, and a silence that was told ends.
-func (t *Table) tellLive(e *entry) {
+func (t *Table) announceLive(e *entry) {
 	beats := 0
 	if e.zone == t.own {
-		beats = tellLive
+		beats = liveRepeats
 	}
-	t.setTell(e, beats)
+	t.setUpdatesLeft(e, beats)
 }
 
 // mayAsk reports whether the record of an unknown box is to be asked for now.
-func (t *Table) mayAsk(s Sighting) bool {
+func (t *Table) mayAsk(s LivenessRecord) bool {
 	now := t.Now()
 	if s.Flags&FlagSilent != 0 || now.Sub(t.asked[s.ID]) < askAgain {
 		return false
@@ -223,7 +223,7 @@
 		}
 		last := len(messages) - 1
 		if last < 0 || len(messages[last].Others) == recordsTogether {
-			messages = append(messages, t.from())
+			messages = append(messages, t.newMessage())
 			last++
 		}
 		r := e.Record
@@ -234,9 +234,9 @@
 	return messages
 }
 
-// liveSightings returns the live boxes of a zone, and some of this box's own, for
+// introduction returns the live boxes of a zone, and some of this box's own, for
 // a box of that zone that was not known or has come back.
-func (t *Table) liveSightings(zone string) Sightings {
+func (t *Table) introduction(zone string) LivenessRecords {
 	now := t.Now()
 	var near, own, others []*entry
 	for _, e := range t.sorted {
@@ -251,13 +251,13 @@
 		}
 	}
 	far := append(pick(own, greetedFar, t.Random), pick(others, greetedFar, t.Random)...)
-	return append(sightings(pick(near, greetedNear, t.Random)), sightings(far[:min(len(far), greetedFar)])...)
+	return append(livenessRecords(pick(near, greetedNear, t.Random)), livenessRecords(far[:min(len(far), greetedFar)])...)
 }
 
-func sightings(list []*entry) Sightings {
-	var out Sightings
+func livenessRecords(list []*entry) LivenessRecords {
+	var out LivenessRecords
 	for _, e := range list {
-		out = append(out, e.told())
+		out = append(out, e.currentLiveness())
 	}
 	return out
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -19,7 +19,7 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 	"github.com/stoneworks/stoneworks/pkg/directory"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/ingress"
 	"github.com/stoneworks/stoneworks/pkg/logging"
@@ -105,7 +105,7 @@
 	announced  announcedState
 	// findings are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
-	findings *findings.Outbox
+	findings *failurereport.Outbox
 	crashes  crashChecks
 	// crashSendPending: others are about to be told of a crash.
 	crashSendPending atomic.Bool
@@ -170,7 +170,7 @@
 	}
 	n.Timers.Now = c.Now
 	n.watchSuspensions()
-	n.findings = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
+	n.findings = &failurereport.Outbox{Box: s.Box, Now: n.Clock.Now}
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
 	n.seeds.Store(&s.Seeds)
@@ -263,7 +263,7 @@
 	}
 	own := n.Members.Self()
 	p.self = add(&own, true)
-	n.Members.EachOther(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
+	n.Members.EachPossibleSender(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
 	isNamed := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
 	}
@@ -281,9 +281,9 @@
 	}
 	n.Members = gossip.NewTable(self, n.Clock.Now, rand.IntN)
 	n.Members.Seeds = func() []string { return *n.seeds.Load() }
-	n.Members.Changed = func(r gossip.Record, what string) {
+	n.Members.OnChange = func(r gossip.Record, what string) {
 		n.membersChanged.Store(true)
-		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Beat})
+		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Sequence})
 	}
 }
 
--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -10,7 +10,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/packet"
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
@@ -65,7 +65,7 @@
 	changed := n.Replica.TakeNews()
 	n.refreshSelf()
 	self := n.Members.Self()
-	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
+	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.StoreUnanswered, serving: self.Serving}
 	if changed || now != n.announced {
 		n.announced = now
 		n.send(n.Members.Announce())
@@ -152,7 +152,7 @@
 			continue
 		}
 		n.Clock.Sync()
-		if findings.Wire.Is(buffer[:size]) {
+		if failurereport.Wire.Is(buffer[:size]) {
 			n.receiveFindings(buffer[:size], from)
 			continue
 		}
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -76,7 +76,7 @@
 type quotaViewCache struct {
 	mu       sync.Mutex
 	at       time.Time
-	standing gossip.Standing
+	standing gossip.Position
 	first    []quota.Box
 	zones    map[string][]quota.Box
 }
@@ -92,7 +92,7 @@
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*meetTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Standing(firstBoxes, quota.Allocators)
+		h.standing = n.Members.Position(firstBoxes, quota.Allocators)
 		h.zones = map[string][]quota.Box{}
 		for zone, list := range h.standing.First {
 			if zone == n.Settings.Zone {
@@ -108,17 +108,17 @@
 // quotaWeight is this box's part of its zone's part of limits: none until it knows its
 // zone. A box that has started while it is cut off knows nobody and holds nothing; one
 // that has nobody to know holds all of its zone's part.
-func (n *Node) quotaWeight(s *gossip.Standing) float64 {
+func (n *Node) quotaWeight(s *gossip.Position) float64 {
 	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
 	case !n.ready.Load() || settled < zoneSettles:
 		return 0
 	case s.Neighbours > 0:
-		return s.Part
+		return s.CapacityShare
 	case settled < aloneSettles || s.Others == 0 && n.hasOtherSeeds():
 		return 0
 	}
-	return s.Part
+	return s.CapacityShare
 }
 
 // hasOtherSeeds reports whether the settings name other boxes.
