--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -43,8 +43,8 @@
 	Zone        string
 	Zones       []string
 	Self        Box
-	// Life tells the lives of this box apart, and rises from one to the next.
-	Life int64
+	// Incarnation tells the lives of this box apart, and rises from one to the next.
+	Incarnation int64
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Random returns a number in [0, 1).
@@ -77,7 +77,7 @@
 	l.customers = map[ID]division{}
 	l.servers = map[ID]division{}
 	l.lending = newLending(l.Self)
-	l.allocator = newAllocator(l.Self.Key, l.Life, l.Now(), l.divide, l.send)
+	l.allocator = newAllocator(l.Self.Key, l.Incarnation, l.Now(), l.divide, l.send)
 }
 
 // SetCustomers puts the limits of a configuration in force.
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -74,7 +74,7 @@
 // granted takes in what this box was granted. A first answer is reported at once: only
 // then does what this box lends count.
 func (l *Limiter) granted(m *Grant, from Box) {
-	if m.Life != l.Life {
+	if m.Life != l.Incarnation {
 		return
 	}
 	p := l.lending.peers[from.Key]
@@ -147,7 +147,7 @@
 	}
 	for first := true; first || len(usage) > 0; first = false {
 		n := min(len(usage), entriesTogether)
-		r := &Report{Life: l.Life, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
+		r := &Report{Life: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
 		if l.lending.lends(p, now) {
 			r.Weight = l.view.Weight
 			l.lending.hasLent = l.lending.hasLent || r.Weight > 0
