--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -18,7 +18,7 @@
 	now    time.Time
 	events eventHeap
 	order  int
-	terms  Terms
+	terms  Tolerance
 	zones  []string
 	boxes  []*simBox
 	byName map[string]*simBox
@@ -105,7 +105,7 @@
 
 var simStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-var simTerms = Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+var simTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 // newSimFleet makes a fleet of large and small boxes in each of the zones, two zones a
 // region.
@@ -349,7 +349,7 @@
 }
 
 // most returns the most requests that were admitted in any window, and how many may be.
-func (c *simCustomer) most(t Terms) (most int, allowed float64) {
+func (c *simCustomer) most(t Tolerance) (most int, allowed float64) {
 	times := c.admitted
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
 	begin := 0
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -38,8 +38,8 @@
 // clients, and is the allocator of its zone where it is one of the first boxes.
 type Limiter struct {
 	// Terms are what is promised of customers' limits, ServerTerms of backend servers'.
-	Terms       Terms
-	ServerTerms Terms
+	Terms       Tolerance
+	ServerTerms Tolerance
 	Zone        string
 	Zones       []string
 	Self        Box
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -50,9 +50,9 @@
 // ServerIDOf returns the ID of a backend server by the name of its life.
 func ServerIDOf(life string) ID { return ID(hashing.Of("server", life)) }
 
-// Terms are what is promised of all limits. In any Window a customer's requests stay
+// Tolerance are what is promised of all limits. In any Window a customer's requests stay
 // within (rate x Window + burst) x (1 + Overage) + Slack.
-type Terms struct {
+type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
@@ -80,7 +80,7 @@
 const leastSaved = 2
 
 // beyond is how many requests more than at the rate may be sent in a window.
-func (t *Terms) beyond(l Limit) float64 {
+func (t *Tolerance) beyond(l Limit) float64 {
 	return t.Overage*l.Rate*t.Window.Seconds() + (1+t.Overage)*l.Burst + t.Slack
 }
 
--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -7,7 +7,7 @@
 )
 
 // simServerTerms are what is promised of the limits that backend servers name.
-var simServerTerms = Terms{Window: 4 * time.Second, Overage: 0.5, Slack: 5}
+var simServerTerms = Tolerance{Window: 4 * time.Second, Overage: 0.5, Slack: 5}
 
 // simServer is a backend server of the model that names a limit.
 type simServer struct {
