--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -37,8 +37,8 @@
 // Limiter keeps customers and backend servers within their limits: it decides for this box's
 // clients, and is the allocator of its zone where it is one of the first boxes.
 type Limiter struct {
-	// Terms are what is promised of customers' limits, ServerTerms of backend servers'.
-	Terms       Tolerance
+	// Tolerance are what is promised of customers' limits, ServerTerms of backend servers'.
+	Tolerance   Tolerance
 	ServerTerms Tolerance
 	Zone        string
 	Zones       []string
@@ -89,7 +89,7 @@
 	for i := range list {
 		if c := &list[i]; c.Rate > 0 {
 			id := IDOf(c.Name)
-			beyond := l.Terms.beyond(Limit{Rate: c.Rate, Burst: c.Burst})
+			beyond := l.Tolerance.beyond(Limit{Rate: c.Rate, Burst: c.Burst})
 			l.customers[id] = divide(id, c.Rate, beyond, l.Zone, l.Zones)
 			l.bind(id)
 		}
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -56,7 +56,7 @@
 func (w *world) begin(i int) {
 	w.lives[i]++
 	l := &Limiter{
-		Terms: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Incarnation: w.lives[i],
+		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Incarnation: w.lives[i],
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -46,7 +46,7 @@
 		zones = append(zones, z.Zone)
 	}
 	n.Quota = &quota.Limiter{
-		Terms:       quota.Tolerance{Window: s.Bounds.QuotaWindow, Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack},
+		Tolerance:   quota.Tolerance{Window: s.Bounds.QuotaWindow, Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack},
 		ServerTerms: quota.Tolerance{Window: s.Bounds.ServerLimitWindow, Overage: s.Bounds.ServerLimitOverage, Slack: s.Bounds.ServerLimitSlack},
 		Zone:        s.Zone, Zones: zones, Incarnation: n.started.UnixNano(),
 		Self: quota.Box{Key: quota.KeyOf(s.Box), Address: s.Advertise.Peers},
