--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -136,7 +136,7 @@
 	}
 	f.limiter = func(b *simBox) simLimiter {
 		l := &Limiter{
-			Tolerance: f.terms, ServerTerms: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.life,
+			Tolerance: f.terms, ServerTolerance: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.life,
 			Now: func() time.Time { return f.now }, Random: f.random.Float64,
 		}
 		l.Start()
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -38,11 +38,11 @@
 // clients, and is the allocator of its zone where it is one of the first boxes.
 type Limiter struct {
 	// Tolerance are what is promised of customers' limits, ServerTerms of backend servers'.
-	Tolerance   Tolerance
-	ServerTerms Tolerance
-	Zone        string
-	Zones       []string
-	Self        Box
+	Tolerance       Tolerance
+	ServerTolerance Tolerance
+	Zone            string
+	Zones           []string
+	Self            Box
 	// Incarnation tells the lives of this box apart, and rises from one to the next.
 	Incarnation int64
 	// Now is the clock; it must be monotonic.
@@ -114,7 +114,7 @@
 	defer l.mu.Unlock()
 	perSecond = min(perSecond, mostServerRate)
 	rate := max(perSecond, leastServerRate)
-	beyond := l.ServerTerms.beyond(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTerms.Window.Seconds()
+	beyond := l.ServerTolerance.beyond(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
 	l.servers[id] = divide(id, rate, beyond, l.Zone, zones)
 	l.bind(id)
 }
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -46,9 +46,9 @@
 		zones = append(zones, z.Zone)
 	}
 	n.Quota = &quota.Limiter{
-		Tolerance:   quota.Tolerance{Window: s.Bounds.QuotaWindow, Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack},
-		ServerTerms: quota.Tolerance{Window: s.Bounds.ServerLimitWindow, Overage: s.Bounds.ServerLimitOverage, Slack: s.Bounds.ServerLimitSlack},
-		Zone:        s.Zone, Zones: zones, Incarnation: n.started.UnixNano(),
+		Tolerance:       quota.Tolerance{Window: s.Bounds.QuotaWindow, Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack},
+		ServerTolerance: quota.Tolerance{Window: s.Bounds.ServerLimitWindow, Overage: s.Bounds.ServerLimitOverage, Slack: s.Bounds.ServerLimitSlack},
+		Zone:            s.Zone, Zones: zones, Incarnation: n.started.UnixNano(),
 		Self: quota.Box{Key: quota.KeyOf(s.Box), Address: s.Advertise.Peers},
 		Now:  n.Clock.Now, Random: rand.Float64,
 	}
