--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -42,7 +42,7 @@
 	Arrive(id ID) Decision
 	Again(id ID, last bool) Decision
 	Tick(v View)
-	Take() []Envelope
+	TakeMessages() []Envelope
 	Receive(m *Message, address string)
 	SetCustomers(list []customer.Customer)
 }
@@ -248,7 +248,7 @@
 }
 
 func (b *simBox) flush() {
-	for _, e := range b.limiter.Take() {
+	for _, e := range b.limiter.TakeMessages() {
 		b.f.deliver(b, e)
 	}
 }
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Take returns what is to be sent now.
-func (l *Limiter) Take() []Envelope {
+// TakeMessages returns what is to be sent now.
+func (l *Limiter) TakeMessages() []Envelope {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.out
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -78,7 +78,7 @@
 
 // collect takes what a box has to send.
 func (w *world) collect(i int) {
-	for _, e := range w.boxes[i].Take() {
+	for _, e := range w.boxes[i].TakeMessages() {
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
 		m.From = worldBox(i).Key
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -47,7 +47,7 @@
 
 func (l *partLimiter) Again(ID, bool) Decision  { return Decision{Verdict: Refused} }
 func (l *partLimiter) Tick(View)                {}
-func (l *partLimiter) Take() []Envelope         { return nil }
+func (l *partLimiter) TakeMessages() []Envelope { return nil }
 func (l *partLimiter) Receive(*Message, string) {}
 
 // equalPart is one of as many as there are large boxes, which serve clients.
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -136,7 +136,7 @@
 
 // sendQuota sends what the limiter has to tell.
 func (n *Node) sendQuota() {
-	for _, e := range n.Quota.Take() {
+	for _, e := range n.Quota.TakeMessages() {
 		datagram := quota.Encode(&e.Message)
 		n.sendEach([]string{e.To.Address}, datagram)
 		metrics.GetOrRegisterCounter("quota.sent", n.Metrics).Inc(1)
