--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -47,8 +47,8 @@
 	return d
 }
 
-// Again decides on a request that has waited. With last set it waits no longer.
-func (l *Limiter) Again(id ID, last bool) Decision {
+// Recheck decides on a request that has waited. With last set it waits no longer.
+func (l *Limiter) Recheck(id ID, last bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(id)
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -40,7 +40,7 @@
 // simLimiter is what the model needs of a limiter.
 type simLimiter interface {
 	Arrive(id ID) Decision
-	Again(id ID, last bool) Decision
+	Recheck(id ID, last bool) Decision
 	Tick(v View)
 	TakeMessages() []Envelope
 	Receive(m *Message, address string)
@@ -320,7 +320,7 @@
 				return
 			}
 			if !b.frozen {
-				d = b.limiter.Again(c.id, f.now.Sub(start) >= 150*time.Millisecond)
+				d = b.limiter.Recheck(c.id, f.now.Sub(start) >= 150*time.Millisecond)
 				b.flush()
 			}
 			f.decided(b, name, d, within, start, life)
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -45,10 +45,10 @@
 	return Decision{Verdict: Admitted}
 }
 
-func (l *partLimiter) Again(ID, bool) Decision  { return Decision{Verdict: Refused} }
-func (l *partLimiter) Tick(View)                {}
-func (l *partLimiter) TakeMessages() []Envelope { return nil }
-func (l *partLimiter) Receive(*Message, string) {}
+func (l *partLimiter) Recheck(ID, bool) Decision { return Decision{Verdict: Refused} }
+func (l *partLimiter) Tick(View)                 {}
+func (l *partLimiter) TakeMessages() []Envelope  { return nil }
+func (l *partLimiter) Receive(*Message, string)  {}
 
 // equalPart is one of as many as there are large boxes, which serve clients.
 func equalPart(b *simBox, _ ID) float64 {
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -130,7 +130,7 @@
 		if ask {
 			return backend.Open, 0
 		}
-		d = n.Quota.Again(id, true)
+		d = n.Quota.Recheck(id, true)
 	}
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
@@ -145,7 +145,7 @@
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
 	id := quota.ServerIDOf(server.Life())
 	n.sendQuota()
-	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), roomTime)
+	d := n.awaitDecision(ctx, id, n.Quota.Recheck(id, false), roomTime)
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
 		return true
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -180,11 +180,11 @@
 	for d.Verdict == quota.Waiting {
 		select {
 		case <-d.Answered:
-			d = n.Quota.Again(id, false)
+			d = n.Quota.Recheck(id, false)
 		case <-timeout.C:
-			d = n.Quota.Again(id, true)
+			d = n.Quota.Recheck(id, true)
 		case <-ctx.Done():
-			d = n.Quota.Again(id, true)
+			d = n.Quota.Recheck(id, true)
 		}
 	}
 	n.sendQuota()
