--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -65,9 +65,9 @@
 	return d
 }
 
-// Statement is what has become of the requests under a limit at this box since it started.
+// Stats is what has become of the requests under a limit at this box since it started.
 // Counts begin anew after 4,294,967,295.
-type Statement struct {
+type Stats struct {
 	Arrived  uint32
 	Admitted uint32
 	Refused  uint32
@@ -78,15 +78,15 @@
 }
 
 // Statement returns what is known of a limit here; all zero where there is none.
-func (l *Limiter) Statement(id ID) Statement {
+func (l *Limiter) Statement(id ID) Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[id]
 	if a == nil {
 		c := l.retired[id]
-		return Statement{Arrived: c.arrived, Admitted: c.arrived - c.refused, Refused: c.refused}
+		return Stats{Arrived: c.arrived, Admitted: c.arrived - c.refused, Refused: c.refused}
 	}
-	return Statement{
+	return Stats{
 		Arrived: a.arrived, Admitted: a.arrived - a.refused - uint32(a.waiting), Refused: a.refused,
 		PerSecond: a.arrivals.now(l.Now()), Held: a.held(),
 	}
