--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -77,8 +77,8 @@
 	Held int
 }
 
-// Statement returns what is known of a limit here; all zero where there is none.
-func (l *Limiter) Statement(id ID) Stats {
+// Stats returns what is known of a limit here; all zero where there is none.
+func (l *Limiter) Stats(id ID) Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[id]
--- a/pkg/steering/steering_limits.go
+++ b/pkg/steering/steering_limits.go
@@ -170,7 +170,7 @@
 		if !r.Named {
 			continue
 		}
-		s := n.Quota.Statement(quota.ServerIDOf(r.Server))
+		s := n.Quota.Stats(quota.ServerIDOf(r.Server))
 		told.Limits = append(told.Limits, serverstatus.Limit{
 			Server: r.Server, Zone: r.Zone, PerSecond: r.PerSecond, Admitted: s.Admitted, Denied: s.Refused, AskedPerSecond: s.PerSecond,
 		})
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -219,7 +219,7 @@
 	b := standing.Box{Box: n.Settings.Box, Zone: n.Settings.Zone, Region: n.Topology.RegionOf(n.Settings.Zone), Version: t.Configuration.Version}
 	for i := range t.Configuration.Customers {
 		c := &t.Configuration.Customers[i]
-		s := n.Quota.Statement(quota.IDOf(c.Name))
+		s := n.Quota.Stats(quota.IDOf(c.Name))
 		settled, inTime := n.Ledger.Of(c.Name)
 		var keys []string
 		for _, k := range c.Keys {
