--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -237,7 +237,7 @@
 		}
 		if o.zone == b.zone {
 			v.First = append(v.First, Box{Key: KeyOf(o.name), Address: o.name})
-		} else if len(v.Zones[o.zone]) < Allocators {
+		} else if len(v.Zones[o.zone]) < AllocatorsPerZone {
 			v.Zones[o.zone] = append(v.Zones[o.zone], Box{Key: KeyOf(o.name), Address: o.name})
 		}
 	}
--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Allocators is how many boxes of a zone are allocators: with two, half of
+// AllocatorsPerZone is how many boxes of a zone are allocators: with two, half of
 // the customers have their allocator still when one ends.
-const Allocators = 2
+const AllocatorsPerZone = 2
 
 const (
 	// silentAfter is after what time without an answer an allocator is taken to have
@@ -55,7 +55,7 @@
 func (l *lending) choose(first []Box, now time.Time) {
 	var target []uint64
 	for _, b := range first {
-		if len(target) < Allocators && !l.silent(b, now) {
+		if len(target) < AllocatorsPerZone && !l.silent(b, now) {
 			target = append(target, b.Key)
 			l.peer(b)
 		}
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -92,14 +92,14 @@
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= neighbourhoodHolds || n.age() < 2*meetTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Standing(firstBoxes, quota.Allocators)
+		h.standing = n.Members.Standing(firstBoxes, quota.AllocatorsPerZone)
 		h.zones = map[string][]quota.Box{}
 		for zone, list := range h.standing.First {
 			if zone == n.Settings.Zone {
 				h.first = quotaBoxes(list)
 				continue
 			}
-			h.zones[zone] = quotaBoxes(list[:min(len(list), quota.Allocators)])
+			h.zones[zone] = quotaBoxes(list[:min(len(list), quota.AllocatorsPerZone)])
 		}
 	}
 	return quota.View{Weight: n.quotaWeight(&h.standing), First: h.first, Zones: h.zones}
