--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -121,8 +121,8 @@
 	kindLoan
 )
 
-// Is reports whether a datagram claims to be a message.
-func Is(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == wireVersion }
+// IsMessage reports whether a datagram claims to be a message.
+func IsMessage(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == wireVersion }
 
 // Encode returns the message as a datagram.
 func Encode(m *Message) []byte {
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -168,7 +168,7 @@
 			n.receiveReport(buffer[:size], from)
 			continue
 		}
-		if quota.Is(buffer[:size]) {
+		if quota.IsMessage(buffer[:size]) {
 			n.receiveQuota(buffer[:size], from)
 			continue
 		}
