--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -166,8 +166,8 @@
 	return d, ok
 }
 
-// Limited reports whether anything has a limit.
-func (l *Limiter) Limited() bool {
+// HasLimits reports whether anything has a limit.
+func (l *Limiter) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isLimited()
--- a/pkg/steering/steering_quota.go
+++ b/pkg/steering/steering_quota.go
@@ -64,7 +64,7 @@
 
 // tickQuota does what is due for limits.
 func (n *Node) tickQuota() {
-	if !n.Quota.Limited() {
+	if !n.Quota.HasLimits() {
 		return
 	}
 	n.Quota.Tick(n.quotaView())
