--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -161,14 +161,14 @@
 // report takes in a box's report and answers it.
 func (a *allocator) report(from Box, m *Report) {
 	if at, ok := a.when(m.Echo); ok {
-		a.lends.lend(from.Key, m.Life, m.Weight, m.Allocators, at.Add(lendFor))
+		a.lends.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(lendFor))
 	}
-	g := a.grantee(from, m.Life)
+	g := a.grantee(from, m.Incarnation)
 	if g == nil {
 		return
 	}
 	g.heard = a.now
-	answer := &Grant{Life: m.Life, Stamp: a.stamp()}
+	answer := &Grant{Life: m.Incarnation, Stamp: a.stamp()}
 	for i := range m.Usage {
 		u := &m.Usage[i]
 		b := a.bucket(u.ID)
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -25,8 +25,8 @@
 
 // Report is what a box tells an allocator of its zone. It lends its part with it.
 type Report struct {
-	// Life tells the lives of a box apart.
-	Life int64
+	// Incarnation tells the lives of a box apart.
+	Incarnation int64
 	// Echo is the newest Stamp of the allocator that the box has seen, zero for none:
 	// what the box lends counts from when that was made, however long the report is
 	// on its way.
@@ -190,7 +190,7 @@
 func (w *writer) u64(v uint64) { w.b = binary.BigEndian.AppendUint64(w.b, v) }
 
 func (w *writer) report(m *Report) {
-	w.u64(uint64(m.Life))
+	w.u64(uint64(m.Incarnation))
 	w.stamp(m.Echo)
 	w.u64(math.Float64bits(m.Weight))
 	w.u8(byte(len(m.Allocators)))
@@ -268,7 +268,7 @@
 func (r *reader) u64() uint64 { return r.number(8) }
 
 func (r *reader) report() *Report {
-	m := &Report{Life: int64(r.u64()), Echo: r.stamp(), Weight: math.Float64frombits(r.u64())}
+	m := &Report{Incarnation: int64(r.u64()), Echo: r.stamp(), Weight: math.Float64frombits(r.u64())}
 	if !(m.Weight >= 0 && m.Weight <= 1) {
 		r.short = true
 	}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -147,7 +147,7 @@
 	}
 	for first := true; first || len(usage) > 0; first = false {
 		n := min(len(usage), entriesTogether)
-		r := &Report{Life: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
+		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
 		if l.lending.lends(p, now) {
 			r.Weight = l.view.Weight
 			l.lending.hasLent = l.lending.hasLent || r.Weight > 0
