--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -168,7 +168,7 @@
 		return
 	}
 	g.heard = a.now
-	answer := &Grant{Life: m.Incarnation, Stamp: a.stamp()}
+	answer := &Grant{Incarnation: m.Incarnation, Stamp: a.stamp()}
 	for i := range m.Usage {
 		u := &m.Usage[i]
 		b := a.bucket(u.ID)
@@ -279,7 +279,7 @@
 		a.grant(b, key, l)
 		c := a.ceiling(b, key, l)
 		if l.ceiling != before || c.Dry {
-			a.send(g.box, Message{Grant: &Grant{Life: g.life, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
+			a.send(g.box, Message{Grant: &Grant{Incarnation: g.life, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
 		}
 	}
 }
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -60,8 +60,8 @@
 
 // Grant is an allocator's answer: up to where boxes may go.
 type Grant struct {
-	// Life is that of the box.
-	Life int64
+	// Incarnation is that of the box.
+	Incarnation int64
 	// Stamp is the time of the allocator's clock.
 	Stamp    Stamp
 	Ceilings []Ceiling
@@ -215,7 +215,7 @@
 }
 
 func (w *writer) grant(m *Grant) {
-	w.u64(uint64(m.Life))
+	w.u64(uint64(m.Incarnation))
 	w.stamp(m.Stamp)
 	w.u8(byte(len(m.Ceilings)))
 	for _, c := range m.Ceilings {
@@ -284,7 +284,7 @@
 func (r *reader) stamp() Stamp { return Stamp{Life: int64(r.u64()), Passed: r.u32()} }
 
 func (r *reader) grant() *Grant {
-	m := &Grant{Life: int64(r.u64()), Stamp: r.stamp()}
+	m := &Grant{Incarnation: int64(r.u64()), Stamp: r.stamp()}
 	for count := int(r.u8()); len(m.Ceilings) < count && !r.short; {
 		m.Ceilings = append(m.Ceilings, Ceiling{ID: ID(r.u64()), Ceiling: r.u32(), Dry: r.u8() != 0})
 	}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -74,7 +74,7 @@
 // granted takes in what this box was granted. A first answer is reported at once: only
 // then does what this box lends count.
 func (l *Limiter) granted(m *Grant, from Box) {
-	if m.Life != l.Incarnation {
+	if m.Incarnation != l.Incarnation {
 		return
 	}
 	p := l.lending.peers[from.Key]
