--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -70,8 +70,8 @@
 // Stamp is a time of an allocator's clock: in milliseconds since the start of one of
 // its lives.
 type Stamp struct {
-	Life   int64
-	Passed uint32
+	Incarnation int64
+	Passed      uint32
 }
 
 // Ceiling is up to which count of used tokens a box may go.
@@ -210,7 +210,7 @@
 }
 
 func (w *writer) stamp(s Stamp) {
-	w.u64(uint64(s.Life))
+	w.u64(uint64(s.Incarnation))
 	w.u32(s.Passed)
 }
 
@@ -281,7 +281,7 @@
 	return m
 }
 
-func (r *reader) stamp() Stamp { return Stamp{Life: int64(r.u64()), Passed: r.u32()} }
+func (r *reader) stamp() Stamp { return Stamp{Incarnation: int64(r.u64()), Passed: r.u32()} }
 
 func (r *reader) grant() *Grant {
 	m := &Grant{Incarnation: int64(r.u64()), Stamp: r.stamp()}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -78,7 +78,7 @@
 		return
 	}
 	p := l.lending.peers[from.Key]
-	first := p != nil && p.echo.Life != m.Stamp.Life && slices.Contains(l.lending.target, from.Key)
+	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lending.target, from.Key)
 	l.lending.heard(from.Key, m.Stamp)
 	now := l.Now()
 	for _, c := range m.Ceilings {
