--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -127,12 +127,12 @@
 
 // stamp is the time of the allocator's clock as it is told to boxes.
 func (a *allocator) stamp() Stamp {
-	return Stamp{Incarnation: a.life, Passed: uint32(a.now.Sub(a.started).Milliseconds())}
+	return Stamp{Incarnation: a.life, ElapsedMs: uint32(a.now.Sub(a.started).Milliseconds())}
 }
 
 // when is the time of a stamp; ok is false for one of another life.
 func (a *allocator) when(s Stamp) (at time.Time, ok bool) {
-	return a.started.Add(time.Duration(s.Passed) * time.Millisecond), s.Incarnation == a.life && s.Passed <= a.stamp().Passed
+	return a.started.Add(time.Duration(s.ElapsedMs) * time.Millisecond), s.Incarnation == a.life && s.ElapsedMs <= a.stamp().ElapsedMs
 }
 
 // bucket returns the customer's bucket with the tokens of now, or nil if the customer
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -71,7 +71,7 @@
 // its lives.
 type Stamp struct {
 	Incarnation int64
-	Passed      uint32
+	ElapsedMs   uint32
 }
 
 // Ceiling is up to which count of used tokens a box may go.
@@ -211,7 +211,7 @@
 
 func (w *writer) stamp(s Stamp) {
 	w.u64(uint64(s.Incarnation))
-	w.u32(s.Passed)
+	w.u32(s.ElapsedMs)
 }
 
 func (w *writer) grant(m *Grant) {
@@ -281,7 +281,7 @@
 	return m
 }
 
-func (r *reader) stamp() Stamp { return Stamp{Incarnation: int64(r.u64()), Passed: r.u32()} }
+func (r *reader) stamp() Stamp { return Stamp{Incarnation: int64(r.u64()), ElapsedMs: r.u32()} }
 
 func (r *reader) grant() *Grant {
 	m := &Grant{Incarnation: int64(r.u64()), Stamp: r.stamp()}
