--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -156,12 +156,12 @@
 		a.loans.pending[a.loans.number] = &pendingLoan{zone: zone, from: key, at: a.now, wanted: wanted}
 		b.loans.expected += int(count)
 		b.loans.spare[zone] = spare{left: max(0, a.spareOf(b, zone)-float64(count)), at: a.now}
-		a.send(to, Message{Ask: &Ask{Number: a.loans.number, Wanted: []Tokens{wanted}}})
+		a.send(to, Message{Ask: &LoanRequest{Number: a.loans.number, Wanted: []Tokens{wanted}}})
 	}
 }
 
 // lend answers another zone's ask with what this zone does not need itself.
-func (a *allocator) lend(from Box, m *Ask) {
+func (a *allocator) lend(from Box, m *LoanRequest) {
 	loan := &Loan{Number: m.Number}
 	for _, t := range m.Wanted {
 		b := a.bucket(t.ID)
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -19,7 +19,7 @@
 	From   uint64
 	Report *Report
 	Grant  *Grant
-	Ask    *Ask
+	Ask    *LoanRequest
 	Loan   *Loan
 }
 
@@ -82,8 +82,8 @@
 	Dry bool
 }
 
-// Ask asks another zone's allocator for tokens, Loan hands them over.
-type Ask struct {
+// LoanRequest asks another zone's allocator for tokens, Loan hands them over.
+type LoanRequest struct {
 	// Number tells the asks of a box apart.
 	Number uint32
 	Wanted []Tokens
@@ -165,7 +165,7 @@
 	case kindGrant:
 		m.Grant = r.grant()
 	case kindAsk:
-		m.Ask = &Ask{Number: r.u32(), Wanted: r.tokens()}
+		m.Ask = &LoanRequest{Number: r.u32(), Wanted: r.tokens()}
 	case kindLoan:
 		m.Loan = &Loan{Number: r.u32(), Tokens: r.tokens()}
 	default:
