--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -117,7 +117,7 @@
 const (
 	kindReport kind = iota + 1
 	kindGrant
-	kindAsk
+	kindLoanRequest
 	kindLoan
 )
 
@@ -138,7 +138,7 @@
 		w.u64(m.From)
 		w.grant(m.Grant)
 	case m.Ask != nil:
-		w.u8(byte(kindAsk))
+		w.u8(byte(kindLoanRequest))
 		w.u64(m.From)
 		w.u32(m.Ask.Number)
 		w.tokens(m.Ask.Wanted)
@@ -164,7 +164,7 @@
 		m.Report = r.report()
 	case kindGrant:
 		m.Grant = r.grant()
-	case kindAsk:
+	case kindLoanRequest:
 		m.Ask = &LoanRequest{Number: r.u32(), Wanted: r.tokens()}
 	case kindLoan:
 		m.Loan = &Loan{Number: r.u32(), Tokens: r.tokens()}
