--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -102,7 +102,7 @@
 		a.grants.add(float64(more), now)
 	}
 	a.denied = more <= 0
-	if c.Dry {
+	if c.Exhausted {
 		a.dryUntil = now.Add(dryFor)
 	}
 	close(a.answered)
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -263,7 +263,7 @@
 
 // ceiling is what the box is told of the customer.
 func (a *allocator) ceiling(b *bucket, key uint64, l *line) Ceiling {
-	return Ceiling{ID: b.id, Ceiling: l.ceiling, Dry: b.short[key] != nil && !a.mayBorrow(b)}
+	return Ceiling{ID: b.id, Ceiling: l.ceiling, Exhausted: b.short[key] != nil && !a.mayBorrow(b)}
 }
 
 // serveShort gives boxes that got less than they wanted what has come meanwhile, and
@@ -278,7 +278,7 @@
 		before := l.ceiling
 		a.grant(b, key, l)
 		c := a.ceiling(b, key, l)
-		if l.ceiling != before || c.Dry {
+		if l.ceiling != before || c.Exhausted {
 			a.send(g.box, Message{Grant: &Grant{Incarnation: g.life, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
 		}
 	}
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -78,8 +78,8 @@
 type Ceiling struct {
 	ID      ID
 	Ceiling uint32
-	// Dry: there are no more tokens, nor are any expected from other zones.
-	Dry bool
+	// Exhausted: there are no more tokens, nor are any expected from other zones.
+	Exhausted bool
 }
 
 // LoanRequest asks another zone's allocator for tokens, Loan hands them over.
@@ -222,7 +222,7 @@
 		w.u64(uint64(c.ID))
 		w.u32(c.Ceiling)
 		dry := byte(0)
-		if c.Dry {
+		if c.Exhausted {
 			dry = 1
 		}
 		w.u8(dry)
@@ -286,7 +286,7 @@
 func (r *reader) grant() *Grant {
 	m := &Grant{Incarnation: int64(r.u64()), Stamp: r.stamp()}
 	for count := int(r.u8()); len(m.Ceilings) < count && !r.short; {
-		m.Ceilings = append(m.Ceilings, Ceiling{ID: ID(r.u64()), Ceiling: r.u32(), Dry: r.u8() != 0})
+		m.Ceilings = append(m.Ceilings, Ceiling{ID: ID(r.u64()), Ceiling: r.u32(), Exhausted: r.u8() != 0})
 	}
 	return m
 }
