--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -10,8 +10,8 @@
 // the same port, begin with others. It changes with the layout of messages.
 const wireVersion = 0xe1
 
-// entriesTogether bounds the entries of one message, so that it fits one packet.
-const entriesTogether = 48
+// maxEntries bounds the entries of one message, so that it fits one packet.
+const maxEntries = 48
 
 // Message is what boxes tell each other of limits. One field but From is set.
 type Message struct {
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -146,7 +146,7 @@
 		p.asked = now
 	}
 	for first := true; first || len(usage) > 0; first = false {
-		n := min(len(usage), entriesTogether)
+		n := min(len(usage), maxEntries)
 		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
 		if l.lending.lends(p, now) {
 			r.Weight = l.view.Weight
