--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -171,7 +171,7 @@
 	default:
 		return nil, &WireError{Problem: fmt.Sprintf("kind %d", k)}
 	}
-	if r.short || len(r.b) > 0 {
+	if r.invalid || len(r.b) > 0 {
 		return nil, &WireError{Problem: fmt.Sprintf("%d bytes do not make a message", len(datagram))}
 	}
 	return m, nil
@@ -244,14 +244,14 @@
 
 // reader takes numbers from a datagram; short is set when it ends too early.
 type reader struct {
-	b     []byte
-	short bool
+	b       []byte
+	invalid bool
 }
 
 // number returns the number in the next bytes.
 func (r *reader) number(size int) uint64 {
 	if len(r.b) < size {
-		r.short, r.b = true, nil
+		r.invalid, r.b = true, nil
 		return 0
 	}
 	v := uint64(0)
@@ -270,12 +270,12 @@
 func (r *reader) report() *Report {
 	m := &Report{Incarnation: int64(r.u64()), Echo: r.stamp(), Weight: math.Float64frombits(r.u64())}
 	if !(m.Weight >= 0 && m.Weight <= 1) {
-		r.short = true
+		r.invalid = true
 	}
-	for count := int(r.u8()); len(m.Allocators) < count && !r.short; {
+	for count := int(r.u8()); len(m.Allocators) < count && !r.invalid; {
 		m.Allocators = append(m.Allocators, r.u64())
 	}
-	for count := int(r.u8()); len(m.Usage) < count && !r.short; {
+	for count := int(r.u8()); len(m.Usage) < count && !r.invalid; {
 		m.Usage = append(m.Usage, Usage{ID: ID(r.u64()), Arrived: r.u32(), Used: r.u32(), Ceiling: r.u32(), Returned: r.u32(), Want: r.u16(), Waiting: r.u16()})
 	}
 	return m
@@ -285,7 +285,7 @@
 
 func (r *reader) grant() *Grant {
 	m := &Grant{Incarnation: int64(r.u64()), Stamp: r.stamp()}
-	for count := int(r.u8()); len(m.Ceilings) < count && !r.short; {
+	for count := int(r.u8()); len(m.Ceilings) < count && !r.invalid; {
 		m.Ceilings = append(m.Ceilings, Ceiling{ID: ID(r.u64()), Ceiling: r.u32(), Exhausted: r.u8() != 0})
 	}
 	return m
@@ -293,7 +293,7 @@
 
 func (r *reader) tokens() []Tokens {
 	var list []Tokens
-	for count := int(r.u8()); len(list) < count && !r.short; {
+	for count := int(r.u8()); len(list) < count && !r.invalid; {
 		list = append(list, Tokens{ID: ID(r.u64()), Count: r.u16(), Left: r.u16()})
 	}
 	return list
