--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -71,8 +71,8 @@
 // for each request. The rest covers what boxes believe of their zone while they do
 // not agree, such as in the moment in which some start.
 const (
-	savedPart = 0.7
-	heldPart  = 0.2
+	savedShare = 0.7
+	heldPart   = 0.2
 )
 
 // leastSaved is how many tokens a zone must be able to save to have a part of a
@@ -102,11 +102,11 @@
 // window. One too small for all of the zones is held by some of them; the others borrow.
 func divide(id ID, rate, beyond float64, zone string, zones []string) division {
 	holders := zones
-	if count := max(1, int(savedPart*beyond/leastSaved)); count < len(zones) {
+	if count := max(1, int(savedShare*beyond/leastSaved)); count < len(zones) {
 		holders = firstZones(id, zones, count)
 	}
 	parts := float64(len(holders))
-	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedPart * beyond / parts}
+	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedShare * beyond / parts}
 	if slices.Contains(holders, zone) {
 		d.rate, d.saved, d.held = d.holderRate, d.holderSaved, heldPart*beyond/parts
 	}
