--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -75,9 +75,9 @@
 	heldPart   = 0.2
 )
 
-// leastSaved is how many tokens a zone must be able to save to have a part of a
+// minSaved is how many tokens a zone must be able to save to have a part of a
 // customer's limit: with fewer it could not serve two requests at once.
-const leastSaved = 2
+const minSaved = 2
 
 // beyond is how many requests more than at the rate may be sent in a window.
 func (t *Tolerance) beyond(l Limit) float64 {
@@ -102,7 +102,7 @@
 // window. One too small for all of the zones is held by some of them; the others borrow.
 func divide(id ID, rate, beyond float64, zone string, zones []string) division {
 	holders := zones
-	if count := max(1, int(savedShare*beyond/leastSaved)); count < len(zones) {
+	if count := max(1, int(savedShare*beyond/minSaved)); count < len(zones) {
 		holders = firstZones(id, zones, count)
 	}
 	parts := float64(len(holders))
