--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -89,7 +89,7 @@
 	for i := range list {
 		if c := &list[i]; c.Rate > 0 {
 			id := IDOf(c.Name)
-			beyond := l.Tolerance.beyond(Limit{Rate: c.Rate, Burst: c.Burst})
+			beyond := l.Tolerance.allowance(Limit{Rate: c.Rate, Burst: c.Burst})
 			l.customers[id] = divide(id, c.Rate, beyond, l.Zone, l.Zones)
 			l.bind(id)
 		}
@@ -114,7 +114,7 @@
 	defer l.mu.Unlock()
 	perSecond = min(perSecond, mostServerRate)
 	rate := max(perSecond, leastServerRate)
-	beyond := l.ServerTolerance.beyond(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
+	beyond := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
 	l.servers[id] = divide(id, rate, beyond, l.Zone, zones)
 	l.bind(id)
 }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -79,8 +79,8 @@
 // customer's limit: with fewer it could not serve two requests at once.
 const minSaved = 2
 
-// beyond is how many requests more than at the rate may be sent in a window.
-func (t *Tolerance) beyond(l Limit) float64 {
+// allowance is how many requests more than at the rate may be sent in a window.
+func (t *Tolerance) allowance(l Limit) float64 {
 	return t.Overage*l.Rate*t.Window.Seconds() + (1+t.Overage)*l.Burst + t.Slack
 }
 
