--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -100,15 +100,15 @@
 
 // divide returns the zone's part of a rate, beyond which so many requests may be sent in a
 // window. One too small for all of the zones is held by some of them; the others borrow.
-func divide(id ID, rate, beyond float64, zone string, zones []string) division {
+func divide(id ID, rate, allowance float64, zone string, zones []string) division {
 	holders := zones
-	if count := max(1, int(savedShare*beyond/minSaved)); count < len(zones) {
+	if count := max(1, int(savedShare*allowance/minSaved)); count < len(zones) {
 		holders = firstZones(id, zones, count)
 	}
 	parts := float64(len(holders))
-	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedShare * beyond / parts}
+	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedShare * allowance / parts}
 	if slices.Contains(holders, zone) {
-		d.rate, d.saved, d.held = d.holderRate, d.holderSaved, heldPart*beyond/parts
+		d.rate, d.saved, d.held = d.holderRate, d.holderSaved, heldPart*allowance/parts
 	}
 	return d
 }
