--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -89,8 +89,8 @@
 	for i := range list {
 		if c := &list[i]; c.Rate > 0 {
 			id := IDOf(c.Name)
-			beyond := l.Tolerance.allowance(Limit{Rate: c.Rate, Burst: c.Burst})
-			l.customers[id] = divide(id, c.Rate, beyond, l.Zone, l.Zones)
+			allowance := l.Tolerance.allowance(Limit{Rate: c.Rate, Burst: c.Burst})
+			l.customers[id] = divide(id, c.Rate, allowance, l.Zone, l.Zones)
 			l.bind(id)
 		}
 	}
