--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -114,8 +114,8 @@
 	defer l.mu.Unlock()
 	perSecond = min(perSecond, mostServerRate)
 	rate := max(perSecond, leastServerRate)
-	beyond := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
-	l.servers[id] = divide(id, rate, beyond, l.Zone, zones)
+	allowance := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
+	l.servers[id] = divide(id, rate, allowance, l.Zone, zones)
 	l.bind(id)
 }
 
