--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -149,7 +149,7 @@
 	}
 	b.division = d
 	brought := a.lends.of(id)
-	b.tokens = min(b.tokens+(brought-b.brought)*d.rate, d.saved)
+	b.tokens = min(b.tokens+(brought-b.brought)*d.rate, d.maxSaved)
 	b.brought = brought
 	return b
 }
@@ -236,7 +236,7 @@
 	}
 	b.inUse += l.held() - held
 	if back := int32(u.Returned - l.returned); back > 0 {
-		b.tokens = min(b.tokens+float64(back), max(b.tokens, b.saved))
+		b.tokens = min(b.tokens+float64(back), max(b.tokens, b.maxSaved))
 		l.returned = u.Returned
 	}
 	l.want, l.waiting = int(u.Want), int(u.Waiting)
@@ -285,7 +285,7 @@
 }
 
 // isLow reports whether the zone is to borrow.
-func (b *bucket) isLow() bool { return len(b.short) > 0 || b.tokens < b.saved/2 }
+func (b *bucket) isLow() bool { return len(b.short) > 0 || b.tokens < b.maxSaved/2 }
 
 // tick borrows what is short; with tidy set it also forgets what has not been used for a
 // while.
@@ -307,7 +307,7 @@
 func (a *allocator) tidy() {
 	for id, b := range a.buckets {
 		a.bucket(id)
-		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.inUse == 0 && b.tokens >= d.saved {
+		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.inUse == 0 && b.tokens >= d.maxSaved {
 			delete(a.buckets, id)
 			delete(a.needy, id)
 			if !ok {
--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -91,8 +91,8 @@
 func (a *allocator) need(b *bucket, missing float64) (need, most float64) {
 	ahead := max(b.demand.now(a.now), b.lately.now(a.now)) * borrowTime.Seconds()
 	got := b.tokens + float64(b.loans.expected)
-	need = missing + min(b.saved, ahead-float64(b.inUse)) - got
-	return need, missing + b.saved - got
+	need = missing + min(b.maxSaved, ahead-float64(b.inUse)) - got
+	return need, missing + b.maxSaved - got
 }
 
 // missing is what the boxes that are short would be granted now: what their requests wait for,
@@ -197,7 +197,7 @@
 		}
 	}
 	a.serveShort(b)
-	b.tokens = min(b.tokens, b.saved)
+	b.tokens = min(b.tokens, b.maxSaved)
 	if len(b.short) > 0 {
 		a.borrow(b)
 	}
