--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -246,7 +246,7 @@
 // grant gives a box what it wants, as far as there are tokens. What its requests wait
 // for is used at once; what it will hold is bounded.
 func (a *allocator) grant(b *bucket, key uint64, l *line) {
-	room := max(l.needed(), int(b.held)-b.inUse)
+	room := max(l.needed(), int(b.maxHeld)-b.inUse)
 	n := max(0, min(l.missing(), room, int(b.tokens)))
 	b.tokens -= float64(n)
 	b.inUse += n
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -151,7 +151,7 @@
 		l.retire(a)
 		return
 	}
-	if surplus := a.held() - int(d.held); surplus > 0 {
+	if surplus := a.held() - int(d.maxHeld); surplus > 0 {
 		// A lower limit binds what is already held.
 		a.used += uint32(surplus)
 		l.touch(a)
--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -105,7 +105,7 @@
 		needed += n
 		stock += l.missing() - n
 	}
-	return float64(needed + max(0, min(stock, int(b.held)-b.inUse)))
+	return float64(needed + max(0, min(stock, int(b.maxHeld)-b.inUse)))
 }
 
 // borrow asks other zones for what the zone lacks, the richest first. What it could
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -90,7 +90,7 @@
 	rate float64
 	// maxSaved and held bound a zone's tokens at its allocators and at its boxes.
 	maxSaved float64
-	held     float64
+	maxHeld  float64
 	// holders are the zones that have a part, and of each of them its rate and what its
 	// allocators may save. A zone without a part borrows of them.
 	holders     []string
@@ -108,7 +108,7 @@
 	parts := float64(len(holders))
 	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedShare * allowance / parts}
 	if slices.Contains(holders, zone) {
-		d.rate, d.maxSaved, d.held = d.holderRate, d.holderSaved, heldPart*allowance/parts
+		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderSaved, heldPart*allowance/parts
 	}
 	return d
 }
