--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -68,9 +68,9 @@
 	}
 	s, ok := b.loans.spare[zone]
 	if !ok {
-		return b.holderSaved
+		return b.holderMaxSaved
 	}
-	return min(b.holderSaved, s.left+b.holderRate*a.now.Sub(s.at).Seconds())
+	return min(b.holderMaxSaved, s.left+b.holderRate*a.now.Sub(s.at).Seconds())
 }
 
 // mayBorrow reports whether tokens may come from other zones.
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -93,9 +93,9 @@
 	maxHeld  float64
 	// holders are the zones that have a part, and of each of them its rate and what its
 	// allocators may save. A zone without a part borrows of them.
-	holders     []string
-	holderRate  float64
-	holderSaved float64
+	holders        []string
+	holderRate     float64
+	holderMaxSaved float64
 }
 
 // divide returns the zone's part of a rate, beyond which so many requests may be sent in a
@@ -106,9 +106,9 @@
 		holders = firstZones(id, zones, count)
 	}
 	parts := float64(len(holders))
-	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedShare * allowance / parts}
+	d := division{holders: holders, holderRate: rate / parts, holderMaxSaved: savedShare * allowance / parts}
 	if slices.Contains(holders, zone) {
-		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderSaved, heldPart*allowance/parts
+		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderMaxSaved, heldPart*allowance/parts
 	}
 	return d
 }
