--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -105,10 +105,10 @@
 	if count := max(1, int(savedShare*allowance/minSaved)); count < len(zones) {
 		holders = firstZones(id, zones, count)
 	}
-	parts := float64(len(holders))
-	d := division{holders: holders, holderRate: rate / parts, holderMaxSaved: savedShare * allowance / parts}
+	shares := float64(len(holders))
+	d := division{holders: holders, holderRate: rate / shares, holderMaxSaved: savedShare * allowance / shares}
 	if slices.Contains(holders, zone) {
-		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderMaxSaved, heldPart*allowance/parts
+		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderMaxSaved, heldPart*allowance/shares
 	}
 	return d
 }
