--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// stockTime is for how long ahead a box wants tokens of a customer: two reports.
+	// prefetchTime is for how long ahead a box wants tokens of a customer: two reports.
 	// One that asks less than leastStock times in that is granted its tokens one by one,
 	// as its requests come. A larger leastStock has more requests wait for their tokens.
-	stockTime  = 200 * time.Millisecond
-	leastStock = 0.05
+	prefetchTime = 200 * time.Millisecond
+	leastStock   = 0.05
 	// lapseAfter is after what time without a request a box gives unused tokens back.
 	lapseAfter = 4 * time.Second
 	// dryFor is for how long a box refuses without asking again after it was told
@@ -86,7 +86,7 @@
 
 // want is how many unused tokens to hold.
 func (a *account) want(now time.Time) int {
-	expected := a.arrivals.now(now) * stockTime.Seconds()
+	expected := a.arrivals.now(now) * prefetchTime.Seconds()
 	if expected < leastStock {
 		return 0
 	}
