--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -11,8 +11,8 @@
 	// as its requests come. A larger leastStock has more requests wait for their tokens.
 	prefetchTime = 200 * time.Millisecond
 	leastStock   = 0.05
-	// lapseAfter is after what time without a request a box gives unused tokens back.
-	lapseAfter = 4 * time.Second
+	// idleReturnAfter is after what time without a request a box gives unused tokens back.
+	idleReturnAfter = 4 * time.Second
 	// dryFor is for how long a box refuses without asking again after it was told
 	// that there are no tokens: until its next report is answered.
 	dryFor = 100 * time.Millisecond
@@ -114,7 +114,7 @@
 // whether there were any.
 func (a *account) lapse(allocator uint64, now time.Time) bool {
 	held := a.held()
-	if held <= 0 || now.Sub(a.usedAt) <= lapseAfter {
+	if held <= 0 || now.Sub(a.usedAt) <= idleReturnAfter {
 		return false
 	}
 	if a.returned == nil {
