--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -110,9 +110,9 @@
 	return more > 0
 }
 
-// lapse gives tokens that were not used for long back to an allocator, and reports
+// returnIdle gives tokens that were not used for long back to an allocator, and reports
 // whether there were any.
-func (a *account) lapse(allocator uint64, now time.Time) bool {
+func (a *account) returnIdle(allocator uint64, now time.Time) bool {
 	held := a.held()
 	if held <= 0 || now.Sub(a.usedAt) <= idleReturnAfter {
 		return false
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -31,7 +31,7 @@
 // tidy gives unused tokens back and drops accounts of customers that send nothing.
 func (l *Limiter) tidy(now time.Time) {
 	for _, a := range l.accounts {
-		if a.lapse(owner(a.id, l.lending.target), now) {
+		if a.returnIdle(owner(a.id, l.lending.target), now) {
 			l.touch(a)
 		}
 		if !a.changed && a.waiting == 0 && now.Sub(a.usedAt) > forgetAfter {
