--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -13,9 +13,9 @@
 	leastStock   = 0.05
 	// idleReturnAfter is after what time without a request a box gives unused tokens back.
 	idleReturnAfter = 4 * time.Second
-	// dryFor is for how long a box refuses without asking again after it was told
+	// exhaustedFor is for how long a box refuses without asking again after it was told
 	// that there are no tokens: until its next report is answered.
-	dryFor = 100 * time.Millisecond
+	exhaustedFor = 100 * time.Millisecond
 	// changeTold is after what time an account is told of that needs nothing.
 	changeTold = 400 * time.Millisecond
 	// soonestReturn and latestReturn bound when a refused client is asked to come
@@ -103,7 +103,7 @@
 	}
 	a.denied = more <= 0
 	if c.Exhausted {
-		a.dryUntil = now.Add(dryFor)
+		a.dryUntil = now.Add(exhaustedFor)
 	}
 	close(a.answered)
 	a.answered = make(chan struct{})
