--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -38,11 +38,11 @@
 	ceiling uint32
 	waiting int
 	// arrivals, grants and refusals are averages.
-	arrivals rate
-	grants   rate
-	refusals rate
-	usedAt   time.Time
-	dryUntil time.Time
+	arrivals       rate
+	grants         rate
+	refusals       rate
+	usedAt         time.Time
+	exhaustedUntil time.Time
 	// denied: the last answer brought nothing.
 	denied bool
 	// returned are the tokens given back to each allocator, by its key.
@@ -103,7 +103,7 @@
 	}
 	a.denied = more <= 0
 	if c.Exhausted {
-		a.dryUntil = now.Add(exhaustedFor)
+		a.exhaustedUntil = now.Add(exhaustedFor)
 	}
 	close(a.answered)
 	a.answered = make(chan struct{})
--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -133,7 +133,7 @@
 	switch {
 	case a.take():
 		return Decision{Verdict: Admitted}
-	case l.Now().Before(a.dryUntil):
+	case l.Now().Before(a.exhaustedUntil):
 		return l.refuse(a)
 	}
 	return Decision{Verdict: Waiting, Answered: a.answered}
