--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -16,8 +16,8 @@
 	// exhaustedFor is for how long a box refuses without asking again after it was told
 	// that there are no tokens: until its next report is answered.
 	exhaustedFor = 100 * time.Millisecond
-	// changeTold is after what time an account is told of that needs nothing.
-	changeTold = 400 * time.Millisecond
+	// changeReportDelay is after what time an account is told of that needs nothing.
+	changeReportDelay = 400 * time.Millisecond
 	// soonestReturn and latestReturn bound when a refused client is asked to come
 	// back.
 	soonestReturn = 50 * time.Millisecond
@@ -145,7 +145,7 @@
 	case a.waiting > 0 || !a.denied && 2*a.held() < a.want(now):
 		return true
 	}
-	return (a.changed || a.denied) && now.Sub(a.toldAt) >= changeTold
+	return (a.changed || a.denied) && now.Sub(a.toldAt) >= changeReportDelay
 }
 
 // mayBeDue reports whether a later report may have to tell of the account although
