--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -18,9 +18,9 @@
 	exhaustedFor = 100 * time.Millisecond
 	// changeReportDelay is after what time an account is told of that needs nothing.
 	changeReportDelay = 400 * time.Millisecond
-	// soonestReturn and latestReturn bound when a refused client is asked to come
+	// minRetryAfter and latestReturn bound when a refused client is asked to come
 	// back.
-	soonestReturn = 50 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
 	latestReturn  = 10 * time.Second
 )
 
@@ -135,7 +135,7 @@
 		supply = 1
 	}
 	seconds := (0.5 + chance) * queue / supply
-	return max(soonestReturn, min(latestReturn, time.Duration(seconds*float64(time.Second))))
+	return max(minRetryAfter, min(latestReturn, time.Duration(seconds*float64(time.Second))))
 }
 
 // due reports whether a report is to tell of the account now: if it needs tokens, or
