--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -21,7 +21,7 @@
 	// minRetryAfter and latestReturn bound when a refused client is asked to come
 	// back.
 	minRetryAfter = 50 * time.Millisecond
-	latestReturn  = 10 * time.Second
+	maxRetryAfter = 10 * time.Second
 )
 
 // counts are those of Usage, and the requests that were refused.
@@ -135,7 +135,7 @@
 		supply = 1
 	}
 	seconds := (0.5 + chance) * queue / supply
-	return max(minRetryAfter, min(latestReturn, time.Duration(seconds*float64(time.Second))))
+	return max(minRetryAfter, min(maxRetryAfter, time.Duration(seconds*float64(time.Second))))
 }
 
 // due reports whether a report is to tell of the account now: if it needs tokens, or
