--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -125,10 +125,10 @@
 	return true
 }
 
-// returnAfter is when a refused client finds a token: as many as were refused lately
+// retryAfter is when a refused client finds a token: as many as were refused lately
 // come back, spread over as long as their tokens take. The number chance is from 0
 // to 1.
-func (a *account) returnAfter(chance float64, now time.Time) time.Duration {
+func (a *account) retryAfter(chance float64, now time.Time) time.Duration {
 	supply := a.grants.now(now)
 	queue := 1 + a.refusals.now(now)*demandSpan.Seconds()
 	if supply <= 0 {
--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -143,5 +143,5 @@
 	now := l.Now()
 	a.refused++
 	a.refusals.add(1, now)
-	return Decision{Verdict: Refused, RetryAfter: a.returnAfter(l.Random(), now)}
+	return Decision{Verdict: Refused, RetryAfter: a.retryAfter(l.Random(), now)}
 }
