--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -48,8 +48,8 @@
 	// returned are the tokens given back to each allocator, by its key.
 	returned map[uint64]uint32
 	// changed: a report is to tell of it; toldAt is when the last one did.
-	changed bool
-	toldAt  time.Time
+	changed    bool
+	reportedAt time.Time
 	// answered is closed when the allocator has answered.
 	answered chan struct{}
 }
@@ -145,7 +145,7 @@
 	case a.waiting > 0 || !a.denied && 2*a.held() < a.want(now):
 		return true
 	}
-	return (a.changed || a.denied) && now.Sub(a.toldAt) >= changeReportDelay
+	return (a.changed || a.denied) && now.Sub(a.reportedAt) >= changeReportDelay
 }
 
 // mayBeDue reports whether a later report may have to tell of the account although
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -112,7 +112,7 @@
 		// Before the first tick nobody is known yet.
 		return
 	}
-	a.changed, a.toldAt = false, now
+	a.changed, a.reportedAt = false, now
 	l.reportTo(p, []Usage{a.usage(p.box.Key, now)}, now)
 }
 
@@ -128,7 +128,7 @@
 			}
 			continue
 		}
-		a.changed, a.toldAt = false, now
+		a.changed, a.reportedAt = false, now
 		key := owner(id, l.lending.target)
 		changed[key] = append(changed[key], a.usage(key, now))
 	}
