--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -93,9 +93,9 @@
 	return int(math.Ceil(expected))
 }
 
-// granted takes in an allocator's word and reports whether it brought something. What
-// is granted twice by two allocators counts once.
-func (a *account) granted(c Ceiling, now time.Time) bool {
+// applyCeiling takes in an allocator's word and reports whether it brought something. What
+// is applyCeiling twice by two allocators counts once.
+func (a *account) applyCeiling(c Ceiling, now time.Time) bool {
 	more := int32(c.Ceiling - a.ceiling)
 	if more > 0 {
 		a.ceiling = c.Ceiling
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -83,7 +83,7 @@
 	now := l.Now()
 	for _, c := range m.Ceilings {
 		if a := l.accounts[c.ID]; a != nil {
-			l.isGranted = a.granted(c, now) || l.isGranted
+			l.isGranted = a.applyCeiling(c, now) || l.isGranted
 		}
 	}
 	if first {
