--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -10,7 +10,7 @@
 	// latelySpan over how long where clients may have come or gone: the greater of
 	// both is borrowed for, and the lesser kept from other zones.
 	demandSpan = time.Second
-	latelySpan = 200 * time.Millisecond
+	recentSpan = 200 * time.Millisecond
 	// reserveTime is for how long an allocator keeps tokens for its own zone before
 	// it lends any.
 	reserveTime = 300 * time.Millisecond
@@ -144,7 +144,7 @@
 	}
 	b := a.buckets[id]
 	if b == nil {
-		b = &bucket{id: id, demand: newRate(demandSpan, a.now), lately: newRate(latelySpan, a.now), short: map[uint64]*line{}, loans: newBucketLoans()}
+		b = &bucket{id: id, demand: newRate(demandSpan, a.now), lately: newRate(recentSpan, a.now), short: map[uint64]*line{}, loans: newBucketLoans()}
 		a.buckets[id] = b
 	}
 	b.division = d
