--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -76,7 +76,7 @@
 	inUse int
 	// demand is what the zone asks, and lately what it asked a moment ago.
 	demand rate
-	lately rate
+	recent rate
 	// short are the boxes that want more than they got.
 	short map[uint64]*line
 	loans bucketLoans
@@ -85,7 +85,7 @@
 // asked counts requests of the zone's clients.
 func (b *bucket) asked(requests float64, now time.Time) {
 	b.demand.add(requests, now)
-	b.lately.add(requests, now)
+	b.recent.add(requests, now)
 }
 
 // rate is a moving average of events a second over a span.
@@ -144,7 +144,7 @@
 	}
 	b := a.buckets[id]
 	if b == nil {
-		b = &bucket{id: id, demand: newRate(demandSpan, a.now), lately: newRate(recentSpan, a.now), short: map[uint64]*line{}, loans: newBucketLoans()}
+		b = &bucket{id: id, demand: newRate(demandSpan, a.now), recent: newRate(recentSpan, a.now), short: map[uint64]*line{}, loans: newBucketLoans()}
 		a.buckets[id] = b
 	}
 	b.division = d
--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -89,7 +89,7 @@
 // need is how many tokens the zone lacks: what its boxes want now, and what its
 // clients will ask within borrowTime, as far as that can be saved.
 func (a *allocator) need(b *bucket, missing float64) (need, most float64) {
-	ahead := max(b.demand.now(a.now), b.lately.now(a.now)) * borrowTime.Seconds()
+	ahead := max(b.demand.now(a.now), b.recent.now(a.now)) * borrowTime.Seconds()
 	got := b.tokens + float64(b.loans.expected)
 	need = missing + min(b.maxSaved, ahead-float64(b.inUse)) - got
 	return need, missing + b.maxSaved - got
@@ -167,7 +167,7 @@
 		b := a.bucket(t.ID)
 		n, left := 0, 0.0
 		if b != nil && len(b.short) == 0 {
-			left = max(0, b.tokens-min(b.demand.now(a.now), b.lately.now(a.now))*reserveTime.Seconds())
+			left = max(0, b.tokens-min(b.demand.now(a.now), b.recent.now(a.now))*reserveTime.Seconds())
 			n = min(int(t.Count), int(left))
 			b.tokens -= float64(n)
 			left -= float64(n)
