--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -26,8 +26,8 @@
 	started time.Time
 	lends   *lends
 	buckets map[ID]*bucket
-	// needy are the buckets that may have to borrow.
-	needy map[ID]*bucket
+	// low are the buckets that may have to borrow.
+	low   map[ID]*bucket
 	boxes map[uint64]*grantee
 	loans loans
 	// divide returns the zone's part of a customer's limit; ok is false where the
@@ -115,7 +115,7 @@
 func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
 		self: self, life: life, now: now, started: now, lends: newLends(self, now), divide: divide, send: send,
-		buckets: map[ID]*bucket{}, needy: map[ID]*bucket{}, boxes: map[uint64]*grantee{}, loans: newLoans(),
+		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*grantee{}, loans: newLoans(),
 	}
 }
 
@@ -252,7 +252,7 @@
 	b.inUse += n
 	l.ceiling += uint32(n)
 	if b.isLow() {
-		a.needy[b.id] = b
+		a.low[b.id] = b
 	}
 	if l.missing() > 0 && b.tokens < 1 {
 		b.short[key] = l
@@ -291,9 +291,9 @@
 // while.
 func (a *allocator) tick(tidy bool) {
 	a.expireLoans()
-	for id, b := range a.needy {
+	for id, b := range a.low {
 		if a.bucket(id) == nil || !b.isLow() {
-			delete(a.needy, id)
+			delete(a.low, id)
 			continue
 		}
 		a.borrow(b)
@@ -309,7 +309,7 @@
 		a.bucket(id)
 		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.inUse == 0 && b.tokens >= d.maxSaved {
 			delete(a.buckets, id)
-			delete(a.needy, id)
+			delete(a.low, id)
 			if !ok {
 				a.dropLines(id)
 			}
