--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -28,7 +28,7 @@
 	buckets map[ID]*bucket
 	// low are the buckets that may have to borrow.
 	low   map[ID]*bucket
-	boxes map[uint64]*grantee
+	boxes map[uint64]*boxState
 	loans loans
 	// divide returns the zone's part of a customer's limit; ok is false where the
 	// customer is not known or has no limit.
@@ -37,8 +37,8 @@
 	send func(to Box, m Message)
 }
 
-// grantee is a box that reports to this allocator.
-type grantee struct {
+// boxState is a box that reports to this allocator.
+type boxState struct {
 	box   Box
 	life  int64
 	lines map[ID]*line
@@ -115,7 +115,7 @@
 func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
 		self: self, life: life, now: now, started: now, lends: newLends(self, now), divide: divide, send: send,
-		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*grantee{}, loans: newLoans(),
+		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*boxState{}, loans: newLoans(),
 	}
 }
 
@@ -186,7 +186,7 @@
 }
 
 // grantee returns what is known of a box; nil for a life of it that has ended.
-func (a *allocator) grantee(from Box, life int64) *grantee {
+func (a *allocator) grantee(from Box, life int64) *boxState {
 	g := a.boxes[from.Key]
 	if g != nil && life < g.life {
 		return nil
@@ -195,7 +195,7 @@
 		if g != nil {
 			a.forget(from.Key, g)
 		}
-		g = &grantee{life: life, lines: map[ID]*line{}}
+		g = &boxState{life: life, lines: map[ID]*line{}}
 		a.boxes[from.Key] = g
 	}
 	g.box = from
@@ -203,7 +203,7 @@
 }
 
 // forget drops what is known of a box. What it held is gone.
-func (a *allocator) forget(key uint64, g *grantee) {
+func (a *allocator) forget(key uint64, g *boxState) {
 	for id, l := range g.lines {
 		if b := a.buckets[id]; b != nil {
 			b.inUse -= l.held()
@@ -215,7 +215,7 @@
 
 // takeIn notes what a box has used. What this allocator has granted and the box has
 // not heard of counts as held.
-func (a *allocator) takeIn(b *bucket, g *grantee, u *Usage) *line {
+func (a *allocator) takeIn(b *bucket, g *boxState, u *Usage) *line {
 	l := g.lines[u.ID]
 	if l == nil {
 		l = &line{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
