--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -163,7 +163,7 @@
 	if at, ok := a.when(m.Echo); ok {
 		a.lends.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(lendFor))
 	}
-	g := a.grantee(from, m.Incarnation)
+	g := a.boxState(from, m.Incarnation)
 	if g == nil {
 		return
 	}
@@ -185,8 +185,8 @@
 	a.send(from, Message{Grant: answer})
 }
 
-// grantee returns what is known of a box; nil for a life of it that has ended.
-func (a *allocator) grantee(from Box, life int64) *boxState {
+// boxState returns what is known of a box; nil for a life of it that has ended.
+func (a *allocator) boxState(from Box, life int64) *boxState {
 	g := a.boxes[from.Key]
 	if g != nil && life < g.life {
 		return nil
