--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -41,12 +41,12 @@
 type boxState struct {
 	box   Box
 	life  int64
-	lines map[ID]*line
+	lines map[ID]*boxUsage
 	heard time.Time
 }
 
-// line is what is known of one customer's tokens at a box.
-type line struct {
+// boxUsage is what is known of one customer's tokens at a box.
+type boxUsage struct {
 	arrived uint32
 	used    uint32
 	ceiling uint32
@@ -57,13 +57,13 @@
 }
 
 // held is how many unused tokens the box has.
-func (l *line) held() int { return int(int32(l.ceiling - l.used)) }
+func (l *boxUsage) held() int { return int(int32(l.ceiling - l.used)) }
 
 // needed is how many more tokens its waiting requests need.
-func (l *line) needed() int { return max(0, l.waiting-l.held()) }
+func (l *boxUsage) needed() int { return max(0, l.waiting-l.held()) }
 
 // missing is how many more tokens the box would like to have.
-func (l *line) missing() int { return max(0, l.want+l.waiting-l.held()) }
+func (l *boxUsage) missing() int { return max(0, l.want+l.waiting-l.held()) }
 
 // bucket holds a customer's tokens.
 type bucket struct {
@@ -78,7 +78,7 @@
 	demand rate
 	recent rate
 	// short are the boxes that want more than they got.
-	short map[uint64]*line
+	short map[uint64]*boxUsage
 	loans bucketLoans
 }
 
@@ -144,7 +144,7 @@
 	}
 	b := a.buckets[id]
 	if b == nil {
-		b = &bucket{id: id, demand: newRate(demandSpan, a.now), recent: newRate(recentSpan, a.now), short: map[uint64]*line{}, loans: newBucketLoans()}
+		b = &bucket{id: id, demand: newRate(demandSpan, a.now), recent: newRate(recentSpan, a.now), short: map[uint64]*boxUsage{}, loans: newBucketLoans()}
 		a.buckets[id] = b
 	}
 	b.division = d
@@ -195,7 +195,7 @@
 		if g != nil {
 			a.forget(from.Key, g)
 		}
-		g = &boxState{life: life, lines: map[ID]*line{}}
+		g = &boxState{life: life, lines: map[ID]*boxUsage{}}
 		a.boxes[from.Key] = g
 	}
 	g.box = from
@@ -215,10 +215,10 @@
 
 // takeIn notes what a box has used. What this allocator has granted and the box has
 // not heard of counts as held.
-func (a *allocator) takeIn(b *bucket, g *boxState, u *Usage) *line {
+func (a *allocator) takeIn(b *bucket, g *boxState, u *Usage) *boxUsage {
 	l := g.lines[u.ID]
 	if l == nil {
-		l = &line{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
+		l = &boxUsage{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
 		g.lines[u.ID] = l
 		b.inUse += l.held()
 		b.asked(float64(u.Waiting), a.now)
@@ -245,7 +245,7 @@
 
 // grant gives a box what it wants, as far as there are tokens. What its requests wait
 // for is used at once; what it will hold is bounded.
-func (a *allocator) grant(b *bucket, key uint64, l *line) {
+func (a *allocator) grant(b *bucket, key uint64, l *boxUsage) {
 	room := max(l.needed(), int(b.maxHeld)-b.inUse)
 	n := max(0, min(l.missing(), room, int(b.tokens)))
 	b.tokens -= float64(n)
@@ -262,7 +262,7 @@
 }
 
 // ceiling is what the box is told of the customer.
-func (a *allocator) ceiling(b *bucket, key uint64, l *line) Ceiling {
+func (a *allocator) ceiling(b *bucket, key uint64, l *boxUsage) Ceiling {
 	return Ceiling{ID: b.id, Ceiling: l.ceiling, Exhausted: b.short[key] != nil && !a.mayBorrow(b)}
 }
 
