--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -41,7 +41,7 @@
 type boxState struct {
 	box   Box
 	life  int64
-	lines map[ID]*boxUsage
+	usage map[ID]*boxUsage
 	heard time.Time
 }
 
@@ -195,7 +195,7 @@
 		if g != nil {
 			a.forget(from.Key, g)
 		}
-		g = &boxState{life: life, lines: map[ID]*boxUsage{}}
+		g = &boxState{life: life, usage: map[ID]*boxUsage{}}
 		a.boxes[from.Key] = g
 	}
 	g.box = from
@@ -204,7 +204,7 @@
 
 // forget drops what is known of a box. What it held is gone.
 func (a *allocator) forget(key uint64, g *boxState) {
-	for id, l := range g.lines {
+	for id, l := range g.usage {
 		if b := a.buckets[id]; b != nil {
 			b.inUse -= l.held()
 			delete(b.short, key)
@@ -216,10 +216,10 @@
 // takeIn notes what a box has used. What this allocator has granted and the box has
 // not heard of counts as held.
 func (a *allocator) takeIn(b *bucket, g *boxState, u *Usage) *boxUsage {
-	l := g.lines[u.ID]
+	l := g.usage[u.ID]
 	if l == nil {
 		l = &boxUsage{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
-		g.lines[u.ID] = l
+		g.usage[u.ID] = l
 		b.inUse += l.held()
 		b.asked(float64(u.Waiting), a.now)
 	}
@@ -271,7 +271,7 @@
 func (a *allocator) serveShort(b *bucket) {
 	for key, l := range b.short {
 		g := a.boxes[key]
-		if g == nil || g.lines[b.id] != l {
+		if g == nil || g.usage[b.id] != l {
 			delete(b.short, key)
 			continue
 		}
@@ -329,7 +329,7 @@
 // from where they were.
 func (a *allocator) dropLines(id ID) {
 	for _, g := range a.boxes {
-		delete(g.lines, id)
+		delete(g.usage, id)
 	}
 }
 
