--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -175,7 +175,7 @@
 		if b == nil {
 			continue
 		}
-		l := a.takeIn(b, g, u)
+		l := a.applyUsage(b, g, u)
 		a.grant(b, from.Key, l)
 		if b.short[from.Key] != nil {
 			a.borrow(b)
@@ -213,9 +213,9 @@
 	delete(a.boxes, key)
 }
 
-// takeIn notes what a box has used. What this allocator has granted and the box has
+// applyUsage notes what a box has used. What this allocator has granted and the box has
 // not heard of counts as held.
-func (a *allocator) takeIn(b *bucket, g *boxState, u *Usage) *boxUsage {
+func (a *allocator) applyUsage(b *bucket, g *boxState, u *Usage) *boxUsage {
 	l := g.usage[u.ID]
 	if l == nil {
 		l = &boxUsage{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
