--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -82,8 +82,8 @@
 	loans bucketLoans
 }
 
-// asked counts requests of the zone's clients.
-func (b *bucket) asked(requests float64, now time.Time) {
+// countDemand counts requests of the zone's clients.
+func (b *bucket) countDemand(requests float64, now time.Time) {
 	b.demand.add(requests, now)
 	b.recent.add(requests, now)
 }
@@ -221,10 +221,10 @@
 		l = &boxUsage{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
 		g.usage[u.ID] = l
 		b.inUse += l.held()
-		b.asked(float64(u.Waiting), a.now)
+		b.countDemand(float64(u.Waiting), a.now)
 	}
 	if more := int32(u.Arrived - l.arrived); more > 0 {
-		b.asked(float64(more), a.now)
+		b.countDemand(float64(more), a.now)
 		l.arrived = u.Arrived
 	}
 	held := l.held()
