--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -130,8 +130,8 @@
 	return Stamp{Incarnation: a.life, ElapsedMs: uint32(a.now.Sub(a.started).Milliseconds())}
 }
 
-// when is the time of a stamp; ok is false for one of another life.
-func (a *allocator) when(s Stamp) (at time.Time, ok bool) {
+// timeOf is the time of a stamp; ok is false for one of another life.
+func (a *allocator) timeOf(s Stamp) (at time.Time, ok bool) {
 	return a.started.Add(time.Duration(s.ElapsedMs) * time.Millisecond), s.Incarnation == a.life && s.ElapsedMs <= a.stamp().ElapsedMs
 }
 
@@ -160,7 +160,7 @@
 
 // report takes in a box's report and answers it.
 func (a *allocator) report(from Box, m *Report) {
-	if at, ok := a.when(m.Echo); ok {
+	if at, ok := a.timeOf(m.Echo); ok {
 		a.lends.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(lendFor))
 	}
 	g := a.boxState(from, m.Incarnation)
