--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -299,12 +299,12 @@
 		a.borrow(b)
 	}
 	if tidy {
-		a.tidy()
+		a.cleanUp()
 	}
 }
 
-// tidy forgets buckets that are full and boxes that have ended.
-func (a *allocator) tidy() {
+// cleanUp forgets buckets that are full and boxes that have ended.
+func (a *allocator) cleanUp() {
 	for id, b := range a.buckets {
 		a.bucket(id)
 		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.inUse == 0 && b.tokens >= d.maxSaved {
