--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -22,14 +22,14 @@
 	l.ticks++
 	tidy := l.ticks%tidyReports == 0
 	if tidy {
-		l.tidy(now)
+		l.cleanUp(now)
 	}
 	l.report(v.Weight > 0 && l.ticks%idleReports == 0)
 	l.allocator.tick(tidy)
 }
 
-// tidy gives unused tokens back and drops accounts of customers that send nothing.
-func (l *Limiter) tidy(now time.Time) {
+// cleanUp gives unused tokens back and drops accounts of customers that send nothing.
+func (l *Limiter) cleanUp(now time.Time) {
 	for _, a := range l.accounts {
 		if a.returnIdle(owner(a.id, l.lending.target), now) {
 			l.touch(a)
