--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -12,9 +12,9 @@
 	// interval of Tick. One that has nothing to tell reports every idleReports times.
 	ReportEvery = 100 * time.Millisecond
 	idleReports = 2
-	// tidyReports is how many ticks pass between two in which everything is looked at,
+	// cleanUpTicks is how many ticks pass between two in which everything is looked at,
 	// also what nothing has happened to. That takes too long for each tick where there are many customers.
-	tidyReports = 10
+	cleanUpTicks = 10
 )
 
 // View is what a box knows of others.
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -20,7 +20,7 @@
 	l.allocator.loans.zones = v.Zones
 	l.lending.choose(v.First, now)
 	l.ticks++
-	tidy := l.ticks%tidyReports == 0
+	tidy := l.ticks%cleanUpTicks == 0
 	if tidy {
 		l.cleanUp(now)
 	}
