--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -11,7 +11,7 @@
 	// ReportEvery is how often a box whose clients send requests reports, and the
 	// interval of Tick. One that has nothing to tell reports every idleReports times.
 	ReportEvery = 100 * time.Millisecond
-	idleReports = 2
+	idleTicks   = 2
 	// cleanUpTicks is how many ticks pass between two in which everything is looked at,
 	// also what nothing has happened to. That takes too long for each tick where there are many customers.
 	cleanUpTicks = 10
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -24,7 +24,7 @@
 	if tidy {
 		l.cleanUp(now)
 	}
-	l.report(v.Weight > 0 && l.ticks%idleReports == 0)
+	l.report(v.Weight > 0 && l.ticks%idleTicks == 0)
 	l.allocator.tick(tidy)
 }
 
