--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -311,7 +311,7 @@
 			delete(a.buckets, id)
 			delete(a.low, id)
 			if !ok {
-				a.dropLines(id)
+				a.dropUsage(id)
 			}
 		}
 	}
@@ -325,9 +325,9 @@
 	}
 }
 
-// dropLines forgets what boxes have of a limit that has ended. Where it holds again, they count on
+// dropUsage forgets what boxes have of a limit that has ended. Where it holds again, they count on
 // from where they were.
-func (a *allocator) dropLines(id ID) {
+func (a *allocator) dropUsage(id ID) {
 	for _, g := range a.boxes {
 		delete(g.usage, id)
 	}
