--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -320,7 +320,7 @@
 			a.forget(key, g)
 		}
 	}
-	if len(a.lends.sets) > mostSets {
+	if len(a.lends.sets) > maxSets {
 		a.pruneSets()
 	}
 }
@@ -333,9 +333,9 @@
 	}
 }
 
-// mostSets is how many sets of allocators are kept: those of today and some that
+// maxSets is how many sets of allocators are kept: those of today and some that
 // boxes saw before.
-const mostSets = 8
+const maxSets = 8
 
 // pruneSets drops the sets that no box sees any more, without a change of what is in
 // the buckets.
