--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -289,7 +289,7 @@
 
 // tick borrows what is short; with tidy set it also forgets what has not been used for a
 // while.
-func (a *allocator) tick(tidy bool) {
+func (a *allocator) tick(cleanUp bool) {
 	a.expireLoans()
 	for id, b := range a.low {
 		if a.bucket(id) == nil || !b.isLow() {
@@ -298,7 +298,7 @@
 		}
 		a.borrow(b)
 	}
-	if tidy {
+	if cleanUp {
 		a.cleanUp()
 	}
 }
