--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -20,12 +20,12 @@
 	l.allocator.loans.zones = v.Zones
 	l.lending.choose(v.First, now)
 	l.ticks++
-	tidy := l.ticks%cleanUpTicks == 0
-	if tidy {
+	cleanUp := l.ticks%cleanUpTicks == 0
+	if cleanUp {
 		l.cleanUp(now)
 	}
 	l.report(v.Weight > 0 && l.ticks%idleTicks == 0)
-	l.allocator.tick(tidy)
+	l.allocator.tick(cleanUp)
 }
 
 // cleanUp gives unused tokens back and drops accounts of customers that send nothing.
