--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -72,8 +72,8 @@
 	tokens float64
 	// brought is what the lends had brought when tokens were last added.
 	brought float64
-	// inUse are the unused tokens at boxes.
-	inUse int
+	// heldByBoxes are the unused tokens at boxes.
+	heldByBoxes int
 	// demand is what the zone asks, and lately what it asked a moment ago.
 	demand rate
 	recent rate
@@ -206,7 +206,7 @@
 func (a *allocator) forget(key uint64, g *boxState) {
 	for id, l := range g.usage {
 		if b := a.buckets[id]; b != nil {
-			b.inUse -= l.held()
+			b.heldByBoxes -= l.held()
 			delete(b.short, key)
 		}
 	}
@@ -220,7 +220,7 @@
 	if l == nil {
 		l = &boxUsage{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
 		g.usage[u.ID] = l
-		b.inUse += l.held()
+		b.heldByBoxes += l.held()
 		b.countDemand(float64(u.Waiting), a.now)
 	}
 	if more := int32(u.Arrived - l.arrived); more > 0 {
@@ -234,7 +234,7 @@
 	if int32(u.Ceiling-l.ceiling) > 0 {
 		l.ceiling = u.Ceiling
 	}
-	b.inUse += l.held() - held
+	b.heldByBoxes += l.held() - held
 	if back := int32(u.Returned - l.returned); back > 0 {
 		b.tokens = min(b.tokens+float64(back), max(b.tokens, b.maxSaved))
 		l.returned = u.Returned
@@ -246,10 +246,10 @@
 // grant gives a box what it wants, as far as there are tokens. What its requests wait
 // for is used at once; what it will hold is bounded.
 func (a *allocator) grant(b *bucket, key uint64, l *boxUsage) {
-	room := max(l.needed(), int(b.maxHeld)-b.inUse)
+	room := max(l.needed(), int(b.maxHeld)-b.heldByBoxes)
 	n := max(0, min(l.missing(), room, int(b.tokens)))
 	b.tokens -= float64(n)
-	b.inUse += n
+	b.heldByBoxes += n
 	l.ceiling += uint32(n)
 	if b.isLow() {
 		a.low[b.id] = b
@@ -307,7 +307,7 @@
 func (a *allocator) cleanUp() {
 	for id, b := range a.buckets {
 		a.bucket(id)
-		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.inUse == 0 && b.tokens >= d.maxSaved {
+		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.heldByBoxes == 0 && b.tokens >= d.maxSaved {
 			delete(a.buckets, id)
 			delete(a.low, id)
 			if !ok {
--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -91,7 +91,7 @@
 func (a *allocator) need(b *bucket, missing float64) (need, most float64) {
 	ahead := max(b.demand.now(a.now), b.recent.now(a.now)) * borrowTime.Seconds()
 	got := b.tokens + float64(b.loans.expected)
-	need = missing + min(b.maxSaved, ahead-float64(b.inUse)) - got
+	need = missing + min(b.maxSaved, ahead-float64(b.heldByBoxes)) - got
 	return need, missing + b.maxSaved - got
 }
 
@@ -105,7 +105,7 @@
 		needed += n
 		stock += l.missing() - n
 	}
-	return float64(needed + max(0, min(stock, int(b.maxHeld)-b.inUse)))
+	return float64(needed + max(0, min(stock, int(b.maxHeld)-b.heldByBoxes)))
 }
 
 // borrow asks other zones for what the zone lacks, the richest first. What it could
