--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -69,14 +69,14 @@
 		if !slices.Contains(l.target, key) {
 			p.chosen, p.asked = now, time.Time{}
 			if !l.hasLent {
-				p.chosen = now.Add(-lendFor)
+				p.chosen = now.Add(-leaseTime)
 			}
 		}
 		p.told = now
 	}
 	l.target = target
 	for key, p := range l.peers {
-		if now.Sub(p.told) > lendFor+silentFor {
+		if now.Sub(p.told) > leaseTime+silentFor {
 			delete(l.peers, key)
 		}
 	}
@@ -110,7 +110,7 @@
 func (l *lending) lent(now time.Time) []uint64 {
 	var list []uint64
 	for key, p := range l.peers {
-		if slices.Contains(l.target, key) || now.Sub(p.told) < lendFor {
+		if slices.Contains(l.target, key) || now.Sub(p.told) < leaseTime {
 			list = append(list, key)
 		}
 	}
@@ -120,7 +120,7 @@
 
 // lends reports whether an allocator gets the box's part yet: all that others were
 // lent before has ended.
-func (l *lending) lends(p *lendingPeer, now time.Time) bool { return now.Sub(p.chosen) >= lendFor }
+func (l *lending) lends(p *lendingPeer, now time.Time) bool { return now.Sub(p.chosen) >= leaseTime }
 
 // heard notes an answer.
 func (l *lending) heard(from uint64, stamp Stamp) {
--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// lendFor is for how long a box lends its part with one report: one report may be
+// leaseTime is for how long a box lends its part with one report: one report may be
 // lost. It is also how long a box whose allocator has ended waits until it lends its
 // part to another one. It is no longer than restartTime, so that a box that starts
 // again need not wait for what its last life lent.
-const lendFor = restartTime
+const leaseTime = restartTime
 
 const (
 	// restartTime is the least time between the end of a box and the start of its
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -148,7 +148,7 @@
 	{"request 2", func(w *world) { w.request(2) }},
 	{"tick", func(w *world) { w.tick(100 * time.Millisecond) }},
 	{"long tick", func(w *world) { w.tick(400 * time.Millisecond) }},
-	{"stand still", func(w *world) { w.now = w.now.Add(lendFor + 100*time.Millisecond) }},
+	{"stand still", func(w *world) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
 	{"deliver all", func(w *world) { w.deliverAll() }},
 	{"deliver first", func(w *world) {
 		if len(w.mail) > 0 {
