--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -24,7 +24,7 @@
 	life    int64
 	now     time.Time
 	started time.Time
-	lends   *lends
+	lends   *leases
 	buckets map[ID]*bucket
 	// low are the buckets that may have to borrow.
 	low   map[ID]*bucket
--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -20,13 +20,13 @@
 	longestStart = 600 * time.Millisecond
 )
 
-// lends are the parts that boxes lend to an allocator, and what they have brought.
+// leases are the parts that boxes lend to an allocator, and what they have brought.
 //
 // Boxes may see different allocators in the zone, for a moment or while parts of the
 // zone are cut off from each other. So what was brought is counted for each set of
 // allocators that boxes see: it belongs to those customers that the receiver has in
 // that set.
-type lends struct {
+type leases struct {
 	self  uint64
 	boxes map[uint64]*lender
 	sets  map[uint64]*lenderSet
@@ -51,13 +51,13 @@
 	brought float64
 }
 
-func newLends(self uint64, now time.Time) *lends {
-	return &lends{self: self, boxes: map[uint64]*lender{}, sets: map[uint64]*lenderSet{}, begun: map[uint64]bool{}, at: now, started: now}
+func newLends(self uint64, now time.Time) *leases {
+	return &leases{self: self, boxes: map[uint64]*lender{}, sets: map[uint64]*lenderSet{}, begun: map[uint64]bool{}, at: now, started: now}
 }
 
 // advance counts what has been brought until now. A part that is no longer lent
 // counts until it ended.
-func (l *lends) advance(now time.Time) {
+func (l *leases) advance(now time.Time) {
 	for key, b := range l.boxes {
 		end := b.until
 		if now.Before(end) {
@@ -74,7 +74,7 @@
 }
 
 // lend takes in that a box lends its part until some time.
-func (l *lends) lend(box uint64, life int64, weight float64, allocators []uint64, until time.Time) {
+func (l *leases) lend(box uint64, life int64, weight float64, allocators []uint64, until time.Time) {
 	if !until.After(l.at) {
 		return
 	}
@@ -97,14 +97,14 @@
 // begin counts for a part that is lent to this life of the allocator for the first
 // time what nobody has granted of it since the life before. After a loss of power of
 // all boxes that is most of a second's requests at once.
-func (l *lends) begin(b *lender) {
+func (l *leases) begin(b *lender) {
 	if age := l.at.Sub(l.started); age <= longestStart {
 		b.set.brought += b.weight * (restartTime + age).Seconds()
 	}
 }
 
 // setOf returns the set of the allocators, in whatever order they are.
-func (l *lends) setOf(allocators []uint64) *lenderSet {
+func (l *leases) setOf(allocators []uint64) *lenderSet {
 	key := uint64(0)
 	for _, a := range allocators {
 		key ^= a
@@ -118,7 +118,7 @@
 }
 
 // of returns what has been brought for a customer so far, in zone's parts x seconds.
-func (l *lends) of(id ID) float64 {
+func (l *leases) of(id ID) float64 {
 	total := 0.0
 	for _, s := range l.sets {
 		if owner(id, s.allocators) == l.self {
@@ -130,7 +130,7 @@
 
 // prune drops the sets of allocators that no box sees any more. What they brought is
 // no longer counted.
-func (l *lends) prune() {
+func (l *leases) prune() {
 	used := map[*lenderSet]bool{}
 	for _, b := range l.boxes {
 		used[b.set] = true
