--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -28,7 +28,7 @@
 // that set.
 type leases struct {
 	self  uint64
-	boxes map[uint64]*lender
+	boxes map[uint64]*lease
 	sets  map[uint64]*lenderSet
 	// begun are the boxes that have lent to this life of the allocator.
 	begun   map[uint64]bool
@@ -36,8 +36,8 @@
 	started time.Time
 }
 
-// lender is a box that lends its part.
-type lender struct {
+// lease is a box that lends its part.
+type lease struct {
 	life   int64
 	weight float64
 	set    *lenderSet
@@ -52,7 +52,7 @@
 }
 
 func newLends(self uint64, now time.Time) *leases {
-	return &leases{self: self, boxes: map[uint64]*lender{}, sets: map[uint64]*lenderSet{}, begun: map[uint64]bool{}, at: now, started: now}
+	return &leases{self: self, boxes: map[uint64]*lease{}, sets: map[uint64]*lenderSet{}, begun: map[uint64]bool{}, at: now, started: now}
 }
 
 // advance counts what has been brought until now. A part that is no longer lent
@@ -80,7 +80,7 @@
 	}
 	b := l.boxes[box]
 	if b == nil {
-		b = &lender{}
+		b = &lease{}
 		l.boxes[box] = b
 	}
 	if life < b.life {
@@ -97,7 +97,7 @@
 // begin counts for a part that is lent to this life of the allocator for the first
 // time what nobody has granted of it since the life before. After a loss of power of
 // all boxes that is most of a second's requests at once.
-func (l *leases) begin(b *lender) {
+func (l *leases) begin(b *lease) {
 	if age := l.at.Sub(l.started); age <= longestStart {
 		b.set.brought += b.weight * (restartTime + age).Seconds()
 	}
