--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -29,7 +29,7 @@
 type leases struct {
 	self  uint64
 	boxes map[uint64]*lease
-	sets  map[uint64]*lenderSet
+	sets  map[uint64]*allocatorSet
 	// begun are the boxes that have lent to this life of the allocator.
 	begun   map[uint64]bool
 	at      time.Time
@@ -40,19 +40,19 @@
 type lease struct {
 	life   int64
 	weight float64
-	set    *lenderSet
+	set    *allocatorSet
 	until  time.Time
 }
 
-// lenderSet is one set of allocators that boxes see.
-type lenderSet struct {
+// allocatorSet is one set of allocators that boxes see.
+type allocatorSet struct {
 	allocators []uint64
 	// brought is the sum of weight x seconds.
 	brought float64
 }
 
 func newLends(self uint64, now time.Time) *leases {
-	return &leases{self: self, boxes: map[uint64]*lease{}, sets: map[uint64]*lenderSet{}, begun: map[uint64]bool{}, at: now, started: now}
+	return &leases{self: self, boxes: map[uint64]*lease{}, sets: map[uint64]*allocatorSet{}, begun: map[uint64]bool{}, at: now, started: now}
 }
 
 // advance counts what has been brought until now. A part that is no longer lent
@@ -104,14 +104,14 @@
 }
 
 // setOf returns the set of the allocators, in whatever order they are.
-func (l *leases) setOf(allocators []uint64) *lenderSet {
+func (l *leases) setOf(allocators []uint64) *allocatorSet {
 	key := uint64(0)
 	for _, a := range allocators {
 		key ^= a
 	}
 	s := l.sets[key]
 	if s == nil {
-		s = &lenderSet{allocators: slices.Clone(allocators)}
+		s = &allocatorSet{allocators: slices.Clone(allocators)}
 		l.sets[key] = s
 	}
 	return s
@@ -131,7 +131,7 @@
 // prune drops the sets of allocators that no box sees any more. What they brought is
 // no longer counted.
 func (l *leases) prune() {
-	used := map[*lenderSet]bool{}
+	used := map[*allocatorSet]bool{}
 	for _, b := range l.boxes {
 		used[b.set] = true
 	}
