--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -114,7 +114,7 @@
 
 func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
-		self: self, life: life, now: now, started: now, lends: newLends(self, now), divide: divide, send: send,
+		self: self, life: life, now: now, started: now, lends: newLeases(self, now), divide: divide, send: send,
 		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*boxState{}, loans: newLoans(),
 	}
 }
--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -51,7 +51,7 @@
 	brought float64
 }
 
-func newLends(self uint64, now time.Time) *leases {
+func newLeases(self uint64, now time.Time) *leases {
 	return &leases{self: self, boxes: map[uint64]*lease{}, sets: map[uint64]*allocatorSet{}, begun: map[uint64]bool{}, at: now, started: now}
 }
 
