--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -47,8 +47,8 @@
 // allocatorSet is one set of allocators that boxes see.
 type allocatorSet struct {
 	allocators []uint64
-	// brought is the sum of weight x seconds.
-	brought float64
+	// weightSeconds is the sum of weight x seconds.
+	weightSeconds float64
 }
 
 func newLeases(self uint64, now time.Time) *leases {
@@ -64,7 +64,7 @@
 			end = now
 		}
 		if end.After(l.at) {
-			b.set.brought += b.weight * end.Sub(l.at).Seconds()
+			b.set.weightSeconds += b.weight * end.Sub(l.at).Seconds()
 		}
 		if !now.Before(b.until) {
 			delete(l.boxes, key)
@@ -99,7 +99,7 @@
 // all boxes that is most of a second's requests at once.
 func (l *leases) begin(b *lease) {
 	if age := l.at.Sub(l.started); age <= longestStart {
-		b.set.brought += b.weight * (restartTime + age).Seconds()
+		b.set.weightSeconds += b.weight * (restartTime + age).Seconds()
 	}
 }
 
@@ -122,7 +122,7 @@
 	total := 0.0
 	for _, s := range l.sets {
 		if owner(id, s.allocators) == l.self {
-			total += s.brought
+			total += s.weightSeconds
 		}
 	}
 	return total
