--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -148,7 +148,7 @@
 		a.buckets[id] = b
 	}
 	b.division = d
-	brought := a.lends.of(id)
+	brought := a.lends.weightSecondsOf(id)
 	b.tokens = min(b.tokens+(brought-b.brought)*d.rate, d.maxSaved)
 	b.brought = brought
 	return b
@@ -345,6 +345,6 @@
 	}
 	a.lends.prune()
 	for id, b := range a.buckets {
-		b.brought = a.lends.of(id)
+		b.brought = a.lends.weightSecondsOf(id)
 	}
 }
--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -117,8 +117,8 @@
 	return s
 }
 
-// of returns what has been brought for a customer so far, in zone's parts x seconds.
-func (l *leases) of(id ID) float64 {
+// weightSecondsOf returns what has been brought for a customer so far, in zone's parts x seconds.
+func (l *leases) weightSecondsOf(id ID) float64 {
 	total := 0.0
 	for _, s := range l.sets {
 		if owner(id, s.allocators) == l.self {
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -128,7 +128,7 @@
 func (w *world) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
-	return a.lends.of(IDOf(worldCustomer)) * worldRate
+	return a.lends.weightSecondsOf(IDOf(worldCustomer)) * worldRate
 }
 
 func (w *world) usedBy(i int) float64 {
