--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -24,7 +24,7 @@
 	life    int64
 	now     time.Time
 	started time.Time
-	lends   *leases
+	leases  *leases
 	buckets map[ID]*bucket
 	// low are the buckets that may have to borrow.
 	low   map[ID]*bucket
@@ -114,7 +114,7 @@
 
 func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
-		self: self, life: life, now: now, started: now, lends: newLeases(self, now), divide: divide, send: send,
+		self: self, life: life, now: now, started: now, leases: newLeases(self, now), divide: divide, send: send,
 		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*boxState{}, loans: newLoans(),
 	}
 }
@@ -122,7 +122,7 @@
 // advance moves the allocator's time on.
 func (a *allocator) advance(now time.Time) {
 	a.now = now
-	a.lends.advance(now)
+	a.leases.advance(now)
 }
 
 // stamp is the time of the allocator's clock as it is told to boxes.
@@ -148,7 +148,7 @@
 		a.buckets[id] = b
 	}
 	b.division = d
-	brought := a.lends.weightSecondsOf(id)
+	brought := a.leases.weightSecondsOf(id)
 	b.tokens = min(b.tokens+(brought-b.brought)*d.rate, d.maxSaved)
 	b.brought = brought
 	return b
@@ -161,7 +161,7 @@
 // report takes in a box's report and answers it.
 func (a *allocator) report(from Box, m *Report) {
 	if at, ok := a.timeOf(m.Echo); ok {
-		a.lends.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(leaseTime))
+		a.leases.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(leaseTime))
 	}
 	g := a.boxState(from, m.Incarnation)
 	if g == nil {
@@ -320,7 +320,7 @@
 			a.forget(key, g)
 		}
 	}
-	if len(a.lends.sets) > maxSets {
+	if len(a.leases.sets) > maxSets {
 		a.pruneSets()
 	}
 }
@@ -343,8 +343,8 @@
 	for id := range a.buckets {
 		a.bucket(id)
 	}
-	a.lends.prune()
+	a.leases.prune()
 	for id, b := range a.buckets {
-		b.brought = a.lends.weightSecondsOf(id)
+		b.brought = a.leases.weightSecondsOf(id)
 	}
 }
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -128,7 +128,7 @@
 func (w *world) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
-	return a.lends.weightSecondsOf(IDOf(worldCustomer)) * worldRate
+	return a.leases.weightSecondsOf(IDOf(worldCustomer)) * worldRate
 }
 
 func (w *world) usedBy(i int) float64 {
@@ -192,7 +192,7 @@
 			if l == nil {
 				continue
 			}
-			b := l.allocator.lends.boxes[worldBox(lender).Key]
+			b := l.allocator.leases.boxes[worldBox(lender).Key]
 			if b == nil || b.weight == 0 || !w.now.Before(b.until) || owner(id, b.set.allocators) != l.Self.Key {
 				continue
 			}
@@ -264,7 +264,7 @@
 		if l == nil || !w.endless {
 			continue
 		}
-		for _, b := range l.allocator.lends.boxes {
+		for _, b := range l.allocator.leases.boxes {
 			b.until = w.now.Add(time.Hour)
 		}
 	}
