--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -70,8 +70,8 @@
 	id ID
 	division
 	tokens float64
-	// brought is what the lends had brought when tokens were last added.
-	brought float64
+	// weightSeconds is what the lends had weightSeconds when tokens were last added.
+	weightSeconds float64
 	// heldByBoxes are the unused tokens at boxes.
 	heldByBoxes int
 	// demand is what the zone asks, and lately what it asked a moment ago.
@@ -149,8 +149,8 @@
 	}
 	b.division = d
 	brought := a.leases.weightSecondsOf(id)
-	b.tokens = min(b.tokens+(brought-b.brought)*d.rate, d.maxSaved)
-	b.brought = brought
+	b.tokens = min(b.tokens+(brought-b.weightSeconds)*d.rate, d.maxSaved)
+	b.weightSeconds = brought
 	return b
 }
 
@@ -345,6 +345,6 @@
 	}
 	a.leases.prune()
 	for id, b := range a.buckets {
-		b.brought = a.leases.weightSecondsOf(id)
+		b.weightSeconds = a.leases.weightSecondsOf(id)
 	}
 }
