--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -148,9 +148,9 @@
 		a.buckets[id] = b
 	}
 	b.division = d
-	brought := a.leases.weightSecondsOf(id)
-	b.tokens = min(b.tokens+(brought-b.weightSeconds)*d.rate, d.maxSaved)
-	b.weightSeconds = brought
+	weightSeconds := a.leases.weightSecondsOf(id)
+	b.tokens = min(b.tokens+(weightSeconds-b.weightSeconds)*d.rate, d.maxSaved)
+	b.weightSeconds = weightSeconds
 	return b
 }
 
