--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -30,10 +30,10 @@
 	self  uint64
 	boxes map[uint64]*lease
 	sets  map[uint64]*allocatorSet
-	// begun are the boxes that have lent to this life of the allocator.
-	begun   map[uint64]bool
-	at      time.Time
-	started time.Time
+	// credited are the boxes that have lent to this life of the allocator.
+	credited map[uint64]bool
+	at       time.Time
+	started  time.Time
 }
 
 // lease is a box that lends its part.
@@ -52,7 +52,7 @@
 }
 
 func newLeases(self uint64, now time.Time) *leases {
-	return &leases{self: self, boxes: map[uint64]*lease{}, sets: map[uint64]*allocatorSet{}, begun: map[uint64]bool{}, at: now, started: now}
+	return &leases{self: self, boxes: map[uint64]*lease{}, sets: map[uint64]*allocatorSet{}, credited: map[uint64]bool{}, at: now, started: now}
 }
 
 // advance counts what has been brought until now. A part that is no longer lent
@@ -88,8 +88,8 @@
 	}
 	b.life, b.weight, b.set = life, weight, l.setOf(allocators)
 	b.until = until
-	if weight > 0 && !l.begun[box] {
-		l.begun[box] = true
+	if weight > 0 && !l.credited[box] {
+		l.credited[box] = true
 		l.begin(b)
 	}
 }
