--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -90,14 +90,14 @@
 	b.until = until
 	if weight > 0 && !l.credited[box] {
 		l.credited[box] = true
-		l.begin(b)
+		l.creditFirst(b)
 	}
 }
 
-// begin counts for a part that is lent to this life of the allocator for the first
+// creditFirst counts for a part that is lent to this life of the allocator for the first
 // time what nobody has granted of it since the life before. After a loss of power of
 // all boxes that is most of a second's requests at once.
-func (l *leases) begin(b *lease) {
+func (l *leases) creditFirst(b *lease) {
 	if age := l.at.Sub(l.started); age <= longestStart {
 		b.set.weightSeconds += b.weight * (restartTime + age).Seconds()
 	}
