--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -130,7 +130,7 @@
 		if ask {
 			return backend.AdmissionUnknown, 0
 		}
-		d = n.Quota.Again(id, true)
+		d = n.Quota.Recheck(id, true)
 	}
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
@@ -145,7 +145,7 @@
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
 	id := quota.ServerIDOf(server.Incarnation())
 	n.sendQuota()
-	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), serverLimitWait)
+	d := n.awaitDecision(ctx, id, n.Quota.Recheck(id, false), serverLimitWait)
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
 		return true
@@ -170,7 +170,7 @@
 		if !r.Named {
 			continue
 		}
-		s := n.Quota.Statement(quota.ServerIDOf(r.Server))
+		s := n.Quota.Stats(quota.ServerIDOf(r.Server))
 		told.Limits = append(told.Limits, serverstatus.Limit{
 			Server: r.Server, Zone: r.Zone, PerSecond: r.PerSecond, Admitted: s.Admitted, Denied: s.Refused, AskedPerSecond: s.PerSecond,
 		})
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -11,10 +11,10 @@
 	// ReportEvery is how often a box whose clients send requests reports, and the
 	// interval of Tick. One that has nothing to tell reports every idleReports times.
 	ReportEvery = 100 * time.Millisecond
-	idleReports = 2
-	// tidyReports is how many ticks pass between two in which everything is looked at,
+	idleTicks   = 2
+	// cleanUpTicks is how many ticks pass between two in which everything is looked at,
 	// also what nothing has happened to. That takes too long for each tick where there are many customers.
-	tidyReports = 10
+	cleanUpTicks = 10
 )
 
 // View is what a box knows of others.
@@ -37,14 +37,14 @@
 // Limiter keeps customers and backend servers within their limits: it decides for this box's
 // clients, and is the allocator of its zone where it is one of the first boxes.
 type Limiter struct {
-	// Terms are what is promised of customers' limits, ServerTerms of backend servers'.
-	Terms       Terms
-	ServerTerms Terms
-	Zone        string
-	Zones       []string
-	Self        Box
-	// Life tells the lives of this box apart, and rises from one to the next.
-	Life int64
+	// Tolerance are what is promised of customers' limits, ServerTerms of backend servers'.
+	Tolerance       Tolerance
+	ServerTolerance Tolerance
+	Zone            string
+	Zones           []string
+	Self            Box
+	// Incarnation tells the lives of this box apart, and rises from one to the next.
+	Incarnation int64
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Random returns a number in [0, 1).
@@ -77,7 +77,7 @@
 	l.customers = map[ID]division{}
 	l.servers = map[ID]division{}
 	l.lending = newLending(l.Self)
-	l.allocator = newAllocator(l.Self.Key, l.Life, l.Now(), l.divide, l.send)
+	l.allocator = newAllocator(l.Self.Key, l.Incarnation, l.Now(), l.divide, l.send)
 }
 
 // SetCustomers puts the limits of a configuration in force.
@@ -89,8 +89,8 @@
 	for i := range list {
 		if c := &list[i]; c.Rate > 0 {
 			id := IDOf(c.Name)
-			beyond := l.Terms.beyond(Limit{Rate: c.Rate, Burst: c.Burst})
-			l.customers[id] = divide(id, c.Rate, beyond, l.Zone, l.Zones)
+			allowance := l.Tolerance.allowance(Limit{Rate: c.Rate, Burst: c.Burst})
+			l.customers[id] = divide(id, c.Rate, allowance, l.Zone, l.Zones)
 			l.bind(id)
 		}
 	}
@@ -114,8 +114,8 @@
 	defer l.mu.Unlock()
 	perSecond = min(perSecond, mostServerRate)
 	rate := max(perSecond, leastServerRate)
-	beyond := l.ServerTerms.beyond(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTerms.Window.Seconds()
-	l.servers[id] = divide(id, rate, beyond, l.Zone, zones)
+	allowance := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
+	l.servers[id] = divide(id, rate, allowance, l.Zone, zones)
 	l.bind(id)
 }
 
@@ -151,7 +151,7 @@
 		l.retire(a)
 		return
 	}
-	if surplus := a.held() - int(d.held); surplus > 0 {
+	if surplus := a.held() - int(d.maxHeld); surplus > 0 {
 		// A lower limit binds what is already held.
 		a.used += uint32(surplus)
 		l.touch(a)
@@ -166,8 +166,8 @@
 	return d, ok
 }
 
-// Limited reports whether anything has a limit.
-func (l *Limiter) Limited() bool {
+// HasLimits reports whether anything has a limit.
+func (l *Limiter) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isLimited()
