--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -88,7 +88,7 @@
 			return err
 		}
 		if page == 0 {
-			held.At = p.At
+			held.CompleteTo = p.At
 		}
 		held.UpTo = p.At
 		items = append(items, p.Items...)
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -31,19 +31,19 @@
 
 // Extent tells how far a list, or some changes, follow the store.
 type Extent struct {
-	// At: all that changed up to this revision is in it.
-	At uint64 `json:"at"`
+	// CompleteTo: all that changed up to this revision is in it.
+	CompleteTo uint64 `json:"at"`
 	// UpTo: nothing that changed after this revision is. The pages of a long list
 	// are read one after the other, and what changes meanwhile is in some of them.
 	UpTo uint64 `json:"up_to,omitempty"`
 }
 
 // Exactly is the extent of what is as the store was at one revision.
-func Exactly(at uint64) Extent { return Extent{At: at, UpTo: at} }
+func Exactly(at uint64) Extent { return Extent{CompleteTo: at, UpTo: at} }
 
 // and returns the extent of what two things together hold.
 func (e Extent) and(other Extent) Extent {
-	return Extent{At: max(e.At, other.At), UpTo: max(e.UpTo, other.UpTo, e.At, other.At)}
+	return Extent{CompleteTo: max(e.CompleteTo, other.CompleteTo), UpTo: max(e.UpTo, other.UpTo, e.CompleteTo, other.CompleteTo)}
 }
 
 // change is a change of one object. It was made at the revision upTo or before.
@@ -79,7 +79,7 @@
 func (m *Mirror) Load(items []Object, held Extent) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.synced && held.At < m.held.At {
+	if m.synced && held.CompleteTo < m.held.CompleteTo {
 		return false
 	}
 	listed := map[string]bool{}
@@ -88,7 +88,7 @@
 		m.take(o)
 	}
 	for name, o := range m.items {
-		if !listed[name] && o.Revision <= max(held.At, held.UpTo) {
+		if !listed[name] && o.Revision <= max(held.CompleteTo, held.UpTo) {
 			m.drop(o)
 			m.Changed(o, true)
 		}
@@ -105,7 +105,7 @@
 func (m *Mirror) Apply(events []Event, held Extent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.held.At
+	before := m.held.CompleteTo
 	m.held = m.held.and(held)
 	for _, e := range events {
 		known, ok := m.items[e.Object.Name]
@@ -205,7 +205,7 @@
 func (m *Mirror) Version() Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Version{At: m.held.At, Digest: m.digest}
+	return Version{At: m.held.CompleteTo, Digest: m.digest}
 }
 
 // Lacks reports whether a mirror of the version holds something that this one
@@ -213,7 +213,7 @@
 func (m *Mirror) Lacks(v Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.synced || v.NewerThan(Version{At: m.held.At, Digest: m.digest})
+	return !m.synced || v.NewerThan(Version{At: m.held.CompleteTo, Digest: m.digest})
 }
 
 // Synced reports whether a whole list was ever taken in.
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -22,7 +22,7 @@
 // page reads the next page and reports whether the list is whole.
 func (l *listing) page(s *storeModel) bool {
 	if !l.began {
-		l.began, l.held.At = true, s.at
+		l.began, l.held.CompleteTo = true, s.at
 	}
 	l.held.UpTo = s.at
 	names := make([]string, 0, len(s.items))
@@ -43,7 +43,7 @@
 // its revision.
 func lacking(s *storeModel, m *Mirror) string {
 	items, extent := m.Items()
-	at := extent.At
+	at := extent.CompleteTo
 	held := map[string]Object{}
 	for _, o := range items {
 		held[o.Name] = o
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -162,7 +162,7 @@
 	}
 	r.settleClaims(m.Kind)
 	r.BoxLog.Info("caught up through another box", map[string]any{
-		"from": source, "kind": m.Kind, "revision": body.At, "whole": body.Whole, "changes": len(body.Events),
+		"from": source, "kind": m.Kind, "revision": body.CompleteTo, "whole": body.Whole, "changes": len(body.Events),
 	})
 	r.Answered()
 }
--- a/pkg/steering/steering_mirrors_test.go
+++ b/pkg/steering/steering_mirrors_test.go
@@ -45,7 +45,7 @@
 	var body replica.Handover
 	is.NoErr(json.NewDecoder(r).Decode(&body))
 	is.Equal(len(body.Items), 101)
-	is.Equal(body.At, uint64(101))
+	is.Equal(body.CompleteTo, uint64(101))
 }
 
 // BenchmarkWholeMirror: a whole list of 1,617 servers for a box that starts,
