--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -90,7 +90,7 @@
 		if page == 0 {
 			held.CompleteTo = p.At
 		}
-		held.UpTo = p.At
+		held.PartialTo = p.At
 		items = append(items, p.Items...)
 		if !p.More || len(p.Items) == 0 {
 			break
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -33,17 +33,17 @@
 type Extent struct {
 	// CompleteTo: all that changed up to this revision is in it.
 	CompleteTo uint64 `json:"at"`
-	// UpTo: nothing that changed after this revision is. The pages of a long list
+	// PartialTo: nothing that changed after this revision is. The pages of a long list
 	// are read one after the other, and what changes meanwhile is in some of them.
-	UpTo uint64 `json:"up_to,omitempty"`
+	PartialTo uint64 `json:"up_to,omitempty"`
 }
 
 // Exactly is the extent of what is as the store was at one revision.
-func Exactly(at uint64) Extent { return Extent{CompleteTo: at, UpTo: at} }
+func Exactly(at uint64) Extent { return Extent{CompleteTo: at, PartialTo: at} }
 
 // and returns the extent of what two things together hold.
 func (e Extent) and(other Extent) Extent {
-	return Extent{CompleteTo: max(e.CompleteTo, other.CompleteTo), UpTo: max(e.UpTo, other.UpTo, e.CompleteTo, other.CompleteTo)}
+	return Extent{CompleteTo: max(e.CompleteTo, other.CompleteTo), PartialTo: max(e.PartialTo, other.PartialTo, e.CompleteTo, other.CompleteTo)}
 }
 
 // change is a change of one object. It was made at the revision upTo or before.
@@ -88,7 +88,7 @@
 		m.take(o)
 	}
 	for name, o := range m.items {
-		if !listed[name] && o.Revision <= max(held.CompleteTo, held.UpTo) {
+		if !listed[name] && o.Revision <= max(held.CompleteTo, held.PartialTo) {
 			m.drop(o)
 			m.Changed(o, true)
 		}
@@ -97,7 +97,7 @@
 	m.held = m.held.and(held)
 	clear(m.changes)
 	m.changes, m.oldest = m.changes[:0], 0
-	m.forgotten = m.held.UpTo
+	m.forgotten = m.held.PartialTo
 	return true
 }
 
@@ -148,7 +148,7 @@
 // mirror holds, and counts as such: told by the revision that the mirror had come to,
 // a change that a list had brought early was told to nobody who had come further.
 func (m *Mirror) remember(e Event) {
-	m.changes = append(m.changes, change{event: e, upTo: m.held.UpTo})
+	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
 	if len(m.changes)-m.oldest > maxChanges {
 		m.forgotten = m.changes[m.oldest].upTo
 		m.oldest++
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -24,7 +24,7 @@
 	if !l.began {
 		l.began, l.held.CompleteTo = true, s.at
 	}
-	l.held.UpTo = s.at
+	l.held.PartialTo = s.at
 	names := make([]string, 0, len(s.items))
 	for name := range s.items {
 		if name > l.after {
