--- a/pkg/gossip/operators.go
+++ b/pkg/gossip/operators.go
@@ -55,15 +55,15 @@
 	var list []ZoneOverview
 	for name, z := range t.zones {
 		o := ZoneOverview{Zone: name, Asking: []string{}, Silent: []string{}}
-		oldest := t.self.Versions[kind].At
+		oldest := t.self.Versions[kind].Revision
 		if z == t.own {
 			o.count(&t.self, true)
 		}
 		for _, e := range z.members {
 			live := t.live(e, now)
 			o.count(&e.Record, live)
-			at := e.Versions[kind].At
-			if !live || at == 0 || at >= t.self.Versions[kind].At {
+			at := e.Versions[kind].Revision
+			if !live || at == 0 || at >= t.self.Versions[kind].Revision {
 				continue
 			}
 			o.Behind++
--- a/pkg/gossip/operators_test.go
+++ b/pkg/gossip/operators_test.go
@@ -13,10 +13,10 @@
 func TestFleetOfAThousandFitsAScreen(t *testing.T) {
 	is := is.New(t)
 	table, _ := newCrowd(1000, 9)
-	table.Update(func(self *Record) { self.Versions = map[string]objects.Version{"servers": {At: 9}} })
+	table.Update(func(self *Record) { self.Versions = map[string]objects.Version{"servers": {Revision: 9}} })
 	behind := table.members["box-9"].Record
 	behind.Beat, behind.Serving, behind.StoreHealthy = 99, true, true
-	behind.Versions = map[string]objects.Version{"servers": {At: 7}}
+	behind.Versions = map[string]objects.Version{"servers": {Revision: 7}}
 	table.Receive(&Message{From: behind})
 	zones := table.Overview("servers")
 	boxes := 0
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -19,7 +19,7 @@
 		Started: 1775555009001108062, Capacity: 640, Beat: 117, Ready: true, StoreHealthy: true, Serving: true,
 		ConfirmedAgo: 2400, ListConfirmedAgo: 1250,
 		Versions: map[string]objects.Version{
-			"config": {At: 227, Digest: 4012345678}, "servers": {At: 231, Digest: 312345678}, "evacuations": {At: 227},
+			"config": {Revision: 227, Digest: 4012345678}, "servers": {Revision: 231, Digest: 312345678}, "evacuations": {Revision: 227},
 		},
 	}
 }
--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -62,7 +62,7 @@
 func (f *Follower) watch(ctx context.Context, wait time.Duration) ([]Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTime+wait)
 	defer cancel()
-	start, since := f.begin(), f.Mirror.Version().At
+	start, since := f.begin(), f.Mirror.Version().Revision
 	events, at, err := f.Client.Watch(ctx, f.Mirror.Kind, since, wait)
 	f.Ended(Call{Watch: true, Since: since, At: at, Objects: len(events), Took: f.Now().Sub(start), Err: err})
 	return events, at, err
--- a/pkg/objects/digest_test.go
+++ b/pkg/objects/digest_test.go
@@ -17,7 +17,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s.change(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), rapid.Bool().Draw(t, "gone"))
 			before := m.Version()
-			m.Apply(s.since(before.At), Exactly(s.at))
+			m.Apply(s.since(before.Revision), Exactly(s.at))
 			fresh := NewMirror("things")
 			fresh.Load(s.list(), Exactly(s.at))
 			if fresh.Version() != m.Version() {
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -57,14 +57,14 @@
 
 // Version tells boxes whose mirror is newer.
 type Version struct {
-	// At is the store's revision up to which changes are known.
-	At uint64 `json:"at"`
+	// Revision is the store's revision up to which changes are known.
+	Revision uint64 `json:"at"`
 	// Digest is equal on mirrors with equal objects.
 	Digest uint32 `json:"digest"`
 }
 
 // NewerThan reports whether the mirror holds something that the other lacks.
-func (v Version) NewerThan(other Version) bool { return v.Digest != other.Digest && v.At > other.At }
+func (v Version) NewerThan(other Version) bool { return v.Digest != other.Digest && v.Revision > other.Revision }
 
 // NewMirror makes an empty mirror.
 func NewMirror(kind string) *Mirror {
@@ -205,7 +205,7 @@
 func (m *Mirror) Version() Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Version{At: m.held.CompleteTo, Digest: m.digest}
+	return Version{Revision: m.held.CompleteTo, Digest: m.digest}
 }
 
 // Lacks reports whether a mirror of the version holds something that this one
@@ -213,7 +213,7 @@
 func (m *Mirror) Lacks(v Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.synced || v.NewerThan(Version{At: m.held.CompleteTo, Digest: m.digest})
+	return !m.synced || v.NewerThan(Version{Revision: m.held.CompleteTo, Digest: m.digest})
 }
 
 // Synced reports whether a whole list was ever taken in.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -81,7 +81,7 @@
 				lists = append(lists, oldList{s.list(), s.at})
 			case 1:
 				if m.Synced() {
-					m.Apply(s.since(m.Version().At), Exactly(s.at))
+					m.Apply(s.since(m.Version().Revision), Exactly(s.at))
 				}
 			case 2:
 				if len(lists) > 0 {
@@ -367,12 +367,12 @@
 				s.change(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Bool().Draw(t, "gone"))
 			case 1:
 				if source.Synced() {
-					source.Apply(s.since(source.Version().At), Exactly(s.at))
+					source.Apply(s.since(source.Version().Revision), Exactly(s.at))
 				}
 			case 2:
 				source.Load(s.list(), Exactly(s.at))
 			case 3:
-				events, held, ok := source.EventsSince(follower.Version().At)
+				events, held, ok := source.EventsSince(follower.Version().Revision)
 				if ok && follower.Synced() {
 					follower.Apply(events, held)
 				} else if source.Synced() {
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -103,14 +103,14 @@
 				}
 			case 3:
 				if m.Synced() {
-					m.Apply(s.since(m.Version().At), Exactly(s.at))
+					m.Apply(s.since(m.Version().Revision), Exactly(s.at))
 				}
 			case 4:
 				source := boxes[box.Draw(t, "source")]
 				if source == m || !m.Lacks(source.Version()) {
 					continue
 				}
-				if events, held, ok := source.EventsSince(m.Version().At); ok && m.Synced() {
+				if events, held, ok := source.EventsSince(m.Version().Revision); ok && m.Synced() {
 					arriving[i] = func() { m.Apply(events, held) }
 				} else if source.Synced() {
 					items, held := source.Items()
--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -20,7 +20,7 @@
 	var c claims
 	m.Load(nil, objects.Exactly(1))
 	for i := range uint64(3) {
-		c.put(m.Kind, claim{objects.Version{At: 2 + i, Digest: uint32(2 + i)}, start.Add(time.Duration(i) * time.Second)})
+		c.put(m.Kind, claim{objects.Version{Revision: 2 + i, Digest: uint32(2 + i)}, start.Add(time.Duration(i) * time.Second)})
 	}
 	_, ok := c.settle(m.Kind, m)
 	is.True(!ok) // the copy lacks what each speaks of
@@ -33,7 +33,7 @@
 	is.True(!ok) // the last one still does not
 
 	for i := range uint64(3 * mostClaims) {
-		c.put(m.Kind, claim{objects.Version{At: 10 + i, Digest: 1}, start})
+		c.put(m.Kind, claim{objects.Version{Revision: 10 + i, Digest: 1}, start})
 	}
 	is.Equal(len(c.kinds[m.Kind]), mostClaims)
 }
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -220,7 +220,7 @@
 	time.Sleep(2 * wayBetween(b, from))
 	theirs := from.replica.Mirror(m.Kind)
 	if m.Synced() {
-		if events, held, ok := theirs.EventsSince(m.Version().At); ok {
+		if events, held, ok := theirs.EventsSince(m.Version().Revision); ok {
 			time.Sleep(wayBetween(b, from))
 			return &Handover{Events: events, Extent: held}, nil
 		}
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -140,8 +140,8 @@
 			return
 		}
 		isNear := one.Zone == r.Zone
-		if isNear && !near || isNear == near && v.At >= best {
-			best, source, near = v.At, one.Peers, isNear
+		if isNear && !near || isNear == near && v.Revision >= best {
+			best, source, near = v.Revision, one.Peers, isNear
 		}
 	})
 	return source, near
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -97,7 +97,7 @@
 // last answered, and has it come to the revision up to which that is known.
 func (r *Replica) reached(kind string) bool {
 	m := r.mirrors[kind]
-	own := m.Version().At
+	own := m.Version().Revision
 	upTo, all := r.revisions.reached(own)
 	if m.Synced() && upTo > own {
 		m.Apply(nil, objects.Exactly(upTo))
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -192,7 +192,7 @@
 	kind := n.adapter.Kinds.Servers
 	listAge, configurationAge := n.Replica.Ages()
 	told := gossip.FleetBox{
-		Box: n.Settings.Box, Zone: n.Settings.Zone, Zones: n.Members.Overview(kind), ListAt: n.Replica.Mirror(kind).Version().At,
+		Box: n.Settings.Box, Zone: n.Settings.Zone, Zones: n.Members.Overview(kind), ListAt: n.Replica.Mirror(kind).Version().Revision,
 		ListAgeMS: listAge.Milliseconds(), ConfigurationAgeMS: configurationAge.Milliseconds(),
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/pkg/steering/steering_mirrors.go
+++ b/pkg/steering/steering_mirrors.go
@@ -41,7 +41,7 @@
 	defer idle.Stop()
 	address := "http://" + source + pathMirror + m.Kind
 	if m.Synced() {
-		address += "?since=" + strconv.FormatUint(m.Version().At, 10)
+		address += "?since=" + strconv.FormatUint(m.Version().Revision, 10)
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
--- a/pkg/watcher/fleet_test.go
+++ b/pkg/watcher/fleet_test.go
@@ -169,7 +169,7 @@
 	now := [2]bool{watches && b.synced && !f.refused(b), watches}
 	b.table.Update(func(self *gossip.Record) {
 		if b.synced {
-			self.Versions = map[string]objects.Version{"servers": {At: 1}}
+			self.Versions = map[string]objects.Version{"servers": {Revision: 1}}
 		}
 		self.StoreHealthy, self.Trying = now[0], now[1] && !now[0]
 	})
