--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -88,9 +88,9 @@
 			return err
 		}
 		if page == 0 {
-			held.CompleteTo = p.At
+			held.CompleteTo = p.Revision
 		}
-		held.PartialTo = p.At
+		held.PartialTo = p.Revision
 		items = append(items, p.Items...)
 		if !p.More || len(p.Items) == 0 {
 			break
@@ -108,7 +108,7 @@
 	defer cancel()
 	start := f.begin()
 	p, err := f.Client.List(ctx, f.Mirror.Kind, after, stale)
-	f.Ended(Call{At: p.At, Objects: len(p.Items), Took: f.Now().Sub(start), Err: err})
+	f.Ended(Call{At: p.Revision, Objects: len(p.Items), Took: f.Now().Sub(start), Err: err})
 	return p, err
 }
 
--- a/pkg/objects/objects.go
+++ b/pkg/objects/objects.go
@@ -35,8 +35,8 @@
 	Items []Object
 	// More is true if the list goes on after the last item's name.
 	More bool
-	// At is the store's revision.
-	At uint64
+	// Revision is the store's revision.
+	Revision uint64
 }
 
 // Client reaches the store.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -193,8 +193,8 @@
 func TestFollowerReadsAllPagesAndResumes(t *testing.T) {
 	is := is.New(t)
 	pages := []Page{
-		{Items: []Object{object("a", 1)}, More: true, At: 5},
-		{Items: []Object{object("b", 2)}, At: 9},
+		{Items: []Object{object("a", 1)}, More: true, Revision: 5},
+		{Items: []Object{object("b", 2)}, Revision: 9},
 	}
 	s := &script{}
 	s.list = func() (Page, error) {
@@ -226,9 +226,9 @@
 		defer s.mu.Unlock()
 		lists++
 		if lists == 1 {
-			return Page{Items: []Object{object("a", 1)}, At: 1}, nil
+			return Page{Items: []Object{object("a", 1)}, Revision: 1}, nil
 		}
-		return Page{Items: []Object{object("b", 9)}, At: 9}, nil
+		return Page{Items: []Object{object("b", 9)}, Revision: 9}, nil
 	}
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		if since == 1 {
@@ -245,7 +245,7 @@
 func TestFollowerLeavesAWatchThatIsSilent(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
 	watches := 0
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) {
 		s.mu.Lock()
@@ -267,7 +267,7 @@
 func TestRestartedFollowerAsksAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
 	watches := 0
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		s.mu.Lock()
@@ -298,7 +298,7 @@
 func TestFollowerThatIsNotAllowedAsksNothing(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		if since == 7 {
 			return []Event{{Object: object("news", 8)}}, 8, nil
@@ -334,7 +334,7 @@
 			failures++
 			return Page{}, &UnavailableError{Status: 503}
 		}
-		return Page{Items: []Object{object("news", 2)}, At: 2}, nil
+		return Page{Items: []Object{object("news", 2)}, Revision: 2}, nil
 	}
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) { return blocked(ctx) }
 	f, stop := follow(s, time.Hour)
@@ -413,7 +413,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		pages++
-		return Page{Items: []Object{object(fmt.Sprint("server-", pages), 1)}, More: pages < 5, At: 1}, nil
+		return Page{Items: []Object{object(fmt.Sprint("server-", pages), 1)}, More: pages < 5, Revision: 1}, nil
 	}
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) { return blocked(ctx) }
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
@@ -435,7 +435,7 @@
 func TestLongListIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{Items: []Object{object("a", 1)}, More: true, At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Items: []Object{object("a", 1)}, More: true, Revision: 1}, nil }
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		if since == 7 {
 			return []Event{{Object: object("news", 8)}}, 8, nil
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -165,7 +165,7 @@
 		return objects.Page{}, err
 	}
 	s.mu.Lock()
-	page := objects.Page{At: s.told(kind)}
+	page := objects.Page{Revision: s.told(kind)}
 	for _, name := range slices.Sorted(maps.Keys(s.objects[kind])) {
 		if name <= after {
 			continue
