--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -78,9 +78,9 @@
 type Call struct {
 	// Watch: it was a watch, else a page of a list.
 	Watch bool
-	// Since is the revision from which a watch was asked for, and At the store's
+	// Since is the revision from which a watch was asked for, and Revision the store's
 	// revision in the answer.
-	Since, At uint64
+	Since, Revision uint64
 	// Objects is how many objects or changes the answer holds.
 	Objects int
 	Took    time.Duration
--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -67,6 +67,6 @@
 		fields["error"] = c.Err.Error()
 		return fields
 	}
-	fields["revision"], fields["objects"] = c.At, c.Objects
+	fields["revision"], fields["objects"] = c.Revision, c.Objects
 	return fields
 }
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -49,8 +49,8 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.newest = max(v.newest, c.At)
-	v.shared = v.shared || c.Watch && c.Objects == 0 && c.At > c.Since
+	v.newest = max(v.newest, c.Revision)
+	v.shared = v.shared || c.Watch && c.Objects == 0 && c.Revision > c.Since
 }
 
 // explain takes in changes.
