--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -110,14 +110,14 @@
 	for _, e := range events {
 		known, ok := m.items[e.Object.Name]
 		switch {
-		case e.Gone && !ok:
+		case e.Deleted && !ok:
 			// Others may hold it.
 			m.remember(e)
-		case e.Gone && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
+		case e.Deleted && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
 			m.drop(known)
 			m.remember(e)
 			m.Changed(known, true)
-		case !e.Gone && (ok || e.Object.Revision > before || !m.synced):
+		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
 			// An object that a newer list no longer held is not revived.
 			m.put(e.Object)
 		}
--- a/pkg/objects/objects.go
+++ b/pkg/objects/objects.go
@@ -27,7 +27,7 @@
 // Event is one change of an object.
 type Event struct {
 	Object Object `json:"object"`
-	Gone   bool   `json:"gone,omitempty"`
+	Deleted   bool   `json:"gone,omitempty"`
 }
 
 // Page is a part of a list.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -35,7 +35,7 @@
 	} else {
 		s.items[name] = o
 	}
-	s.events = append(s.events, Event{Object: o, Gone: gone})
+	s.events = append(s.events, Event{Object: o, Deleted: gone})
 }
 
 func (s *storeModel) list() []Object {
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -57,11 +57,11 @@
 	for name, e := range last {
 		o, ok := held[name]
 		switch {
-		case e.Gone && ok && o.Revision < e.Object.Revision:
+		case e.Deleted && ok && o.Revision < e.Object.Revision:
 			return fmt.Sprintf("%s is gone since %d, held as of %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
-		case !e.Gone && ok && o.Revision < e.Object.Revision:
+		case !e.Deleted && ok && o.Revision < e.Object.Revision:
 			return fmt.Sprintf("%s changed at %d, held as of %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
-		case !e.Gone && !ok && s.items[name].Revision == e.Object.Revision:
+		case !e.Deleted && !ok && s.items[name].Revision == e.Object.Revision:
 			return fmt.Sprintf("%s is there since %d, not held by a mirror at %d", name, e.Object.Revision, at)
 		}
 	}
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -99,7 +99,7 @@
 	} else {
 		s.objects[kind][name] = o
 	}
-	s.events[kind] = append(s.events[kind], objects.Event{Object: o, Gone: spec == nil})
+	s.events[kind] = append(s.events[kind], objects.Event{Object: o, Deleted: spec == nil})
 	s.wake()
 }
 
