--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -13,9 +13,9 @@
 // goes back to an older list.
 type Mirror struct {
 	Kind string
-	// Changed is called with each object that changed, gone or not, in the
+	// OnChange is called with each object that changed, gone or not, in the
 	// order of changes. It runs under the mirror's lock and must not call it.
-	Changed func(o Object, gone bool)
+	OnChange func(o Object, gone bool)
 
 	mu     sync.Mutex
 	items  map[string]Object
@@ -68,7 +68,7 @@
 
 // NewMirror makes an empty mirror.
 func NewMirror(kind string) *Mirror {
-	return &Mirror{Kind: kind, Changed: func(Object, bool) {}, items: map[string]Object{}}
+	return &Mirror{Kind: kind, OnChange: func(Object, bool) {}, items: map[string]Object{}}
 }
 
 // Load takes in a whole list. One that is older than what is known changes
@@ -90,7 +90,7 @@
 	for name, o := range m.items {
 		if !listed[name] && o.Revision <= max(held.CompleteTo, held.PartialTo) {
 			m.drop(o)
-			m.Changed(o, true)
+			m.OnChange(o, true)
 		}
 	}
 	m.synced = true
@@ -116,7 +116,7 @@
 		case e.Deleted && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
 			m.drop(known)
 			m.remember(e)
-			m.Changed(known, true)
+			m.OnChange(known, true)
 		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
 			// An object that a newer list no longer held is not revived.
 			m.put(e.Object)
@@ -139,7 +139,7 @@
 	}
 	m.set(o)
 	if !ok || !bytes.Equal(known.Spec, o.Spec) || !bytes.Equal(known.Status, o.Status) {
-		m.Changed(o, false)
+		m.OnChange(o, false)
 	}
 	return true
 }
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -63,7 +63,7 @@
 		s := &storeModel{items: map[string]Object{}}
 		m := NewMirror("things")
 		seen := map[string]uint64{}
-		m.Changed = func(o Object, gone bool) {
+		m.OnChange = func(o Object, gone bool) {
 			if o.Revision < seen[o.Name] {
 				t.Fatalf("%s went back from %d to %d", o.Name, seen[o.Name], o.Revision)
 			}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -119,7 +119,7 @@
 // OnChange sets what is called with each object of a kind that has changed, gone or not.
 // Call it before Run.
 func (r *Replica) OnChange(kind string, changed func(o objects.Object, gone bool)) {
-	r.mirrors[kind].Changed = func(o objects.Object, gone bool) {
+	r.mirrors[kind].OnChange = func(o objects.Object, gone bool) {
 		changed(o, gone)
 		r.changed.Store(true)
 	}
