--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -197,7 +197,7 @@
 			for _, g := range greetings {
 				f.carry(to, g)
 			}
-			to.replica.Hear(&e.Message.From)
+			to.replica.HandleRecord(&e.Message.From)
 		})
 	}
 }
--- a/pkg/replica/poll_test.go
+++ b/pkg/replica/poll_test.go
@@ -23,7 +23,7 @@
 		}}
 		m.From.Versions = b.ownVersions()
 		b.Members.Receive(&m)
-		b.Hear(&m.From)
+		b.HandleRecord(&m.From)
 	}
 }
 
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Hear takes in what another box tells of its copies.
-func (r *Replica) Hear(from *gossip.Record) {
+// HandleRecord takes in what another box tells of its copies.
+func (r *Replica) HandleRecord(from *gossip.Record) {
 	r.catchUpWith(from)
 	r.hearConfirmations(from)
 }
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -208,5 +208,5 @@
 	for _, e := range greetings {
 		n.send(e)
 	}
-	n.Replica.Hear(&m.From)
+	n.Replica.HandleRecord(&m.From)
 }
