--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -157,7 +157,7 @@
 	for turn := 0; ctx.Err() == nil; turn++ {
 		if turn%5 == 0 || b.table.Count() == 1 {
 			b.table.Expire()
-			b.table.Update(b.replica.Tell)
+			b.table.Update(b.replica.FillRecord)
 			for _, e := range b.table.Beat() {
 				f.carry(b, e)
 			}
@@ -165,7 +165,7 @@
 		}
 		b.replica.Tick()
 		news := b.replica.TakeNews()
-		b.table.Update(b.replica.Tell)
+		b.table.Update(b.replica.FillRecord)
 		self := b.table.Self()
 		if now := [2]bool{self.StoreHealthy, self.Trying}; news || now != b.told {
 			b.told = now
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -159,8 +159,8 @@
 // its zone of yet, and takes them for told.
 func (r *Replica) TakeNews() bool { return r.watching.Load() && r.changed.Swap(false) }
 
-// Tell writes into this box's record what others are to know of its copies.
-func (r *Replica) Tell(self *gossip.Record) {
+// FillRecord writes into this box's record what others are to know of its copies.
+func (r *Replica) FillRecord(self *gossip.Record) {
 	self.Versions = map[string]objects.Version{}
 	for kind, m := range r.mirrors {
 		if m.Synced() {
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -99,7 +99,7 @@
 // ownVersions are those of the box's copies.
 func (b *modelBox) ownVersions() map[string]objects.Version {
 	var self gossip.Record
-	b.Tell(&self)
+	b.FillRecord(&self)
 	return self.Versions
 }
 
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -74,7 +74,7 @@
 
 func (n *Node) refreshSelf() {
 	n.Members.Update(func(self *gossip.Record) {
-		n.Replica.Tell(self)
+		n.Replica.FillRecord(self)
 		self.Ready = n.ready.Load()
 		self.Leaving = n.leaving.Load()
 		self.Serving = n.serving()
