--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -161,7 +161,7 @@
 			for _, e := range b.table.Beat() {
 				f.carry(b, e)
 			}
-			b.replica.Beat()
+			b.replica.PullOverdue()
 		}
 		b.replica.Tick()
 		news := b.replica.TakeNews()
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -142,8 +142,8 @@
 	r.pollIfUntold()
 }
 
-// Beat takes over what other boxes have had for a while. Call it with each heartbeat.
-func (r *Replica) Beat() {
+// PullOverdue takes over what other boxes have had for a while. Call it with each heartbeat.
+func (r *Replica) PullOverdue() {
 	for _, kind := range r.Kinds.all() {
 		r.catchUp(kind, false)
 	}
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -36,7 +36,7 @@
 	n.checkReady()
 	n.refreshSelf()
 	n.sendBeat()
-	n.Replica.Beat()
+	n.Replica.PullOverdue()
 }
 
 func (n *Node) sendBeat() {
