--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -164,7 +164,7 @@
 			b.replica.PullOverdue()
 		}
 		b.replica.Tick()
-		news := b.replica.TakeNews()
+		news := b.replica.TakeUnannounced()
 		b.table.Update(b.replica.FillRecord)
 		self := b.table.Self()
 		if now := [2]bool{self.StoreHealthy, self.Trying}; news || now != b.told {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -155,9 +155,9 @@
 	r.hearConfirmations(from)
 }
 
-// TakeNews reports whether this box asks the store and has changes that it has not told
+// TakeUnannounced reports whether this box asks the store and has changes that it has not told
 // its zone of yet, and takes them for told.
-func (r *Replica) TakeNews() bool { return r.watching.Load() && r.changed.Swap(false) }
+func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.changed.Swap(false) }
 
 // FillRecord writes into this box's record what others are to know of its copies.
 func (r *Replica) FillRecord(self *gossip.Record) {
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/steering/steering_heartbeats.go
@@ -62,7 +62,7 @@
 		n.sendBeat()
 	}
 	n.Replica.Tick()
-	changed := n.Replica.TakeNews()
+	changed := n.Replica.TakeUnannounced()
 	n.refreshSelf()
 	self := n.Members.Self()
 	now := told{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
