--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -27,7 +27,7 @@
 
 // shortWatch is how long a watch of a kind waits whose answers are needed.
 func (r *Replica) shortWatch(kind string) time.Duration {
-	wait := time.Duration(watchShare * float64(r.Contact))
+	wait := time.Duration(watchShare * float64(r.ContactWindow))
 	if kind == r.Kinds.Evacuations || kind == r.Kinds.Rollouts {
 		return wait
 	}
--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -66,7 +66,7 @@
 		return
 	}
 	made := r.Now()
-	if !r.polls.begin(made, made.Add(-ago), pollAgain*r.Contact) {
+	if !r.polls.begin(made, made.Add(-ago), pollAgain*r.ContactWindow) {
 		return
 	}
 	r.Go(func() {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -58,9 +58,9 @@
 type Options struct {
 	Kinds Kinds
 	Zone  string
-	// Contact is the time within which a calm box is in touch with the store, and Drain
+	// ContactWindow is the time within which a calm box is in touch with the store, and Drain
 	// how long after it was listed as leaving a server may still get requests.
-	Contact, Drain time.Duration
+	ContactWindow, Drain time.Duration
 	Client         *objects.Client
 	Members        *gossip.Table
 	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
@@ -106,8 +106,8 @@
 	now := o.Now()
 	r := &Replica{
 		Options: o, mirrors: map[string]*objects.Mirror{}, followers: map[string]*objects.Follower{},
-		contact: newContact(o.Now, o.Contact), revisions: newRevisions(), pulls: newPulls(),
-		role: watcher.New(o.WatchersPerZone, o.Contact, now, rand.Float64()),
+		contact: newContact(o.Now, o.ContactWindow), revisions: newRevisions(), pulls: newPulls(),
+		role: watcher.New(o.WatchersPerZone, o.ContactWindow, now, rand.Float64()),
 	}
 	for _, kind := range o.Kinds.all() {
 		r.mirrors[kind] = objects.NewMirror(kind)
