--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -134,7 +134,7 @@
 	log := logging.For(logging.New(logging.NewAsyncJSONHandler(io.Discard), logging.ParseLevel("error")), "test")
 	b.replica = New(Options{
 		Now:   time.Now,
-		Kinds: storeKinds, Zone: zone, ContactWindow: contactTime, Drain: drainTime,
+		Kinds: storeKinds, Zone: zone, ContactWindow: contactTime, DrainTime: drainTime,
 		Client: f.store.client(name), Members: b.table,
 		Fetch: func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error) {
 			return f.fetch(ctx, b, source, m)
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -31,7 +31,7 @@
 	if kind == r.Kinds.Evacuations || kind == r.Kinds.Rollouts {
 		return wait
 	}
-	return min(wait, time.Duration(drainWatchShare*float64(r.Drain)))
+	return min(wait, time.Duration(drainWatchShare*float64(r.DrainTime)))
 }
 
 func (r *Replica) newFollower(kind string) *objects.Follower {
--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -61,7 +61,7 @@
 // server must be known.
 func (r *Replica) pollIfUntold() {
 	ago := max(r.contact.list.ago(), r.contact.configuration.ago())
-	longest := time.Duration(pollShare * float64(r.Drain))
+	longest := time.Duration(pollShare * float64(r.DrainTime))
 	if r.watching.Load() || !r.synced() || ago < longest {
 		return
 	}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -58,9 +58,9 @@
 type Options struct {
 	Kinds Kinds
 	Zone  string
-	// ContactWindow is the time within which a calm box is in touch with the store, and Drain
+	// ContactWindow is the time within which a calm box is in touch with the store, and DrainTime
 	// how long after it was listed as leaving a server may still get requests.
-	ContactWindow, Drain time.Duration
+	ContactWindow, DrainTime time.Duration
 	Client         *objects.Client
 	Members        *gossip.Table
 	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -67,7 +67,7 @@
 	b.set = backend.NewSet(backend.Terms{ShiftWindow: 2 * time.Second, Forget: 1500 * time.Millisecond}, "east-a", region, func() int { return 1 }, time.Now)
 	b.Replica = New(Options{
 		Now:   time.Now,
-		Kinds: storeKinds, Zone: "east-a", ContactWindow: contactTime, Drain: drainTime,
+		Kinds: storeKinds, Zone: "east-a", ContactWindow: contactTime, DrainTime: drainTime,
 		Client:          s.client("box"),
 		Members:         gossip.NewTable(gossip.Record{Box: "box", Zone: "east-a"}, time.Now, rand.IntN),
 		WatchersPerZone: func() int { return 1 },
--- a/pkg/steering/steering_store.go
+++ b/pkg/steering/steering_store.go
@@ -25,7 +25,7 @@
 		metrics.GetOrRegisterCounter("store."+verb, n.Metrics).Inc(1)
 	}, func(err error) { n.unreadObject(log, err) })
 	n.Replica = replica.New(replica.Options{
-		Kinds: kinds, Zone: s.Zone, ContactWindow: s.Bounds.Contact, Drain: s.Bounds.Drain,
+		Kinds: kinds, Zone: s.Zone, ContactWindow: s.Bounds.Contact, DrainTime: s.Bounds.Drain,
 		Client:  n.store,
 		Members: n.Members, Fetch: n.fetchMirror, Now: n.Clock.Now,
 		WatchersPerZone: func() int { return n.policy.Load().WatchersPerZone },
