--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -139,7 +139,7 @@
 		Fetch: func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error) {
 			return f.fetch(ctx, b, source, m)
 		},
-		WatchersPerZone: func() int { return 1 }, Answered: func() {},
+		WatchersPerZone: func() int { return 1 }, OnAnswer: func() {},
 		Go: func(work func()) { b.group.Go(work) }, Context: ctx,
 		Metrics: metrics.NewRegistry(), BoxLog: log, StoreLog: log,
 	})
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -48,7 +48,7 @@
 	f.Succeeded = func() {
 		r.contact.noteAnswer()
 		r.storeSpoke(f, r.contact.setFailing(kind, false))
-		r.Answered()
+		r.OnAnswer()
 	}
 	f.Confirmed = func(a objects.Answer) { r.confirmed(kind, a) }
 	if kind != r.Kinds.Servers {
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -164,5 +164,5 @@
 	r.BoxLog.Info("caught up through another box", map[string]any{
 		"from": source, "kind": m.Kind, "revision": body.CompleteTo, "whole": body.Whole, "changes": len(body.Events),
 	})
-	r.Answered()
+	r.OnAnswer()
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -68,8 +68,8 @@
 	Fetch func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error)
 	// WatchersPerZone is how many boxes of a zone are to ask the store.
 	WatchersPerZone func() int
-	// Answered is called when the store, or another box in its place, has told something.
-	Answered func()
+	// OnAnswer is called when the store, or another box in its place, has told something.
+	OnAnswer func()
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Go runs work in the background, and Context ends it all.
--- a/pkg/steering/steering_store.go
+++ b/pkg/steering/steering_store.go
@@ -29,7 +29,7 @@
 		Client:  n.store,
 		Members: n.Members, Fetch: n.fetchMirror, Now: n.Clock.Now,
 		WatchersPerZone: func() int { return n.policy.Load().WatchersPerZone },
-		Answered:        n.checkReady,
+		OnAnswer:        n.checkReady,
 		Go:              n.background.Go, Context: n.context,
 		Metrics: n.Metrics, BoxLog: n.log, StoreLog: log,
 	})
