--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -19,9 +19,9 @@
 	// pullAfter is for how many heartbeats another box's mirror must be
 	// newer before it is asked for; the store's own change notification is usually quicker.
 	pullAfter = 2
-	// PullTime is how long nothing may come of a pull until it is given up, and LongestPull bounds it
+	// PullIdleTimeout is how long nothing may come of a pull until it is given up, and LongestPull bounds it
 	// as a whole: how long a list takes to come follows its length and the box's share of a processor.
-	PullTime    = time.Second
+	PullIdleTimeout    = time.Second
 	LongestPull = 30 * time.Second
 )
 
--- a/pkg/steering/steering_mirrors.go
+++ b/pkg/steering/steering_mirrors.go
@@ -37,7 +37,7 @@
 func (n *Node) fetchMirror(ctx context.Context, source string, m *objects.Mirror) (*replica.Handover, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(replica.PullTime, cancel)
+	idle := time.AfterFunc(replica.PullIdleTimeout, cancel)
 	defer idle.Stop()
 	address := "http://" + source + pathMirror + m.Kind
 	if m.Synced() {
@@ -57,7 +57,7 @@
 		return nil, &PeerError{Address: source, Status: answer.StatusCode}
 	}
 	body := &replica.Handover{}
-	arriving := &arrivingBody{body: answer.Body, arrived: func() { idle.Reset(replica.PullTime) }}
+	arriving := &arrivingBody{body: answer.Body, arrived: func() { idle.Reset(replica.PullIdleTimeout) }}
 	return body, json.NewDecoder(arriving).Decode(body)
 }
 
