--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -22,7 +22,7 @@
 	// PullIdleTimeout is how long nothing may come of a pull until it is given up, and LongestPull bounds it
 	// as a whole: how long a list takes to come follows its length and the box's share of a processor.
 	PullIdleTimeout    = time.Second
-	LongestPull = 30 * time.Second
+	PullTimeout = 30 * time.Second
 )
 
 // learnsFrom reports whether this box takes a newer mirror of another one as
@@ -148,7 +148,7 @@
 }
 
 func (r *Replica) pull(source string, m *objects.Mirror) {
-	ctx, cancel := context.WithTimeout(r.Context, LongestPull)
+	ctx, cancel := context.WithTimeout(r.Context, PullTimeout)
 	defer cancel()
 	body, err := r.Fetch(ctx, source, m)
 	if err != nil {
