--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -153,8 +153,8 @@
 	Took  time.Duration
 }
 
-// Note counts how a server has dealt with a request, if its service is being moved.
-func (t *Table) Note(o Outcome) {
+// Observe counts how a server has dealt with a request, if its service is being moved.
+func (t *Table) Observe(o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.orders[o.Service]
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -22,7 +22,7 @@
 // note has a version answer so many requests, a part of which it fails.
 func note(t *Table, version string, answers, failures int, took time.Duration) {
 	for i := range answers {
-		t.Note(Outcome{Service: "shop", Route: "read", Version: version, Failed: i < failures, Known: true, Took: took})
+		t.Observe(Outcome{Service: "shop", Route: "read", Version: version, Failed: i < failures, Known: true, Took: took})
 	}
 }
 
@@ -95,7 +95,7 @@
 // noteLate has a version leave so many first uses without an answer in time, of so many.
 func noteLate(t *Table, version string, answers, late int) {
 	for i := range answers {
-		t.Note(Outcome{Service: "shop", Route: "read", Version: version, Late: i < late, Took: 2 * time.Second})
+		t.Observe(Outcome{Service: "shop", Route: "read", Version: version, Late: i < late, Took: 2 * time.Second})
 	}
 }
 
@@ -139,7 +139,7 @@
 	is := is.New(t)
 	table, _ := newTestTable()
 	for i := range 2 * mostRoutes {
-		table.Note(Outcome{Service: "shop", Route: fmt.Sprintf("route-%010d", i), Version: "v2", Took: time.Second})
+		table.Observe(Outcome{Service: "shop", Route: fmt.Sprintf("route-%010d", i), Version: "v2", Took: time.Second})
 	}
 	reports := table.Reports()
 	is.Equal(len(reports[0].Pairs), mostRoutes)
--- a/pkg/steering/steering_rollouts.go
+++ b/pkg/steering/steering_rollouts.go
@@ -48,7 +48,7 @@
 
 // noteOutcome counts how a server has dealt with a request.
 func (n *Node) noteAttempt(route string, lease *backend.Lease, a ingress.Attempt) {
-	n.Rollouts.Note(rollout.Outcome{
+	n.Rollouts.Observe(rollout.Outcome{
 		Service: lease.Service, Route: route, Version: lease.Version, Failed: a.Failed, Late: a.Late, Known: lease.Known, Took: a.Took,
 	})
 }
