--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -273,8 +273,8 @@
 	return list
 }
 
-// Learn takes in another box's report. One of another order is left out.
-func (t *Table) Learn(r *Report) {
+// AddReport takes in another box's report. One of another order is left out.
+func (t *Table) AddReport(r *Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := t.orders[r.Service]
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -82,7 +82,7 @@
 					is.NoErr(err)
 					back, err := Wire.Decode(datagram)
 					is.NoErr(err)
-					table.Learn(back)
+					table.AddReport(back)
 				}
 			}
 			change := table.Changes()[0]
--- a/pkg/steering/steering_rollouts.go
+++ b/pkg/steering/steering_rollouts.go
@@ -109,5 +109,5 @@
 		n.unread(from, err)
 		return
 	}
-	n.Rollouts.Learn(r)
+	n.Rollouts.AddReport(r)
 }
