--- a/pkg/backend/version.go
+++ b/pkg/backend/version.go
@@ -65,7 +65,7 @@
 		return versionChoice{}
 	}
 	s.versionDraws++
-	return versionChoice{rule: &rule, isNew: !rule.Barred && fraction(mix(s.versionDraws)) < s.freshShare(g, &rule, now)}
+	return versionChoice{rule: &rule, isNew: !rule.Excluded && fraction(mix(s.versionDraws)) < s.freshShare(g, &rule, now)}
 }
 
 // allows reports whether the request may go to the server.
@@ -76,7 +76,7 @@
 // other returns the choice for where no such server is left, and reports whether there is one: what is
 // found to be bad gets nothing.
 func (c versionChoice) other() (versionChoice, bool) {
-	if c.rule == nil || c.rule.Barred {
+	if c.rule == nil || c.rule.Excluded {
 		return c, false
 	}
 	c.isNew = !c.isNew
--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -45,14 +45,14 @@
 	is.Equal(shareOfVersion(t, 0, 10, rollout.Rule{Version: "v2", Share: 1}), 0.0) // the others go on
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Share: 1}), 1.0)
 	is.Equal(shareOfVersion(t, 1, 10, rollout.Rule{Version: "v2", Share: 1}), 1.0)
-	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Barred: true}), 0.0)
+	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Excluded: true}), 0.0)
 }
 
 // TestBarredVersionGetsNothing: what a barred version leaves is refused, not sent to it.
 func TestBarredVersionGetsNothing(t *testing.T) {
 	s, _ := newTestSet(1)
 	s.Replace([]Server{{ID: "new-0", Service: "shop", Address: "10.0.0.1:1", Zone: "east-a", Slots: 4, Version: "v2"}}, true)
-	s.SetVersions(map[string]rollout.Rule{"shop": {Version: "v2", Barred: true}})
+	s.SetVersions(map[string]rollout.Rule{"shop": {Version: "v2", Excluded: true}})
 	_, err := choose(s, 1)
 	is.New(t).True(err != nil)
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -66,8 +66,8 @@
 	Version string
 	// Share is the share of requests that go to servers of the version; the others go to other servers.
 	Share float64
-	// Barred: the version gets nothing, whatever else there is.
-	Barred bool
+	// Excluded: the version gets nothing, whatever else there is.
+	Excluded bool
 }
 
 // active is an order with what this box knows of it.
@@ -150,7 +150,7 @@
 	case a.State == Complete:
 		return Rule{Version: a.Version, Share: 1}
 	case a.State == RolledBack || a.isBad:
-		return Rule{Version: a.Version, Barred: true}
+		return Rule{Version: a.Version, Excluded: true}
 	}
 	return Rule{Version: a.Version, Share: shareAt(now.Sub(a.seen), a.Duration)}
 }
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -87,7 +87,7 @@
 			}
 			change := table.Changes()[0]
 			is.Equal(change.State == RolledBack, c.result)
-			is.Equal(table.Rules()["shop"].Barred, c.result)
+			is.Equal(table.Rules()["shop"].Excluded, c.result)
 		})
 	}
 }
