--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -159,8 +159,8 @@
 type Change struct {
 	Order Order
 	State State
-	// Why is what was found, for the log.
-	Why Verdict
+	// Verdict is what was found, for the log.
+	Verdict Verdict
 }
 
 // Changes returns the states that are to be written to the store.
@@ -177,11 +177,11 @@
 		a.isBad = a.isBad || verdict.Bad
 		switch {
 		case a.isBad:
-			list = append(list, Change{Order: a.Order, State: RolledBack, Why: verdict})
+			list = append(list, Change{Order: a.Order, State: RolledBack, Verdict: verdict})
 		case now.Sub(a.seen).Seconds() >= completeAt*a.Duration.Seconds():
-			list = append(list, Change{Order: a.Order, State: Complete, Why: verdict})
+			list = append(list, Change{Order: a.Order, State: Complete, Verdict: verdict})
 		case a.State == "":
-			list = append(list, Change{Order: a.Order, State: Running, Why: verdict})
+			list = append(list, Change{Order: a.Order, State: Running, Verdict: verdict})
 		}
 	}
 	return list
