--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -103,7 +103,7 @@
 	// Route is where, empty for all routes together, and Share and Slower are the share of bad answers and how
 	// many times longer it takes.
 	Route  string
-	Share  float64
+	BadShare  float64
 	Slower float64
 }
 
@@ -113,7 +113,7 @@
 	slower := max(slowerBy(p.New.Known, p.Old.Known), slowerBy(p.New.First, p.Old.First))
 	isBad := p.New.Bad >= leastBad && share > badFactor*old+badMargin || slower > slowFactor ||
 		p.New.Known.worseLate(p.Old.Known) || p.New.First.worseLate(p.Old.First)
-	return Verdict{Bad: isBad, Route: p.Route, Share: float64(share), Slower: float64(slower)}
+	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slower: float64(slower)}
 }
 
 // slowerBy is how many times longer the new ones took, 0 if that is not known.
