--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -104,7 +104,7 @@
 	// many times longer it takes.
 	Route  string
 	BadShare  float64
-	Slower float64
+	Slowdown float64
 }
 
 // verdict compares the version with other servers.
@@ -113,7 +113,7 @@
 	slower := max(slowerBy(p.New.Known, p.Old.Known), slowerBy(p.New.First, p.Old.First))
 	isBad := p.New.Bad >= leastBad && share > badFactor*old+badMargin || slower > slowFactor ||
 		p.New.Known.worseLate(p.Old.Known) || p.New.First.worseLate(p.Old.First)
-	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slower: float64(slower)}
+	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slowdown: float64(slower)}
 }
 
 // slowerBy is how many times longer the new ones took, 0 if that is not known.
--- a/pkg/steering/steering_rollouts.go
+++ b/pkg/steering/steering_rollouts.go
@@ -87,7 +87,7 @@
 	err := n.store.SetStatus(ctx, n.adapter.Kinds.Rollouts, c.Order.Service, c.Order.Revision, n.adapter.RolloutStatus(c))
 	fields := map[string]any{
 		"service": c.Order.Service, "version": c.Order.Version, "state": string(c.State), "revision": c.Order.Revision,
-		"route": c.Verdict.Route, "bad_share": c.Verdict.BadShare, "slower": c.Verdict.Slower,
+		"route": c.Verdict.Route, "bad_share": c.Verdict.BadShare, "slower": c.Verdict.Slowdown,
 	}
 	var conflict *objects.ConflictError
 	switch {
