--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -64,7 +64,7 @@
 	defer cancel()
 	start, since := f.begin(), f.Mirror.Version().Revision
 	events, at, err := f.Client.Watch(ctx, f.Mirror.Kind, since, wait)
-	f.Ended(Call{Watch: true, Since: since, Revision: at, Objects: len(events), Took: f.Now().Sub(start), Err: err})
+	f.OnCall(Call{Watch: true, Since: since, Revision: at, Objects: len(events), Took: f.Now().Sub(start), Err: err})
 	return events, at, err
 }
 
@@ -108,7 +108,7 @@
 	defer cancel()
 	start := f.begin()
 	p, err := f.Client.List(ctx, f.Mirror.Kind, after, stale)
-	f.Ended(Call{Revision: p.Revision, Objects: len(p.Items), Took: f.Now().Sub(start), Err: err})
+	f.OnCall(Call{Revision: p.Revision, Objects: len(p.Items), Took: f.Now().Sub(start), Err: err})
 	return p, err
 }
 
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -55,8 +55,8 @@
 	// ReadsOn reports whether a box that has no list yet is to read a long one;
 	// nil means that it is. Until then it waits for another box to hand it over.
 	ReadsOn func() bool
-	// Ended is told of each call, before Succeeded or Failed.
-	Ended func(c Call)
+	// OnCall is told of each call, before Succeeded or Failed.
+	OnCall func(c Call)
 	// Succeeded is called after each call that was answered, Failed after
 	// each that was not.
 	Succeeded func()
@@ -98,7 +98,7 @@
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
-		Ended: func(Call) {}, Succeeded: func() {}, Failed: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
+		OnCall: func(Call) {}, Succeeded: func() {}, Failed: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
 	}
 }
 
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -41,7 +41,7 @@
 	f.Allowed = r.watching.Load
 	f.ReadsOn = r.readsOn
 	tell := r.tellsCalls(kind)
-	f.Ended = func(c objects.Call) {
+	f.OnCall = func(c objects.Call) {
 		r.revisions.take(c)
 		tell(c)
 	}
