--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -57,9 +57,9 @@
 	ReadsOn func() bool
 	// OnCall is told of each call, before Succeeded or Failed.
 	OnCall func(c Call)
-	// Succeeded is called after each call that was answered, Failed after
+	// OnSuccess is called after each call that was answered, Failed after
 	// each that was not.
-	Succeeded func()
+	OnSuccess func()
 	Failed    func(err error)
 	// Confirmed is called with each answer to a watch, when the mirror holds it: all that
 	// had changed until then. A list confirms nothing, since changes go on while its pages
@@ -98,7 +98,7 @@
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
-		OnCall: func(Call) {}, Succeeded: func() {}, Failed: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
+		OnCall: func(Call) {}, OnSuccess: func() {}, Failed: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
 	}
 }
 
@@ -128,7 +128,7 @@
 		}
 		if err == nil {
 			failures = 0
-			f.Succeeded()
+			f.OnSuccess()
 			if state.gathers {
 				f.sleep(ctx, gather)
 			}
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -45,7 +45,7 @@
 		r.revisions.take(c)
 		tell(c)
 	}
-	f.Succeeded = func() {
+	f.OnSuccess = func() {
 		r.contact.noteAnswer()
 		r.storeSpoke(f, r.contact.setFailing(kind, false))
 		r.OnAnswer()
