--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -60,7 +60,7 @@
 	// OnSuccess is called after each call that was answered, Failed after
 	// each that was not.
 	OnSuccess func()
-	Failed    func(err error)
+	OnFailure    func(err error)
 	// Confirmed is called with each answer to a watch, when the mirror holds it: all that
 	// had changed until then. A list confirms nothing, since changes go on while its pages
 	// are read, and it may be stale.
@@ -98,7 +98,7 @@
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
-		OnCall: func(Call) {}, OnSuccess: func() {}, Failed: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
+		OnCall: func(Call) {}, OnSuccess: func() {}, OnFailure: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
 	}
 }
 
@@ -146,7 +146,7 @@
 				continue
 			}
 		}
-		f.Failed(err)
+		f.OnFailure(err)
 		f.pause(ctx, failures)
 		failures++
 	}
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -54,7 +54,7 @@
 	if kind != r.Kinds.Servers {
 		f.WaitNow = func() time.Duration { return r.waitNow(kind, wait) }
 	}
-	f.Failed = func(error) {
+	f.OnFailure = func(error) {
 		if !r.watching.Load() {
 			return
 		}
