--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -44,7 +44,7 @@
 	}
 	answered := f.Now()
 	f.Mirror.Apply(events, Exactly(at))
-	f.Confirmed(Answer{At: answered, Events: events})
+	f.OnConfirmed(Answer{At: answered, Events: events})
 	return len(events), nil
 }
 
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -61,10 +61,10 @@
 	// each that was not.
 	OnSuccess func()
 	OnFailure    func(err error)
-	// Confirmed is called with each answer to a watch, when the mirror holds it: all that
+	// OnConfirmed is called with each answer to a watch, when the mirror holds it: all that
 	// had changed until then. A list confirms nothing, since changes go on while its pages
 	// are read, and it may be stale.
-	Confirmed func(a Answer)
+	OnConfirmed func(a Answer)
 
 	mu sync.Mutex
 	// cancel ends the call that is waiting, and began is when it was made.
@@ -98,7 +98,7 @@
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
-		OnCall: func(Call) {}, OnSuccess: func() {}, OnFailure: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
+		OnCall: func(Call) {}, OnSuccess: func() {}, OnFailure: func(error) {}, OnConfirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
 	}
 }
 
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -50,7 +50,7 @@
 		r.storeSpoke(f, r.contact.setFailing(kind, false))
 		r.OnAnswer()
 	}
-	f.Confirmed = func(a objects.Answer) { r.confirmed(kind, a) }
+	f.OnConfirmed = func(a objects.Answer) { r.confirmed(kind, a) }
 	if kind != r.Kinds.Servers {
 		f.WaitNow = func() time.Duration { return r.waitNow(kind, wait) }
 	}
