--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -20,8 +20,8 @@
 		return nil
 	}
 	wait := f.Wait
-	if f.WaitNow != nil {
-		wait = f.WaitNow()
+	if f.NextWait != nil {
+		wait = f.NextWait()
 	}
 	switch {
 	case state.failed:
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -44,7 +44,7 @@
 	// after Wait and answerTime; until then nothing is heard of this kind, whatever
 	// the store answers to other watches.
 	Wait    time.Duration
-	WaitNow func() time.Duration
+	NextWait func() time.Duration
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Random returns a number in [0, 1).
