--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Hurry ends the pause after a failure: the store is known to answer.
-func (f *Follower) Hurry() {
+// RetryNow ends the pause after a failure: the store is known to answer.
+func (f *Follower) RetryNow() {
 	select {
 	case f.hurry <- struct{}{}:
 	default:
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -288,7 +288,7 @@
 	})
 	start := time.Now()
 	f.Restart()
-	f.Hurry()
+	f.RetryNow()
 	eventually(is, has(f, "news"))
 	is.True(time.Since(start) < time.Second)
 }
@@ -318,7 +318,7 @@
 	is.Equal(len(s.calls), 1)
 	s.mu.Unlock()
 	allowed.Store(true)
-	f.Hurry()
+	f.RetryNow()
 	eventually(is, has(f, "news"))
 }
 
@@ -349,7 +349,7 @@
 	s.mu.Unlock()
 	// The pause is one of half a second at least now.
 	time.Sleep(50 * time.Millisecond)
-	f.Hurry()
+	f.RetryNow()
 	start := time.Now()
 	eventually(is, has(f, "news"))
 	is.True(time.Since(start) < 300*time.Millisecond)
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -76,7 +76,7 @@
 			f.RestartBefore(answered.Began())
 		}
 		if r.contact.isFailing(kind) {
-			f.Hurry()
+			f.RetryNow()
 		}
 	}
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -237,7 +237,7 @@
 	r.contact.forgetFailures()
 	for _, f := range r.followers {
 		if watching {
-			f.Hurry()
+			f.RetryNow()
 		} else {
 			f.Restart()
 		}
