--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -192,13 +192,13 @@
 // RestartBefore ends the call that is waiting if it was made before the time: the
 // store may have been silent then, and never answers what it was asked meanwhile.
 func (f *Follower) RestartBefore(at time.Time) {
-	if f.Began().Before(at) {
+	if f.CallStart().Before(at) {
 		f.Restart()
 	}
 }
 
-// Began returns when the last call was made.
-func (f *Follower) Began() time.Time {
+// CallStart returns when the last call was made.
+func (f *Follower) CallStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.began
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -58,7 +58,7 @@
 		if !r.watching.Load() {
 			return
 		}
-		r.contact.noteFailure(f.Began())
+		r.contact.noteFailure(f.CallStart())
 		r.contact.setFailing(kind, true)
 	}
 	return f
@@ -73,7 +73,7 @@
 			continue
 		}
 		if failedBefore {
-			f.RestartBefore(answered.Began())
+			f.RestartBefore(answered.CallStart())
 		}
 		if r.contact.isFailing(kind) {
 			f.RetryNow()
