--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -115,7 +115,7 @@
 // awaitTurn waits until this box is to read on, or has been handed the list. The
 // error is that of the context.
 func (f *Follower) awaitTurn(ctx context.Context) error {
-	for f.ReadsOn != nil && !f.ReadsOn() && !f.Mirror.Synced() {
+	for f.ContinuesList != nil && !f.ContinuesList() && !f.Mirror.Synced() {
 		f.sleep(ctx, readPoll)
 		if err := ctx.Err(); err != nil {
 			return err
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -52,9 +52,9 @@
 	// Allowed reports whether this box is to ask the store; nil means that it
 	// is. It is asked before each call but the first list.
 	Allowed func() bool
-	// ReadsOn reports whether a box that has no list yet is to read a long one;
+	// ContinuesList reports whether a box that has no list yet is to read a long one;
 	// nil means that it is. Until then it waits for another box to hand it over.
-	ReadsOn func() bool
+	ContinuesList func() bool
 	// OnCall is told of each call, before Succeeded or Failed.
 	OnCall func(c Call)
 	// OnSuccess is called after each call that was answered, Failed after
@@ -158,7 +158,7 @@
 	if f.Allowed == nil || f.Allowed() {
 		return false
 	}
-	return f.Mirror.Synced() || failures > 0 && f.ReadsOn != nil && !f.ReadsOn()
+	return f.Mirror.Synced() || failures > 0 && f.ContinuesList != nil && !f.ContinuesList()
 }
 
 // following is how far a follower has come.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -443,7 +443,7 @@
 		return blocked(ctx)
 	}
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
-	f.ReadsOn = func() bool { return false }
+	f.ContinuesList = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
@@ -464,7 +464,7 @@
 	s.list = func() (Page, error) { return Page{}, &UnavailableError{Status: 503} }
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
 	f.Allowed = func() bool { return false }
-	f.ReadsOn = func() bool { return false }
+	f.ContinuesList = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
