--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -85,14 +85,14 @@
 
 func (t *Tally) badShare() float32 { return t.Bad / max(1, t.Answers) }
 
-// Pair is how the new version fared, and all others.
-type Pair struct {
+// Comparison is how the new version fared, and all others.
+type Comparison struct {
 	Route string
 	New   Tally
 	Old   Tally
 }
 
-func (p *Pair) add(o *Pair) {
+func (p *Comparison) add(o *Comparison) {
 	p.New.add(o.New)
 	p.Old.add(o.Old)
 }
@@ -108,7 +108,7 @@
 }
 
 // verdict compares the version with other servers.
-func (p *Pair) verdict() Verdict {
+func (p *Comparison) verdict() Verdict {
 	share, old := p.New.badShare(), p.Old.badShare()
 	slower := max(slowerBy(p.New.Known, p.Old.Known), slowerBy(p.New.First, p.Old.First))
 	isBad := p.New.Bad >= leastBad && share > badFactor*old+badMargin || slower > slowFactor ||
@@ -126,7 +126,7 @@
 
 // scores are a box's tallies of a service by route.
 type scores struct {
-	pairs map[string]*Pair
+	pairs map[string]*Comparison
 	at    time.Time
 }
 
@@ -164,7 +164,7 @@
 	now := t.Now()
 	s := t.own[o.Service]
 	if s == nil {
-		s = &scores{pairs: map[string]*Pair{}, at: now}
+		s = &scores{pairs: map[string]*Comparison{}, at: now}
 		t.own[o.Service] = s
 	}
 	s.now(now)
@@ -173,7 +173,7 @@
 		if len(s.pairs) >= mostRoutes {
 			return
 		}
-		p = &Pair{Route: o.Route}
+		p = &Comparison{Route: o.Route}
 		s.pairs[o.Route] = p
 	}
 	tally := &p.Old
@@ -203,12 +203,12 @@
 // judge finds whether the version of a service's order is bad, on all routes together or on one. The
 // caller holds the lock.
 func (t *Table) judge(service string, now time.Time) Verdict {
-	all := Pair{}
-	routes := map[string]*Pair{}
-	add := func(p *Pair) {
+	all := Comparison{}
+	routes := map[string]*Comparison{}
+	add := func(p *Comparison) {
 		all.add(p)
 		if routes[p.Route] == nil {
-			routes[p.Route] = &Pair{Route: p.Route}
+			routes[p.Route] = &Comparison{Route: p.Route}
 		}
 		routes[p.Route].add(p)
 	}
@@ -246,7 +246,7 @@
 	Box     string
 	Service string
 	Version string
-	Pairs   []Pair
+	Pairs   []Comparison
 }
 
 // Wire packs reports.
