--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -48,7 +48,7 @@
 
 // noteOutcome counts how a server has dealt with a request.
 func (n *Node) noteAttempt(route string, lease *backend.Lease, a ingress.Attempt) {
-	n.Rollouts.Note(rollout.Outcome{
+	n.Rollouts.Observe(rollout.Outcome{
 		Service: lease.Service, Route: route, Version: lease.Version, Failed: a.Failed, Late: a.Late, Known: lease.KeyKnown, Took: a.Took,
 	})
 }
@@ -87,7 +87,7 @@
 	err := n.store.SetStatus(ctx, n.adapter.Kinds.Rollouts, c.Order.Service, c.Order.Revision, n.adapter.RolloutStatus(c))
 	fields := map[string]any{
 		"service": c.Order.Service, "version": c.Order.Version, "state": string(c.State), "revision": c.Order.Revision,
-		"route": c.Why.Route, "bad_share": c.Why.Share, "slower": c.Why.Slower,
+		"route": c.Verdict.Route, "bad_share": c.Verdict.BadShare, "slower": c.Verdict.Slowdown,
 	}
 	var conflict *objects.ConflictError
 	switch {
@@ -109,5 +109,5 @@
 		n.noteUnreadDatagram(from, err)
 		return
 	}
-	n.Rollouts.Learn(r)
+	n.Rollouts.AddReport(r)
 }
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -134,12 +134,12 @@
 	log := logging.For(logging.New(logging.NewAsyncJSONHandler(io.Discard), logging.ParseLevel("error")), "test")
 	b.replica = New(Options{
 		Now:   time.Now,
-		Kinds: storeKinds, Zone: zone, Contact: contactTime, Drain: drainTime,
+		Kinds: storeKinds, Zone: zone, ContactWindow: contactTime, DrainTime: drainTime,
 		Client: f.store.client(name), Members: b.table,
 		Fetch: func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error) {
 			return f.fetch(ctx, b, source, m)
 		},
-		WatchersPerZone: func() int { return 1 }, Answered: func() {},
+		WatchersPerZone: func() int { return 1 }, OnAnswer: func() {},
 		Go: func(work func()) { b.group.Go(work) }, Context: ctx,
 		Metrics: metrics.NewRegistry(), BoxLog: log, StoreLog: log,
 	})
@@ -157,15 +157,15 @@
 	for turn := 0; ctx.Err() == nil; turn++ {
 		if turn%5 == 0 || b.table.Count() == 1 {
 			b.table.Expire()
-			b.table.Update(b.replica.Tell)
+			b.table.Update(b.replica.FillRecord)
 			for _, e := range b.table.Beat() {
 				f.carry(b, e)
 			}
-			b.replica.Beat()
+			b.replica.PullOverdue()
 		}
 		b.replica.Tick()
-		news := b.replica.TakeNews()
-		b.table.Update(b.replica.Tell)
+		news := b.replica.TakeUnannounced()
+		b.table.Update(b.replica.FillRecord)
 		self := b.table.Self()
 		if now := [2]bool{self.StoreHealthy, self.StoreUnanswered}; news || now != b.told {
 			b.told = now
@@ -197,7 +197,7 @@
 			for _, g := range greetings {
 				f.carry(to, g)
 			}
-			to.replica.Hear(&e.Message.From)
+			to.replica.HandleRecord(&e.Message.From)
 		})
 	}
 }
@@ -220,7 +220,7 @@
 	time.Sleep(2 * wayBetween(b, from))
 	theirs := from.replica.Mirror(m.Kind)
 	if m.Synced() {
-		if events, held, ok := theirs.EventsSince(m.Version().At); ok {
+		if events, held, ok := theirs.EventsSince(m.Version().Revision); ok {
 			time.Sleep(wayBetween(b, from))
 			return &Handover{Events: events, Extent: held}, nil
 		}
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -49,8 +49,8 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.newest = max(v.newest, c.At)
-	v.shared = v.shared || c.Watch && c.Objects == 0 && c.At > c.Since
+	v.newest = max(v.newest, c.Revision)
+	v.shared = v.shared || c.Watch && c.Objects == 0 && c.Revision > c.Since
 }
 
 // explain takes in changes.
@@ -97,7 +97,7 @@
 // last answered, and has it come to the revision up to which that is known.
 func (r *Replica) reached(kind string) bool {
 	m := r.mirrors[kind]
-	own := m.Version().At
+	own := m.Version().Revision
 	upTo, all := r.revisions.reached(own)
 	if m.Synced() && upTo > own {
 		m.Apply(nil, objects.Exactly(upTo))
