--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -43,7 +43,7 @@
 	// never answer, since it was asked for while the store said nothing, is given up
 	// after Wait and answerTime; until then nothing is heard of this kind, whatever
 	// the store answers to other watches.
-	Wait    time.Duration
+	Wait     time.Duration
 	NextWait func() time.Duration
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
@@ -60,7 +60,7 @@
 	// OnSuccess is called after each call that was answered, Failed after
 	// each that was not.
 	OnSuccess func()
-	OnFailure    func(err error)
+	OnFailure func(err error)
 	// OnConfirmed is called with each answer to a watch, when the mirror holds it: all that
 	// had changed until then. A list confirms nothing, since changes go on while its pages
 	// are read, and it may be stale.
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -64,7 +64,9 @@
 }
 
 // NewerThan reports whether the mirror holds something that the other lacks.
-func (v Version) NewerThan(other Version) bool { return v.Digest != other.Digest && v.Revision > other.Revision }
+func (v Version) NewerThan(other Version) bool {
+	return v.Digest != other.Digest && v.Revision > other.Revision
+}
 
 // NewMirror makes an empty mirror.
 func NewMirror(kind string) *Mirror {
--- a/pkg/objects/objects.go
+++ b/pkg/objects/objects.go
@@ -26,8 +26,8 @@
 
 // Event is one change of an object.
 type Event struct {
-	Object Object `json:"object"`
-	Deleted   bool   `json:"gone,omitempty"`
+	Object  Object `json:"object"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 // Page is a part of a list.
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -21,8 +21,8 @@
 	pullAfter = 2
 	// PullIdleTimeout is how long nothing may come of a pull until it is given up, and LongestPull bounds it
 	// as a whole: how long a list takes to come follows its length and the box's share of a processor.
-	PullIdleTimeout    = time.Second
-	PullTimeout = 30 * time.Second
+	PullIdleTimeout = time.Second
+	PullTimeout     = 30 * time.Second
 )
 
 // learnsFrom reports whether this box takes a newer mirror of another one as
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -61,8 +61,8 @@
 	// ContactWindow is the time within which a calm box is in touch with the store, and DrainTime
 	// how long after it was listed as leaving a server may still get requests.
 	ContactWindow, DrainTime time.Duration
-	Client         *objects.Client
-	Members        *gossip.Table
+	Client                   *objects.Client
+	Members                  *gossip.Table
 	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
 	// for PullTime.
 	Fetch func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error)
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -102,8 +102,8 @@
 	Bad bool
 	// Route is where, empty for all routes together, and Share and Slower are the share of bad answers and how
 	// many times longer it takes.
-	Route  string
-	BadShare  float64
+	Route    string
+	BadShare float64
 	Slowdown float64
 }
 
