--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -22,17 +22,17 @@
 	for i := range boxes {
 		zone := zones[i%len(zones)]
 		names = append(names, fmt.Sprintf("%s.%d", zone, i))
-		peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(names[i]), Named: i/len(zones)%oneIn == 0})
+		peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(names[i]), Advertised: i/len(zones)%oneIn == 0})
 	}
 	var sets []*Set
 	for i := range boxes {
 		zone := zones[i%len(zones)]
-		s := NewSet(Terms{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second}, zone, regionOf, func() int { return boxes }, c.now)
-		s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
+		s := NewSet(Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second}, zone, regionOf, func() int { return boxes }, c.now)
+		s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 		others := slices.Delete(slices.Clone(peers), i, i+1)
 		s.Peers = func() (Peer, []Peer) { return peers[i], others }
 		list := servers("west-a", 1, 4)
-		list[0].Cold = time.Minute
+		list[0].ColdFor = time.Minute
 		s.Replace(list, true)
 		if i/len(zones)%oneIn == 0 {
 			sets = append(sets, s)
@@ -68,7 +68,7 @@
 	s, c := newTestSet(1)
 	list := servers("east-a", 3, 4)
 	for i := range list {
-		list[i].Cold = 3 * time.Second
+		list[i].ColdFor = 3 * time.Second
 	}
 	s.Replace(list, true)
 	got := map[string]int{}
@@ -147,10 +147,10 @@
 		var peers []Peer
 		for _, zone := range zones {
 			for i := range large + small {
-				peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(zone, fmt.Sprint(i)), Named: i < large})
+				peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(zone, fmt.Sprint(i)), Advertised: i < large})
 			}
 		}
-		terms := Terms{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
+		terms := Bounds{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
 		bound := int(perSecond*terms.ColdOverage + terms.ColdSlack)
 		c := &clock{at: time.Unix(1000, 0)}
 		sent := 0
@@ -160,15 +160,15 @@
 			view := slices.Clone(peers)
 			for j := range view {
 				if view[j].Zone == "west-a" && changed {
-					view[j].Named = !view[j].Named
+					view[j].Advertised = !view[j].Advertised
 				}
 			}
 			s := NewSet(terms, peers[i].Zone, regionOf, func() int { return len(peers) }, c.now)
-			s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: perSecond}})
+			s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: perSecond}})
 			self, others := view[i], slices.Delete(slices.Clone(view), i, i+1)
 			s.Peers = func() (Peer, []Peer) { return self, others }
 			list := servers("west-a", 1, 4)
-			list[0].Cold = time.Minute
+			list[0].ColdFor = time.Minute
 			s.Replace(list, true)
 			for range 3 {
 				if _, err := choose(s, 1); err == nil {
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -33,8 +33,8 @@
 // fillSpan is the span of the averages: as long as a window of the cap on shifts.
 const fillSpan = 2 * time.Second
 
-// told takes in what a server told.
-func (f *fill) told(load *Load, now time.Time) {
+// add takes in what a server add.
+func (f *fill) add(load *Load, now time.Time) {
 	sample := float64(load.Running+load.Waiting) / float64(max(1, load.Slots))
 	if f.at.IsZero() {
 		f.value, f.at = sample, now
@@ -87,7 +87,7 @@
 		return target
 	}
 	target = g.fills.wanted(&s.Policy, l.value, target, now)
-	step := s.Policy.ShareStep * s.Terms.MaxShift * now.Sub(l.at).Seconds() / s.Terms.ShiftWindow.Seconds()
+	step := s.Policy.ShareStep * s.Bounds.MaxShift * now.Sub(l.at).Seconds() / s.Bounds.ShiftWindow.Seconds()
 	l.value += max(-step, min(step, target-l.value))
 	l.at = now
 	return l.value
--- a/pkg/findings/findings.go
+++ b/pkg/failurereport/failurereport.go
@@ -8,7 +8,7 @@
 // client; with findings the first one or two do.
 //
 // This package has no input or output: messages are handed in and out.
-package findings
+package failurereport
 
 import (
 	"sync"
@@ -31,8 +31,8 @@
 // Message is what one box found since its last message.
 type Message struct {
 	// Box is the sender's name.
-	Box      string
-	Findings []backend.Finding
+	Box     string
+	Reports []backend.FailureReport
 }
 
 // Wire packs messages.
@@ -46,17 +46,17 @@
 	Now func() time.Time
 
 	mu      sync.Mutex
-	waiting []backend.Finding
-	told    map[backend.Finding]time.Time
+	waiting []backend.FailureReport
+	told    map[backend.FailureReport]time.Time
 }
 
 // Add takes in a finding; one that was told a moment ago is left out.
-func (o *Outbox) Add(f backend.Finding) {
+func (o *Outbox) Add(f backend.FailureReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
 	if o.told == nil {
-		o.told = map[backend.Finding]time.Time{}
+		o.told = map[backend.FailureReport]time.Time{}
 	}
 	if at, ok := o.told[f]; ok && now.Sub(at) < again {
 		return
@@ -78,7 +78,7 @@
 	var messages []Message
 	for len(o.waiting) > 0 {
 		n := min(len(o.waiting), together)
-		messages = append(messages, Message{Box: o.Box, Findings: o.waiting[:n:n]})
+		messages = append(messages, Message{Box: o.Box, Reports: o.waiting[:n:n]})
 		o.waiting = o.waiting[n:]
 	}
 	o.waiting = nil
--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -11,25 +11,25 @@
 	// that one heartbeat goes to. Bytes between regions have a price.
 	zoneFanOut = 6
 	farFanOut  = 4
-	// seenNear and seenTogether bound the sightings of one heartbeat: of the
+	// maxOwnZoneRecords and seenTogether bound the sightings of one heartbeat: of the
 	// own zone, and of all. With zoneFanOut a box of a zone of 125 hears of
 	// each other one more than once in an Interval.
-	seenNear     = 32
-	seenTogether = 48
-	// seenFar is the least that is kept for boxes of other zones. While a fleet starts
+	maxOwnZoneRecords  = 32
+	maxLivenessRecords = 48
+	// minOtherZoneRecords is the least that is kept for boxes of other zones. While a fleet starts
 	// the news of the own zone would take all; then nothing but a zone's own few
 	// heartbeats tells of it, some boxes hear none for SuspectFarAfter, and each
 	// takes the whole zone for silent.
-	seenFar = 12
-	// newsTogether bounds the news of one heartbeat. What does not fit, as when a
+	minOtherZoneRecords = 12
+	// maxUpdates bounds the news of one heartbeat. What does not fit, as when a
 	// fleet starts, is told with the next ones.
-	newsTogether = 24
-	// tellZoneEvery: one in so many heartbeats to other zones tells what was
+	maxUpdates = 24
+	// shareZoneEvery: one in so many heartbeats to other zones tells what was
 	// heard of this zone's boxes.
-	tellZoneEvery = 4
-	// deadEvery: one in so many heartbeats also goes to silent boxes, so that
+	shareZoneEvery = 4
+	// contactSilentEvery: one in so many heartbeats also goes to silent boxes, so that
 	// boxes find each other again after a cut.
-	deadEvery = 4
+	contactSilentEvery = 4
 )
 
 // Envelope is a message and the addresses that it goes to.
@@ -45,17 +45,17 @@
 	defer t.mu.Unlock()
 	t.beats++
 	to := t.farTargets()
-	if t.beats%deadEvery == 1 {
+	if t.beats%contactSilentEvery == 1 {
 		to = append(to, pick(t.silentAddresses(), farFanOut, t.Random)...)
 	}
-	live, quiet := t.neighbourhood()
-	near, others, news := t.risen()
-	zone := t.fromNow()
+	live, quiet := t.liveInZone()
+	near, others, news := t.takeRecent()
+	zone := t.newHeartbeat()
 	far, probe := zone, zone
-	zone.Seen = slices.Concat(news, sightings(near), sightings(others[:min(len(others), seenTogether-len(news)-len(near))]))
-	far.Seen = news
-	if t.beats%tellZoneEvery == 0 {
-		far.Seen = slices.Concat(news, sightings(near))
+	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
+	far.Liveness = news
+	if t.beats%shareZoneEvery == 0 {
+		far.Liveness = slices.Concat(news, livenessRecords(near))
 	}
 	probe.Probe = true
 	return []Envelope{
@@ -70,13 +70,13 @@
 func (t *Table) Announce() Envelope {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	live, _ := t.neighbourhood()
-	return Envelope{Message: t.fromNow(), To: peers(live)}
+	live, _ := t.liveInZone()
+	return Envelope{Message: t.newHeartbeat(), To: peers(live)}
 }
 
-// neighbourhood returns the live boxes of the own zone in the order of names, and where those of them
+// liveInZone returns the live boxes of the own zone in the order of names, and where those of them
 // are that have been silent for a while.
-func (t *Table) neighbourhood() (live []*entry, quiet []string) {
+func (t *Table) liveInZone() (live []*entry, quiet []string) {
 	now := t.Now()
 	for _, e := range t.own.members {
 		if !t.live(e, now) {
@@ -124,7 +124,7 @@
 // each. A box that asks the store tells all of the zone: the others take its
 // silence for its end, and learn from it of changes.
 func (t *Table) zoneTargets(zone []*entry) []string {
-	if len(zone) <= zoneFanOut || t.self.StoreHealthy || t.self.Trying {
+	if len(zone) <= zoneFanOut || t.self.StoreHealthy || t.self.StoreUnanswered {
 		return peers(zone)
 	}
 	place := sort.Search(len(zone), func(i int) bool { return zone[i].Box > t.self.Box })
@@ -179,10 +179,10 @@
 	return out
 }
 
-// risen returns the boxes of the own zone and of others that were heard since
+// takeRecent returns the boxes of the own zone and of others that were heard since
 // the last heartbeat, in an order of chance, and the news.
-func (t *Table) risen() (near, others []*entry, news Sightings) {
-	for _, e := range t.heardLately {
+func (t *Table) takeRecent() (near, others []*entry, news LivenessRecords) {
+	for _, e := range t.recent {
 		switch {
 		case e.silent:
 		case e.zone == t.own:
@@ -190,24 +190,24 @@
 		default:
 			others = append(others, e)
 		}
-		e.risen = false
+		e.inRecent = false
 	}
-	t.heardLately = t.heardLately[:0]
+	t.recent = t.recent[:0]
 	shuffle(near, t.Random)
 	shuffle(others, t.Random)
-	news = t.news()
-	return near[:min(len(near), seenNear, seenTogether-seenFar-len(news))], others, news
+	news = t.takeUpdates()
+	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-minOtherZoneRecords-len(news))], others, news
 }
 
-// news returns some of what is still to be told of boxes that fell silent, and
+// takeUpdates returns some of what is still to be told of boxes that fell silent, and
 // then of boxes that came or came back.
-func (t *Table) news() Sightings {
+func (t *Table) takeUpdates() LivenessRecords {
 	var silent, live []*entry
-	still := t.newsOf[:0]
-	for _, e := range t.newsOf {
+	still := t.updates[:0]
+	for _, e := range t.updates {
 		switch {
-		case e.tell == 0:
-			e.inNews = false
+		case e.updatesLeft == 0:
+			e.inUpdates = false
 			continue
 		case e.silent:
 			silent = append(silent, e)
@@ -216,16 +216,16 @@
 		}
 		still = append(still, e)
 	}
-	clear(t.newsOf[len(still):])
-	t.newsOf = still
+	clear(t.updates[len(still):])
+	t.updates = still
 	shuffle(silent, t.Random)
 	shuffle(live, t.Random)
 	list := append(silent, live...)
-	list = list[:min(len(list), newsTogether)]
+	list = list[:min(len(list), maxUpdates)]
 	for _, e := range list {
-		e.tell--
+		e.updatesLeft--
 	}
-	return sightings(list)
+	return livenessRecords(list)
 }
 
 // pick returns some of the list, drawn by chance.
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -19,14 +19,14 @@
 	// Capacity is about how many requests a second the box bears; 0 if that is
 	// not known.
 	Capacity float64 `json:"capacity,omitempty"`
-	// Beat rises with each message of a life.
-	Beat    uint64 `json:"beat"`
-	Ready   bool   `json:"ready,omitempty"`
-	Leaving bool   `json:"leaving,omitempty"`
+	// Sequence rises with each message of a life.
+	Sequence uint64 `json:"beat"`
+	Ready    bool   `json:"ready,omitempty"`
+	Leaving  bool   `json:"leaving,omitempty"`
 	// StoreHealthy: the store has answered this box without fail for a while.
 	StoreHealthy bool `json:"store_healthy,omitempty"`
-	// Trying: the box asks the store, but has no healthy contact with it.
-	Trying bool `json:"trying,omitempty"`
+	// StoreUnanswered: the box asks the store, but has no healthy contact with it.
+	StoreUnanswered bool `json:"trying,omitempty"`
 	// Serving: clients have lately sent it requests.
 	Serving bool `json:"serving,omitempty"`
 	// ConfirmedAgo is how long before this was sent the store last told the box, or
@@ -44,7 +44,7 @@
 	if r.Started != old.Started {
 		return r.Started > old.Started
 	}
-	return r.Beat > old.Beat
+	return r.Sequence > old.Sequence
 }
 
 // precedes reports whether r comes before the other box of its zone in the
@@ -62,14 +62,14 @@
 	return uint32(hashing.Of(r.Box, strconv.FormatInt(r.Started, 10)))
 }
 
-// sighting is the record in short.
-func (r *Record) sighting() Sighting {
-	s := Sighting{ID: r.id(), Beat: uint32(r.Beat)}
+// livenessRecord is the record in short.
+func (r *Record) livenessRecord() LivenessRecord {
+	s := LivenessRecord{ID: r.id(), Sequence: uint32(r.Sequence)}
 	for _, f := range []struct {
 		set  bool
 		flag Flags
 	}{
-		{r.Ready, FlagReady}, {r.Leaving, FlagLeaving}, {r.StoreHealthy, FlagStoreHealthy}, {r.Trying, FlagTrying}, {r.Serving, FlagServing},
+		{r.Ready, FlagReady}, {r.Leaving, FlagLeaving}, {r.StoreHealthy, FlagStoreHealthy}, {r.StoreUnanswered, FlagTrying}, {r.Serving, FlagServing},
 	} {
 		if f.set {
 			s.Flags |= f.flag
@@ -79,12 +79,12 @@
 }
 
 // apply takes over what a sighting says of this life of the box.
-func (r *Record) apply(s Sighting) {
-	r.Beat = uint64(s.Beat)
+func (r *Record) apply(s LivenessRecord) {
+	r.Sequence = uint64(s.Sequence)
 	r.Ready = s.Flags&FlagReady != 0
 	r.Leaving = s.Flags&FlagLeaving != 0
 	r.StoreHealthy = s.Flags&FlagStoreHealthy != 0
-	r.Trying = s.Flags&FlagTrying != 0
+	r.StoreUnanswered = s.Flags&FlagTrying != 0
 	r.Serving = s.Flags&FlagServing != 0
 }
 
@@ -102,14 +102,14 @@
 	FlagServing
 )
 
-// Sighting is what was heard of a box, for those that know its record: 9 bytes
+// LivenessRecord is what was heard of a box, for those that know its record: 9 bytes
 // in place of a whole record.
-type Sighting struct {
+type LivenessRecord struct {
 	// ID is a hash of the box's name and the start of its life. Two of 3,000
 	// boxes share one with a chance of 1 in 1,000; the one that is heard then
 	// stands for both until either starts anew.
 	ID uint32
-	// Beat is the newest that was heard; a life of 68 years fits.
-	Beat  uint32
-	Flags Flags
+	// Sequence is the newest that was heard; a life of 68 years fits.
+	Sequence uint32
+	Flags    Flags
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -19,7 +19,7 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 	"github.com/stoneworks/stoneworks/pkg/directory"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/ingress"
 	"github.com/stoneworks/stoneworks/pkg/logging"
@@ -105,7 +105,7 @@
 	announced  announcedState
 	// failureReports are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
-	failureReports *findings.Outbox
+	failureReports *failurereport.Outbox
 	crashes        crashChecks
 	// crashSendPending: others are about to be told of a crash.
 	crashSendPending atomic.Bool
@@ -170,7 +170,7 @@
 	}
 	n.Timers.Now = c.Now
 	n.watchSuspensions()
-	n.failureReports = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
+	n.failureReports = &failurereport.Outbox{Box: s.Box, Now: n.Clock.Now}
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
 	n.seeds.Store(&s.Seeds)
@@ -263,13 +263,13 @@
 	}
 	own := n.Members.Self()
 	p.self = add(&own, true)
-	n.Members.EachOther(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
+	n.Members.EachPossibleSender(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
 	isNamed := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
 	}
-	p.self.Named = isNamed(capacities[0], p.self.Zone)
+	p.self.Advertised = isNamed(capacities[0], p.self.Zone)
 	for i := range p.list {
-		p.list[i].Named = isNamed(capacities[i+1], p.list[i].Zone)
+		p.list[i].Advertised = isNamed(capacities[i+1], p.list[i].Zone)
 	}
 }
 
@@ -281,27 +281,27 @@
 	}
 	n.Members = gossip.NewTable(self, n.Clock.Now, rand.IntN)
 	n.Members.Seeds = func() []string { return *n.seeds.Load() }
-	n.Members.Changed = func(r gossip.Record, what string) {
+	n.Members.OnChange = func(r gossip.Record, what string) {
 		n.membersChanged.Store(true)
-		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Beat})
+		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Sequence})
 	}
 }
 
 func (n *Node) newSet(log *logging.Part) {
 	b := n.Settings.Bounds
-	n.Set = backend.NewSet(backend.Terms{
+	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
-		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, Forget: forgetAfter(b.Drain),
+		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, MissingTTL: forgetAfter(b.Drain),
 	}, n.Settings.Zone, n.Topology.RegionOf, n.boxCount, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
-	n.Set.Found = n.failureReports.Add
-	n.Set.Changed = func(v backend.Server, what string) {
+	n.Set.ReportFailure = n.failureReports.Add
+	n.Set.OnChange = func(v backend.Server, what string) {
 		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.allow(n.uptime()) {
 			return
 		}
 		log.Info("server "+what, map[string]any{
-			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.Cold.Milliseconds(),
+			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.ColdFor.Milliseconds(),
 		})
 	}
 }
--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -6,7 +6,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 )
 
 // ================================================================
@@ -37,25 +37,25 @@
 	}
 	_, to := n.liveBoxes()
 	for i := range messages {
-		datagram, err := findings.Wire.Encode(&messages[i])
+		datagram, err := failurereport.Wire.Encode(&messages[i])
 		if err != nil {
 			n.log.Warn("findings not sent", map[string]any{"error": err.Error()})
 			continue
 		}
 		n.sendEach(to, datagram)
-		metrics.GetOrRegisterCounter("findings.sent", n.Metrics).Inc(int64(len(messages[i].Findings)))
+		metrics.GetOrRegisterCounter("findings.sent", n.Metrics).Inc(int64(len(messages[i].Reports)))
 	}
 }
 
 // receiveFailureReports takes in what another box has found.
 func (n *Node) receiveFailureReports(datagram []byte, from *net.UDPAddr) {
-	m, err := findings.Wire.Decode(datagram)
+	m, err := failurereport.Wire.Decode(datagram)
 	if err != nil {
 		n.noteUnreadDatagram(from, err)
 		return
 	}
-	for _, f := range m.Findings {
-		n.Set.Learn(m.Box, f)
+	for _, f := range m.Reports {
+		n.Set.ApplyFailureReport(m.Box, f)
 	}
-	metrics.GetOrRegisterCounter("findings.received", n.Metrics).Inc(int64(len(m.Findings)))
+	metrics.GetOrRegisterCounter("findings.received", n.Metrics).Inc(int64(len(m.Reports)))
 }
--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -10,7 +10,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/packet"
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
@@ -36,7 +36,7 @@
 	n.checkReady()
 	n.refreshSelf()
 	n.sendHeartbeats()
-	n.Replica.Beat()
+	n.Replica.PullOverdue()
 }
 
 func (n *Node) sendHeartbeats() {
@@ -62,10 +62,10 @@
 		n.sendHeartbeats()
 	}
 	n.Replica.Tick()
-	changed := n.Replica.TakeNews()
+	changed := n.Replica.TakeUnannounced()
 	n.refreshSelf()
 	self := n.Members.Self()
-	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
+	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.StoreUnanswered, serving: self.Serving}
 	if changed || now != n.announced {
 		n.announced = now
 		n.send(n.Members.Announce())
@@ -74,7 +74,7 @@
 
 func (n *Node) refreshSelf() {
 	n.Members.Update(func(self *gossip.Record) {
-		n.Replica.Tell(self)
+		n.Replica.FillRecord(self)
 		self.Ready = n.ready.Load()
 		self.Leaving = n.leaving.Load()
 		self.Serving = n.serving()
@@ -152,7 +152,7 @@
 			continue
 		}
 		n.Clock.Sync()
-		if findings.Wire.Is(buffer[:size]) {
+		if failurereport.Wire.Is(buffer[:size]) {
 			n.receiveFailureReports(buffer[:size], from)
 			continue
 		}
@@ -168,7 +168,7 @@
 			n.receiveRolloutReport(buffer[:size], from)
 			continue
 		}
-		if quota.Is(buffer[:size]) {
+		if quota.IsMessage(buffer[:size]) {
 			n.receiveQuota(buffer[:size], from)
 			continue
 		}
@@ -192,7 +192,7 @@
 	kind := n.adapter.Kinds.Servers
 	listAge, configurationAge := n.Replica.Ages()
 	told := gossip.FleetBox{
-		Box: n.Settings.Box, Zone: n.Settings.Zone, Zones: n.Members.Overview(kind), ListAt: n.Replica.Mirror(kind).Version().At,
+		Box: n.Settings.Box, Zone: n.Settings.Zone, Zones: n.Members.Overview(kind), ListAt: n.Replica.Mirror(kind).Version().Revision,
 		ListAgeMS: listAge.Milliseconds(), ConfigurationAgeMS: configurationAge.Milliseconds(),
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -208,5 +208,5 @@
 	for _, e := range greetings {
 		n.send(e)
 	}
-	n.Replica.Hear(&m.From)
+	n.Replica.HandleRecord(&m.From)
 }
--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -37,11 +37,11 @@
 func (n *Node) fetchMirror(ctx context.Context, source string, m *objects.Mirror) (*replica.Handover, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(replica.PullTime, cancel)
+	idle := time.AfterFunc(replica.PullIdleTimeout, cancel)
 	defer idle.Stop()
 	address := "http://" + source + pathMirror + m.Kind
 	if m.Synced() {
-		address += "?since=" + strconv.FormatUint(m.Version().At, 10)
+		address += "?since=" + strconv.FormatUint(m.Version().Revision, 10)
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -57,7 +57,7 @@
 		return nil, &PeerError{Address: source, Status: answer.StatusCode}
 	}
 	body := &replica.Handover{}
-	arriving := &progressReader{body: answer.Body, arrived: func() { idle.Reset(replica.PullTime) }}
+	arriving := &progressReader{body: answer.Body, arrived: func() { idle.Reset(replica.PullIdleTimeout) }}
 	return body, json.NewDecoder(arriving).Decode(body)
 }
 
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -46,9 +46,9 @@
 		zones = append(zones, z.Zone)
 	}
 	n.Quota = &quota.Limiter{
-		Terms:       quota.Terms{Window: s.Bounds.QuotaWindow, Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack},
-		ServerTerms: quota.Terms{Window: s.Bounds.ServerLimitWindow, Overage: s.Bounds.ServerLimitOverage, Slack: s.Bounds.ServerLimitSlack},
-		Zone:        s.Zone, Zones: zones, Life: n.started.UnixNano(),
+		Tolerance:       quota.Tolerance{Window: s.Bounds.QuotaWindow, Overage: s.Bounds.QuotaOverage, Slack: s.Bounds.QuotaSlack},
+		ServerTolerance: quota.Tolerance{Window: s.Bounds.ServerLimitWindow, Overage: s.Bounds.ServerLimitOverage, Slack: s.Bounds.ServerLimitSlack},
+		Zone:            s.Zone, Zones: zones, Incarnation: n.started.UnixNano(),
 		Self: quota.Box{Key: quota.KeyOf(s.Box), Address: s.Advertise.Peers},
 		Now:  n.Clock.Now, Random: rand.Float64,
 	}
@@ -64,7 +64,7 @@
 
 // tickQuota does what is due for limits.
 func (n *Node) tickQuota() {
-	if !n.Quota.Limited() {
+	if !n.Quota.HasLimits() {
 		return
 	}
 	n.Quota.Tick(n.quotaView())
@@ -76,7 +76,7 @@
 type quotaViewCache struct {
 	mu       sync.Mutex
 	at       time.Time
-	standing gossip.Standing
+	standing gossip.Position
 	first    []quota.Box
 	zones    map[string][]quota.Box
 }
@@ -92,14 +92,14 @@
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*discoverTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Standing(allocatorCandidates, quota.Allocators)
+		h.standing = n.Members.Position(allocatorCandidates, quota.AllocatorsPerZone)
 		h.zones = map[string][]quota.Box{}
 		for zone, list := range h.standing.First {
 			if zone == n.Settings.Zone {
 				h.first = quotaBoxes(list)
 				continue
 			}
-			h.zones[zone] = quotaBoxes(list[:min(len(list), quota.Allocators)])
+			h.zones[zone] = quotaBoxes(list[:min(len(list), quota.AllocatorsPerZone)])
 		}
 	}
 	return quota.View{Weight: n.quotaWeight(&h.standing), First: h.first, Zones: h.zones}
@@ -108,17 +108,17 @@
 // quotaWeight is this box's part of its zone's part of limits: none until it knows its
 // zone. A box that has started while it is cut off knows nobody and holds nothing; one
 // that has nobody to know holds all of its zone's part.
-func (n *Node) quotaWeight(s *gossip.Standing) float64 {
+func (n *Node) quotaWeight(s *gossip.Position) float64 {
 	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
 	case !n.ready.Load() || settled < zoneSettleTime:
 		return 0
 	case s.Neighbours > 0:
-		return s.Part
+		return s.CapacityShare
 	case settled < aloneSettleTime || s.Others == 0 && n.hasOtherSeeds():
 		return 0
 	}
-	return s.Part
+	return s.CapacityShare
 }
 
 // hasOtherSeeds reports whether the settings name other boxes.
@@ -136,7 +136,7 @@
 
 // sendQuota sends what the limiter has to tell.
 func (n *Node) sendQuota() {
-	for _, e := range n.Quota.Take() {
+	for _, e := range n.Quota.TakeMessages() {
 		datagram := quota.Encode(&e.Message)
 		n.sendEach([]string{e.To.Address}, datagram)
 		metrics.GetOrRegisterCounter("quota.sent", n.Metrics).Inc(1)
@@ -180,11 +180,11 @@
 	for d.Verdict == quota.Waiting {
 		select {
 		case <-d.Answered:
-			d = n.Quota.Again(id, false)
+			d = n.Quota.Recheck(id, false)
 		case <-timeout.C:
-			d = n.Quota.Again(id, true)
+			d = n.Quota.Recheck(id, true)
 		case <-ctx.Done():
-			d = n.Quota.Again(id, true)
+			d = n.Quota.Recheck(id, true)
 		}
 	}
 	n.sendQuota()
@@ -219,7 +219,7 @@
 	b := standing.Box{Box: n.Settings.Box, Zone: n.Settings.Zone, Region: n.Topology.RegionOf(n.Settings.Zone), Version: t.Configuration.Version}
 	for i := range t.Configuration.Customers {
 		c := &t.Configuration.Customers[i]
-		s := n.Quota.Statement(quota.IDOf(c.Name))
+		s := n.Quota.Stats(quota.IDOf(c.Name))
 		settled, inTime := n.Ledger.Of(c.Name)
 		var keys []string
 		for _, k := range c.Keys {
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -25,11 +25,11 @@
 		metrics.GetOrRegisterCounter("store."+verb, n.Metrics).Inc(1)
 	}, func(err error) { n.noteUnreadObject(log, err) })
 	n.Replica = replica.New(replica.Options{
-		Kinds: kinds, Zone: s.Zone, Contact: s.Bounds.Contact, Drain: s.Bounds.Drain,
+		Kinds: kinds, Zone: s.Zone, ContactWindow: s.Bounds.Contact, DrainTime: s.Bounds.Drain,
 		Client:  n.store,
 		Members: n.Members, Fetch: n.fetchMirror, Now: n.Clock.Now,
 		WatchersPerZone: func() int { return n.policy.Load().WatchersPerZone },
-		Answered:        n.checkReady,
+		OnAnswer:        n.checkReady,
 		Go:              n.background.Go, Context: n.context,
 		Metrics: n.Metrics, BoxLog: n.log, StoreLog: log,
 	})
@@ -73,9 +73,9 @@
 		log.Warn("configuration refused", map[string]any{"version": c.Version, "error": err.Error()})
 		return
 	}
-	terms := map[string]backend.ServiceTerms{}
+	terms := map[string]backend.ColdStartConfig{}
 	for _, s := range c.Services {
-		terms[s.Name] = backend.ServiceTerms{ColdStart: s.ColdStart, ColdPerSecond: s.ColdPerSecond}
+		terms[s.Name] = backend.ColdStartConfig{ColdStart: s.ColdStart, ColdPerSecond: s.ColdPerSecond}
 	}
 	n.Set.SetServices(terms)
 	n.Quota.SetCustomers(c.Customers)
@@ -110,7 +110,7 @@
 	if n.Topology.RegionOf(v.Zone) == "" {
 		return &ZoneError{Server: v.ID, Zone: v.Zone}
 	}
-	if v.Born == 0 && n.Set.TellsStart(v.ID) {
+	if v.StartedAtMs == 0 && n.Set.ReportsStart(v.ID) {
 		return &StartError{Server: v.ID}
 	}
 	return nil
--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -20,8 +20,8 @@
 		return nil
 	}
 	wait := f.Wait
-	if f.WaitNow != nil {
-		wait = f.WaitNow()
+	if f.NextWait != nil {
+		wait = f.NextWait()
 	}
 	switch {
 	case state.failed:
@@ -44,7 +44,7 @@
 	}
 	answered := f.Now()
 	f.Mirror.Apply(events, Exactly(at))
-	f.Confirmed(Answer{At: answered, Events: events})
+	f.OnConfirmed(Answer{At: answered, Events: events})
 	return len(events), nil
 }
 
@@ -62,9 +62,9 @@
 func (f *Follower) watch(ctx context.Context, wait time.Duration) ([]Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTime+wait)
 	defer cancel()
-	start, since := f.begin(), f.Mirror.Version().At
+	start, since := f.begin(), f.Mirror.Version().Revision
 	events, at, err := f.Client.Watch(ctx, f.Mirror.Kind, since, wait)
-	f.Ended(Call{Watch: true, Since: since, At: at, Objects: len(events), Took: f.Now().Sub(start), Err: err})
+	f.OnCall(Call{Watch: true, Since: since, Revision: at, Objects: len(events), Took: f.Now().Sub(start), Err: err})
 	return events, at, err
 }
 
@@ -88,9 +88,9 @@
 			return err
 		}
 		if page == 0 {
-			held.At = p.At
+			held.CompleteTo = p.Revision
 		}
-		held.UpTo = p.At
+		held.PartialTo = p.Revision
 		items = append(items, p.Items...)
 		if !p.More || len(p.Items) == 0 {
 			break
@@ -108,14 +108,14 @@
 	defer cancel()
 	start := f.begin()
 	p, err := f.Client.List(ctx, f.Mirror.Kind, after, stale)
-	f.Ended(Call{At: p.At, Objects: len(p.Items), Took: f.Now().Sub(start), Err: err})
+	f.OnCall(Call{Revision: p.Revision, Objects: len(p.Items), Took: f.Now().Sub(start), Err: err})
 	return p, err
 }
 
 // awaitTurn waits until this box is to read on, or has been handed the list. The
 // error is that of the context.
 func (f *Follower) awaitTurn(ctx context.Context) error {
-	for f.ReadsOn != nil && !f.ReadsOn() && !f.Mirror.Synced() {
+	for f.ContinuesList != nil && !f.ContinuesList() && !f.Mirror.Synced() {
 		f.sleep(ctx, readPoll)
 		if err := ctx.Err(); err != nil {
 			return err
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// stockTime is for how long ahead a box wants tokens of a customer: two reports.
+	// prefetchTime is for how long ahead a box wants tokens of a customer: two reports.
 	// One that asks less than leastStock times in that is granted its tokens one by one,
 	// as its requests come. A larger leastStock has more requests wait for their tokens.
-	stockTime  = 200 * time.Millisecond
-	leastStock = 0.05
-	// lapseAfter is after what time without a request a box gives unused tokens back.
-	lapseAfter = 4 * time.Second
-	// dryFor is for how long a box refuses without asking again after it was told
+	prefetchTime = 200 * time.Millisecond
+	leastStock   = 0.05
+	// idleReturnAfter is after what time without a request a box gives unused tokens back.
+	idleReturnAfter = 4 * time.Second
+	// exhaustedFor is for how long a box refuses without asking again after it was told
 	// that there are no tokens: until its next report is answered.
-	dryFor = 100 * time.Millisecond
-	// changeTold is after what time an account is told of that needs nothing.
-	changeTold = 400 * time.Millisecond
-	// soonestReturn and latestReturn bound when a refused client is asked to come
+	exhaustedFor = 100 * time.Millisecond
+	// changeReportDelay is after what time an account is told of that needs nothing.
+	changeReportDelay = 400 * time.Millisecond
+	// minRetryAfter and latestReturn bound when a refused client is asked to come
 	// back.
-	soonestReturn = 50 * time.Millisecond
-	latestReturn  = 10 * time.Second
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
 // counts are those of Usage, and the requests that were refused.
@@ -38,18 +38,18 @@
 	ceiling uint32
 	waiting int
 	// arrivals, grants and refusals are averages.
-	arrivals rate
-	grants   rate
-	refusals rate
-	usedAt   time.Time
-	dryUntil time.Time
+	arrivals       rate
+	grants         rate
+	refusals       rate
+	usedAt         time.Time
+	exhaustedUntil time.Time
 	// denied: the last answer brought nothing.
 	denied bool
 	// returned are the tokens given back to each allocator, by its key.
 	returned map[uint64]uint32
 	// changed: a report is to tell of it; toldAt is when the last one did.
-	changed bool
-	toldAt  time.Time
+	changed    bool
+	reportedAt time.Time
 	// answered is closed when the allocator has answered.
 	answered chan struct{}
 }
@@ -86,35 +86,35 @@
 
 // want is how many unused tokens to hold.
 func (a *account) want(now time.Time) int {
-	expected := a.arrivals.now(now) * stockTime.Seconds()
+	expected := a.arrivals.now(now) * prefetchTime.Seconds()
 	if expected < leastStock {
 		return 0
 	}
 	return int(math.Ceil(expected))
 }
 
-// granted takes in an allocator's word and reports whether it brought something. What
-// is granted twice by two allocators counts once.
-func (a *account) granted(c Ceiling, now time.Time) bool {
+// applyCeiling takes in an allocator's word and reports whether it brought something. What
+// is applyCeiling twice by two allocators counts once.
+func (a *account) applyCeiling(c Ceiling, now time.Time) bool {
 	more := int32(c.Ceiling - a.ceiling)
 	if more > 0 {
 		a.ceiling = c.Ceiling
 		a.grants.add(float64(more), now)
 	}
 	a.denied = more <= 0
-	if c.Dry {
-		a.dryUntil = now.Add(dryFor)
+	if c.Exhausted {
+		a.exhaustedUntil = now.Add(exhaustedFor)
 	}
 	close(a.answered)
 	a.answered = make(chan struct{})
 	return more > 0
 }
 
-// lapse gives tokens that were not used for long back to an allocator, and reports
+// returnIdle gives tokens that were not used for long back to an allocator, and reports
 // whether there were any.
-func (a *account) lapse(allocator uint64, now time.Time) bool {
+func (a *account) returnIdle(allocator uint64, now time.Time) bool {
 	held := a.held()
-	if held <= 0 || now.Sub(a.usedAt) <= lapseAfter {
+	if held <= 0 || now.Sub(a.usedAt) <= idleReturnAfter {
 		return false
 	}
 	if a.returned == nil {
@@ -125,17 +125,17 @@
 	return true
 }
 
-// returnAfter is when a refused client finds a token: as many as were refused lately
+// retryAfter is when a refused client finds a token: as many as were refused lately
 // come back, spread over as long as their tokens take. The number chance is from 0
 // to 1.
-func (a *account) returnAfter(chance float64, now time.Time) time.Duration {
+func (a *account) retryAfter(chance float64, now time.Time) time.Duration {
 	supply := a.grants.now(now)
 	queue := 1 + a.refusals.now(now)*demandSpan.Seconds()
 	if supply <= 0 {
 		supply = 1
 	}
 	seconds := (0.5 + chance) * queue / supply
-	return max(soonestReturn, min(latestReturn, time.Duration(seconds*float64(time.Second))))
+	return max(minRetryAfter, min(maxRetryAfter, time.Duration(seconds*float64(time.Second))))
 }
 
 // due reports whether a report is to tell of the account now: if it needs tokens, or
@@ -145,7 +145,7 @@
 	case a.waiting > 0 || !a.denied && 2*a.held() < a.want(now):
 		return true
 	}
-	return (a.changed || a.denied) && now.Sub(a.toldAt) >= changeTold
+	return (a.changed || a.denied) && now.Sub(a.reportedAt) >= changeReportDelay
 }
 
 // mayBeDue reports whether a later report may have to tell of the account although
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -24,7 +24,7 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/objects"
-	"github.com/stoneworks/stoneworks/pkg/watcher"
+	"github.com/stoneworks/stoneworks/pkg/storepoller"
 )
 
 // Kinds are the names of the kinds of objects in the store.
@@ -58,18 +58,18 @@
 type Options struct {
 	Kinds Kinds
 	Zone  string
-	// Contact is the time within which a calm box is in touch with the store, and Drain
+	// ContactWindow is the time within which a calm box is in touch with the store, and DrainTime
 	// how long after it was listed as leaving a server may still get requests.
-	Contact, Drain time.Duration
-	Client         *objects.Client
-	Members        *gossip.Table
+	ContactWindow, DrainTime time.Duration
+	Client                   *objects.Client
+	Members                  *gossip.Table
 	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
 	// for PullTime.
 	Fetch func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error)
 	// WatchersPerZone is how many boxes of a zone are to ask the store.
 	WatchersPerZone func() int
-	// Answered is called when the store, or another box in its place, has told something.
-	Answered func()
+	// OnAnswer is called when the store, or another box in its place, has told something.
+	OnAnswer func()
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Go runs work in the background, and Context ends it all.
@@ -94,7 +94,7 @@
 	changed  atomic.Bool
 	// roleMu keeps two decisions on the role apart.
 	roleMu sync.Mutex
-	role   *watcher.Role
+	role   *storepoller.Role
 
 	pulls  *pulls
 	claims claims
@@ -106,8 +106,8 @@
 	now := o.Now()
 	r := &Replica{
 		Options: o, mirrors: map[string]*objects.Mirror{}, followers: map[string]*objects.Follower{},
-		contact: newContact(o.Now, o.Contact), revisions: newRevisions(), pulls: newPulls(),
-		role: watcher.New(o.WatchersPerZone, o.Contact, now, rand.Float64()),
+		contact: newContact(o.Now, o.ContactWindow), revisions: newRevisions(), pulls: newPulls(),
+		role: storepoller.New(o.WatchersPerZone, o.ContactWindow, now, rand.Float64()),
 	}
 	for _, kind := range o.Kinds.all() {
 		r.mirrors[kind] = objects.NewMirror(kind)
@@ -119,7 +119,7 @@
 // OnChange sets what is called with each object of a kind that has changed, gone or not.
 // Call it before Run.
 func (r *Replica) OnChange(kind string, changed func(o objects.Object, gone bool)) {
-	r.mirrors[kind].Changed = func(o objects.Object, gone bool) {
+	r.mirrors[kind].OnChange = func(o objects.Object, gone bool) {
 		changed(o, gone)
 		r.changed.Store(true)
 	}
@@ -142,25 +142,25 @@
 	r.pollIfUntold()
 }
 
-// Beat takes over what other boxes have had for a while. Call it with each heartbeat.
-func (r *Replica) Beat() {
+// PullOverdue takes over what other boxes have had for a while. Call it with each heartbeat.
+func (r *Replica) PullOverdue() {
 	for _, kind := range r.Kinds.all() {
 		r.catchUp(kind, false)
 	}
 }
 
-// Hear takes in what another box tells of its copies.
-func (r *Replica) Hear(from *gossip.Record) {
+// HandleRecord takes in what another box tells of its copies.
+func (r *Replica) HandleRecord(from *gossip.Record) {
 	r.catchUpWith(from)
 	r.hearConfirmations(from)
 }
 
-// TakeNews reports whether this box asks the store and has changes that it has not told
+// TakeUnannounced reports whether this box asks the store and has changes that it has not told
 // its zone of yet, and takes them for told.
-func (r *Replica) TakeNews() bool { return r.watching.Load() && r.changed.Swap(false) }
+func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.changed.Swap(false) }
 
-// Tell writes into this box's record what others are to know of its copies.
-func (r *Replica) Tell(self *gossip.Record) {
+// FillRecord writes into this box's record what others are to know of its copies.
+func (r *Replica) FillRecord(self *gossip.Record) {
 	self.Versions = map[string]objects.Version{}
 	for kind, m := range r.mirrors {
 		if m.Synced() {
@@ -171,7 +171,7 @@
 	self.ConfirmedAgo = r.contact.configuration.told(watching)
 	self.ListConfirmedAgo = r.contact.list.told(watching)
 	self.StoreHealthy = watching && r.synced() && r.contact.healthy()
-	self.Trying = watching && !self.StoreHealthy
+	self.StoreUnanswered = watching && !self.StoreHealthy
 }
 
 // ----------------------------------------------------------------
@@ -203,7 +203,7 @@
 }
 
 // anyHealthy reports whether the store has answered any other live box without fail.
-func (r *Replica) anyHealthy() bool { return r.Members.AnyHealthy() }
+func (r *Replica) anyHealthy() bool { return r.Members.AnyStoreHealthy() }
 
 // synced reports whether this box has copies of all that the store holds.
 func (r *Replica) synced() bool {
@@ -229,7 +229,7 @@
 func (r *Replica) chooseRole() {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	watching := r.role.Watches(r.view(), r.Now())
+	watching := r.role.ShouldPoll(r.view(), r.Now())
 	if watching == r.watching.Swap(watching) {
 		return
 	}
@@ -237,7 +237,7 @@
 	r.contact.forgetFailures()
 	for _, f := range r.followers {
 		if watching {
-			f.Hurry()
+			f.RetryNow()
 		} else {
 			f.Restart()
 		}
@@ -245,11 +245,11 @@
 }
 
 // view is what this box's role follows from.
-func (r *Replica) view() watcher.View {
-	z := r.Members.Zone(watcherSilence)
+func (r *Replica) view() storepoller.View {
+	z := r.Members.StoreContacts(watcherSilence)
 	healthy := r.contact.healthy()
-	return watcher.View{
-		HealthyBefore: z.HealthyBefore, TryingBefore: z.TryingBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
+	return storepoller.View{
+		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: r.synced(), Answered: r.watching.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
 	}
 }
@@ -258,5 +258,5 @@
 func (r *Replica) readsOn() bool {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	return r.role.ReadsOn(r.Now())
+	return r.role.ReadsAllPages(r.Now())
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -66,8 +66,8 @@
 	Version string
 	// Share is the share of requests that go to servers of the version; the others go to other servers.
 	Share float64
-	// Barred: the version gets nothing, whatever else there is.
-	Barred bool
+	// Excluded: the version gets nothing, whatever else there is.
+	Excluded bool
 }
 
 // active is an order with what this box knows of it.
@@ -150,7 +150,7 @@
 	case a.State == Complete:
 		return Rule{Version: a.Version, Share: 1}
 	case a.State == RolledBack || a.isBad:
-		return Rule{Version: a.Version, Barred: true}
+		return Rule{Version: a.Version, Excluded: true}
 	}
 	return Rule{Version: a.Version, Share: shareAt(now.Sub(a.seen), a.Duration)}
 }
@@ -159,8 +159,8 @@
 type Change struct {
 	Order Order
 	State State
-	// Why is what was found, for the log.
-	Why Verdict
+	// Verdict is what was found, for the log.
+	Verdict Verdict
 }
 
 // Changes returns the states that are to be written to the store.
@@ -177,11 +177,11 @@
 		a.isBad = a.isBad || verdict.Bad
 		switch {
 		case a.isBad:
-			list = append(list, Change{Order: a.Order, State: RolledBack, Why: verdict})
+			list = append(list, Change{Order: a.Order, State: RolledBack, Verdict: verdict})
 		case now.Sub(a.seen).Seconds() >= completeAt*a.Duration.Seconds():
-			list = append(list, Change{Order: a.Order, State: Complete, Why: verdict})
+			list = append(list, Change{Order: a.Order, State: Complete, Verdict: verdict})
 		case a.State == "":
-			list = append(list, Change{Order: a.Order, State: Running, Why: verdict})
+			list = append(list, Change{Order: a.Order, State: Running, Verdict: verdict})
 		}
 	}
 	return list
