--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,6 +1,6 @@
-// Package retry bounds how often requests are sent again. The bound holds for
-// all boxes together: each box keeps within its own part of it, so that the
-// sum stays within the whole even if every box spends all it has.
+// Package retry bounds how often requests are retried, that is, sent again. The bound holds for
+// all boxes together: each box stays within its own share, so the sum stays within the bound
+// even if every box uses all of its share.
 package retry
 
 import (
@@ -8,61 +8,60 @@
 	"time"
 )
 
-// bucketCount is the number of parts of a window that are counted. All but one of
-// them make a whole window, so the part that has just begun never hides an
-// older one.
+// bucketCount is the number of counting buckets. A window spans all but one of them, so the
+// bucket that has just begun never displaces one that is still inside the window.
 const bucketCount = 21
 
-// usableSlack is the part of the slack that boxes use. The rest covers boxes
-// that have just joined and are not counted yet: one in five of them.
+// usableSlack is the fraction of the slack that boxes use. The rest covers boxes that have just
+// joined and are not counted yet: up to one in five.
 const usableSlack = 0.8
 
-// Bounds are the bounds on repeats in any window.
+// Bounds limit the number of retries in any window.
 type Bounds struct {
-	// Ratio bounds repeats by the number of requests.
+	// Ratio bounds retries relative to the number of requests.
 	Ratio float64
-	// Slack is what all boxes together may send beyond that.
+	// Slack is how many retries all boxes together may send beyond Ratio.
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget counts the requests and repeats of each service.
+// Budget counts the requests and retries of each service.
 //
-// Two bounds hold. Each request adds Ratio to a box's tokens, and a repeat
-// takes one; tokens are saved only up to the box's part of the slack. So what
-// a box repeats in any window is earned in that window, but for that part,
-// also when its traffic has moved to other boxes meanwhile. And the repeats of
-// a window stay within Ratio of its requests and the part, which is what binds
-// where the part is less than one repeat.
+// Two bounds hold. Each request adds Ratio to a box's tokens and each retry takes one token.
+// Tokens accumulate only up to the box's share of the slack (or to one token), so the retries of
+// a box in any window are paid for by requests of that window, except for that share, even if
+// its traffic has meanwhile moved to other boxes. In addition, the retries of a window stay
+// within Ratio times its requests plus the share; this is the bound that applies where the share
+// is less than one retry.
 type Budget struct {
 	Bounds Bounds
-	// Boxes returns among how many boxes the slack is divided; 0 when that
-	// is not known, and then nobody may use it.
+	// Boxes returns the number of boxes that share the slack. It returns 0 if that is not known;
+	// then no box uses slack.
 	Boxes func() int
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 
-	// began is when the budget was made; buckets are counted from then on.
+	// began is when the budget was created. Buckets are numbered from then on.
 	began time.Time
 
 	mu       sync.Mutex
 	services map[string]*serviceCounts
-	// maxBoxes is the largest number of boxes that was seen within a window, as
-	// of mostAt: those that were lost sight of may still use their part.
+	// maxBoxes is the largest number of boxes seen within a window, as of maxBoxesAt. Boxes that
+	// are no longer visible may still use their share.
 	maxBoxes   int
 	maxBoxesAt time.Time
 }
 
-// serviceCounts is what is known of one service.
+// serviceCounts holds the tokens and counts of one service.
 type serviceCounts struct {
 	tokens float64
-	// requests and repeats are counted over a sliding window, in buckets.
+	// requests and retries are counted over a sliding window of buckets.
 	requests [bucketCount]float64
 	retries  [bucketCount]float64
 	at       int64
 }
 
-// NewBudget makes a budget in which nothing is spent.
+// NewBudget returns a budget with no requests or retries counted.
 func NewBudget(terms Bounds, boxes func() int, now func() time.Time) *Budget {
 	return &Budget{Bounds: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
 }
@@ -76,7 +75,7 @@
 	a.tokens = min(a.tokens+b.Bounds.Ratio, max(1, b.slackPerBox()))
 }
 
-// Spend takes one repeat from the budget and reports whether there was one.
+// Spend takes one retry from the budget and reports whether one was available.
 func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,14 +88,14 @@
 	return true
 }
 
-// allowed returns how many repeats the window bears. The oldest requests are
-// left out, since they may lie outside the judged window.
+// allowed returns how many retries the window permits. The oldest bucket of requests is left
+// out, because it may lie outside the window.
 func (b *Budget) allowed(a *serviceCounts) float64 {
 	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
 	return b.Bounds.Ratio*requests + b.slackPerBox()
 }
 
-// slackPerBox is this box's part of the slack.
+// slackPerBox returns this box's share of the slack.
 func (b *Budget) slackPerBox() float64 {
 	now := b.Now()
 	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.maxBoxesAt) > b.Bounds.Window {
@@ -109,7 +108,7 @@
 	return usableSlack * b.Bounds.Slack / float64(b.maxBoxes)
 }
 
-// advance returns the service's account, with what is too old forgotten.
+// advance returns the service's counts after clearing buckets that have left the window.
 func (b *Budget) advance(service string) *serviceCounts {
 	now := int64(b.Now().Sub(b.began) / (b.Bounds.Window / (bucketCount - 1)))
 	a := b.services[service]
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetHoldsOverAllBoxes: however requests and wishes to repeat fall on
-// the boxes, the repeats of all of them in any window stay within the bound.
+// TestBudgetHoldsOverAllBoxes checks that the retries of all boxes in any window stay within the
+// bound, however requests and retries are distributed over the boxes.
 func TestBudgetHoldsOverAllBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := rapid.IntRange(1, 12).Draw(t, "boxes")
@@ -35,17 +35,16 @@
 			r := within(repeats, end, terms.Window)
 			allowed := terms.Ratio*float64(within(requests, end, terms.Window)) + terms.Slack
 			if float64(r) > allowed {
-				t.Fatalf("%d repeats in the window that ends at %v; allowed are %v", r, end, allowed)
+				t.Fatalf("%d retries in the window that ends at %v; at most %v are allowed", r, end, allowed)
 			}
 		}
 	})
 }
 
-// TestBudgetHoldsWhileTrafficMovesBetweenBoxes: from some moment on every
-// server refuses, and traffic comes in waves that reach the boxes one after the
-// other. A box must not save what its requests allow until its own traffic is
-// gone: the sum would exceed what the requests of all boxes allow by then. Found
-// on a day on which all servers of a service refused part of their requests.
+// TestBudgetHoldsWhileTrafficMovesBetweenBoxes guards against boxes saving retries: from some
+// moment on every server refuses requests, and traffic arrives in waves that reach the boxes one
+// after the other. If a box could save what its requests allow until its own traffic is gone,
+// the sum would exceed what the requests of all boxes allow at that time.
 func TestBudgetHoldsWhileTrafficMovesBetweenBoxes(t *testing.T) {
 	const (
 		boxes = 12
@@ -86,13 +85,13 @@
 		r := within(repeats, end, terms.Window)
 		allowed := terms.Ratio*float64(within(requests, end, terms.Window)) + terms.Slack
 		if float64(r) > allowed {
-			t.Fatalf("trouble from %v: %d repeats in the window that ends after %v; allowed are %.0f", onset, r, end.Sub(start), allowed)
+			t.Fatalf("servers refuse from %v on: %d retries in the window that ends after %v; at most %.0f are allowed", onset, r, end.Sub(start), allowed)
 		}
 	}
 }
 
-// TestBudgetDividesSlackAmongTheMostBoxesOfAWindow: a box that loses sight of
-// others must not take their part of the slack while they may still use it.
+// TestBudgetDividesSlackAmongTheMostBoxesOfAWindow checks that a box that no longer sees other
+// boxes does not use their share of the slack while they may still use it.
 func TestBudgetDividesSlackAmongTheMostBoxesOfAWindow(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -111,7 +110,7 @@
 	first := spend()
 	is.True(first <= 10)
 	boxes = 1
-	is.Equal(spend(), first) // the others were seen a moment ago
+	is.Equal(spend(), first) // the other boxes were seen within the window
 	now = now.Add(11 * time.Second)
 	is.True(spend() > first)
 }
@@ -141,13 +140,13 @@
 	is.Equal(b.Spend("shop"), true)
 	is.Equal(b.Spend("shop"), false)
 	now = now.Add(time.Minute)
-	is.Equal(b.Spend("shop"), false) // what lies outside the window counts no more
+	is.Equal(b.Spend("shop"), false) // the request lies outside the window
 }
 
-// TestBudgetHoldsWhereEachPartIsBelowOneRepeat: at 295 boxes the part of each is one
-// or two repeats, at 3,000 less than one. Whatever box clients move to, and though
-// every request asks to be sent again, the sum stays within the bound and what
-// requests earn is still used.
+// TestBudgetHoldsWhereEachPartIsBelowOneRepeat covers small shares: with 295 boxes the share of each
+// is one or two retries, with 3,000 less than one. Clients move between boxes and every request asks
+// for a retry. The sum must stay within the bound, and the retries that requests allow must still be
+// used.
 func TestBudgetHoldsWhereEachPartIsBelowOneRepeat(t *testing.T) {
 	const (
 		tick    = 100 * time.Millisecond
@@ -164,7 +163,7 @@
 		}
 		var requests, repeats [ticks]float64
 		for k := range ticks {
-			// Clients move on to other boxes every four seconds.
+			// Clients move to other boxes every four seconds.
 			first := k / 40 * serving
 			for i := range perTick {
 				b := budgets[(first+i%serving)%boxes]
@@ -180,10 +179,10 @@
 		for end := window; end <= ticks; end++ {
 			asked, sent := total(requests[end-window:end]), total(repeats[end-window:end])
 			if sent > terms.Ratio*asked+terms.Slack {
-				t.Fatalf("%d boxes: %.0f repeats for %.0f requests", boxes, sent, asked)
+				t.Fatalf("%d boxes: %.0f retries for %.0f requests exceed the bound", boxes, sent, asked)
 			}
 			if sent < 0.8*terms.Ratio*asked {
-				t.Fatalf("%d boxes: only %.0f repeats for %.0f requests", boxes, sent, asked)
+				t.Fatalf("%d boxes: only %.0f retries for %.0f requests", boxes, sent, asked)
 			}
 		}
 	}
