--- a/pkg/routing/configuration.go
+++ b/pkg/routing/configuration.go
@@ -1,7 +1,6 @@
-// Package routing holds the configuration that operators own as one whole and
-// finds the route of a request in it. It has no input or output: a Table is
-// built once for each configuration and never changes, so a request sees one
-// configuration from its beginning to its end.
+// Package routing holds the operators' configuration as a whole and finds the route of a request
+// in it. It does no input or output. A Table is built once for each configuration and never
+// changes, so a request sees one configuration from start to end.
 package routing
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// Kind says how a request may be treated when it fails.
+// Kind determines how a failed request may be handled.
 type Kind string
 
 // The kinds of routes.
@@ -25,19 +24,19 @@
 	Upload Kind = "upload"
 )
 
-// Configuration is everything that operators set, at one version.
+// Configuration is everything that operators configure, at one version.
 type Configuration struct {
-	// Version only rises; 0 means that there is none.
+	// Version only increases; 0 means that there is no configuration.
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
-	// Customers are those whose requests are served. With none, requests need no
-	// key and have no limits.
+	// Customers are those whose requests are served. If there are none, requests need no key and
+	// are not limited.
 	Customers []customer.Customer `json:"customers,omitempty"`
 }
 
-// Route sends the requests of one host under one path prefix to services.
+// Route sends the requests for one host and path prefix to services.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
@@ -45,40 +44,40 @@
 	PathPrefix string    `json:"path_prefix"`
 	Kind       Kind      `json:"kind"`
 	Backends   []Backend `json:"backends"`
-	// Timeout is the longest time for which a request is held; 0 for none.
+	// Timeout is the longest time that a request is held; 0 means no limit.
 	Timeout time.Duration `json:"timeout"`
-	// TargetLatency is the time within which an answer is worth most.
+	// TargetLatency is the time within which a response has its full value.
 	TargetLatency time.Duration `json:"target_latency"`
-	// MaxAttempts bounds the backend servers that one request is sent to.
+	// MaxAttempts bounds the number of backend servers that one request is sent to.
 	MaxAttempts int `json:"max_attempts"`
-	// Priority is the rank of the requests; 0 is highest.
+	// Priority is the rank of the requests; 0 is the highest.
 	Priority int `json:"priority"`
-	// AllowedRegions bounds where requests may run; empty allows all regions.
+	// AllowedRegions restricts where requests may run; if empty, all regions are allowed.
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
-	// SessionAffinity asks that equal keys go to the same backend server.
+	// SessionAffinity prefers the same backend server for equal keys.
 	SessionAffinity bool `json:"session_affinity,omitempty"`
-	// AllowAnonymous lets requests without a key pass where there are customers.
+	// AllowAnonymous accepts requests without a key even if there are customers.
 	AllowAnonymous bool `json:"allow_anonymous,omitempty"`
 }
 
-// Backend is one service of a route with its weight.
+// Backend is one service of a route and its weight.
 type Backend struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service holds what all backend servers of one service have in common.
+// Service holds the properties that all backend servers of one service share.
 type Service struct {
 	Name           string `json:"name"`
 	HealthPath     string `json:"health_path,omitempty"`
 	MaxConnections int    `json:"max_connections"`
 	// ColdStart is how long a backend server is cold after its start.
 	ColdStart time.Duration `json:"cold_start"`
-	// ColdPerSecond is how many requests a second a cold backend server bears.
+	// ColdPerSecond is how many requests per second a cold backend server can handle.
 	ColdPerSecond float64 `json:"cold_per_second"`
 }
 
-// Limits bounds what a client may send and how long it may take.
+// Limits bounds the size and duration of a client's requests.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int64         `json:"body_bytes"`
@@ -86,7 +85,7 @@
 	IdleTimeout   time.Duration `json:"idle_timeout"`
 }
 
-// DefaultLimits hold until a configuration sets others.
+// DefaultLimits apply until a configuration sets other limits.
 var DefaultLimits = Limits{
 	HeaderBytes:   16 << 10,
 	BodyBytes:     64 << 20,
@@ -94,9 +93,9 @@
 	IdleTimeout:   15 * time.Second,
 }
 
-// ConfigurationError says what makes a configuration unfit.
+// ConfigurationError reports why a configuration is invalid.
 type ConfigurationError struct {
-	// Where names the route or service.
+	// Where names the route, customer or field at fault.
 	Where   string
 	Problem string
 }
@@ -114,7 +113,7 @@
 	return customer.RegionIn(r.AllowedRegions, region)
 }
 
-// Check returns a *ConfigurationError for the first fault, or nil.
+// Check returns a *ConfigurationError for the first problem, or nil.
 func (c *Configuration) Check() error {
 	if c.Version == 0 {
 		return &ConfigurationError{Where: "version", Problem: "missing"}
@@ -131,7 +130,7 @@
 	return c.checkCustomers()
 }
 
-// checkCustomers looks at each customer by itself; NewTable looks at their keys.
+// checkCustomers checks each customer separately; NewTable checks their keys.
 func (c *Configuration) checkCustomers() error {
 	names := map[string]bool{}
 	for i := range c.Customers {
@@ -139,13 +138,13 @@
 		problem := ""
 		switch {
 		case m.Name == "":
-			problem = "no name"
+			problem = "the name is missing"
 		case names[m.Name]:
-			problem = "stands twice"
+			problem = "the name is used by another customer"
 		case !isValidLimit(m.Rate):
-			problem = fmt.Sprintf("rate %v", m.Rate)
+			problem = fmt.Sprintf("invalid rate %v", m.Rate)
 		case !isValidLimit(m.Burst):
-			problem = fmt.Sprintf("burst %v", m.Burst)
+			problem = fmt.Sprintf("invalid burst %v", m.Burst)
 		}
 		if problem != "" {
 			return &ConfigurationError{Where: fmt.Sprintf("customer %d %q", i+1, m.Name), Problem: problem}
@@ -160,11 +159,11 @@
 func (r *Route) check(services map[string]bool) error {
 	switch {
 	case r.Host == "":
-		return &ConfigurationError{Where: r.Name, Problem: "no host"}
+		return &ConfigurationError{Where: r.Name, Problem: "the host is missing"}
 	case r.PathPrefix == "" || r.PathPrefix[0] != '/':
 		return &ConfigurationError{Where: r.Name, Problem: "the path prefix does not begin with a slash"}
 	case len(r.Backends) == 0:
-		return &ConfigurationError{Where: r.Name, Problem: "no service"}
+		return &ConfigurationError{Where: r.Name, Problem: "there are no backends"}
 	case r.Kind != Safe && r.Kind != Unsafe && r.Kind != Upload:
 		return &ConfigurationError{Where: r.Name, Problem: fmt.Sprintf("unknown kind %q", r.Kind)}
 	}
@@ -179,7 +178,7 @@
 		total += b.Weight
 	}
 	if total <= 0 {
-		return &ConfigurationError{Where: r.Name, Problem: "the weights add up to nothing"}
+		return &ConfigurationError{Where: r.Name, Problem: "the weights add up to zero"}
 	}
 	return nil
 }
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -85,9 +85,8 @@
 	return ok
 }
 
-// TestSplitterMeetsWeights: after any number of requests, each backend's count
-// is within one of its share for two backends, and within the number of
-// backends for more.
+// TestSplitterMeetsWeights checks that, after any number of requests, the count of each backend
+// differs from its share by at most the number of backends.
 func TestSplitterMeetsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "backends")
@@ -107,7 +106,7 @@
 		for i, b := range r.Backends {
 			want := float64(requests) * b.Weight / total
 			if math.Abs(counts[i]-want) > float64(n) {
-				t.Fatalf("backend %d got %v of %d requests; its share is %v", i, counts[i], requests, want)
+				t.Fatalf("backend %d received %v of %d requests; its share is %v", i, counts[i], requests, want)
 			}
 		}
 	})
--- a/pkg/routing/splitter.go
+++ b/pkg/routing/splitter.go
@@ -2,20 +2,19 @@
 
 import "sync"
 
-// Splitter divides requests among the weighted backends of routes. It keeps,
-// for each route, what every backend is owed, and gives each request to the
-// one that is owed most (smooth weighted round robin), so that shares are met
-// within one request and not by chance alone.
+// Splitter divides requests among the weighted backends of routes by smooth weighted round
+// robin: it keeps a credit for every backend of a route and picks the backend with the most. So
+// shares are met within a few requests (within one for two backends) rather than only on
+// average.
 type Splitter struct {
 	mu     sync.Mutex
 	credit map[string][]float64
 }
 
-// NewSplitter makes an empty splitter.
+// NewSplitter returns a splitter that has divided no requests yet.
 func NewSplitter() *Splitter { return &Splitter{credit: map[string][]float64{}} }
 
-// Pick returns the index of the backend that the next request of the route
-// goes to.
+// Pick returns the index of the backend for the next request of the route.
 func (s *Splitter) Pick(r *Route) int {
 	if len(r.Backends) == 1 {
 		return 0
@@ -41,8 +40,8 @@
 	return best
 }
 
-// splitKey names a route with its backends, so that changed weights begin
-// anew.
+// splitKey identifies a route and the services of its backends, so that a change of these starts
+// the division anew.
 func splitKey(r *Route) string {
 	key := r.Host + r.PathPrefix
 	for _, b := range r.Backends {
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -15,8 +15,7 @@
 	keyring       *customer.Keyring
 }
 
-// NewTable prepares a configuration for look-ups. The error is a
-// *ConfigurationError.
+// NewTable prepares a configuration for lookups. The error is a *ConfigurationError.
 func NewTable(c *Configuration) (*Table, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -48,8 +47,8 @@
 	return t, nil
 }
 
-// Find returns the route with the longest path prefix of the host, or nil.
-// The host may carry a port.
+// Find returns the host's route with the longest matching path prefix, or nil. The host may
+// include a port.
 func (t *Table) Find(host, path string) *Route {
 	for _, r := range t.hosts[hostName(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -62,14 +61,14 @@
 // HostRoutes returns the routes of a host.
 func (t *Table) HostRoutes(host string) []*Route { return t.hosts[hostName(host)] }
 
-// HasCustomers reports whether requests need a key, unless their route says
-// otherwise.
+// HasCustomers reports whether requests need a key, unless their route allows anonymous
+// requests.
 func (t *Table) HasCustomers() bool { return len(t.Configuration.Customers) > 0 }
 
-// Owner returns the customer whose key it is, or nil.
+// Owner returns the customer to whom the key belongs, or nil.
 func (t *Table) Owner(key customer.Digest) *customer.Customer { return t.keyring.Owner(key) }
 
-// Service returns what is known of a service, or nil.
+// Service returns the service with the name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 func hostName(host string) string {
