--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -1,6 +1,6 @@
-// Package steering wires one box together: it follows the platform's store,
-// exchanges heartbeats with other boxes, keeps the configuration and the
-// backend servers in force, and opens the ports. It decides nothing itself.
+// Package node assembles one box: it follows the platform's store, exchanges heartbeats with
+// other boxes, maintains the current configuration and list of backend servers, and opens the
+// ports. The decisions themselves are made in other packages.
 package node
 
 import (
@@ -38,28 +38,31 @@
 	"github.com/stoneworks/stoneworks/pkg/topology"
 )
 
-// Adapter is what a platform's adapter brings.
+// Adapter is what a platform's adapter provides.
 type Adapter struct {
 	// Kinds are the names of the kinds of objects in the store.
 	Kinds replica.Kinds
-	// HoldsKind is the name of the kind in which boxes keep what they hold, so that it outlasts
-	// the loss of all of them.
+	// HoldsKind is the name of the kind in which boxes store the requests that they hold, so
+	// that these outlast the loss of all boxes.
 	HoldsKind string
-	// Store makes the client of the store. Calls are counted by their verbs; objects that
-	// cannot be read are told to unread.
+	// Store creates the client of the store. The client calls count with the verb of each call,
+	// and unread for each object that cannot be read.
 	Store func(address string, dial func(ctx context.Context, address string) (net.Conn, error), count func(verb string), unread func(err error)) *objects.Client
-	// Configuration and Server read objects of the store.
+	// Configuration reads a configuration object of the store.
 	Configuration func(o objects.Object) (*routing.Configuration, error)
-	// Server also reports whether the object may have fields that it does not read.
+	// Server reads a backend server object. It also reports whether the object may have fields
+	// that it does not read.
 	Server func(o objects.Object) (v backend.Server, hasUnread bool, err error)
-	// Rollout reads an order to move a service to a version, RolloutStatus writes its state.
+	// Rollout reads an order to move a service to a version; RolloutStatus returns its state in
+	// the form that is written to the store.
 	Rollout       func(o objects.Object) (rollout.Order, error)
 	RolloutStatus func(c *rollout.Change) any
-	// UnreadFields returns the fields of an object that neither of them reads.
+	// UnreadFields returns the fields of an object that none of these functions reads.
 	UnreadFields func(kind string, o objects.Object) []string
-	// Dialect names the headers.
+	// Dialect defines the platform's headers.
 	Dialect *ingress.Dialect
-	// Readiness and Directory serve the platform's and clients' questions.
+	// Readiness and Directory answer the platform's readiness checks and the clients' queries
+	// for boxes.
 	Readiness func(ready func() bool) HTTPHandler
 	Directory func(resolve func(directory.Query) directory.Answer) HTTPHandler
 }
@@ -77,11 +80,11 @@
 	Set     *backend.Set
 	Budget  *retry.Budget
 	Quota   *quota.Limiter
-	// Quarantine is what is known of requests that crash backend servers.
+	// Quarantine holds what is known of requests that crash backend servers.
 	Quarantine *quarantine.Table
-	// Statuses are what backend servers say of themselves.
+	// Statuses holds what backend servers report about themselves.
 	Statuses *serverstatus.Table
-	// Rollouts are the orders to move services to new versions.
+	// Rollouts holds the orders to move services to new versions.
 	Rollouts  *rollout.Table
 	Ledger    *standing.Ledger
 	Directory *directory.Directory
@@ -92,43 +95,45 @@
 	handler *logging.AsyncHandler
 	log     *logging.Part
 	started time.Time
-	// resumed is when the box last went on after it had stood still for longer than it
-	// remembers others, in nanoseconds since the start.
+	// resumed is when the box last resumed after a pause that was longer than it remembers other
+	// boxes, in nanoseconds since the start.
 	resumed atomic.Int64
 	table   atomic.Pointer[routing.Table]
 	seeds   atomic.Pointer[[]string]
 	policy  atomic.Pointer[policy.Policy]
 
-	// compressed are whole copies as they are handed over, and told is what this box last
-	// announced of itself.
+	// compressed caches whole mirrors in the form in which they are sent, and announced is the
+	// state that this box last announced.
 	compressed compressedMirrors
 	announced  announcedState
-	// failureReports are what other boxes are to know of backend servers, and
-	// lastRequest when a client last sent one, in nanoseconds since the start.
+	// failureReports are the reports about backend servers that other boxes are to receive.
 	failureReports *failurereport.Outbox
 	crashes        crashChecks
-	// crashSendPending: others are about to be told of a crash.
+	// crashSendPending: records of crashes are about to be sent to other boxes.
 	crashSendPending atomic.Bool
-	lastRequest      atomic.Int64
+	// lastRequest is when a client last sent a request, in nanoseconds since the start.
+	lastRequest atomic.Int64
 	// readySince is when the box last became ready, in nanoseconds since the start.
 	readySince atomic.Int64
 
 	quotaCache quotaViewCache
-	// peerList is what choices know of other boxes; see peers.
+	// peerList holds the other boxes as the choice of servers sees them; see peers.
 	peerList peerList
-	// unread are words of the platform that nothing here reads.
+	// unreadNames are the names of headers and fields that nothing reads and that have been
+	// logged.
 	unreadNames unreadNames
-	// listedLines bounds the log lines of servers that are listed, or cold.
+	// listedLines bounds the log lines about servers that are listed or cold.
 	listedLines lineBudget
-	// malformedHeaders bounds the log lines of headers that cannot be read.
+	// malformedHeaders bounds the log lines about headers that cannot be read.
 	malformedHeaders logLimiter
-	// configurationFields bounds how often configurations are looked at for unread fields.
+	// configurationFields bounds how often configurations are checked for unread fields.
 	configurationFields logLimiter
-	// membersChanged: a box has come, gone or come back since limits last looked.
+	// membersChanged: a box has appeared, gone or come back since quotaView last looked.
 	membersChanged atomic.Bool
-	// statusChanged: what a backend server says has changed since boxes were last told.
+	// statusChanged: a backend server's reported status has changed since it was last sent to
+	// other boxes.
 	statusChanged atomic.Bool
-	// refused are the customers that have a metric of their refusals.
+	// refused are the customers that have a metric of their own for refusals.
 	refusedMu sync.Mutex
 	refused   map[string]bool
 
@@ -147,7 +152,7 @@
 	stop       context.CancelFunc
 }
 
-// New makes a box. Nothing runs before Start.
+// New creates a box. Nothing runs before Start.
 func New(s *settings.Settings, adapter *Adapter, handler *logging.AsyncHandler, c *clock.Clock) *Node {
 	logger := logging.New(handler, logging.ParseLevel(s.LogLevel))
 	started := c.Now()
@@ -194,30 +199,28 @@
 }
 
 const (
-	// preferredTTL is how long clients keep an answer of the directory,
-	// where the settings allow as much: long enough to ask seldom, short
-	// enough to leave a stopping box in time.
+	// preferredTTL is how long clients keep an answer of the directory if the settings allow it:
+	// long enough that they ask rarely, short enough that they leave a stopping box in time.
 	preferredTTL = 3 * time.Second
-	// propagationTime is how long it may take until a change in the store is known to a box:
-	// it is gathered with others for 0.6 s, told to the zone within 0.1 s, and taken
-	// over.
+	// propagationTime is how long it may take until a change in the store reaches a box: changes
+	// are batched for 0.6 s, announced to the zone within 0.1 s, and then fetched.
 	propagationTime = time.Second
-	// relistTime is within what the entry of a server that lives is back in
-	// the store, once that answers again.
+	// relistTime is the time within which a running server is listed in the store again once the
+	// store answers again.
 	relistTime = 2 * time.Second
-	// settleTime is how long a box that has started, or stood still for so long that it has
-	// forgotten others, listens before it trusts its count of them.
+	// settleTime is how long a box that has started, or has paused for so long that it has
+	// forgotten the others, listens before it trusts its count of boxes.
 	settleTime = 4 * gossip.Interval
 )
 
-// forgetAfter is for how long a server is kept that vanished while the store
-// could not be trusted, given the time in which servers drain. With the news of it
-// that ends within that time: the server may have left in truth.
+// forgetAfter returns how long a server is kept that vanished while the store could not be
+// trusted, given the time in which servers drain. The server may really have left, so this time
+// plus propagationTime must not exceed the drain time.
 func forgetAfter(drain time.Duration) time.Duration {
 	return max(0, min(relistTime, drain-propagationTime))
 }
 
-// boxCount returns among how many boxCount shared bounds are divided.
+// boxCount returns the number of boxes that share bounds, 0 while it is not known.
 func (n *Node) boxCount() int {
 	if n.uptime()-time.Duration(n.resumed.Load()) < settleTime {
 		return 0
@@ -225,18 +228,19 @@
 	return n.Members.Count()
 }
 
-// peersEvery is how often the list of other boxes is made anew for choices: as often as heartbeats
-// come.
+// peersEvery is how often the list of other boxes is refreshed for the choice of servers: as
+// often as heartbeats arrive.
 const peersEvery = gossip.Interval
 
-// peerList is this box and the others, as of at.
+// peerList is this box and the others as of time at.
 type peerList struct {
 	self backend.Peer
 	list []backend.Peer
 	at   time.Time
 }
 
-// peers returns this box and the others that may send requests. The set calls it, one call at a time.
+// peers returns this box and the others that may send requests. The set calls it, one call at a
+// time.
 func (n *Node) peers() (self backend.Peer, others []backend.Peer) {
 	p := &n.peerList
 	if now := n.Clock.Now(); p.at.IsZero() || now.Sub(p.at) >= peersEvery {
@@ -246,8 +250,8 @@
 	return p.self, p.list
 }
 
-// listPeers makes the list anew. Clients of a zone are told of the largest boxes there that take requests; see
-// package directory.
+// listPeers refreshes the list. Advertised marks the boxes that the directory names to clients:
+// the largest boxes of a zone that accept requests; see package directory.
 func (n *Node) listPeers(p *peerList) {
 	p.list = p.list[:0]
 	most := map[string]float64{}
@@ -306,7 +310,7 @@
 	}
 }
 
-// setPolicy puts figures of policy in force.
+// setPolicy applies the parameters of the policy.
 func (n *Node) setPolicy(p policy.Policy) {
 	n.policy.Store(&p)
 	n.Set.SetPolicy(p)
@@ -349,16 +353,16 @@
 	}
 }
 
-// uptime returns how long this life of the box has lasted.
+// uptime returns how long this incarnation of the box has been running.
 func (n *Node) uptime() time.Duration { return n.Clock.Since(n.started) }
 
-// revokeMargin is by how much sooner than the bound a box stops to trust its keys: a
-// confirmation may have been on its way for as long.
+// revokeMargin is how much earlier than the bound a box stops trusting its keys, because a
+// confirmation may have been in transit for that long.
 const revokeMargin = 500 * time.Millisecond
 
-// keysTrusted reports whether a key that the configuration has still counts: one that was
-// taken away counts no longer than the bound, where the settings ask for that, and
-// else for as long as the box does not hear of it.
+// keysTrusted reports whether the keys of the configuration are still accepted. If the settings
+// enforce revocation, a revoked key is accepted no longer than the bound; otherwise it is
+// accepted until the box learns of the revocation.
 func (n *Node) keysTrusted() bool {
 	b := n.Settings.Bounds
 	if !b.EnforceRevocation {
@@ -368,7 +372,7 @@
 	return ok && ago <= b.Revoke-min(revokeMargin, b.Revoke/2)
 }
 
-// hostAllowed reports whether any route of the host may run in the region.
+// hostAllowed reports whether all routes of the host allow the region.
 func (n *Node) hostAllowed(host, region string) bool {
 	t := n.table.Load()
 	if t == nil {
@@ -383,7 +387,7 @@
 	return true
 }
 
-// starting returns for how long the box has been starting, 0 if it has been ready.
+// starting returns how long the box has been starting, or 0 if it has been ready.
 func (n *Node) starting() time.Duration {
 	if n.readySince.Load() != 0 {
 		return 0
@@ -394,8 +398,8 @@
 // Ready reports whether the box can serve requests.
 func (n *Node) Ready() bool { return n.ready.Load() && !n.leaving.Load() }
 
-// checkReady looks whether the box can serve requests: it has a configuration
-// and backend servers.
+// checkReady updates whether the box can serve requests: it needs a configuration, backend
+// servers and the list of evacuations.
 func (n *Node) checkReady() {
 	ready := n.table.Load() != nil && n.Set.HasServers() && n.Replica.Mirror(n.adapter.Kinds.Evacuations).Synced()
 	if ready != n.ready.Swap(ready) {
--- a/pkg/node/node_clock.go
+++ b/pkg/node/node_clock.go
@@ -8,12 +8,12 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 )
 
-// watchSuspensions logs what the clock finds. A box that wakes is one that was frozen: all that
-// it believes is as much older, other boxes have taken it for silent, and the parts of limits
-// that it was lent are lent to others.
+// watchSuspensions installs the handlers of suspensions and pauses. While the machine is
+// suspended, everything that the box knows of others grows older, other boxes take it for
+// silent, and the shares of limits that were lent to it are lent to others.
 func (n *Node) watchSuspensions() {
 	if err := n.Clock.Err(); err != nil {
-		n.log.Warn("suspensions of the machine cannot be found", map[string]any{"error": err.Error()})
+		n.log.Warn("suspensions of the machine cannot be detected", map[string]any{"error": err.Error()})
 	}
 	n.Timers.OnPause(n.handlePause)
 	n.Clock.Woke = func(away time.Duration) {
@@ -23,8 +23,9 @@
 	}
 }
 
-// handlePause has the box count others anew if it has forgotten all of them: it would take
-// what boxes share, as a cold server's rate, for its own part until it hears them.
+// handlePause restarts the count of other boxes if the pause was so long that this box has
+// forgotten them all. Otherwise it would take what boxes share, such as a cold server's rate,
+// for itself alone until it hears from them.
 func (n *Node) handlePause(away time.Duration) {
 	if away >= gossip.ForgetAfter {
 		n.resumed.Store(int64(n.uptime()))
--- a/pkg/node/node_crash.go
+++ b/pkg/node/node_crash.go
@@ -10,25 +10,25 @@
 	"github.com/stoneworks/stoneworks/pkg/backend"
 )
 
-// crashCheckTimeout bounds how long a box tries to reach a backend server that has closed a
-// connection without an answer: two ways between regions and back. The port of one that
-// has ended refuses at once.
+// crashCheckTimeout bounds the attempt to reach a backend server that has closed a connection
+// without an answer: two round trips between regions. The port of a server that has ended
+// refuses at once.
 const crashCheckTimeout = 250 * time.Millisecond
 
-// crashChecks are the checks that run, by server. All requests that a server took with it
-// wait for the same one.
+// crashChecks are the running checks, by server incarnation. All requests that a server had when
+// it ended wait for the same check.
 type crashChecks struct {
 	mu      sync.Mutex
 	running map[string]*crashCheck
 }
 
-// crashCheck is one check; crashed is set when done is closed.
+// crashCheck is one check; crashed is set before done is closed.
 type crashCheck struct {
 	done    chan struct{}
 	crashed bool
 }
 
-// begin returns the check of a server, and whether the caller is to make it.
+// begin returns the check of a server and whether the caller has to perform it.
 func (c *crashChecks) begin(id string) (check *crashCheck, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,8 +51,8 @@
 	close(check.done)
 }
 
-// hasCrashed reports whether the server's port refuses connections. One that leaves as
-// planned has not crashed, and one that cannot be reached may be cut off.
+// hasCrashed reports whether the server's port refuses connections. A server that leaves as
+// planned has not crashed, and one that cannot be reached may only be cut off.
 func (n *Node) hasCrashed(v *backend.Server) bool {
 	check, first := n.crashes.begin(v.Incarnation())
 	if !first {
--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -15,19 +15,19 @@
 )
 
 // ================================================================
-// Connections to others: the store, other boxes, backend servers.
+// Connections to the store, other boxes and backend servers.
 // ================================================================
 
 const (
 	// dialTimeout bounds the opening of a connection to a backend server.
 	dialTimeout = 600 * time.Millisecond
-	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a
-	// machine without power says nothing.
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged, because a machine
+	// without power sends no error.
 	unackedTimeout = 1500 * time.Millisecond
-	// probeIdle, probeEvery and probes are the keep-alive probes on a connection that
-	// rests: one whose other end has gone silent for good is found within three
-	// seconds. A watch of the store that waits sends nothing by itself, so without
-	// them it would hear nothing more for as long as it may wait.
+	// probeIdle, probeEvery and probeCount configure the keep-alive probes on an idle
+	// connection: a peer that has gone silent for good is detected within three seconds. A
+	// waiting watch of the store sends nothing by itself, so without probes a dead connection
+	// would go unnoticed for as long as the watch may wait.
 	probeIdle  = 2 * time.Second
 	probeEvery = time.Second
 	probeCount = 3
@@ -37,7 +37,7 @@
 	maxIdleConnections = 16
 )
 
-// dialer opens connections that notice a machine without power.
+// dialer returns a dialer whose connections detect a machine without power.
 func (n *Node) dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:   dialTimeout,
@@ -53,8 +53,8 @@
 	}
 }
 
-// localAddress makes connections leave from the box's own IP number, by which
-// others know it.
+// localAddress returns the box's own IP address, by which others know it, as the source address
+// of connections.
 func (n *Node) localAddress() net.Addr {
 	address, err := netip.ParseAddrPort(n.Settings.Advertise.Peers)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return &net.TCPAddr{IP: address.Addr().AsSlice()}
 }
 
-// logIdleLimits logs for how long connections may rest where backend servers have
-// closed some while they were idle.
+// logIdleLimits logs how long connections may stay idle when a backend server has closed one
+// that was idle.
 func (n *Node) logIdleLimits(log *logging.Part) {
 	n.idle.Learnt = func(limit, rested time.Duration) {
 		log.Info("a server closed an idle connection", map[string]any{
@@ -82,14 +82,14 @@
 	return n.dialPeer(ctx, address)
 }
 
-// poolKey tells the connections to servers apart.
+// poolKey identifies the connections to one incarnation of a server at one address.
 type poolKey struct {
 	incarnation string
 	address     string
 }
 
-// pool returns the connections to a backend server. Each life of a server has
-// its own, so that no connection to an earlier one at the address is used.
+// pool returns the connections to a backend server. Each incarnation of a server has its own
+// pool, so that no connection to an earlier server at the address is reused.
 func (n *Node) pool(v *backend.Server) *exchange.Pool {
 	key := poolKey{v.Incarnation(), v.Address}
 	n.mu.Lock()
@@ -104,7 +104,7 @@
 	return p
 }
 
-// dropPools closes the connections to servers that are gone.
+// dropPools closes the connections to servers that are no longer listed.
 func (n *Node) dropPools() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/node/node_findings.go
+++ b/pkg/node/node_findings.go
@@ -10,26 +10,26 @@
 )
 
 // ================================================================
-// What boxes that serve clients tell each other of backend servers.
+// Failure reports about backend servers, sent to the boxes that serve clients.
 // ================================================================
 
 const (
-	// failureReportsEvery is how soon others are told of a server that is gone: a
-	// fraction of the time that finding it out takes each of them.
+	// failureReportsEvery is how often failure reports are sent: a fraction of the time that
+	// each box would need to detect the failure itself.
 	failureReportsEvery = 100 * time.Millisecond
-	// servingWindow is for how long after a request a box counts as one that
-	// serves clients: a few times as long as clients keep what they looked up.
+	// servingWindow is how long after its last request a box counts as serving clients: a few
+	// times as long as clients keep answers of the directory.
 	servingWindow = 15 * time.Second
 )
 
-// serving reports whether clients have lately sent this box requests.
+// serving reports whether clients have recently sent requests to this box.
 func (n *Node) serving() bool {
 	last := n.lastRequest.Load()
 	return last > 0 && n.uptime()-time.Duration(last) < servingWindow
 }
 
-// broadcastFailureReports sends what this box has found to all boxes that serve clients.
-// Others have no use for it.
+// broadcastFailureReports sends this box's failure reports to all boxes that serve clients.
+// Other boxes have no use for them.
 func (n *Node) broadcastFailureReports() {
 	messages := n.failureReports.Take()
 	if len(messages) == 0 {
@@ -39,7 +39,7 @@
 	for i := range messages {
 		datagram, err := failurereport.Wire.Encode(&messages[i])
 		if err != nil {
-			n.log.Warn("findings not sent", map[string]any{"error": err.Error()})
+			n.log.Warn("failure reports could not be encoded", map[string]any{"error": err.Error()})
 			continue
 		}
 		n.sendEach(to, datagram)
@@ -47,7 +47,7 @@
 	}
 }
 
-// receiveFailureReports takes in what another box has found.
+// receiveFailureReports processes another box's failure reports.
 func (n *Node) receiveFailureReports(datagram []byte, from *net.UDPAddr) {
 	m, err := failurereport.Wire.Decode(datagram)
 	if err != nil {
--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -20,18 +20,18 @@
 )
 
 // ================================================================
-// Heartbeats, as datagrams.
+// Datagrams between boxes: heartbeats, and the dispatch of all other kinds.
 // ================================================================
 
-// maxDatagram bounds a heartbeat, in bytes.
+// maxDatagram bounds a received datagram, in bytes.
 const maxDatagram = 16 << 10
 
-// heartbeat sends the next heartbeat.
+// heartbeat does the work that is due at each heartbeat and sends it.
 func (n *Node) heartbeat() {
 	n.Members.Expire()
 	n.Set.Expire()
 	if more := n.listedLines.takeOmitted(); more > 0 {
-		n.log.Info("servers listed or cold, not told one by one", map[string]any{"lines": more})
+		n.log.Info("log lines about listed or cold servers were omitted", map[string]any{"lines": more})
 	}
 	n.checkReady()
 	n.refreshSelf()
@@ -45,7 +45,7 @@
 	}
 }
 
-// announcedState is what this box last announced of itself.
+// announcedState is what this box last announced about itself.
 type announcedState struct {
 	ready        bool
 	storeHealthy bool
@@ -53,9 +53,8 @@
 	serving      bool
 }
 
-// announce tells the zone's other boxes at once that the store has changes, that
-// this box has become ready, that clients send it requests, or that it asks the store
-// from now on.
+// announce notifies the zone's other boxes at once if the store has changes, or if this box's
+// readiness, its contact with the store or whether it serves clients has changed.
 func (n *Node) announce() {
 	if n.Members.Alone() {
 		// The seeds may have started after this box.
@@ -81,21 +80,21 @@
 	})
 }
 
-// send sends a heartbeat to its addresses.
+// send sends a heartbeat to the addresses of its envelope.
 func (n *Node) send(e gossip.Envelope) {
 	if len(e.To) == 0 {
 		return
 	}
 	datagram, err := gossip.Wire.Encode(&e.Message)
 	if err != nil {
-		n.log.Warn("heartbeat not sent", map[string]any{"error": err.Error()})
+		n.log.Warn("heartbeat could not be encoded", map[string]any{"error": err.Error()})
 		return
 	}
 	n.sendEach(e.To, datagram)
 }
 
-// liveBoxes returns where all other live boxes take datagrams, and where those do that are known to
-// serve clients.
+// liveBoxes returns the datagram addresses of all other live boxes, and of those among them that
+// are known to serve clients.
 func (n *Node) liveBoxes() (all, serving []string) {
 	n.Members.EachLive(func(r *gossip.Record) {
 		all = append(all, r.Peers)
@@ -106,19 +105,19 @@
 	return all, serving
 }
 
-// randomSubset returns so many of the addresses, drawn at random. It changes their order.
+// randomSubset returns up to count of the addresses, chosen at random. It changes their order.
 func randomSubset(addresses []string, count int) []string {
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(count, len(addresses))]
 }
 
-// sendMessages sends messages to boxes, and counts under the metric the entries that were told, once for
-// each box.
+// sendMessages sends messages to boxes and adds the number of entries sent to the metric, once
+// for each box.
 func sendMessages[T any](n *Node, wire packet.Codec[T], metric string, to []string, messages []T, count func(m *T) int) {
 	for i := range messages {
 		datagram, err := wire.Encode(&messages[i])
 		if err != nil {
-			n.log.Warn(wire.Kind+" not told", map[string]any{"error": err.Error()})
+			n.log.Warn(wire.Kind+" message could not be encoded", map[string]any{"error": err.Error()})
 			continue
 		}
 		n.sendEach(to, datagram)
@@ -126,8 +125,8 @@
 	}
 }
 
-// sendEach sends a datagram to each address. One that cannot be sent is like one
-// that is lost: the next one takes its place, so it is only counted.
+// sendEach sends a datagram to each address. One that cannot be sent is equivalent to one that
+// is lost: a later datagram replaces it, so the failure is only counted.
 func (n *Node) sendEach(addresses []string, datagram []byte) {
 	for _, address := range addresses {
 		to, err := netip.ParseAddrPort(address)
@@ -181,13 +180,13 @@
 	}
 }
 
-// noteUnreadDatagram notes a datagram that is no message of this version.
+// noteUnreadDatagram counts and logs a datagram that is not a message of this version.
 func (n *Node) noteUnreadDatagram(from *net.UDPAddr, err error) {
 	metrics.GetOrRegisterCounter("heartbeats.unread", n.Metrics).Inc(1)
-	n.log.Debug("datagram not understood", map[string]any{"from": from.String(), "error": err.Error()})
+	n.log.Debug("datagram could not be decoded", map[string]any{"from": from.String(), "error": err.Error()})
 }
 
-// serveFleet tells operators what this box knows of all boxes.
+// serveFleet serves operators what this box knows of all boxes.
 func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	kind := n.adapter.Kinds.Servers
 	listAge, configurationAge := n.Replica.Ages()
@@ -199,7 +198,7 @@
 	n.logUnsent("fleet", json.NewEncoder(w).Encode(told))
 }
 
-// receive takes in a heartbeat, and answers it where that is asked for.
+// receive processes a heartbeat and answers it if an answer is requested.
 func (n *Node) receive(m *gossip.Message, from *net.UDPAddr) {
 	answers, greetings := n.Members.Receive(m)
 	for i := range answers {
--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -10,22 +10,22 @@
 )
 
 // ================================================================
-// Requests that are kept from servers, in the platform's store: where all boxes lose their
-// power, nobody is left to tell those that start.
+// Quarantined requests in the platform's store: if all boxes lose power, no other box is left
+// from which starting boxes could learn of them.
 // ================================================================
 
 const (
-	// holdCallTime bounds a call, and holdPause is the pause after one that failed, which
-	// doubles up to longestHoldPause.
+	// holdCallTime bounds a call. holdPause is the delay after a failed call; it doubles up to
+	// longestHoldPause.
 	holdCallTime     = 1200 * time.Millisecond
 	holdPause        = 500 * time.Millisecond
 	longestHoldPause = 8 * time.Second
-	// holdTries is how often a write is tried: for some 40 s. A store that is down for longer
-	// is the second trouble beside the loss of all boxes.
+	// holdTries is how often a write is attempted: for about 40 s. A store that is down for
+	// longer is a second failure in addition to the loss of all boxes.
 	holdTries = 8
 )
 
-// retryCall makes a call of the store until it succeeds or has failed so many times.
+// retryCall calls the store until a call succeeds or the given number of calls has failed.
 func (n *Node) retryCall(times int, what string, call func(ctx context.Context) error) {
 	pause := holdPause
 	for try := 1; ; try++ {
@@ -46,9 +46,9 @@
 
 // storeHold writes a request to the store that this box has begun to hold.
 func (n *Node) storeHold(r *quarantine.Record) {
-	n.retryCall(holdTries, "keeping a hold in the store", func(ctx context.Context) error {
+	n.retryCall(holdTries, "writing a hold to the store", func(ctx context.Context) error {
 		if len(r.Crashed) > n.policy.Load().QuarantineAfter {
-			// The one of an earlier hold, which has ended.
+			// The object of an earlier hold that has ended.
 			if err := n.store.Remove(ctx, n.adapter.HoldsKind, r.Request.String()); err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 	})
 }
 
-// removeHold removes a request from the store that is held no longer.
+// removeHold removes a request from the store that is no longer held.
 func (n *Node) removeHold(f quarantine.Fingerprint) {
 	n.background.Go(func() {
 		n.retryCall(holdTries, "removing a hold from the store", func(ctx context.Context) error {
@@ -66,10 +66,11 @@
 	})
 }
 
-// holdReadTries bounds the tries of a box that starts; another one that lives tells it all the same.
+// holdReadTries bounds the attempts of a box that starts. If they fail, it still learns of the
+// holds from other live boxes.
 const holdReadTries = 1000
 
-// readHolds takes in what the store keeps.
+// readHolds loads the held requests from the store.
 func (n *Node) readHolds() {
 	n.retryCall(holdReadTries, "reading holds from the store", n.readHoldsOnce)
 }
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// loadHold takes in one object. One that is over is removed.
+// loadHold loads one object. It removes an object whose hold has ended.
 func (n *Node) loadHold(o objects.Object) {
 	f, err := quarantine.ParseFingerprint(o.Name)
 	var stored quarantine.Stored
--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -18,13 +18,13 @@
 )
 
 // ================================================================
-// Limits that backend servers name, over all boxes.
+// Rate limits that backend servers name in their answers, enforced over all boxes together.
 // ================================================================
 
 const (
-	// serverLimitWait bounds how long a request waits for its box to find out whether a server's
-	// limit has room: a way between regions and back, and the ways in two zones. Where nothing
-	// is to come it is told so sooner, and goes to another server.
+	// serverLimitWait bounds how long a request waits for the decision whether a server's limit
+	// has capacity left: one round trip between regions plus the ways within two zones. If no
+	// capacity is expected, the request is told so earlier and goes to another server.
 	serverLimitWait = 100 * time.Millisecond
 )
 
@@ -50,7 +50,7 @@
 	n.Set.IsLeaving = n.Statuses.IsLeaving
 }
 
-// applyLimit has a server's limit hold, or hold no more.
+// applyLimit enforces a server's limit, or ends it.
 func (n *Node) applyLimit(r *serverstatus.Record, what serverstatus.Change) {
 	id := quota.ServerIDOf(r.Server)
 	switch what {
@@ -64,7 +64,8 @@
 	n.statusChanged.Store(true)
 }
 
-// zonesOfRegion returns the zones of the region of a zone; all if that is not known.
+// zonesOfRegion returns the zones of the region to which the zone belongs, or all zones if the
+// region is not known.
 func (n *Node) zonesOfRegion(zone string) []string {
 	region := n.Topology.RegionOf(zone)
 	var own, all []string
@@ -81,10 +82,10 @@
 }
 
 // ----------------------------------------------------------------
-// What servers say
+// Limits in answers
 // ----------------------------------------------------------------
 
-// noteLimit takes in what an answer says of its server's limit.
+// noteLimit records what an answer says about its server's limit.
 func (n *Node) noteLimit(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	if v.Limit.Malformed {
 		metrics.GetOrRegisterCounter("limits.unread", n.Metrics).Inc(1)
@@ -96,7 +97,7 @@
 	n.Statuses.Answered(server, v.Limit, v.Signed, sent)
 }
 
-// allocators returns where boxes that may grant tokens take datagrams.
+// allocators returns the datagram addresses of the boxes that may grant tokens.
 func (n *Node) allocators() (addresses []string) {
 	v := n.quotaView()
 	lists := slices.AppendSeq([][]quota.Box{v.First}, maps.Values(v.Zones))
@@ -110,11 +111,12 @@
 // Requests
 // ----------------------------------------------------------------
 
-// Each box by itself cannot keep a limit that holds for all of them together, so each request takes a
-// token of the limit's sum over all boxes.
+// A single box cannot enforce a limit that holds for all boxes together, so each request takes a
+// token that is accounted for over all boxes.
 
-// admitToServer reports whether the limit that a server may name leaves room for one more request, and
-// has that take it. One that yields leaves it to more urgent ones.
+// admitToServer reports whether the limit that a server may name has capacity for one more
+// request, and takes a token for it if so. With yield set, the request leaves the capacity to
+// more urgent ones.
 func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
 	life := server.Incarnation()
 	if _, named := n.Statuses.Of(life); !named {
@@ -140,8 +142,8 @@
 	return backend.Denied, d.RetryAfter
 }
 
-// awaitRoom waits for what the zone's allocator says of a request for which admitTo left that
-// open, and reports whether it has room.
+// awaitRoom waits for the decision of the zone's allocator on a request for which admitToServer
+// returned Open, and reports whether the limit has capacity for it.
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
 	id := quota.ServerIDOf(server.Incarnation())
 	n.sendQuota()
@@ -154,7 +156,7 @@
 	return false
 }
 
-// releaseRoom gives back what a request has taken of a server's limit and not used.
+// releaseRoom returns the token that a request took from a server's limit and did not use.
 func (n *Node) releaseRoom(server *backend.Server) {
 	n.Quota.GiveBack(quota.ServerIDOf(server.Incarnation()))
 }
@@ -163,7 +165,8 @@
 // Operators
 // ----------------------------------------------------------------
 
-// serveLimits tells operators which limits this box knows of, and what became of its requests.
+// serveLimits serves operators the limits that this box knows of and the counts of its requests
+// under them.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
 	told := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
 	for _, r := range n.Statuses.All() {
--- a/pkg/node/node_limits_test.go
+++ b/pkg/node/node_limits_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestLogLimiterAllowsOneLinePerInterval in each time, so that a server that names what is no limit in each
-// answer does not fill the log.
+// TestLogLimiterAllowsOneLinePerInterval checks that one line per interval is logged, so that a
+// server that sends a malformed limit in every answer does not flood the log.
 func TestLogLimiterAllowsOneLinePerInterval(t *testing.T) {
 	is := is.New(t)
 	var g logLimiter
--- a/pkg/node/node_lines.go
+++ b/pkg/node/node_lines.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxLinesPerSecond bounds the log lines of one kind in a second. A box that starts would else write one for each of
-// thousands of servers before it serves anybody.
+// maxLinesPerSecond bounds the log lines of one kind per second. Without it, a box that starts
+// would write one line for each of thousands of servers before it serves any request.
 const maxLinesPerSecond = 64
 
-// lineBudget bounds the log lines of one kind and counts those that are left out.
+// lineBudget bounds the log lines of one kind and counts those that are omitted.
 type lineBudget struct {
 	mu      sync.Mutex
 	second  int64
@@ -17,8 +17,8 @@
 	omitted int
 }
 
-// allow reports whether a line may be written now, and counts it if not; the time counts from any fixed
-// moment.
+// allow reports whether a line may be written now, and counts it as omitted if not. The time is
+// measured from any fixed moment.
 func (b *lineBudget) allow(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -33,7 +33,7 @@
 	return true
 }
 
-// takeOmitted returns how many lines were left out since it was last called.
+// takeOmitted returns how many lines were omitted since it was last called.
 func (b *lineBudget) takeOmitted() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/node/node_lines_test.go
+++ b/pkg/node/node_lines_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestLinesAreBoundedAndCounted: none is lost from the count, whatever comes at once.
+// TestLinesAreBoundedAndCounted checks that lines are bounded and that every omitted line is
+// counted, however many arrive at once.
 func TestLinesAreBoundedAndCounted(t *testing.T) {
 	is := is.New(t)
 	var b lineBudget
--- a/pkg/node/node_metrics.go
+++ b/pkg/node/node_metrics.go
@@ -11,17 +11,18 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Metric describes a family of figures.
+// Metric describes a family of metrics.
 type Metric struct {
-	// Name is the family's name; a last part in capitals stands for several.
+	// Name is the family's name. A last part in capitals is a placeholder, so that the family
+	// has several members.
 	Name string
 	// Unit is what is counted or measured.
 	Unit    string
 	Meaning string
 }
 
-// MetricTable is the one list of figures that a box tells on its metrics
-// address. docs/METRICS.md is made from it.
+// MetricTable is the single list of the metrics that a box serves on its admin address.
+// docs/METRICS.md is generated from it.
 var MetricTable = []Metric{
 	{"answered", "requests", "answered by a backend server"},
 	{"failed.REASON", "requests", "answered by the box itself, by reason; callers.md lists them"},
@@ -67,11 +68,10 @@
 	{"backend.remote", "exchanges", "with backend servers of other regions"},
 }
 
-// quantiles are those told of times.
+// quantiles are the quantiles reported for timers.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// serveMetrics tells all figures, a line each: the name with its unit, and the
-// value.
+// serveMetrics serves all metrics, one per line: the name with its unit, and the value.
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writeMetrics(w, n.Metrics)
@@ -103,7 +103,7 @@
 	}
 }
 
-// WriteMetricTable writes the table of figures as a page.
+// WriteMetricTable writes the table of metrics as a Markdown page.
 func WriteMetricTable(w io.Writer) {
 	fmt.Fprint(w, "# Metrics\n\nWritten by `stoneworksd --metrics`; a test keeps it so. A box tells them on its\n"+
 		"admin address under /metrics, a line each: `stoneworks_` and the name with `_`\n"+
--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -17,13 +17,13 @@
 )
 
 // ================================================================
-// What boxes hand over to each other of the store's objects, by HTTP with JSON.
+// Transfer of the store's objects between boxes, as JSON over HTTP.
 // ================================================================
 
-// pathMirror serves a mirror: pathMirror + kind.
+// pathMirror is the path under which mirrors are served; the kind follows it.
 const pathMirror = "/v1/mirrors/"
 
-// PeerError says that another box did not answer as expected.
+// PeerError reports that another box did not answer as expected.
 type PeerError struct {
 	Address string
 	Status  int
@@ -32,8 +32,8 @@
 // Error implements error.
 func (e *PeerError) Error() string { return fmt.Sprintf("peer %s: status %d", e.Address, e.Status) }
 
-// fetchMirror asks another box for what its copy has and this one lacks. It gives up when nothing has come
-// for a while.
+// fetchMirror asks another box for the objects that its copy has and this box's copy lacks. It
+// gives up when no data has arrived for replica.PullTime.
 func (n *Node) fetchMirror(ctx context.Context, source string, m *objects.Mirror) (*replica.Handover, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,7 +61,7 @@
 	return body, json.NewDecoder(arriving).Decode(body)
 }
 
-// progressReader tells whenever a part of a body has arrived.
+// progressReader calls arrived whenever data of a body has been read.
 type progressReader struct {
 	body    io.Reader
 	arrived func()
@@ -92,40 +92,39 @@
 	}
 	packed, err := n.compressed.of(m)
 	if err != nil {
-		n.log.Warn("mirror not packed", map[string]any{"kind": m.Kind, "error": err.Error()})
+		n.log.Warn("mirror could not be encoded", map[string]any{"kind": m.Kind, "error": err.Error()})
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// The other side's library unpacks them.
+	// The HTTP client of the receiving box decompresses it.
 	w.Header().Set("Content-Encoding", "gzip")
 	_, err = w.Write(packed)
 	n.logUnsent(m.Kind, err)
 }
 
-// logUnsent notes that a box did not get a mirror that it asked for. It asks
-// again, so nothing else follows.
+// logUnsent logs that a response could not be sent completely. The receiver asks again, so
+// nothing else is done.
 func (n *Node) logUnsent(kind string, err error) {
 	if err != nil {
-		n.log.Debug("mirror not sent", map[string]any{"kind": kind, "error": err.Error()})
+		n.log.Debug("response could not be sent", map[string]any{"kind": kind, "error": err.Error()})
 	}
 }
 
-// compressedMirrors are whole mirrors as they were last handed over: the boxes of a
-// zone that start together ask for the same one.
+// compressedMirrors caches whole mirrors in the form in which they are sent.
 type compressedMirrors struct {
 	mu   sync.Mutex
 	last map[string]compressedMirror
 }
 
-// compressedMirror is a mirror as it is sent, of one version.
+// compressedMirror is a compressed mirror of one version.
 type compressedMirror struct {
 	version objects.Version
 	body    []byte
 }
 
-// of returns the mirror as it is sent. Entries are much alike: packed, a tenth of
-// the bytes is left. A version is packed once, since the boxes of a zone that start
-// together all ask for it.
+// of returns the mirror in the form in which it is sent. Entries are very similar, so
+// compression leaves a tenth of the bytes. Each version is compressed only once, because the
+// boxes of a zone that start together all request it.
 func (p *compressedMirrors) of(m *objects.Mirror) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/node/node_mirrors_slow_test.go
+++ b/pkg/node/node_mirrors_slow_test.go
@@ -19,7 +19,7 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// serveSlowly is a box that hands a list over in parts, with a pause before each.
+// serveSlowly serves a list in parts as another box would, with a pause before each part.
 func serveSlowly(t *testing.T, parts int, pause time.Duration) (address string) {
 	t.Helper()
 	text, err := json.Marshal(replica.Handover{Whole: true, Items: []objects.Object{{Name: "i-1", Revision: 1, Spec: []byte(`{}`)}}})
@@ -41,7 +41,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// pull has a box take a list over, as package replica has it.
+// pull fetches a list as package replica does.
 func pull(t *testing.T, source string) (*replica.Handover, error) {
 	t.Helper()
 	s := settings.Defaults()
@@ -52,9 +52,10 @@
 	return n.fetchMirror(ctx, source, objects.NewMirror("servers"))
 }
 
-// TestSlowListIsFetched. The story: after all boxes had lost power a fleet of 985 boxes served nobody for
-// three seconds. A whole list had to be taken over within one second, on small boxes with a sixth of a processor
-// too: the more servers, the more of them broke it off and began anew. What counts is that something comes.
+// TestSlowListIsFetched guards against a total time limit for fetching a list. When a whole list
+// had to arrive within one second, small boxes with a sixth of a processor gave up and started
+// again, the more of them the more servers there were: after all boxes had lost power, a fleet
+// of 985 boxes served no requests for three seconds. What matters is that data keeps arriving.
 func TestSlowListIsFetched(t *testing.T) {
 	is := is.New(t)
 	h, err := pull(t, serveSlowly(t, 12, 200*time.Millisecond))
@@ -62,7 +63,7 @@
 	is.Equal(len(h.Items), 1)
 }
 
-// TestStalledListIsGivenUp: soon, so that another box is asked.
+// TestStalledListIsGivenUp checks that the box gives up soon, so that it can ask another box.
 func TestStalledListIsGivenUp(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
--- a/pkg/node/node_mirrors_test.go
+++ b/pkg/node/node_mirrors_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoneworks/stoneworks/pkg/replica"
 )
 
-// newMirror makes a mirror of so many servers, with entries of their usual size.
+// newMirror returns a mirror of the given number of servers, with entries of their usual size.
 func newMirror(servers int) *objects.Mirror {
 	m := objects.NewMirror("servers")
 	var items []objects.Object
@@ -26,8 +26,8 @@
 	return m
 }
 
-// TestCompressedMirrorMatchesTheMirror: what is handed over is what the mirror holds
-// now, packed once for each version.
+// TestCompressedMirrorMatchesTheMirror checks that the cached form matches the mirror's current
+// contents and is created once for each version.
 func TestCompressedMirrorMatchesTheMirror(t *testing.T) {
 	is := is.New(t)
 	m := newMirror(100)
@@ -48,8 +48,8 @@
 	is.Equal(body.CompleteTo, uint64(101))
 }
 
-// BenchmarkWholeMirror: a whole list of 1,617 servers for a box that starts,
-// packed anew for each and kept packed.
+// BenchmarkWholeMirror measures sending a whole list of 1,617 servers to a starting box, with
+// the list compressed anew for each box ("anew") and cached ("kept").
 func BenchmarkWholeMirror(b *testing.B) {
 	m := newMirror(1617)
 	b.Run("anew", func(b *testing.B) {
--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -27,18 +27,18 @@
 	servers   []*http.Server
 
 	mu sync.Mutex
-	// clientServer serves clients; it is replaced when limits change, and then
-	// serves only the connections that it has.
+	// clientServer serves clients. It is replaced when limits change; a replaced server serves
+	// only the connections that it already has.
 	clientServer  *http.Server
 	clientServers []*http.Server
 	handoff       *handoffListener
 	limits        routing.Limits
 	handler       http.Handler
-	// pipelined serves requests that clients send pipelined.
+	// pipelined serves requests that clients send before the previous answer has arrived.
 	pipelined *pipeline.Handler
 }
 
-// handoffListener is a listener that is handed its connections.
+// handoffListener is a listener whose connections are handed to it through a channel.
 type handoffListener struct {
 	net.Listener
 	accepted chan net.Conn
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// setLimits makes a server with the limits serve new connections.
+// setLimits replaces the server for clients, so that new connections are served with the limits.
 func (p *ports) setLimits(limits routing.Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 		Handler:           p.handler,
 		ReadHeaderTimeout: p.limits.HeaderTimeout,
 		IdleTimeout:       p.limits.IdleTimeout,
-		// The library adds some for its own bookkeeping.
+		// net/http adds some bytes for its own bookkeeping.
 		MaxHeaderBytes: p.limits.HeaderBytes,
 		ErrorLog:       nil,
 		ConnContext:    pipeline.ConnContext,
@@ -94,7 +94,7 @@
 	}
 }
 
-// serveClients hands the clients' connections to the server in force.
+// serveClients accepts the clients' connections and hands them to the current server.
 func (p *ports) serveClients(handler *pipeline.Handler) {
 	p.mu.Lock()
 	p.handler, p.pipelined = handler, handler
@@ -136,8 +136,9 @@
 	}
 }
 
-// shutdown stops taking connections and waits for requests that are on their way. What is served ahead
-// is waited for first, since the answer in front of it closes its connection from then on.
+// shutdown stops accepting connections and waits for requests in progress. It waits for
+// pipelined requests first, because during the shutdown of a server the answer in front of them
+// closes their connection.
 func (p *ports) shutdown(ctx context.Context) {
 	_ = p.clients.Close()
 	p.mu.Lock()
@@ -219,14 +220,15 @@
 	return nil
 }
 
-// clientHandler serves clientHandler' requests, those that a client sends ahead at the same time.
+// clientHandler returns the handler of clients' requests. It serves pipelined requests
+// concurrently.
 func (n *Node) clientHandler() *pipeline.Handler {
 	return &pipeline.Handler{
 		Next: n.countRequests(n.Ingress), MayRunAhead: n.Ingress.MayRunAhead, Count: n.Ingress.Count,
 	}
 }
 
-// countRequests counts the requests on their way, and notes when the last one came.
+// countRequests counts the requests in progress and records when the last one arrived.
 func (n *Node) countRequests(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.Clock.Sync()
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -13,22 +13,24 @@
 )
 
 // ================================================================
-// What boxes tell each other of requests that crash backend servers.
+// Exchange of records between boxes about requests that crash backend servers.
 // ================================================================
 
 const (
-	// crashBatchDelay is how long a box waits after a crash before it tells others, so that one
-	// datagram tells of all requests that the server took with it. A request that crashes
-	// servers does so each 40 ms and more, and another box may be about to send it on.
+	// crashBatchDelay is how long a box waits after a crash before it informs others, so that
+	// one datagram covers all requests that the server had. A request that crashes servers does
+	// so every 40 ms or more, and another box may be about to send it on.
 	crashBatchDelay = 2 * time.Millisecond
-	// quarantineEvery is how often a box looks whether anything is to be told again.
+	// quarantineEvery is how often a box checks whether records have to be sent again.
 	quarantineEvery = 100 * time.Millisecond
-	// largeFleet is from how many boxes on a first crash is not told to all of them: the requests
-	// of a server with nine slots may be at nine boxes, each of which would tell 3,000.
+	// largeFleet is the number of boxes above which a first crash is not reported to all of
+	// them: the requests of a server with nine slots may be at nine boxes, each of which would
+	// inform 3,000.
 	largeFleet = 64
-	// spreadEvery is how often a box tells some others of all requests that it holds, and
-	// spreadTo how many: one that has started meanwhile, or was cut off, hears of each six
-	// times a second, and of none within a second once in 400 times in a large fleet.
+	// spreadEvery is how often a box sends all requests that it holds to some other boxes, and
+	// spreadFanout is how many. A box that has started meanwhile or was cut off receives each
+	// record six times a second on average; in a large fleet it receives none within a second
+	// once in 400 times.
 	spreadEvery  = 500 * time.Millisecond
 	spreadFanout = 3
 )
@@ -45,11 +47,11 @@
 	}
 	held := metrics.NewFunctionalGauge(func() int64 { return int64(len(n.Quarantine.Holds())) })
 	if err := n.Metrics.Register("quarantine.held", held); err != nil {
-		n.log.Warn("metric not told", map[string]any{"metric": "quarantine.held", "error": err.Error()})
+		n.log.Warn("metric could not be registered", map[string]any{"metric": "quarantine.held", "error": err.Error()})
 	}
 }
 
-// noteCrash has a crash count against a request, here and soon at all boxes.
+// noteCrash counts a crash against a request, at this box and soon at all boxes.
 func (n *Node) noteCrash(f quarantine.Fingerprint, server string) {
 	if begun := n.Quarantine.Crashed(f, server); begun != nil {
 		n.background.Go(func() { n.storeHold(begun) })
@@ -64,9 +66,9 @@
 	})
 }
 
-// broadcastCrashes tells others what this one has seen. In a large fleet, of requests against
-// which one crash counts, as it does against all that a server took with it, only the boxes
-// that are known to serve clients are told.
+// broadcastCrashes sends this box's records to others. In a large fleet, records of requests
+// against which only one crash counts are sent only to the boxes that are known to serve
+// clients: one crash counts against every request that the server had.
 func (n *Node) broadcastCrashes() {
 	if n.Quarantine.Empty() {
 		return
@@ -91,7 +93,7 @@
 	n.sendRecords(all, usual)
 }
 
-// spreadHolds tells some boxes of all requests that this one holds.
+// spreadHolds sends all requests that this box holds to some other boxes.
 func (n *Node) spreadHolds() {
 	if n.Quarantine.Empty() {
 		return
@@ -110,7 +112,7 @@
 		func(m *quarantine.Message) int { return len(m.Records) })
 }
 
-// receiveQuarantine takes in what another box knows.
+// receiveQuarantine processes the records of another box.
 func (n *Node) receiveQuarantine(datagram []byte, from *net.UDPAddr) {
 	m, err := quarantine.Wire.Decode(datagram)
 	if err != nil {
@@ -123,23 +125,24 @@
 	metrics.GetOrRegisterCounter("quarantine.received", n.Metrics).Inc(int64(len(m.Records)))
 }
 
-// serveQuarantine tells operators which requests this box keeps from servers.
+// serveQuarantine serves operators the requests that this box keeps from servers.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	told := quarantine.Box{Box: n.Settings.Box, Held: quarantine.HeldOf(n.Quarantine.Holds())}
 	if err := json.NewEncoder(w).Encode(told); err != nil {
-		n.log.Debug("quarantine not sent", map[string]any{"error": err.Error()})
+		n.log.Debug("list of held requests could not be sent", map[string]any{"error": err.Error()})
 	}
 }
 
-// serveRelease has a request sent to servers again that an operator takes to be harmless now.
+// serveRelease releases a held request that an operator considers harmless now, so that it is
+// sent to servers again.
 func (n *Node) serveRelease(w http.ResponseWriter, r *http.Request) {
 	f, err := quarantine.ParseFingerprint(r.PathValue("fingerprint"))
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case !n.Quarantine.Answered(f):
-		http.Error(w, f.String()+" is not held", http.StatusNotFound)
+		http.Error(w, "request "+f.String()+" is not held", http.StatusNotFound)
 	default:
 		n.log.Info("request released by an operator", map[string]any{"fingerprint": f.String(), "from": r.RemoteAddr})
 		n.broadcastCrashes()
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -19,22 +19,22 @@
 )
 
 // ================================================================
-// Limits of customers, over all boxes.
+// Rate limits of customers, enforced over all boxes together.
 // ================================================================
 
 const (
-	// customerLimitWait bounds how long a request waits for its box to find out whether its
-	// customer's limit has room: two ways between regions and back.
+	// customerLimitWait bounds how long a request waits for the decision whether its customer's
+	// limit has capacity left: two round trips between regions.
 	customerLimitWait = 150 * time.Millisecond
-	// startupLimitWait is the same for a box that has just started and was granted
-	// nothing yet: until it and its zone know each other.
+	// startupLimitWait is the same for a box that has just started and has not been granted any
+	// tokens yet: it covers the time until the box and its zone know each other.
 	startupLimitWait = 350 * time.Millisecond
-	// allocatorCandidates is how many of each zone's first boxes may become its allocators:
-	// those that do not answer are passed over.
+	// allocatorCandidates is how many of each zone's first boxes may become its allocators.
+	// Those that do not answer are skipped.
 	allocatorCandidates = 4
-	// zoneSettleTime is how long after a box has become ready it waits for its zone to
-	// know of that before it holds a part of limits, and aloneSettles for how long
-	// one that has heard of no other box of its zone does.
+	// zoneSettleTime is how long a box that has become ready waits, so that its zone learns of
+	// it, before it holds a share of limits. aloneSettleTime is the same for a box that has not
+	// heard of any other box in its zone.
 	zoneSettleTime  = 60 * time.Millisecond
 	aloneSettleTime = 2 * time.Second
 )
@@ -58,11 +58,11 @@
 		return share
 	})
 	if err := n.Metrics.Register("customer.worst_tenth", worst); err != nil {
-		n.log.Warn("metric not told", map[string]any{"metric": "customer.worst_tenth", "error": err.Error()})
+		n.log.Warn("metric could not be registered", map[string]any{"metric": "customer.worst_tenth", "error": err.Error()})
 	}
 }
 
-// tickQuota does what is due for limits.
+// tickQuota does the periodic work of limits.
 func (n *Node) tickQuota() {
 	if !n.Quota.HasLimits() {
 		return
@@ -71,8 +71,8 @@
 	n.sendQuota()
 }
 
-// quotaViewCache is what this box knows of others for limits, kept for a while: worked
-// out for each tick, 74 boxes took a fifth more processor time on a calm day.
+// quotaViewCache caches what this box knows of others for limits. Without the cache, computing
+// it at each tick cost 74 boxes a fifth more processor time while there was no trouble.
 type quotaViewCache struct {
 	mu       sync.Mutex
 	at       time.Time
@@ -81,11 +81,11 @@
 	zones    map[string][]quota.Box
 }
 
-// quotaCacheTime is for how long it is kept, unless a box has come, gone or
-// changed, or this one has just started.
+// quotaCacheTime is how long the cache is valid, unless a box has appeared, gone or changed, or
+// this box has just started.
 const quotaCacheTime = gossip.Interval
 
-// quotaView is what this box knows of others.
+// quotaView returns what this box knows of others for limits.
 func (n *Node) quotaView() quota.View {
 	h := &n.quotaCache
 	h.mu.Lock()
@@ -105,9 +105,9 @@
 	return quota.View{Weight: n.quotaWeight(&h.standing), First: h.first, Zones: h.zones}
 }
 
-// quotaWeight is this box's part of its zone's part of limits: none until it knows its
-// zone. A box that has started while it is cut off knows nobody and holds nothing; one
-// that has nobody to know holds all of its zone's part.
+// quotaWeight returns this box's share of its zone's share of limits: 0 until the box knows its
+// zone. A box that has started while it is cut off knows no other box and holds nothing; a box
+// for which there is no other box to know holds its zone's whole share.
 func (n *Node) quotaWeight(s *gossip.Position) float64 {
 	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
@@ -121,7 +121,7 @@
 	return s.CapacityShare
 }
 
-// hasOtherSeeds reports whether the settings name other boxes.
+// hasOtherSeeds reports whether the settings name other boxes as seeds.
 func (n *Node) hasOtherSeeds() bool {
 	return slices.ContainsFunc(*n.seeds.Load(), func(seed string) bool { return seed != n.Settings.Advertise.Peers })
 }
@@ -134,7 +134,7 @@
 	return boxes
 }
 
-// sendQuota sends what the limiter has to tell.
+// sendQuota sends the limiter's pending messages.
 func (n *Node) sendQuota() {
 	for _, e := range n.Quota.TakeMessages() {
 		datagram := quota.Encode(&e.Message)
@@ -143,7 +143,7 @@
 	}
 }
 
-// receiveQuota takes in what another box tells of limits.
+// receiveQuota processes another box's message about limits.
 func (n *Node) receiveQuota(datagram []byte, from *net.UDPAddr) {
 	m, err := quota.Decode(datagram)
 	if err != nil {
@@ -154,8 +154,8 @@
 	n.sendQuota()
 }
 
-// admit decides whether a customer's request is within its limit. It waits for the
-// zone's allocator where this box holds no token.
+// admit decides whether a customer's request is within its limit. It waits for the zone's
+// allocator if this box holds no token.
 func (n *Node) admit(ctx context.Context, c *customer.Customer) (admitted bool, retryAfter time.Duration) {
 	id := quota.IDOf(c.Name)
 	d := n.Quota.Arrive(id)
@@ -194,8 +194,8 @@
 // maxCustomerMetrics bounds the customers that have a metric of their own.
 const maxCustomerMetrics = 100
 
-// countRefused counts a refusal by customer; where many have been refused, the others
-// share a metric.
+// countRefused counts a refusal by customer. Once maxCustomerMetrics customers have been
+// refused, all further ones share a metric.
 func (n *Node) countRefused(customer string) {
 	n.refusedMu.Lock()
 	if !n.refused[customer] {
@@ -209,7 +209,7 @@
 	metrics.GetOrRegisterCounter("customer.refused."+customer, n.Metrics).Inc(1)
 }
 
-// serveCustomers tells operators what has become of customers' requests here.
+// serveCustomers serves operators the counts and limits of customers' requests at this box.
 func (n *Node) serveCustomers(w http.ResponseWriter, _ *http.Request) {
 	t := n.table.Load()
 	if t == nil {
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -15,18 +15,19 @@
 )
 
 // ================================================================
-// Moves of services to new versions of their backend servers. Boxes that ask the store judge a version by
-// what all boxes count, and note the state of the order there.
+// Moves of services to new versions of their backend servers. Boxes in healthy contact with the store judge
+// a version by what all boxes count, and write the state of the order to the store.
 // ================================================================
 
 const (
-	// rolloutsEvery is how often shares are worked out anew, and boxes tell what they have counted.
+	// rolloutsEvery is how often the versions' shares are recalculated and boxes send their
+	// counts.
 	rolloutsEvery = 500 * time.Millisecond
-	// statusWriteTimeout bounds a call that notes a state.
+	// statusWriteTimeout bounds a call that writes a state to the store.
 	statusWriteTimeout = 1200 * time.Millisecond
 )
 
-// rolloutChanged takes in an order.
+// rolloutChanged applies a new, changed or removed order.
 func (n *Node) rolloutChanged(log *logging.Part, o objects.Object, gone bool) {
 	if gone {
 		n.Rollouts.Remove(o.Name)
@@ -46,14 +47,14 @@
 	})
 }
 
-// noteOutcome counts how a server has dealt with a request.
+// noteAttempt counts the outcome of a request at a server.
 func (n *Node) noteAttempt(route string, lease *backend.Lease, a ingress.Attempt) {
 	n.Rollouts.Observe(rollout.Outcome{
 		Service: lease.Service, Route: route, Version: lease.Version, Failed: a.Failed, Late: a.Late, Known: lease.KeyKnown, Took: a.Took,
 	})
 }
 
-// tickRollouts puts shares in force, tells what was counted, and notes states.
+// tickRollouts applies the versions' shares, sends the counts and writes states to the store.
 func (n *Node) tickRollouts() {
 	rules := n.Rollouts.Rules()
 	if len(rules) == 0 {
@@ -69,7 +70,8 @@
 	}
 }
 
-// storePollers are where the other boxes take datagrams that ask the store.
+// storePollers returns the datagram addresses of the other boxes that are in healthy contact
+// with the store.
 func (n *Node) storePollers() []string {
 	var list []string
 	n.Members.EachLive(func(r *gossip.Record) {
@@ -80,7 +82,8 @@
 	return list
 }
 
-// writeRolloutStatus writes a state to the store. Another box may have done so first, which all hear of.
+// writeRolloutStatus writes a state to the store. If another box has already done so, all boxes
+// learn of it from the store.
 func (n *Node) writeRolloutStatus(c *rollout.Change) {
 	ctx, cancel := context.WithTimeout(n.context, statusWriteTimeout)
 	defer cancel()
@@ -93,16 +96,16 @@
 	switch {
 	case errors.As(err, &conflict):
 		fields["error"] = err.Error()
-		n.log.Info("rollout was noted by another box", fields)
+		n.log.Info("rollout status was already written by another box", fields)
 	case err != nil:
 		fields["error"] = err.Error()
-		n.log.Warn("rollout not noted", fields)
+		n.log.Warn("rollout status could not be written", fields)
 	default:
 		n.log.Info("rollout noted", fields)
 	}
 }
 
-// receiveRolloutReport takes in what another box has counted.
+// receiveRolloutReport processes another box's counts.
 func (n *Node) receiveRolloutReport(datagram []byte, from *net.UDPAddr) {
 	r, err := rollout.Wire.Decode(datagram)
 	if err != nil {
--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// clockEvery is how often a box that nobody asks or tells anything looks whether its
-	// machine was suspended.
+	// clockEvery is how often a box checks whether its machine was suspended while no requests
+	// or messages arrive.
 	clockEvery = 50 * time.Millisecond
-	// dropPoolsEvery is how often connections to servers that are gone close.
+	// dropPoolsEvery is how often connections to servers that are no longer listed are closed.
 	dropPoolsEvery = 5 * time.Second
-	// announceEvery is how soon changes in the store are told to the zone.
+	// announceEvery is how often a box checks for changes in the store that it has to announce
+	// to its zone.
 	announceEvery = 100 * time.Millisecond
-	// closeShare is at which part of the grace a stopping box takes nothing
-	// new: by then clients have left it, and what it holds can still end.
+	// closeShare is the fraction of the grace period after which a stopping box accepts no new
+	// requests: by then clients have left it, and the requests in progress can still finish.
 	closeShare = 0.4
-	// endMargin is how long before the end of the grace the box stops waiting
-	// for requests, and stopTime how long it then waits for its own work.
+	// endMargin is how long before the end of the grace period the box stops waiting for
+	// requests; stopTimeout is how long it then waits for its own goroutines.
 	endMargin   = 500 * time.Millisecond
 	stopTimeout = 200 * time.Millisecond
-	// drainPoll is how often a stopping box looks whether it is done.
+	// drainPoll is how often a stopping box checks whether all requests have finished.
 	drainPoll = 20 * time.Millisecond
 )
 
-// Start opens the ports and starts all work. The error is a *settings.ListenError.
+// Start opens the ports and starts all background work. The error is a *settings.ListenError.
 func (n *Node) Start() error {
 	if err := n.listen(); err != nil {
 		return err
@@ -60,14 +61,15 @@
 }
 
 const (
-	// discoverEvery is how often a box that has just started asks the seeds for others, and
-	// meetTime for how long: seeds that start at the same time as it do not hear its
-	// first heartbeat. Until a zone whose boxes all lost power knows itself, it holds no part of limits.
+	// discoverEvery is how often a box that has just started asks the seeds for other boxes, and
+	// discoverTime for how long: seeds that start at the same time miss its first heartbeat. If
+	// all boxes of a zone have lost power, the zone holds no share of limits until its boxes
+	// know each other.
 	discoverEvery = 20 * time.Millisecond
 	discoverTime  = 400 * time.Millisecond
 )
 
-// discover makes a box that starts known to others, and its zone to it.
+// discover makes a starting box and its zone known to each other.
 func (n *Node) discover() {
 	for n.uptime() < discoverTime && n.context.Err() == nil {
 		sleep(n.context, discoverEvery)
@@ -78,17 +80,17 @@
 	}
 }
 
-// Reload takes over what may change while the box runs: the seeds and the
-// figures of policy.
+// Reload applies the settings that may change while the box runs: the seeds and the parameters
+// of the policy.
 func (n *Node) Reload(s *settings.Settings) {
 	n.seeds.Store(&s.Seeds)
 	n.setPolicy(s.Policy)
 	n.log.Info("settings reloaded", map[string]any{"seeds": len(s.Seeds)})
 }
 
-// Leave stops the box as planned: it is no longer ready nor named, asks its
-// clients to close, takes nothing new after a while, and ends when it has
-// answered all that it holds.
+// Leave stops the box as planned: it is no longer ready or named to clients, asks its clients to
+// close their connections, accepts nothing new after a while, and ends when it has answered all
+// requests in progress.
 func (n *Node) Leave(ctx context.Context) {
 	grace := n.Settings.Bounds.Grace
 	start := n.Clock.Now()
@@ -117,8 +119,7 @@
 	}
 }
 
-// Stop ends all work at once. It waits for the box's own goroutines, but not
-// for longer than a stopping box has.
+// Stop ends all work at once. It waits for the box's own goroutines, for at most stopTimeout.
 func (n *Node) Stop() {
 	n.stop()
 	n.ports.close()
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -19,33 +19,35 @@
 )
 
 // ================================================================
-// What backend servers say of themselves in their answers.
+// What backend servers report about themselves in their answers.
 // ================================================================
 
 const (
-	// malformedHeaderEvery is how often something that a server may say in each answer is logged. All
-	// answers are counted.
+	// malformedHeaderEvery is how often a malformed header, which a server may send in every
+	// answer, is logged. All of them are counted.
 	malformedHeaderEvery = time.Second
-	// configurationFieldsEvery is how often a configuration is looked at for fields that nothing reads.
+	// configurationFieldsEvery is how often a configuration is checked for fields that nothing
+	// reads.
 	configurationFieldsEvery = 30 * time.Second
-	// statusesEvery is how often a box looks whether anything that servers say is to be told again.
+	// statusesEvery is how often a box checks whether server statuses have to be sent again.
 	statusesEvery = 100 * time.Millisecond
-	// maxSpreadRecords bounds the servers of which a box tells some others each spreadEvery: what
-	// that sends must stay a small part of what control may take.
+	// maxSpreadRecords bounds the servers whose statuses a box sends to some others each
+	// spreadEvery, to keep this a small part of the traffic allowed for control.
 	maxSpreadRecords = 8
-	// endedLimitSpreadTime is for how long boxes are told that a limit has ended.
+	// endedLimitSpreadTime is how long boxes are told that a limit has ended.
 	endedLimitSpreadTime = time.Minute
-	// unlistedTime is how long a life of a server may be missing from the list until it is forgotten.
+	// unlistedTime is how long an incarnation of a server may be missing from the list before
+	// its status is forgotten.
 	unlistedTime = time.Minute
 )
 
-// noteAnswer takes in what an answer says of its server. One that another server gave in its place
-// says nothing of it.
+// noteAnswer processes what an answer says about its server. An answer that another server gave
+// in place of the expected one says nothing about it.
 func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
 		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
-			n.log.Warn("header of answers malformed", map[string]any{"server": server.ID, "error": problem.Error()})
+			n.log.Warn("malformed header in an answer", map[string]any{"server": server.ID, "error": problem.Error()})
 		}
 	}
 	if v.Stale {
@@ -60,11 +62,11 @@
 	}
 }
 
-// A server that leaves says so in its answers, and the platform's list says that it is ready for as
-// long as the store is silent. So the word is kept for the server's life, whatever the list says, and told
-// to all boxes: each would else send it requests until it was told itself.
+// A server that leaves says so in its answers, but the platform's list shows it as ready for as long as
+// the store is silent. So this is remembered for the server's incarnation, whatever the list says, and sent
+// to all boxes: otherwise each box would send it requests until the server told that box as well.
 
-// noteLeaving takes in that a server says that it leaves.
+// noteLeaving records that a server says that it leaves.
 func (n *Node) noteLeaving(server *backend.Server, v *ingress.Verdict) {
 	if !v.Leaving {
 		return
@@ -74,24 +76,24 @@
 	n.Set.MarkLeaving(server.Incarnation())
 }
 
-// noteBackoff takes in that a server wants no requests from this box for a time. What it asks of one
-// box is no word to others.
+// noteBackoff records that a server asks this box to back off for a time. What it asks of one
+// box does not apply to others, so they are not informed.
 func (n *Node) noteBackoff(server *backend.Server, v *ingress.Verdict) {
 	if v.Rest == 0 {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
 	if n.Set.BackOff(server.Incarnation(), v.Rest) {
-		n.log.Info("server asks for rest", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
+		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
 	}
 }
 
 // ----------------------------------------------------------------
-// What boxes tell each other
+// Exchange of statuses between boxes
 // ----------------------------------------------------------------
 
-// broadcastStatuses tells others of what has changed: all boxes, and in a large fleet those that serve
-// clients and those that grant tokens of limits.
+// broadcastStatuses sends changed statuses to all boxes; in a large fleet, only to those that
+// serve clients and those that grant tokens of limits.
 func (n *Node) broadcastStatuses() {
 	records := n.Statuses.Due()
 	if len(records) == 0 {
@@ -104,8 +106,8 @@
 	n.sendStatuses(all, records)
 }
 
-// spreadStatuses tells some boxes of what this one knows, so that one that has started or was cut off
-// hears of it, and forgets servers that are gone.
+// spreadStatuses sends the statuses that this box knows to some other boxes, so that a box that
+// has started or was cut off learns of them, and forgets servers that are gone.
 func (n *Node) spreadStatuses() {
 	known := n.Statuses.All()
 	if len(known) == 0 {
@@ -127,7 +129,7 @@
 		func(m *serverstatus.Message) int { return len(m.Records) })
 }
 
-// receiveStatuses takes in what another box knows.
+// receiveStatuses processes another box's statuses.
 func (n *Node) receiveStatuses(datagram []byte, from *net.UDPAddr) {
 	m, err := serverstatus.Wire.Decode(datagram)
 	if err != nil {
@@ -150,7 +152,8 @@
 // Operators
 // ----------------------------------------------------------------
 
-// serveSaid tells operators what backend servers say of themselves, as this box knows it.
+// serveSaid serves operators what backend servers report about themselves, as far as this box
+// knows.
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
 	records := n.Statuses.InForce(0)
@@ -175,14 +178,14 @@
 }
 
 // ----------------------------------------------------------------
-// What nothing reads
+// Headers and fields that nothing reads
 // ----------------------------------------------------------------
 
-// logLimiter lets one log line pass in a time. What is kept is one more than when the last one did, in
-// nanoseconds, and 0 before the first.
+// logLimiter allows one log line per interval. last is the time of the last line in nanoseconds
+// plus one, and 0 before the first.
 type logLimiter struct{ last atomic.Int64 }
 
-// allow reports whether a line may be written now; the time counts from any fixed moment.
+// allow reports whether a line may be written now. The time is measured from any fixed moment.
 func (g *logLimiter) allow(now, every time.Duration) bool {
 	last := g.last.Load()
 	if last != 0 && now+1-time.Duration(last) < every {
@@ -191,16 +194,16 @@
 	return g.last.CompareAndSwap(last, int64(now)+1)
 }
 
-// unreadNames are words that have been told.
+// unreadNames are the names of headers and fields that nothing reads and that have been logged.
 type unreadNames struct {
 	mu     sync.Mutex
 	logged map[string]bool
 }
 
-// maxUnreadNames bounds the words that are remembered as unread.
+// maxUnreadNames bounds the names that are remembered, and so logged.
 const maxUnreadNames = 64
 
-// first reports whether a word has not been told yet.
+// first reports whether a name has not been logged yet, and records it.
 func (u *unreadNames) first(word string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -214,23 +217,23 @@
 	return true
 }
 
-// logUnreadHeader tells once of a header of answers that nothing here reads: it may say what
-// the platform's pages say and the adapter does not know.
+// logUnreadHeader logs a header of answers once that nothing reads: it may be described in the
+// platform's documentation without being known to the adapter.
 func (n *Node) logUnreadHeader(name string) {
 	if n.unreadNames.first(name) {
-		n.log.Warn("header of answers not read", map[string]any{"header": name})
+		n.log.Warn("unknown header in an answer", map[string]any{"header": name})
 	}
 }
 
-// logUnreadFields tells once of each field of the store's objects that nothing here reads. Of
-// configurations, which are large and each of which is whole, it looks at one in a while.
+// logUnreadFields logs each field of the store's objects once that nothing reads. Configurations
+// are large and always sent as a whole, so only one per configurationFieldsEvery is checked.
 func (n *Node) logUnreadFields(kind string, o objects.Object) {
 	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.allow(n.uptime(), configurationFieldsEvery) {
 		return
 	}
 	for _, field := range n.adapter.UnreadFields(kind, o) {
 		if n.unreadNames.first(field) {
-			n.log.Warn("field of objects not read", map[string]any{"field": field, "object": o.Name, "revision": o.Revision})
+			n.log.Warn("unknown field in an object of the store", map[string]any{"field": field, "object": o.Name, "revision": o.Revision})
 		}
 	}
 }
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -13,7 +13,7 @@
 )
 
 // ================================================================
-// What this box makes of the store's objects.
+// Processing of the store's objects.
 // ================================================================
 
 func (n *Node) newReplica(log *logging.Part) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// configurationChanged puts a configuration in force if it is newer.
+// configurationChanged applies a configuration if it is newer than the current one.
 func (n *Node) configurationChanged(log *logging.Part, o objects.Object, gone bool) {
 	if gone {
 		return
@@ -60,7 +60,7 @@
 	c, err := n.adapter.Configuration(o)
 	if err != nil {
 		metrics.GetOrRegisterCounter("config.refused", n.Metrics).Inc(1)
-		log.Warn("configuration not understood", map[string]any{"name": o.Name, "revision": o.Revision, "error": err.Error()})
+		log.Warn("configuration could not be read", map[string]any{"name": o.Name, "revision": o.Revision, "error": err.Error()})
 		return
 	}
 	old := n.table.Load()
@@ -84,7 +84,7 @@
 	log.Info("configuration in force", map[string]any{"version": c.Version, "revision": o.Revision, "routes": len(c.Routes), "customers": len(c.Customers)})
 }
 
-// ZoneError says that a server is listed in a zone that the settings do not name.
+// ZoneError reports a server that is listed in a zone that the settings do not name.
 type ZoneError struct {
 	Server string
 	Zone   string
@@ -95,17 +95,17 @@
 	return fmt.Sprintf("server %s: unknown zone %q", e.Server, e.Zone)
 }
 
-// StartError says that an entry does not tell when its server started, which earlier ones of
-// that server did.
+// StartError reports that an entry does not state when its server started, although an earlier
+// entry of that server did.
 type StartError struct {
 	Server string
 }
 
 // Error implements error.
-func (e *StartError) Error() string { return "server " + e.Server + ": its start is not told any more" }
+func (e *StartError) Error() string { return "server " + e.Server + ": it no longer has a start time" }
 
-// checkServer compares an entry that can be read with what is known. The error is a
-// *ZoneError or a *StartError.
+// checkServer checks a readable entry against what is known. The error is a *ZoneError or a
+// *StartError.
 func (n *Node) checkServer(v *backend.Server) error {
 	if n.Topology.RegionOf(v.Zone) == "" {
 		return &ZoneError{Server: v.ID, Zone: v.Zone}
@@ -116,10 +116,11 @@
 	return nil
 }
 
-// noteUnreadObject notes an object of the store that cannot be read; the others hold.
+// noteUnreadObject counts and logs an object of the store that cannot be read; the other objects
+// remain in effect.
 func (n *Node) noteUnreadObject(log *logging.Part, err error) {
 	metrics.GetOrRegisterCounter("store.unread", n.Metrics).Inc(1)
-	log.Warn("object not understood", map[string]any{"error": err.Error()})
+	log.Warn("object of the store could not be read", map[string]any{"error": err.Error()})
 }
 
 func (n *Node) serverChanged(log *logging.Part, o objects.Object, gone bool) {
@@ -135,8 +136,8 @@
 		err = n.checkServer(&v)
 	}
 	if err != nil {
-		// The entry is another writer's. It names no server, also where it has taken the
-		// place of one that did.
+		// The entry was written by another writer. It names no server, even if it has replaced
+		// an entry that did.
 		n.noteUnreadObject(log, err)
 		n.Set.Remove(o.Name, true)
 		return
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -45,8 +45,8 @@
 	is.Equal(capacityOf(settings.Machine{}), 0.0)
 }
 
-// TestConnectionsNoticeASilentOtherEnd: they have the socket options by which the
-// kernel finds out, also while nothing is sent.
+// TestConnectionsNoticeASilentOtherEnd checks the socket options by which the kernel detects a
+// silent peer, also while nothing is sent.
 func TestConnectionsNoticeASilentOtherEnd(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -72,15 +72,15 @@
 	}))
 }
 
-// TestVanishedServersAreLeftInTime: a server that has left without a word, while the store
-// turned all boxes away, must get nothing once it has drained. The news of it may take a
-// second, gathered with others and told from box to box; with 1.75 s for which it was kept,
-// and half a second until that was looked at, requests reached it 2.66 s after it had left,
-// where 2.5 s are allowed.
+// TestVanishedServersAreLeftInTime guards against requests to a server that left while the store
+// refused all boxes: it must receive nothing after it has drained. Learning of the departure may
+// take a second, because changes are batched and passed from box to box. When vanished servers
+// were kept for 1.75 s and checked every half second, requests reached a server 2.66 s after it
+// had left, where 2.5 s are allowed.
 func TestVanishedServersAreLeftInTime(t *testing.T) {
 	is := is.New(t)
 	is.Equal(forgetAfter(2500*time.Millisecond), 1500*time.Millisecond)
 	is.Equal(forgetAfter(2800*time.Millisecond), 1800*time.Millisecond)
-	is.Equal(forgetAfter(4*time.Second), 2*time.Second) // entries are back by then
+	is.Equal(forgetAfter(4*time.Second), 2*time.Second) // a running server is listed again by then
 	is.Equal(forgetAfter(600*time.Millisecond), time.Duration(0))
 }
