--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -186,7 +186,7 @@
 	n.log.Debug("datagram could not be decoded", map[string]any{"from": from.String(), "error": err.Error()})
 }
 
-// serveFleet serves operators what this box knows of all boxes.
+// serveFleet returns to operators what this box knows of all boxes.
 func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	kind := n.adapter.Kinds.Servers
 	listAge, configurationAge := n.Replica.Ages()
--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -24,7 +24,7 @@
 const (
 	// serverLimitWait bounds how long a request waits for the decision whether a server's limit
 	// has capacity left: one round trip between regions plus the ways within two zones. If no
-	// capacity is expected, the request is told so earlier and goes to another server.
+	// capacity is expected, the request is denied earlier and goes to another server.
 	serverLimitWait = 100 * time.Millisecond
 )
 
@@ -143,7 +143,7 @@
 }
 
 // awaitRoom waits for the decision of the zone's allocator on a request for which admitToServer
-// returned Open, and reports whether the limit has capacity for it.
+// returned AdmissionUnknown, and reports whether the limit has capacity for it.
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
 	id := quota.ServerIDOf(server.Incarnation())
 	n.sendQuota()
@@ -165,8 +165,8 @@
 // Operators
 // ----------------------------------------------------------------
 
-// serveLimits serves operators the limits that this box knows of and the counts of its requests
-// under them.
+// serveLimits returns to operators the limits that this box knows of and the counts of its
+// requests under them.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
 	told := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
 	for _, r := range n.Statuses.All() {
--- a/pkg/node/node_mirrors_test.go
+++ b/pkg/node/node_mirrors_test.go
@@ -48,8 +48,8 @@
 	is.Equal(body.CompleteTo, uint64(101))
 }
 
-// BenchmarkWholeMirror measures sending a whole list of 1,617 servers to a starting box, with
-// the list compressed anew for each box ("anew") and cached ("kept").
+// BenchmarkWholeMirror measures the encoding of a whole list of 1,617 servers for starting boxes:
+// anew for each box ("anew") and with the cache ("kept").
 func BenchmarkWholeMirror(b *testing.B) {
 	m := newMirror(1617)
 	b.Run("anew", func(b *testing.B) {
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -125,7 +125,7 @@
 	metrics.GetOrRegisterCounter("quarantine.received", n.Metrics).Inc(int64(len(m.Records)))
 }
 
-// serveQuarantine serves operators the requests that this box keeps from servers.
+// serveQuarantine returns to operators the requests that this box keeps from servers.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	told := quarantine.Box{Box: n.Settings.Box, Held: quarantine.HeldOf(n.Quarantine.Holds())}
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -107,7 +107,7 @@
 
 // quotaWeight returns this box's share of its zone's share of limits: 0 until the box knows its
 // zone. A box that has started while it is cut off knows no other box and holds nothing; a box
-// for which there is no other box to know holds its zone's whole share.
+// that is the only one of its zone holds the zone's whole share.
 func (n *Node) quotaWeight(s *gossip.Position) float64 {
 	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
@@ -209,7 +209,8 @@
 	metrics.GetOrRegisterCounter("customer.refused."+customer, n.Metrics).Inc(1)
 }
 
-// serveCustomers serves operators the counts and limits of customers' requests at this box.
+// serveCustomers returns to operators the limits of customers and the counts of their requests at
+// this box.
 func (n *Node) serveCustomers(w http.ResponseWriter, _ *http.Request) {
 	t := n.table.Load()
 	if t == nil {
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -152,8 +152,8 @@
 // Operators
 // ----------------------------------------------------------------
 
-// serveSaid serves operators what backend servers report about themselves, as far as this box
-// knows.
+// serveSaid returns to operators what backend servers report about themselves, as far as this
+// box knows.
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
 	records := n.Statuses.InForce(0)
@@ -217,16 +217,17 @@
 	return true
 }
 
-// logUnreadHeader logs a header of answers once that nothing reads: it may be described in the
-// platform's documentation without being known to the adapter.
+// logUnreadHeader logs, once for each name, a header of an answer that nothing reads. The
+// platform's documentation may describe it although the adapter does not know it.
 func (n *Node) logUnreadHeader(name string) {
 	if n.unreadNames.first(name) {
 		n.log.Warn("unknown header in an answer", map[string]any{"header": name})
 	}
 }
 
-// logUnreadFields logs each field of the store's objects once that nothing reads. Configurations
-// are large and always sent as a whole, so only one per configurationFieldsEvery is checked.
+// logUnreadFields logs, once for each name, the fields of the store's objects that nothing reads.
+// Configurations are large and always sent as a whole, so only one per configurationFieldsEvery
+// is checked.
 func (n *Node) logUnreadFields(kind string, o objects.Object) {
 	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.allow(n.uptime(), configurationFieldsEvery) {
 		return
