--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -47,10 +47,10 @@
 
 // announcedState is what this box last announced about itself.
 type announcedState struct {
-	ready        bool
-	storeHealthy bool
-	trying       bool
-	serving      bool
+	ready           bool
+	storeHealthy    bool
+	storeUnanswered bool
+	serving         bool
 }
 
 // announce notifies the zone's other boxes at once if the store has changes, or if this box's
@@ -64,7 +64,7 @@
 	changed := n.Replica.TakeUnannounced()
 	n.refreshSelf()
 	self := n.Members.Self()
-	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.StoreUnanswered, serving: self.Serving}
+	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, storeUnanswered: self.StoreUnanswered, serving: self.Serving}
 	if changed || now != n.announced {
 		n.announced = now
 		n.send(n.Members.Announce())
