--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -76,7 +76,7 @@
 type quotaViewCache struct {
 	mu       sync.Mutex
 	at       time.Time
-	standing gossip.Position
+	position gossip.Position
 	first    []quota.Box
 	zones    map[string][]quota.Box
 }
@@ -92,9 +92,9 @@
 	defer h.mu.Unlock()
 	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*discoverTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Position(allocatorCandidates, quota.AllocatorsPerZone)
+		h.position = n.Members.Position(allocatorCandidates, quota.AllocatorsPerZone)
 		h.zones = map[string][]quota.Box{}
-		for zone, list := range h.standing.First {
+		for zone, list := range h.position.First {
 			if zone == n.Settings.Zone {
 				h.first = quotaBoxes(list)
 				continue
@@ -102,7 +102,7 @@
 			h.zones[zone] = quotaBoxes(list[:min(len(list), quota.AllocatorsPerZone)])
 		}
 	}
-	return quota.View{Weight: n.quotaWeight(&h.standing), First: h.first, Zones: h.zones}
+	return quota.View{Weight: n.quotaWeight(&h.position), First: h.first, Zones: h.zones}
 }
 
 // quotaWeight returns this box's share of its zone's share of limits: 0 until the box knows its
