--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -190,12 +190,12 @@
 func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	kind := n.adapter.Kinds.Servers
 	listAge, configurationAge := n.Replica.Ages()
-	told := gossip.FleetBox{
+	body := gossip.FleetBox{
 		Box: n.Settings.Box, Zone: n.Settings.Zone, Zones: n.Members.Overview(kind), ListAt: n.Replica.Mirror(kind).Version().Revision,
 		ListAgeMS: listAge.Milliseconds(), ConfigurationAgeMS: configurationAge.Milliseconds(),
 	}
 	w.Header().Set("Content-Type", "application/json")
-	n.logUnsent("fleet", json.NewEncoder(w).Encode(told))
+	n.logUnsent("fleet", json.NewEncoder(w).Encode(body))
 }
 
 // receive processes a heartbeat and answers it if an answer is requested.
