--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -168,16 +168,16 @@
 // serveLimits returns to operators the limits that this box knows of and the counts of its
 // requests under them.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
-	told := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
+	body := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
 	for _, r := range n.Statuses.All() {
 		if !r.Named {
 			continue
 		}
 		s := n.Quota.Stats(quota.ServerIDOf(r.Server))
-		told.Limits = append(told.Limits, serverstatus.Limit{
+		body.Limits = append(body.Limits, serverstatus.Limit{
 			Server: r.Server, Zone: r.Zone, PerSecond: r.PerSecond, Admitted: s.Admitted, Denied: s.Refused, AskedPerSecond: s.PerSecond,
 		})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	n.logUnsent("limits", json.NewEncoder(w).Encode(told))
+	n.logUnsent("limits", json.NewEncoder(w).Encode(body))
 }
