--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -128,8 +128,8 @@
 // serveQuarantine returns to operators the requests that this box keeps from servers.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	told := quarantine.Box{Box: n.Settings.Box, Held: quarantine.HeldOf(n.Quarantine.Holds())}
-	if err := json.NewEncoder(w).Encode(told); err != nil {
+	body := quarantine.Box{Box: n.Settings.Box, Held: quarantine.HeldOf(n.Quarantine.Holds())}
+	if err := json.NewEncoder(w).Encode(body); err != nil {
 		n.log.Debug("list of held requests could not be sent", map[string]any{"error": err.Error()})
 	}
 }
