--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -165,16 +165,16 @@
 			records = append(records, serverstatus.Record{Server: life, Zone: r.Server.Zone})
 		}
 	}
-	told := serverstatus.SaidBox{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
+	body := serverstatus.SaidBox{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
 	for _, r := range records {
 		said := serverstatus.Said{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
 		if r.Named {
 			said.PerSecond = &r.PerSecond
 		}
-		told.Servers = append(told.Servers, said)
+		body.Servers = append(body.Servers, said)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	n.logUnsent("servers", json.NewEncoder(w).Encode(told))
+	n.logUnsent("servers", json.NewEncoder(w).Encode(body))
 }
 
 // ----------------------------------------------------------------
