--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	packed, err := n.compressed.of(m)
+	compressed, err := n.compressed.of(m)
 	if err != nil {
 		n.log.Warn("mirror could not be encoded", map[string]any{"kind": m.Kind, "error": err.Error()})
 		w.WriteHeader(http.StatusInternalServerError)
@@ -98,7 +98,7 @@
 	}
 	// The HTTP client of the receiving box decompresses it.
 	w.Header().Set("Content-Encoding", "gzip")
-	_, err = w.Write(packed)
+	_, err = w.Write(compressed)
 	n.logUnsent(m.Kind, err)
 }
 
