--- a/pkg/node/node_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -33,7 +33,7 @@
 func (e *PeerError) Error() string { return fmt.Sprintf("peer %s: status %d", e.Address, e.Status) }
 
 // fetchMirror asks another box for the objects that its copy has and this box's copy lacks. It
-// gives up when no data has arrived for replica.PullTime.
+// gives up when no data has arrived for replica.PullIdleTimeout.
 func (n *Node) fetchMirror(ctx context.Context, source string, m *objects.Mirror) (*replica.Handover, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
