--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -254,13 +254,13 @@
 // the largest boxes of a zone that accept requests; see package directory.
 func (n *Node) listPeers(p *peerList) {
 	p.list = p.list[:0]
-	most := map[string]float64{}
+	largest := map[string]float64{}
 	var capacities []float64
 	add := func(r *gossip.Record, live bool) backend.Peer {
 		capacity := -1.0
 		if live && r.Ready && !r.Leaving {
 			capacity = r.Capacity
-			most[r.Zone] = max(most[r.Zone], capacity)
+			largest[r.Zone] = max(largest[r.Zone], capacity)
 		}
 		capacities = append(capacities, capacity)
 		return backend.Peer{Zone: r.Zone, Region: n.Topology.RegionOf(r.Zone), Hash: backend.Hash(r.Box)}
@@ -269,7 +269,7 @@
 	p.self = add(&own, true)
 	n.Members.EachPossibleSender(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
 	isNamed := func(capacity float64, zone string) bool {
-		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
+		return capacity >= 0 && directory.IsLarge(capacity, largest[zone])
 	}
 	p.self.Advertised = isNamed(capacities[0], p.self.Zone)
 	for i := range p.list {
