--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -268,12 +268,12 @@
 	own := n.Members.Self()
 	p.self = add(&own, true)
 	n.Members.EachPossibleSender(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
-	isNamed := func(capacity float64, zone string) bool {
+	isAdvertised := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, largest[zone])
 	}
-	p.self.Advertised = isNamed(capacities[0], p.self.Zone)
+	p.self.Advertised = isAdvertised(capacities[0], p.self.Zone)
 	for i := range p.list {
-		p.list[i].Advertised = isNamed(capacities[i+1], p.list[i].Zone)
+		p.list[i].Advertised = isAdvertised(capacities[i+1], p.list[i].Zone)
 	}
 }
 
