--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -117,7 +117,7 @@
 // admitToServer reports whether the limit that a server may name has capacity for one more
 // request, and takes a token for it if so. With yield set, the request leaves the capacity to
 // more urgent ones.
-func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
+func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, retryAfter time.Duration) {
 	life := server.Incarnation()
 	if _, named := n.Statuses.Of(life); !named {
 		return backend.Unlimited, 0
