--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -30,8 +30,8 @@
 func (n *Node) heartbeat() {
 	n.Members.Expire()
 	n.Set.Expire()
-	if more := n.listedLines.takeOmitted(); more > 0 {
-		n.log.Info("log lines about listed or cold servers were omitted", map[string]any{"lines": more})
+	if omitted := n.listedLines.takeOmitted(); omitted > 0 {
+		n.log.Info("log lines about listed or cold servers were omitted", map[string]any{"lines": omitted})
 	}
 	n.checkReady()
 	n.refreshSelf()
