--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -77,16 +77,16 @@
 	if len(records) == 0 {
 		return
 	}
-	var rare, usual []quarantine.Record
+	var repeated, usual []quarantine.Record
 	for _, r := range records {
 		if r.Counted() > 1 {
-			rare = append(rare, r)
+			repeated = append(repeated, r)
 		} else {
 			usual = append(usual, r)
 		}
 	}
 	all, serving := n.liveBoxes()
-	n.sendRecords(all, rare)
+	n.sendRecords(all, repeated)
 	if len(all) > largeFleet {
 		all = serving
 	}
