--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -77,12 +77,12 @@
 	if len(records) == 0 {
 		return
 	}
-	var repeated, usual []quarantine.Record
+	var repeated, single []quarantine.Record
 	for _, r := range records {
 		if r.Counted() > 1 {
 			repeated = append(repeated, r)
 		} else {
-			usual = append(usual, r)
+			single = append(single, r)
 		}
 	}
 	all, serving := n.liveBoxes()
@@ -90,7 +90,7 @@
 	if len(all) > largeFleet {
 		all = serving
 	}
-	n.sendRecords(all, usual)
+	n.sendRecords(all, single)
 }
 
 // spreadHolds sends all requests that this box holds to some other boxes.
