--- a/pkg/node/node_run.go
+++ b/pkg/node/node_run.go
@@ -100,8 +100,8 @@
 	n.log.Info("leaving", map[string]any{"in_flight": n.inFlight.Load(), "grace": grace.String()})
 	sleep(ctx, time.Duration(closeShare*float64(grace)))
 	n.closed.Store(true)
-	left := grace - endMargin - n.Clock.Since(start)
-	ctx, cancel := context.WithTimeout(ctx, left)
+	remaining := grace - endMargin - n.Clock.Since(start)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	n.ports.shutdown(ctx)
 	for n.inFlight.Load() > 0 && ctx.Err() == nil {
