--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -70,9 +70,9 @@
 func (b *Budget) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.advance(service)
-	a.requests[a.at%bucketCount]++
-	a.tokens = min(a.tokens+b.Bounds.Ratio, max(1, b.slackPerBox()))
+	counts := b.advance(service)
+	counts.requests[counts.at%bucketCount]++
+	counts.tokens = min(counts.tokens+b.Bounds.Ratio, max(1, b.slackPerBox()))
 }
 
 // Spend takes one retry from the budget and reports whether one was available.
