--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -79,12 +79,12 @@
 func (b *Budget) Spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.advance(service)
-	if a.tokens < 1 || sum(&a.retries)+1 > b.allowed(a) {
+	counts := b.advance(service)
+	if counts.tokens < 1 || sum(&counts.retries)+1 > b.allowed(counts) {
 		return false
 	}
-	a.tokens--
-	a.retries[a.at%bucketCount]++
+	counts.tokens--
+	counts.retries[counts.at%bucketCount]++
 	return true
 }
 
