--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -90,8 +90,8 @@
 
 // allowed returns how many retries the window permits. The oldest bucket of requests is left
 // out, because it may lie outside the window.
-func (b *Budget) allowed(a *serviceCounts) float64 {
-	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
+func (b *Budget) allowed(counts *serviceCounts) float64 {
+	requests := sum(&counts.requests) - counts.requests[(counts.at+1)%bucketCount]
 	return b.Bounds.Ratio*requests + b.slackPerBox()
 }
 
