--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -111,18 +111,18 @@
 // advance returns the service's counts after clearing buckets that have left the window.
 func (b *Budget) advance(service string) *serviceCounts {
 	now := int64(b.Now().Sub(b.began) / (b.Bounds.Window / (bucketCount - 1)))
-	a := b.services[service]
-	if a == nil {
-		a = &serviceCounts{at: now}
-		b.services[service] = a
+	counts := b.services[service]
+	if counts == nil {
+		counts = &serviceCounts{at: now}
+		b.services[service] = counts
 	}
-	for steps := 0; a.at < now && steps < bucketCount; steps++ {
-		a.at++
-		a.requests[a.at%bucketCount] = 0
-		a.retries[a.at%bucketCount] = 0
+	for steps := 0; counts.at < now && steps < bucketCount; steps++ {
+		counts.at++
+		counts.requests[counts.at%bucketCount] = 0
+		counts.retries[counts.at%bucketCount] = 0
 	}
-	a.at = now
-	return a
+	counts.at = now
+	return counts
 }
 
 func sum(values *[bucketCount]float64) float64 {
