--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -20,7 +20,7 @@
 		for range boxes {
 			budgets = append(budgets, NewBudget(terms, func() int { return boxes }, func() time.Time { return now }))
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, boxes-1).Draw(t, "box")]
@@ -28,11 +28,11 @@
 				b.Request("shop")
 				requests = append(requests, now)
 			} else if b.Spend("shop") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
-			r := within(repeats, end, terms.Window)
+		for _, end := range retries {
+			r := within(retries, end, terms.Window)
 			allowed := terms.Ratio*float64(within(requests, end, terms.Window)) + terms.Slack
 			if float64(r) > allowed {
 				t.Fatalf("%d retries in the window that ends at %v; at most %v are allowed", r, end, allowed)
