--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -66,7 +66,7 @@
 		budgets = append(budgets, NewBudget(terms, func() int { return boxes }, func() time.Time { return now }))
 	}
 	owed := make([]float64, boxes)
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	for ; now.Sub(start) < day; now = now.Add(tick) {
 		for i, b := range budgets {
 			phase := float64(i%3) / 3
@@ -76,13 +76,13 @@
 				b.Request("shop")
 				requests = append(requests, now)
 				if now.Sub(start) >= onset && b.Spend("shop") {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
 		}
 	}
 	for end := start.Add(terms.Window); end.Before(now); end = end.Add(100 * time.Millisecond) {
-		r := within(repeats, end, terms.Window)
+		r := within(retries, end, terms.Window)
 		allowed := terms.Ratio*float64(within(requests, end, terms.Window)) + terms.Slack
 		if float64(r) > allowed {
 			t.Fatalf("servers refuse from %v on: %d retries in the window that ends after %v; at most %.0f are allowed", onset, r, end.Sub(start), allowed)
