--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -161,7 +161,7 @@
 		for range boxes {
 			budgets = append(budgets, NewBudget(terms, func() int { return boxes }, func() time.Time { return now }))
 		}
-		var requests, repeats [ticks]float64
+		var requests, retries [ticks]float64
 		for k := range ticks {
 			// Clients move to other boxes every four seconds.
 			first := k / 40 * serving
@@ -170,14 +170,14 @@
 				b.Request("shop")
 				requests[k]++
 				if b.Spend("shop") {
-					repeats[k]++
+					retries[k]++
 				}
 			}
 			now = now.Add(tick)
 		}
 		window := int(terms.Window / tick)
 		for end := window; end <= ticks; end++ {
-			asked, sent := total(requests[end-window:end]), total(repeats[end-window:end])
+			asked, sent := total(requests[end-window:end]), total(retries[end-window:end])
 			if sent > terms.Ratio*asked+terms.Slack {
 				t.Fatalf("%d boxes: %.0f retries for %.0f requests exceed the bound", boxes, sent, asked)
 			}
