--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -62,8 +62,8 @@
 }
 
 // NewBudget returns a budget with no requests or retries counted.
-func NewBudget(terms Bounds, boxes func() int, now func() time.Time) *Budget {
-	return &Budget{Bounds: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
+func NewBudget(bounds Bounds, boxes func() int, now func() time.Time) *Budget {
+	return &Budget{Bounds: bounds, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
 }
 
 // Request counts a request for the service.
