--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -14,11 +14,11 @@
 func TestBudgetHoldsOverAllBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := rapid.IntRange(1, 12).Draw(t, "boxes")
-		terms := Bounds{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+		bounds := Bounds{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 		now := time.Unix(1000, 0)
 		var budgets []*Budget
 		for range boxes {
-			budgets = append(budgets, NewBudget(terms, func() int { return boxes }, func() time.Time { return now }))
+			budgets = append(budgets, NewBudget(bounds, func() int { return boxes }, func() time.Time { return now }))
 		}
 		var requests, retries []time.Time
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
@@ -32,8 +32,8 @@
 			}
 		}
 		for _, end := range retries {
-			r := within(retries, end, terms.Window)
-			allowed := terms.Ratio*float64(within(requests, end, terms.Window)) + terms.Slack
+			r := within(retries, end, bounds.Window)
+			allowed := bounds.Ratio*float64(within(requests, end, bounds.Window)) + bounds.Slack
 			if float64(r) > allowed {
 				t.Fatalf("%d retries in the window that ends at %v; at most %v are allowed", r, end, allowed)
 			}
