--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -52,9 +52,9 @@
 		tick  = 20 * time.Millisecond
 		wave  = 36 * time.Second
 	)
-	terms := Bounds{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
+	bounds := Bounds{Ratio: 0.2, Slack: 64, Window: 10 * time.Second}
 	for onset := time.Duration(0); onset < wave; onset += 3 * time.Second {
-		checkWaves(t, terms, boxes, day, tick, wave, onset)
+		checkWaves(t, bounds, boxes, day, tick, wave, onset)
 	}
 }
 
