--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -58,12 +58,12 @@
 	}
 }
 
-func checkWaves(t *testing.T, terms Bounds, boxes int, day, tick, wave, onset time.Duration) {
+func checkWaves(t *testing.T, bounds Bounds, boxes int, day, tick, wave, onset time.Duration) {
 	start := time.Unix(1000, 0)
 	now := start
 	var budgets []*Budget
 	for range boxes {
-		budgets = append(budgets, NewBudget(terms, func() int { return boxes }, func() time.Time { return now }))
+		budgets = append(budgets, NewBudget(bounds, func() int { return boxes }, func() time.Time { return now }))
 	}
 	owed := make([]float64, boxes)
 	var requests, retries []time.Time
@@ -81,9 +81,9 @@
 			}
 		}
 	}
-	for end := start.Add(terms.Window); end.Before(now); end = end.Add(100 * time.Millisecond) {
-		r := within(retries, end, terms.Window)
-		allowed := terms.Ratio*float64(within(requests, end, terms.Window)) + terms.Slack
+	for end := start.Add(bounds.Window); end.Before(now); end = end.Add(100 * time.Millisecond) {
+		r := within(retries, end, bounds.Window)
+		allowed := bounds.Ratio*float64(within(requests, end, bounds.Window)) + bounds.Slack
 		if float64(r) > allowed {
 			t.Fatalf("servers refuse from %v on: %d retries in the window that ends after %v; at most %.0f are allowed", onset, r, end.Sub(start), allowed)
 		}
