--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -155,11 +155,11 @@
 		perTick = 450
 	)
 	for _, boxes := range []int{30, 295, 3000} {
-		terms := Bounds{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
+		bounds := Bounds{Ratio: 0.2, Slack: 630, Window: 10 * time.Second}
 		now := time.Unix(1000, 0)
 		var budgets []*Budget
 		for range boxes {
-			budgets = append(budgets, NewBudget(terms, func() int { return boxes }, func() time.Time { return now }))
+			budgets = append(budgets, NewBudget(bounds, func() int { return boxes }, func() time.Time { return now }))
 		}
 		var requests, retries [ticks]float64
 		for k := range ticks {
@@ -175,13 +175,13 @@
 			}
 			now = now.Add(tick)
 		}
-		window := int(terms.Window / tick)
+		window := int(bounds.Window / tick)
 		for end := window; end <= ticks; end++ {
 			asked, sent := total(requests[end-window:end]), total(retries[end-window:end])
-			if sent > terms.Ratio*asked+terms.Slack {
+			if sent > bounds.Ratio*asked+bounds.Slack {
 				t.Fatalf("%d boxes: %.0f retries for %.0f requests exceed the bound", boxes, sent, asked)
 			}
-			if sent < 0.8*terms.Ratio*asked {
+			if sent < 0.8*bounds.Ratio*asked {
 				t.Fatalf("%d boxes: only %.0f retries for %.0f requests", boxes, sent, asked)
 			}
 		}
