--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -35,7 +35,7 @@
 	}
 	var unknown []uint32
 	for _, s := range m.Liveness {
-		if !t.see(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayAsk(s) {
+		if !t.applyLiveness(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayAsk(s) {
 			unknown = append(unknown, s.ID)
 		}
 	}
@@ -124,10 +124,10 @@
 	return r.Started != old.Started && (direct || old.silent || t.Now().Sub(old.heard) > SuspectFarAfter)
 }
 
-// see takes in what a box of a zone heard, and reports whether the box that it
+// applyLiveness takes in what a box of a zone heard, and reports whether the box that it
 // is of is known. Of its own zone a box believes its own zone alone: what others
 // say is older than what is heard here, and would delay that a silence is noticed.
-func (t *Table) see(s LivenessRecord, zone string) (known bool) {
+func (t *Table) applyLiveness(s LivenessRecord, zone string) (known bool) {
 	e := t.ids[s.ID]
 	if e == nil {
 		return s.ID == t.self.id()
