--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -136,7 +136,7 @@
 		return true
 	}
 	if s.Flags&FlagSilent != 0 {
-		t.toldSilent(e, s)
+		t.applySilence(e, s)
 		return true
 	}
 	least := e.Sequence + 1
@@ -154,9 +154,9 @@
 	return true
 }
 
-// toldSilent takes a box of another zone for silent since its own zone does,
+// applySilence takes a box of another zone for silent since its own zone does,
 // unless something newer was heard of it, or it was heard a moment ago.
-func (t *Table) toldSilent(e *entry, s LivenessRecord) {
+func (t *Table) applySilence(e *entry, s LivenessRecord) {
 	if e.Zone == t.self.Zone {
 		return
 	}
