--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -87,7 +87,7 @@
 		e := &entry{Record: *r, ID: r.id()}
 		t.add(e)
 		t.announceLive(e)
-		t.heard(e)
+		t.markHeard(e)
 		t.OnChange(*r, "seen")
 		return true
 	}
@@ -106,7 +106,7 @@
 		old.ID = r.id()
 		t.ids[old.ID] = old
 	}
-	t.heard(old)
+	t.markHeard(old)
 	returned := old.silent || restarted
 	if returned {
 		t.back(old)
@@ -147,7 +147,7 @@
 		return true
 	}
 	e.apply(s)
-	t.heard(e)
+	t.markHeard(e)
 	if e.silent {
 		t.back(e)
 	}
@@ -173,8 +173,8 @@
 	t.setUpdatesLeft(e, silentForwards)
 }
 
-// heard notes that a higher beat of a box has come.
-func (t *Table) heard(e *entry) {
+// markHeard notes that a higher beat of a box has come.
+func (t *Table) markHeard(e *entry) {
 	e.heard = t.Now()
 	if !e.inRecent {
 		e.inRecent = true
