--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -109,7 +109,7 @@
 	t.markHeard(old)
 	returned := old.silent || restarted
 	if returned {
-		t.back(old)
+		t.markLive(old)
 	}
 	return returned
 }
@@ -149,7 +149,7 @@
 	e.apply(s)
 	t.markHeard(e)
 	if e.silent {
-		t.back(e)
+		t.markLive(e)
 	}
 	return true
 }
@@ -186,8 +186,8 @@
 	e.zone.heard = e.heard
 }
 
-// back takes a box for live again.
-func (t *Table) back(e *entry) {
+// markLive takes a box for live again.
+func (t *Table) markLive(e *entry) {
 	e.silent = false
 	t.announceLive(e)
 	t.OnChange(e.Record, "back")
