--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -311,7 +311,7 @@
 		if e.silent || t.live(e, now) {
 			continue
 		}
-		t.silence(e)
+		t.markSilent(e)
 		if hears && e.Zone == t.self.Zone {
 			t.setUpdatesLeft(e, silentRepeats)
 		}
@@ -323,8 +323,8 @@
 	}
 }
 
-// silence takes a box for silent.
-func (t *Table) silence(e *entry) {
+// markSilent takes a box for silent.
+func (t *Table) markSilent(e *entry) {
 	e.silent = true
 	t.OnChange(e.Record, "silent")
 }
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -169,7 +169,7 @@
 	}
 	// What others heard of it before that is no sign of life.
 	e.Sequence = max(e.Sequence, uint64(s.Sequence))
-	t.silence(e)
+	t.markSilent(e)
 	t.setUpdatesLeft(e, silentForwards)
 }
 
