--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -333,11 +333,11 @@
 func (t *Table) add(e *entry) {
 	t.members[e.Box], t.ids[e.ID] = e, e
 	t.sorted = insertByName(t.sorted, e)
-	t.settle(e)
+	t.setZone(e)
 }
 
-// settle puts a box among those of its zone.
-func (t *Table) settle(e *entry) {
+// setZone puts a box among those of its zone.
+func (t *Table) setZone(e *entry) {
 	z := t.zoneOf(e.Zone)
 	if e.zone == z {
 		return
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -97,7 +97,7 @@
 	restarted := r.Started != old.Started
 	versions := old.Versions
 	old.Record = *r
-	t.settle(old)
+	t.setZone(old)
 	if !direct && !restarted {
 		old.Versions = versions
 	}
