--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -35,7 +35,7 @@
 	}
 	var unknown []uint32
 	for _, s := range m.Liveness {
-		if !t.applyLiveness(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayAsk(s) {
+		if !t.applyLiveness(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayRequest(s) {
 			unknown = append(unknown, s.ID)
 		}
 	}
@@ -203,8 +203,8 @@
 	t.setUpdatesLeft(e, beats)
 }
 
-// mayAsk reports whether the record of an unknown box is to be asked for now.
-func (t *Table) mayAsk(s LivenessRecord) bool {
+// mayRequest reports whether the record of an unknown box is to be asked for now.
+func (t *Table) mayRequest(s LivenessRecord) bool {
 	now := t.Now()
 	if s.Flags&FlagSilent != 0 || now.Sub(t.asked[s.ID]) < askAgain {
 		return false
