--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -49,7 +49,7 @@
 		answer.Ask = unknown
 		answers = append(answers, answer)
 	}
-	answers = append(answers, t.records(m.Ask)...)
+	answers = append(answers, t.recordsFor(m.Ask)...)
 	if m.Probe {
 		answers = append(answers, t.newHeartbeat())
 	}
@@ -213,8 +213,8 @@
 	return true
 }
 
-// records returns the records of the IDs, in parts that fit datagrams.
-func (t *Table) records(ids []uint32) []Message {
+// recordsFor returns the recordsFor of the IDs, in parts that fit datagrams.
+func (t *Table) recordsFor(ids []uint32) []Message {
 	var messages []Message
 	for _, id := range ids[:min(len(ids), recordsAsked)] {
 		e := t.ids[id]
