--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// recordsTogether bounds the records of one datagram, so that it fits one
+	// maxRecords bounds the records of one datagram, so that it fits one
 	// packet of a link; recordsAsked bounds those asked for at once.
-	recordsTogether = 8
-	recordsAsked    = 48
+	maxRecords   = 8
+	recordsAsked = 48
 	// askAgain is after what time a record that was asked for and did not come
 	// is asked for again: a way between regions and back, and some.
 	askAgain = 300 * time.Millisecond
@@ -222,7 +222,7 @@
 			continue
 		}
 		last := len(messages) - 1
-		if last < 0 || len(messages[last].Others) == recordsTogether {
+		if last < 0 || len(messages[last].Others) == maxRecords {
 			messages = append(messages, t.newMessage())
 			last++
 		}
