--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -6,7 +6,7 @@
 	// maxRecords bounds the records of one datagram, so that it fits one
 	// packet of a link; recordsAsked bounds those asked for at once.
 	maxRecords   = 8
-	recordsAsked = 48
+	maxRequested = 48
 	// askAgain is after what time a record that was asked for and did not come
 	// is asked for again: a way between regions and back, and some.
 	askAgain = 300 * time.Millisecond
@@ -35,7 +35,7 @@
 	}
 	var unknown []uint32
 	for _, s := range m.Liveness {
-		if !t.applyLiveness(s, m.From.Zone) && len(unknown) < recordsAsked && t.mayRequest(s) {
+		if !t.applyLiveness(s, m.From.Zone) && len(unknown) < maxRequested && t.mayRequest(s) {
 			unknown = append(unknown, s.ID)
 		}
 	}
@@ -216,7 +216,7 @@
 // recordsFor returns the recordsFor of the IDs, in parts that fit datagrams.
 func (t *Table) recordsFor(ids []uint32) []Message {
 	var messages []Message
-	for _, id := range ids[:min(len(ids), recordsAsked)] {
+	for _, id := range ids[:min(len(ids), maxRequested)] {
 		e := t.ids[id]
 		if e == nil {
 			continue
