--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -7,9 +7,9 @@
 	// packet of a link; recordsAsked bounds those asked for at once.
 	maxRecords   = 8
 	maxRequested = 48
-	// askAgain is after what time a record that was asked for and did not come
+	// requestAgainAfter is after what time a record that was asked for and did not come
 	// is asked for again: a way between regions and back, and some.
-	askAgain = 300 * time.Millisecond
+	requestAgainAfter = 300 * time.Millisecond
 	// greetedNear and greetedFar bound the sightings told to a box that was not
 	// known: of its own zone, which it needs first, and of others.
 	greetedNear = 128
@@ -206,7 +206,7 @@
 // mayRequest reports whether the record of an unknown box is to be asked for now.
 func (t *Table) mayRequest(s LivenessRecord) bool {
 	now := t.Now()
-	if s.Flags&FlagSilent != 0 || now.Sub(t.asked[s.ID]) < askAgain {
+	if s.Flags&FlagSilent != 0 || now.Sub(t.asked[s.ID]) < requestAgainAfter {
 		return false
 	}
 	t.asked[s.ID] = now
