--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -10,10 +10,10 @@
 	// requestAgainAfter is after what time a record that was asked for and did not come
 	// is asked for again: a way between regions and back, and some.
 	requestAgainAfter = 300 * time.Millisecond
-	// greetedNear and greetedFar bound the sightings told to a box that was not
+	// maxIntroducedOwnZone and greetedFar bound the sightings told to a box that was not
 	// known: of its own zone, which it needs first, and of others.
-	greetedNear = 128
-	greetedFar  = 24
+	maxIntroducedOwnZone = 128
+	greetedFar           = 24
 	// strayBeats is by how many beats what third zones pass on of a box that
 	// was told as silent may be ahead of what its zone told: the last datagrams
 	// of a box do not reach all of its zone.
@@ -251,7 +251,7 @@
 		}
 	}
 	far := append(pick(own, greetedFar, t.Random), pick(others, greetedFar, t.Random)...)
-	return append(livenessRecords(pick(near, greetedNear, t.Random)), livenessRecords(far[:min(len(far), greetedFar)])...)
+	return append(livenessRecords(pick(near, maxIntroducedOwnZone, t.Random)), livenessRecords(far[:min(len(far), greetedFar)])...)
 }
 
 func livenessRecords(list []*entry) LivenessRecords {
