--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -13,7 +13,7 @@
 	// maxIntroducedOwnZone and greetedFar bound the sightings told to a box that was not
 	// known: of its own zone, which it needs first, and of others.
 	maxIntroducedOwnZone = 128
-	greetedFar           = 24
+	maxIntroducedOther   = 24
 	// strayBeats is by how many beats what third zones pass on of a box that
 	// was told as silent may be ahead of what its zone told: the last datagrams
 	// of a box do not reach all of its zone.
@@ -250,8 +250,8 @@
 			others = append(others, e)
 		}
 	}
-	far := append(pick(own, greetedFar, t.Random), pick(others, greetedFar, t.Random)...)
-	return append(livenessRecords(pick(near, maxIntroducedOwnZone, t.Random)), livenessRecords(far[:min(len(far), greetedFar)])...)
+	far := append(pick(own, maxIntroducedOther, t.Random), pick(others, maxIntroducedOther, t.Random)...)
+	return append(livenessRecords(pick(near, maxIntroducedOwnZone, t.Random)), livenessRecords(far[:min(len(far), maxIntroducedOther)])...)
 }
 
 func livenessRecords(list []*entry) LivenessRecords {
