--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -14,10 +14,10 @@
 	// known: of its own zone, which it needs first, and of others.
 	maxIntroducedOwnZone = 128
 	maxIntroducedOther   = 24
-	// strayBeats is by how many beats what third zones pass on of a box that
+	// lateHeartbeats is by how many beats what third zones pass on of a box that
 	// was told as silent may be ahead of what its zone told: the last datagrams
 	// of a box do not reach all of its zone.
-	strayBeats = 3
+	lateHeartbeats = 3
 )
 
 // Receive takes in a message. It returns what its sender is to be told at once,
@@ -141,7 +141,7 @@
 	}
 	least := e.Sequence + 1
 	if e.silent && zone != e.Zone {
-		least += strayBeats
+		least += lateHeartbeats
 	}
 	if uint64(s.Sequence) < least {
 		return true
