--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -84,8 +84,8 @@
 	zones map[string]*zone
 	// own is this box's zone.
 	own *zone
-	// asked is when the record of an ID was last asked for.
-	asked map[uint32]time.Time
+	// requested is when the record of an ID was last requested for.
+	requested map[uint32]time.Time
 	// servingSince is since when clients send this box requests.
 	servingSince time.Time
 	// received is when any message last came.
@@ -160,7 +160,7 @@
 	t := &Table{
 		Seeds: func() []string { return nil }, Now: now, Random: random, OnChange: func(Record, string) {},
 		self: self, members: map[string]*entry{}, ids: map[uint32]*entry{},
-		zones: map[string]*zone{}, asked: map[uint32]time.Time{},
+		zones: map[string]*zone{}, requested: map[uint32]time.Time{},
 	}
 	t.own = t.zoneOf(self.Zone)
 	return t
@@ -316,9 +316,9 @@
 			t.setUpdatesLeft(e, silentRepeats)
 		}
 	}
-	for id, at := range t.asked {
+	for id, at := range t.requested {
 		if now.Sub(at) > ForgetAfter {
-			delete(t.asked, id)
+			delete(t.requested, id)
 		}
 	}
 }
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -206,10 +206,10 @@
 // mayRequest reports whether the record of an unknown box is to be asked for now.
 func (t *Table) mayRequest(s LivenessRecord) bool {
 	now := t.Now()
-	if s.Flags&FlagSilent != 0 || now.Sub(t.asked[s.ID]) < requestAgainAfter {
+	if s.Flags&FlagSilent != 0 || now.Sub(t.requested[s.ID]) < requestAgainAfter {
 		return false
 	}
-	t.asked[s.ID] = now
+	t.requested[s.ID] = now
 	return true
 }
 
