--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -88,9 +88,9 @@
 	requested map[uint32]time.Time
 	// servingSince is since when clients send this box requests.
 	servingSince time.Time
-	// received is when any message last came.
-	received time.Time
-	beats    int
+	// lastReceived is when any message last came.
+	lastReceived time.Time
+	beats        int
 	// turn is how far the heartbeats to the own zone have come round it.
 	turn int
 	// queue are the boxes of other zones whose turn is still to come.
@@ -306,7 +306,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	// A box that hears nobody is cut off itself, or stood still.
-	hears := now.Sub(t.received) <= probeAfter
+	hears := now.Sub(t.lastReceived) <= probeAfter
 	for _, e := range t.sorted {
 		if e.silent || t.live(e, now) {
 			continue
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -25,7 +25,7 @@
 func (t *Table) Receive(m *Message) (answers []Message, greetings []Envelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.received = t.Now()
+	t.lastReceived = t.Now()
 	isNew := t.applyRecord(&m.From, true)
 	for i := range m.Others {
 		r := &m.Others[i]
