--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -43,9 +43,9 @@
 func (t *Table) Beat() []Envelope {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.beats++
+	t.heartbeats++
 	to := t.farTargets()
-	if t.beats%contactSilentEvery == 1 {
+	if t.heartbeats%contactSilentEvery == 1 {
 		to = append(to, pick(t.silentAddresses(), farFanOut, t.Random)...)
 	}
 	live, quiet := t.liveInZone()
@@ -54,7 +54,7 @@
 	far, probe := zone, zone
 	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
 	far.Liveness = news
-	if t.beats%shareZoneEvery == 0 {
+	if t.heartbeats%shareZoneEvery == 0 {
 		far.Liveness = slices.Concat(news, livenessRecords(near))
 	}
 	probe.Probe = true
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -90,7 +90,7 @@
 	servingSince time.Time
 	// lastReceived is when any message last came.
 	lastReceived time.Time
-	beats        int
+	heartbeats   int
 	// turn is how far the heartbeats to the own zone have come round it.
 	turn int
 	// queue are the boxes of other zones whose turn is still to come.
