--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -130,8 +130,8 @@
 	place := sort.Search(len(zone), func(i int) bool { return zone[i].Box > t.self.Box })
 	var to []string
 	for range zoneFanOut {
-		to = append(to, zone[(place+t.turn)%len(zone)].Peers)
-		t.turn++
+		to = append(to, zone[(place+t.zoneOffset)%len(zone)].Peers)
+		t.zoneOffset++
 	}
 	return to
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -91,8 +91,8 @@
 	// lastReceived is when any message last came.
 	lastReceived time.Time
 	heartbeats   int
-	// turn is how far the heartbeats to the own zone have come round it.
-	turn int
+	// zoneOffset is how far the heartbeats to the own zone have come round it.
+	zoneOffset int
 	// queue are the boxes of other zones whose turn is still to come.
 	queue []*entry
 	// recent are those that were heard since the last heartbeat, and updates those of which there
