--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -143,16 +143,16 @@
 	now := t.Now()
 	var to []string
 	for isNew := false; len(to) < farFanOut; {
-		if len(t.queue) == 0 {
+		if len(t.farQueue) == 0 {
 			if isNew {
 				return to // there are no more
 			}
-			t.queue, isNew = t.farBoxes(now), true
-			shuffle(t.queue, t.Random)
+			t.farQueue, isNew = t.farBoxes(now), true
+			shuffle(t.farQueue, t.Random)
 			continue
 		}
-		next := t.queue[0]
-		t.queue = t.queue[1:]
+		next := t.farQueue[0]
+		t.farQueue = t.farQueue[1:]
 		if t.live(next, now) && !slices.Contains(to, next.Peers) {
 			to = append(to, next.Peers)
 		}
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -93,8 +93,8 @@
 	heartbeats   int
 	// zoneOffset is how far the heartbeats to the own zone have come round it.
 	zoneOffset int
-	// queue are the boxes of other zones whose turn is still to come.
-	queue []*entry
+	// farQueue are the boxes of other zones whose turn is still to come.
+	farQueue []*entry
 	// recent are those that were heard since the last heartbeat, and updates those of which there
 	// is still something to tell. A heartbeat must not look at all boxes of the fleet for these.
 	recent, updates []*entry
