--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -78,7 +78,7 @@
 // are that have been silent for a while.
 func (t *Table) liveInZone() (live []*entry, quiet []string) {
 	now := t.Now()
-	for _, e := range t.own.members {
+	for _, e := range t.ownZone.members {
 		if !t.live(e, now) {
 			continue
 		}
@@ -164,7 +164,7 @@
 func (t *Table) farBoxes(now time.Time) []*entry {
 	var far []*entry
 	for _, e := range t.sorted {
-		if e.zone != t.own && t.live(e, now) {
+		if e.zone != t.ownZone && t.live(e, now) {
 			far = append(far, e)
 		}
 	}
@@ -185,7 +185,7 @@
 	for _, e := range t.recent {
 		switch {
 		case e.silent:
-		case e.zone == t.own:
+		case e.zone == t.ownZone:
 			near = append(near, e)
 		default:
 			others = append(others, e)
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -82,8 +82,8 @@
 	// ids are the members by the IDs of their sightings.
 	ids   map[uint32]*entry
 	zones map[string]*zone
-	// own is this box's zone.
-	own *zone
+	// ownZone is this box's zone.
+	ownZone *zone
 	// requested is when the record of an ID was last requested for.
 	requested map[uint32]time.Time
 	// servingSince is since when clients send this box requests.
@@ -162,7 +162,7 @@
 		self: self, members: map[string]*entry{}, ids: map[uint32]*entry{},
 		zones: map[string]*zone{}, requested: map[uint32]time.Time{},
 	}
-	t.own = t.zoneOf(self.Zone)
+	t.ownZone = t.zoneOf(self.Zone)
 	return t
 }
 
@@ -228,7 +228,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	isHealthy := func(e *entry) bool { return e.StoreHealthy && t.live(e, now) }
-	return slices.ContainsFunc(t.own.members, isHealthy) || slices.ContainsFunc(t.sorted, isHealthy)
+	return slices.ContainsFunc(t.ownZone.members, isHealthy) || slices.ContainsFunc(t.sorted, isHealthy)
 }
 
 // Count returns how many boxes may be sending requests, this one included.
@@ -269,7 +269,7 @@
 	defer t.mu.Unlock()
 	var z StoreContacts
 	now := t.Now()
-	for _, e := range t.own.members {
+	for _, e := range t.ownZone.members {
 		if e.Leaving || now.Sub(e.heard) > within {
 			continue
 		}
@@ -294,7 +294,7 @@
 	if e.silent || now.Sub(e.heard) > ForgetAfter {
 		return false
 	}
-	if e.zone == t.own {
+	if e.zone == t.ownZone {
 		return now.Sub(e.heard) <= SuspectAfter
 	}
 	return now.Sub(e.zone.heard) <= SuspectFarAfter
--- a/pkg/gossip/operators.go
+++ b/pkg/gossip/operators.go
@@ -56,7 +56,7 @@
 	for name, z := range t.zones {
 		o := ZoneOverview{Zone: name, Asking: []string{}, Silent: []string{}}
 		oldest := t.self.Versions[kind].At
-		if z == t.own {
+		if z == t.ownZone {
 			o.count(&t.self, true)
 		}
 		for _, e := range z.members {
--- a/pkg/gossip/position.go
+++ b/pkg/gossip/position.go
@@ -55,8 +55,8 @@
 // neighbours are the other boxes of the zone, but for those forgotten.
 func (t *Table) neighbours() []*entry {
 	var list []*entry
-	for _, e := range t.own.members {
-		if t.own.heard.Sub(e.heard) <= ForgetAfter {
+	for _, e := range t.ownZone.members {
+		if t.ownZone.heard.Sub(e.heard) <= ForgetAfter {
 			list = append(list, e)
 		}
 	}
@@ -87,7 +87,7 @@
 		if t.self.precedes(&e.Record) {
 			place++
 		}
-		if place < sharing || t.own.heard.Sub(e.served) <= ForgetAfter {
+		if place < sharing || t.ownZone.heard.Sub(e.served) <= ForgetAfter {
 			total += weightOf(&e.Record)
 		}
 	}
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -197,7 +197,7 @@
 // zones tell, and a silence that was told ends.
 func (t *Table) announceLive(e *entry) {
 	beats := 0
-	if e.zone == t.own {
+	if e.zone == t.ownZone {
 		beats = liveRepeats
 	}
 	t.setUpdatesLeft(e, beats)
