--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -124,8 +124,8 @@
 	ID    uint32
 	zone  *zone
 	heard time.Time
-	// served is when it was last heard that clients send it requests.
-	served time.Time
+	// servingHeard is when it was last heard that clients send it requests.
+	servingHeard time.Time
 	// silent: it was taken for silent, by this box or by its zone.
 	silent bool
 	// inRecent: its beat has inRecent since this box's last heartbeat.
--- a/pkg/gossip/position.go
+++ b/pkg/gossip/position.go
@@ -87,7 +87,7 @@
 		if t.self.precedes(&e.Record) {
 			place++
 		}
-		if place < sharing || t.ownZone.heard.Sub(e.served) <= ForgetAfter {
+		if place < sharing || t.ownZone.heard.Sub(e.servingHeard) <= ForgetAfter {
 			total += weightOf(&e.Record)
 		}
 	}
--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -181,7 +181,7 @@
 		t.recent = append(t.recent, e)
 	}
 	if e.Serving {
-		e.served = e.heard
+		e.servingHeard = e.heard
 	}
 	e.zone.heard = e.heard
 }
