--- a/pkg/gossip/position.go
+++ b/pkg/gossip/position.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// servesAfter is how long after clients have come to a box it counts as one that shares
+// servingDelay is how long after clients have come to a box it counts as one that shares
 // its zone's work: by then the others know.
-const servesAfter = 2 * Interval
+const servingDelay = 2 * Interval
 
 // Position is a box's place in its zone, and who comes first in each zone.
 type Position struct {
@@ -71,7 +71,7 @@
 			before++
 		}
 	}
-	serves := t.self.Serving && now.Sub(t.servingSince) >= servesAfter
+	serves := t.self.Serving && now.Sub(t.servingSince) >= servingDelay
 	if before >= sharing && !serves {
 		return 0
 	}
