--- a/pkg/gossip/position.go
+++ b/pkg/gossip/position.go
@@ -48,7 +48,7 @@
 	}
 	neighbours := t.neighbours()
 	s.Neighbours = len(neighbours)
-	s.CapacityShare = t.part(neighbours, sharing, now)
+	s.CapacityShare = t.capacityShare(neighbours, sharing, now)
 	return s
 }
 
@@ -63,8 +63,8 @@
 	return list
 }
 
-// part is this box's part among those that share the zone's work.
-func (t *Table) part(neighbours []*entry, sharing int, now time.Time) float64 {
+// capacityShare is this box's capacityShare among those that share the zone's work.
+func (t *Table) capacityShare(neighbours []*entry, sharing int, now time.Time) float64 {
 	before := 0
 	for _, e := range neighbours {
 		if e.precedes(&t.self) {
