--- a/pkg/gossip/operators.go
+++ b/pkg/gossip/operators.go
@@ -11,8 +11,8 @@
 // PathFleet is where a box tells operators what it knows of all boxes, on its admin address.
 const PathFleet = "/v1/fleet"
 
-// mostNamed bounds the boxes of a zone that are named in an overview.
-const mostNamed = 4
+// maxNamed bounds the boxes of a zone that are named in an overview.
+const maxNamed = 4
 
 // FleetBox is the fleet as one box knows it.
 type FleetBox struct {
@@ -81,7 +81,7 @@
 func (o *ZoneOverview) count(r *Record, live bool) {
 	o.Boxes++
 	if !live {
-		if len(o.Silent) < mostNamed {
+		if len(o.Silent) < maxNamed {
 			o.Silent = append(o.Silent, r.Box)
 		}
 		return
@@ -95,7 +95,7 @@
 			*f.count++
 		}
 	}
-	if (r.StoreHealthy || r.StoreUnanswered) && len(o.Asking) < mostNamed {
+	if (r.StoreHealthy || r.StoreUnanswered) && len(o.Asking) < maxNamed {
 		o.Asking = append(o.Asking, r.Box)
 	}
 }
