--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// MeetTime is how long a box that starts leaves the role to others: in that
+	// DiscoveryTime is how long a box that starts leaves the role to others: in that
 	// time it hears of its zone through the seeds, over two ways between regions
 	// and back.
-	MeetTime = 300 * time.Millisecond
+	DiscoveryTime = 300 * time.Millisecond
 	// fewTrying is how many boxes of a zone try while the store answers none:
 	// it may turn away single ones. It may also be down for all, and then every
 	// box that tries makes calls for nothing.
@@ -100,7 +100,7 @@
 // and another one each time that this has lasted twice as long. One that is
 // answered stays, however many before it try in vain.
 func (r *Role) wants(v View, now time.Time) bool {
-	if now.Sub(r.started) < MeetTime || !v.Synced && v.ZoneHealthy > 0 {
+	if now.Sub(r.started) < DiscoveryTime || !v.Synced && v.ZoneHealthy > 0 {
 		// The zone hands it the copy sooner than it could read it.
 		return false
 	}
--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -13,7 +13,7 @@
 var start = time.Unix(1000, 0)
 
 func newRole(chance float64) *Role {
-	return New(func() int { return 1 }, contact, start.Add(-MeetTime), chance)
+	return New(func() int { return 1 }, contact, start.Add(-DiscoveryTime), chance)
 }
 
 func TestOneHealthyBoxOfAZoneWatches(t *testing.T) {
@@ -90,7 +90,7 @@
 	is.True(!watches.ReadsAllPages(start))
 	is.True(watches.ShouldPoll(View{}, start))
 	is.True(watches.ReadsAllPages(start))
-	began := start.Add(-MeetTime)
+	began := start.Add(-DiscoveryTime)
 	is.True(!early.ReadsAllPages(began.Add(contact - 1)))
 	is.True(early.ReadsAllPages(began.Add(contact)))
 	is.True(!late.ReadsAllPages(began.Add(4 * contact)))
