--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -19,10 +19,10 @@
 	// time it hears of its zone through the seeds, over two ways between regions
 	// and back.
 	DiscoveryTime = 300 * time.Millisecond
-	// fewTrying is how many boxes of a zone try while the store answers none:
+	// initialPollers is how many boxes of a zone try while the store answers none:
 	// it may turn away single ones. It may also be down for all, and then every
 	// box that tries makes calls for nothing.
-	fewTrying = 2
+	initialPollers = 2
 	// patienceSpread is over how many more times of contact the boxes of a zone
 	// that were handed no list begin to read it themselves.
 	patienceSpread = 4
@@ -105,7 +105,7 @@
 		return false
 	}
 	without := now.Sub(r.answered)
-	mayTry := fewTrying + int(math.Log2(1+without.Seconds()/r.Contact.Seconds()))
+	mayTry := initialPollers + int(math.Log2(1+without.Seconds()/r.Contact.Seconds()))
 	return v.HealthyBefore < r.PerZone() && (v.Answered || v.UnansweredBefore < mayTry)
 }
 
