--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -23,9 +23,9 @@
 	// it may turn away single ones. It may also be down for all, and then every
 	// box that tries makes calls for nothing.
 	initialPollers = 2
-	// patienceSpread is over how many more times of contact the boxes of a zone
+	// readDelaySpread is over how many more times of contact the boxes of a zone
 	// that were handed no list begin to read it themselves.
-	patienceSpread = 4
+	readDelaySpread = 4
 	// standBack is how much later a box takes the role up for each idle one that
 	// comes before it: time enough to hear that the first of them has. Without
 	// it many boxes would make calls to a store that is down.
@@ -73,7 +73,7 @@
 // New makes the role of a box that starts now. The number chance, from 0 to 1,
 // tells the boxes of a zone apart.
 func New(perZone func() int, contact time.Duration, now time.Time, chance float64) *Role {
-	patience := time.Duration((1 + patienceSpread*chance) * float64(contact))
+	patience := time.Duration((1 + readDelaySpread*chance) * float64(contact))
 	return &Role{PerZone: perZone, Contact: contact, started: now, answered: now, patience: patience}
 }
 
