--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -66,15 +66,15 @@
 	wanted time.Time
 	// answered is when the store last answered any box.
 	answered time.Time
-	// patience is after what time a box without a list reads it in any case.
-	patience time.Duration
+	// readDelay is after what time a box without a list reads it in any case.
+	readDelay time.Duration
 }
 
 // New makes the role of a box that starts now. The number chance, from 0 to 1,
 // tells the boxes of a zone apart.
 func New(perZone func() int, contact time.Duration, now time.Time, chance float64) *Role {
 	patience := time.Duration((1 + readDelaySpread*chance) * float64(contact))
-	return &Role{PerZone: perZone, Contact: contact, started: now, answered: now, patience: patience}
+	return &Role{PerZone: perZone, Contact: contact, started: now, answered: now, readDelay: patience}
 }
 
 // ShouldPoll reports whether the box is to ask the store from now on. A box that is
@@ -112,5 +112,5 @@
 // ReadsAllPages reports whether a box that has no list yet reads one of many pages: when
 // it is to ask the store, or when nobody has handed it the list for long.
 func (r *Role) ReadsAllPages(now time.Time) bool {
-	return r.watching || now.Sub(r.started) >= r.patience
+	return r.watching || now.Sub(r.started) >= r.readDelay
 }
