--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -26,10 +26,10 @@
 	// readDelaySpread is over how many more times of contact the boxes of a zone
 	// that were handed no list begin to read it themselves.
 	readDelaySpread = 4
-	// standBack is how much later a box takes the role up for each idle one that
+	// takeoverDelay is how much later a box takes the role up for each idle one that
 	// comes before it: time enough to hear that the first of them has. Without
 	// it many boxes would make calls to a store that is down.
-	standBack = 200 * time.Millisecond
+	takeoverDelay = 200 * time.Millisecond
 	// longestStandBack bounds that.
 	longestStandBack = time.Second
 )
@@ -90,7 +90,7 @@
 	case r.wanted.IsZero():
 		r.wanted = now
 	}
-	back := min(time.Duration(v.IdleBefore)*standBack, longestStandBack)
+	back := min(time.Duration(v.IdleBefore)*takeoverDelay, longestStandBack)
 	r.watching = wants && (r.watching || now.Sub(r.wanted) >= back)
 	return r.watching
 }
--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -70,13 +70,13 @@
 	gone := View{Synced: true, StoreAnswers: true, IdleBefore: 2}
 	is.True(!r.ShouldPoll(watched, start))
 	is.True(!r.ShouldPoll(gone, start))
-	is.True(!r.ShouldPoll(gone, start.Add(2*standBack-1)))
-	is.True(r.ShouldPoll(gone, start.Add(2*standBack)))
-	is.True(!r.ShouldPoll(watched, start.Add(3*standBack)))
-	is.True(!r.ShouldPoll(gone, start.Add(4*standBack)))
+	is.True(!r.ShouldPoll(gone, start.Add(2*takeoverDelay-1)))
+	is.True(r.ShouldPoll(gone, start.Add(2*takeoverDelay)))
+	is.True(!r.ShouldPoll(watched, start.Add(3*takeoverDelay)))
+	is.True(!r.ShouldPoll(gone, start.Add(4*takeoverDelay)))
 	gone.IdleBefore = 100
-	is.True(!r.ShouldPoll(gone, start.Add(5*standBack)))
-	is.True(r.ShouldPoll(gone, start.Add(4*standBack+longestStandBack)))
+	is.True(!r.ShouldPoll(gone, start.Add(5*takeoverDelay)))
+	is.True(r.ShouldPoll(gone, start.Add(4*takeoverDelay+longestStandBack)))
 	gone.IdleBefore = 0
 	is.True(!r.ShouldPoll(watched, start.Add(time.Minute)))
 	is.True(r.ShouldPoll(gone, start.Add(time.Minute)))
