--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -30,8 +30,8 @@
 	// comes before it: time enough to hear that the first of them has. Without
 	// it many boxes would make calls to a store that is down.
 	takeoverDelay = 200 * time.Millisecond
-	// longestStandBack bounds that.
-	longestStandBack = time.Second
+	// maxTakeoverDelay bounds that.
+	maxTakeoverDelay = time.Second
 )
 
 // View is what a box knows when it decides.
@@ -90,7 +90,7 @@
 	case r.wanted.IsZero():
 		r.wanted = now
 	}
-	back := min(time.Duration(v.IdleBefore)*takeoverDelay, longestStandBack)
+	back := min(time.Duration(v.IdleBefore)*takeoverDelay, maxTakeoverDelay)
 	r.watching = wants && (r.watching || now.Sub(r.wanted) >= back)
 	return r.watching
 }
--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -76,7 +76,7 @@
 	is.True(!r.ShouldPoll(gone, start.Add(4*takeoverDelay)))
 	gone.IdleBefore = 100
 	is.True(!r.ShouldPoll(gone, start.Add(5*takeoverDelay)))
-	is.True(r.ShouldPoll(gone, start.Add(4*takeoverDelay+longestStandBack)))
+	is.True(r.ShouldPoll(gone, start.Add(4*takeoverDelay+maxTakeoverDelay)))
 	gone.IdleBefore = 0
 	is.True(!r.ShouldPoll(watched, start.Add(time.Minute)))
 	is.True(r.ShouldPoll(gone, start.Add(time.Minute)))
