--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -60,8 +60,8 @@
 	// Contact is the time within which calm boxes are in touch with the store.
 	Contact time.Duration
 
-	started  time.Time
-	watching bool
+	started time.Time
+	polling bool
 	// wanted is since when the box was to take the role up, zero if it is not.
 	wanted time.Time
 	// answered is when the store last answered any box.
@@ -91,8 +91,8 @@
 		r.wanted = now
 	}
 	back := min(time.Duration(v.IdleBefore)*takeoverDelay, maxTakeoverDelay)
-	r.watching = wants && (r.watching || now.Sub(r.wanted) >= back)
-	return r.watching
+	r.polling = wants && (r.polling || now.Sub(r.wanted) >= back)
+	return r.polling
 }
 
 // wants reports whether the box should ask the store. Where no box of the zone is
@@ -112,5 +112,5 @@
 // ReadsAllPages reports whether a box that has no list yet reads one of many pages: when
 // it is to ask the store, or when nobody has handed it the list for long.
 func (r *Role) ReadsAllPages(now time.Time) bool {
-	return r.watching || now.Sub(r.started) >= r.readDelay
+	return r.polling || now.Sub(r.started) >= r.readDelay
 }
