--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -62,8 +62,8 @@
 
 	started time.Time
 	polling bool
-	// wanted is since when the box was to take the role up, zero if it is not.
-	wanted time.Time
+	// eligibleSince is since when the box was to take the role up, zero if it is not.
+	eligibleSince time.Time
 	// answered is when the store last answered any box.
 	answered time.Time
 	// readDelay is after what time a box without a list reads it in any case.
@@ -86,12 +86,12 @@
 	wants := r.wants(v, now)
 	switch {
 	case !wants:
-		r.wanted = time.Time{}
-	case r.wanted.IsZero():
-		r.wanted = now
+		r.eligibleSince = time.Time{}
+	case r.eligibleSince.IsZero():
+		r.eligibleSince = now
 	}
 	back := min(time.Duration(v.IdleBefore)*takeoverDelay, maxTakeoverDelay)
-	r.polling = wants && (r.polling || now.Sub(r.wanted) >= back)
+	r.polling = wants && (r.polling || now.Sub(r.eligibleSince) >= back)
 	return r.polling
 }
 
