--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -64,8 +64,8 @@
 	polling bool
 	// eligibleSince is since when the box was to take the role up, zero if it is not.
 	eligibleSince time.Time
-	// answered is when the store last answered any box.
-	answered time.Time
+	// lastAnswer is when the store last lastAnswer any box.
+	lastAnswer time.Time
 	// readDelay is after what time a box without a list reads it in any case.
 	readDelay time.Duration
 }
@@ -74,14 +74,14 @@
 // tells the boxes of a zone apart.
 func New(perZone func() int, contact time.Duration, now time.Time, chance float64) *Role {
 	patience := time.Duration((1 + readDelaySpread*chance) * float64(contact))
-	return &Role{PerZone: perZone, Contact: contact, started: now, answered: now, readDelay: patience}
+	return &Role{PerZone: perZone, Contact: contact, started: now, lastAnswer: now, readDelay: patience}
 }
 
 // ShouldPoll reports whether the box is to ask the store from now on. A box that is
 // to take the role up does so only when those before it have had time to.
 func (r *Role) ShouldPoll(v View, now time.Time) bool {
 	if v.StoreAnswers {
-		r.answered = now
+		r.lastAnswer = now
 	}
 	wants := r.wants(v, now)
 	switch {
@@ -104,7 +104,7 @@
 		// The zone hands it the copy sooner than it could read it.
 		return false
 	}
-	without := now.Sub(r.answered)
+	without := now.Sub(r.lastAnswer)
 	mayTry := initialPollers + int(math.Log2(1+without.Seconds()/r.Contact.Seconds()))
 	return v.HealthyBefore < r.PerZone() && (v.Answered || v.UnansweredBefore < mayTry)
 }
