--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -83,7 +83,7 @@
 	if v.StoreAnswers {
 		r.lastAnswer = now
 	}
-	wants := r.wants(v, now)
+	wants := r.eligible(v, now)
 	switch {
 	case !wants:
 		r.eligibleSince = time.Time{}
@@ -95,11 +95,11 @@
 	return r.polling
 }
 
-// wants reports whether the box should ask the store. Where no box of the zone is
+// eligible reports whether the box should ask the store. Where no box of the zone is
 // answered a few try, and one more after the time of contact without any answer,
 // and another one each time that this has lasted twice as long. One that is
 // answered stays, however many before it try in vain.
-func (r *Role) wants(v View, now time.Time) bool {
+func (r *Role) eligible(v View, now time.Time) bool {
 	if now.Sub(r.started) < DiscoveryTime || !v.Synced && v.ZoneHealthy > 0 {
 		// The zone hands it the copy sooner than it could read it.
 		return false
