--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -22,8 +22,8 @@
 	// wireVersion is the first byte of a message; heartbeats, which come to the
 	// same port, begin with others.
 	wireVersion = 0xf2
-	// together bounds the findings of one message, so that it fits one packet.
-	together = 48
+	// maxReports bounds the findings of one message, so that it fits one packet.
+	maxReports = 48
 	// again is after what time the same is told of a server again.
 	again = 2 * time.Second
 )
@@ -77,7 +77,7 @@
 	}
 	var messages []Message
 	for len(o.waiting) > 0 {
-		n := min(len(o.waiting), together)
+		n := min(len(o.waiting), maxReports)
 		messages = append(messages, Message{Box: o.Box, Reports: o.waiting[:n:n]})
 		o.waiting = o.waiting[n:]
 	}
