--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -24,8 +24,8 @@
 	wireVersion = 0xf2
 	// maxReports bounds the findings of one message, so that it fits one packet.
 	maxReports = 48
-	// again is after what time the same is told of a server again.
-	again = 2 * time.Second
+	// resendAfter is after what time the same is told of a server resendAfter.
+	resendAfter = 2 * time.Second
 )
 
 // Message is what one box found since its last message.
@@ -58,7 +58,7 @@
 	if o.told == nil {
 		o.told = map[backend.Finding]time.Time{}
 	}
-	if at, ok := o.told[f]; ok && now.Sub(at) < again {
+	if at, ok := o.told[f]; ok && now.Sub(at) < resendAfter {
 		return
 	}
 	o.told[f] = now
@@ -71,7 +71,7 @@
 	defer o.mu.Unlock()
 	now := o.Now()
 	for f, at := range o.told {
-		if now.Sub(at) >= again {
+		if now.Sub(at) >= resendAfter {
 			delete(o.told, f)
 		}
 	}
--- a/pkg/failurereport/failurereport_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -55,7 +55,7 @@
 	is.Equal(len(o.Take()), 0)
 	o.Add(backend.Finding{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 0)
-	now = now.Add(again)
+	now = now.Add(resendAfter)
 	is.Equal(len(o.Take()), 0)
 	o.Add(backend.Finding{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 1)
