--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -47,7 +47,7 @@
 
 	mu      sync.Mutex
 	waiting []backend.Finding
-	told    map[backend.Finding]time.Time
+	sent    map[backend.Finding]time.Time
 }
 
 // Add takes in a finding; one that was told a moment ago is left out.
@@ -55,13 +55,13 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
-	if o.told == nil {
-		o.told = map[backend.Finding]time.Time{}
+	if o.sent == nil {
+		o.sent = map[backend.Finding]time.Time{}
 	}
-	if at, ok := o.told[f]; ok && now.Sub(at) < resendAfter {
+	if at, ok := o.sent[f]; ok && now.Sub(at) < resendAfter {
 		return
 	}
-	o.told[f] = now
+	o.sent[f] = now
 	o.waiting = append(o.waiting, f)
 }
 
@@ -70,9 +70,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
-	for f, at := range o.told {
+	for f, at := range o.sent {
 		if now.Sub(at) >= resendAfter {
-			delete(o.told, f)
+			delete(o.sent, f)
 		}
 	}
 	var messages []Message
