--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -46,7 +46,7 @@
 	Now func() time.Time
 
 	mu      sync.Mutex
-	waiting []backend.Finding
+	pending []backend.Finding
 	sent    map[backend.Finding]time.Time
 }
 
@@ -62,7 +62,7 @@
 		return
 	}
 	o.sent[f] = now
-	o.waiting = append(o.waiting, f)
+	o.pending = append(o.pending, f)
 }
 
 // Take returns what is to be sent now, and forgets what was told long ago.
@@ -76,11 +76,11 @@
 		}
 	}
 	var messages []Message
-	for len(o.waiting) > 0 {
-		n := min(len(o.waiting), maxReports)
-		messages = append(messages, Message{Box: o.Box, Reports: o.waiting[:n:n]})
-		o.waiting = o.waiting[n:]
+	for len(o.pending) > 0 {
+		n := min(len(o.pending), maxReports)
+		messages = append(messages, Message{Box: o.Box, Reports: o.pending[:n:n]})
+		o.pending = o.pending[n:]
 	}
-	o.waiting = nil
+	o.pending = nil
 	return messages
 }
