--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -12,9 +12,9 @@
 // MaxAddresses bounds an answer.
 const MaxAddresses = 64
 
-// enough is how many boxes an answer should name, so that a client whose box
+// minBoxes is how many boxes an answer should name, so that a client whose box
 // fails has another one at hand.
-const enough = 2
+const minBoxes = 2
 
 // Query is what a client asks.
 type Query struct {
@@ -67,7 +67,7 @@
 		}
 	}
 	for _, list := range [][]*entry{largest(zone), largest(region), zone, region} {
-		if len(list) >= enough {
+		if len(list) >= minBoxes {
 			return d.answer(list)
 		}
 	}
