--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -110,15 +110,15 @@
 	return Answer{Addresses: addresses[:min(len(addresses), MaxAddresses)], TTL: d.TTL}
 }
 
-// largeShare is how much of the largest box's capacity another must have to be
+// largeFraction is how much of the largest box's capacity another must have to be
 // named beside it. Clients choose among the named boxes by chance, so a much
 // smaller one would get as much as the others; and a few boxes with many
 // requests each know more of backend servers' load, and use connections more
 // often, than many with few.
-const largeShare = 0.5
+const largeFraction = 0.5
 
 // IsLarge reports whether a box is not much smaller than the largest one.
-func IsLarge(capacity, most float64) bool { return capacity >= largeShare*most }
+func IsLarge(capacity, most float64) bool { return capacity >= largeFraction*most }
 
 // largest returns the boxes that are not much smaller than the largest one.
 func largest(list []*entry) []*entry {
