--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -12,11 +12,11 @@
 	coldPlaceEvery = 500 * time.Millisecond
 )
 
-// mayWarm reports whether this box may send one more request to a cold
+// maySendToCold reports whether this box may send one more request to a cold
 // server. The bound holds for the sum over all boxes, which do not ask each
 // other: each has its part of it.
-func (s *Set) mayWarm(v *server, now time.Time) bool {
-	part := s.coldPart(v, now)
+func (s *Set) maySendToCold(v *server, now time.Time) bool {
+	part := s.coldAllowance(v, now)
 	if part < 1 {
 		return false
 	}
@@ -30,16 +30,16 @@
 	return len(recent) < part
 }
 
-// coldPart is how many requests in any second this box may send: an even part, or where that is less
+// coldAllowance is how many requests in any second this box may send: an even part, or where that is less
 // than one, one at as many boxes as the server bears requests. A box that counts a few others too
 // many or too few is wrong about its place by as many.
-func (s *Set) coldPart(v *server, now time.Time) int {
+func (s *Set) coldAllowance(v *server, now time.Time) int {
 	boxes := s.Boxes()
 	if boxes <= 0 {
 		return 0
 	}
 	terms := s.terms[v.Service]
-	total := int(coldShare * (terms.ColdPerSecond*s.Terms.ColdOverage + s.Terms.ColdSlack))
+	total := int(coldShare * (terms.ColdPerSecond*s.Bounds.ColdOverage + s.Bounds.ColdSlack))
 	if total >= boxes {
 		return total / boxes
 	}
@@ -58,8 +58,8 @@
 	Region string
 	// Hash is that of the box's name, see Hash.
 	Hash uint64
-	// Named: clients of its zone are told of it, others only where there are none of these.
-	Named bool
+	// Advertised: clients of its zone are told of it, others only where there are none of these.
+	Advertised bool
 }
 
 // The ranks of boxes in the order in which they send to a cold server.
@@ -75,7 +75,7 @@
 // those of its region, which have most of its keys.
 func (p *Peer) coldRank(v *server) int {
 	switch {
-	case !p.Named:
+	case !p.Advertised:
 		return rankOther
 	case p.Zone == v.Zone:
 		return rankZone
@@ -109,48 +109,48 @@
 	return place
 }
 
-// startedAgainTime is within what time of its end a server that has started again is listed
+// restartWindow is within what time of its end a server that has started again is listed
 // anew, or else listed no more: three of its heartbeats of 1.5 s, and a second and more for the list to be known.
-const startedAgainTime = 6 * time.Second
+const restartWindow = 6 * time.Second
 
-// mayHaveStartedAgain reports whether the server's port has lately refused a connection: that
+// mayHaveRestarted reports whether the server's port has lately refused a connection: that
 // life has ended, and what answers there next, under the same ID, has just started and is
 // cold, while the list still has the entry of before. A server that does not tell its starts
 // apart has another ID with each.
-func (s *Set) mayHaveStartedAgain(v *server, now time.Time) bool {
-	return v.Born != 0 && !v.refused.IsZero() && now.Sub(v.refused) < startedAgainTime
+func (s *Set) mayHaveRestarted(v *server, now time.Time) bool {
+	return v.StartedAtMs != 0 && !v.refused.IsZero() && now.Sub(v.refused) < restartWindow
 }
 
 // isProbed reports whether a request is on its way that finds out whether such a server is there
 // again, where the list cannot tell later either: one request of this box at a time does.
 func (s *Set) isProbed(v *server, now time.Time) bool {
-	return v.Born != 0 && !v.refused.IsZero() && !s.mayHaveStartedAgain(v, now) && !s.Trusted() && v.load.own > 0
+	return v.StartedAtMs != 0 && !v.refused.IsZero() && !s.mayHaveRestarted(v, now) && !s.Trusted() && v.load.own > 0
 }
 
-// answersAgain notes that a server answers whose port had refused. A list that can be trusted tells
+// answeredAfterRefusal notes that a server answers whose port had refused. A list that can be trusted tells
 // in time whether it has started again; where it cannot be, it has just started for all that is
 // known.
-func (s *Set) answersAgain(v *server, now time.Time) {
+func (s *Set) answeredAfterRefusal(v *server, now time.Time) {
 	trusted := s.Trusted()
-	if v.refused.IsZero() || trusted && s.mayHaveStartedAgain(v, now) {
+	if v.refused.IsZero() || trusted && s.mayHaveRestarted(v, now) {
 		return
 	}
 	v.refused = time.Time{}
-	if v.Born != 0 && !trusted {
-		s.startCold(v, s.terms[v.Service].ColdStart)
+	if v.StartedAtMs != 0 && !trusted {
+		s.markCold(v, s.terms[v.Service].ColdStart)
 	}
 }
 
-// startCold takes a server to be cold for a time. What is told may have been on
+// markCold takes a server to be cold for a time. What is told may have been on
 // its way for a while, so it is counted from now, with a margin for clocks
 // that run apart.
-func (s *Set) startCold(v *server, d time.Duration) {
+func (s *Set) markCold(v *server, d time.Duration) {
 	if d <= 0 {
 		return
 	}
 	until := s.Now().Add(d + s.Policy.ColdMargin)
 	if until.After(v.coldUntil) {
 		v.coldUntil = until
-		s.Changed(v.Server, Cold)
+		s.OnChange(v.Server, Cold)
 	}
 }
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -9,8 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/rollout"
 )
 
-// Terms are the bounds that hold for choices, from the settings.
-type Terms struct {
+// Bounds are the bounds that hold for choices, from the settings.
+type Bounds struct {
 	// ColdOverage and ColdSlack bound what a cold server gets in any second
 	// from all boxes together: its rate x ColdOverage + ColdSlack.
 	ColdOverage float64
@@ -19,20 +19,20 @@
 	// the region in which they run within ShiftWindow.
 	MaxShift    float64
 	ShiftWindow time.Duration
-	// Forget is for how long a server is kept that vanished from the list
+	// MissingTTL is for how long a server is kept that vanished from the list
 	// while the list could not be trusted.
-	Forget time.Duration
+	MissingTTL time.Duration
 }
 
-// ServiceTerms are what a configuration says of a service's cold servers.
-type ServiceTerms struct {
+// ColdStartConfig are what a configuration says of a service's cold servers.
+type ColdStartConfig struct {
 	ColdStart     time.Duration
 	ColdPerSecond float64
 }
 
 // Set holds the backend servers of all services.
 type Set struct {
-	Terms Terms
+	Bounds Bounds
 	// Policy holds the figures of the choice; see SetPolicy.
 	Policy policy.Policy
 	// Zone and Region are the box's own.
@@ -50,24 +50,24 @@
 	Trusted func() bool
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Changed is told what the set came to believe of a server.
-	Changed func(server Server, what string)
-	// Limited reports whether any server is known to name a limit, NamesLimit whether one does, and
+	// OnChange is told what the set came to believe of a server.
+	OnChange func(server Server, what string)
+	// AnyLimited reports whether any server is known to name a limit, NamesLimit whether one does, and
 	// Admit whether that of a server leaves room for one more request, and when it will where it is
 	// denied. With ask
 	// false the answer is not Open, and with yield set a server that names a limit is denied,
 	// whatever it has room for. Release gives back what was granted and not used. All run
 	// under the set's lock and must not call it.
-	Limited    func() bool
-	NamesLimit func(server *Server) bool
+	AnyLimited func() bool
+	HasLimit   func(server *Server) bool
 	Admit      func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
 	Release    func(server *Server)
 	// IsLeaving reports whether a life of a server has said that it leaves; see Leave. It runs under
 	// the set's lock and must not call it.
 	IsLeaving func(life string) bool
-	// Found is told what other boxes should know of a server. It runs under the
+	// ReportFailure is told what other boxes should know of a server. It runs under the
 	// set's lock and must not call it.
-	Found func(f Finding)
+	ReportFailure func(f FailureReport)
 
 	mu sync.Mutex
 	// zoneHeard is when a server of a zone last answered this box.
@@ -75,13 +75,13 @@
 	// near and far are the room of candidates, and resting what the last choice passed over.
 	near, far, zone []candidate
 	short           [3]shortList
-	resting         resting
-	// rested are the servers that have asked this box for rest and may not yet be sent requests as before.
-	rested    map[*server]bool
+	skippedBackoffs skippedBackoffs
+	// backedOff are the servers that have asked this box for rest and may not yet be sent requests as before.
+	backedOff map[*server]bool
 	servers   map[string]*server
 	services  map[string]*group
 	evacuated map[string]bool
-	terms     map[string]ServiceTerms
+	terms     map[string]ColdStartConfig
 	spill     spillGuard
 	// missing are the servers that have vanished from a list that is not trusted, by ID.
 	missing map[string]*server
@@ -122,15 +122,15 @@
 	coldPlace   int
 	coldPlaceAt time.Time
 
-	health  health
-	rest    rest
-	hearsay hearsay
-	load    loadEstimate
+	health      health
+	backoff     backoffState
+	unconfirmed unconfirmedReport
+	load        loadEstimate
 	// keys is nil until the server is sent its first request: most boxes of a
 	// zone serve no clients.
 	keys  *keyTable
 	speed speed
-	order order
+	order shortages
 }
 
 // group is the servers of one service.
@@ -152,36 +152,36 @@
 	heavy    float64
 	versions versionSlots
 	// index holds the servers for choices, if isIndexed; isWeighted: their weights are not all 1.
-	index      []indexed
+	index      []indexEntry
 	isIndexed  bool
 	isWeighted bool
 }
 
 // NewSet makes a set without servers.
-func NewSet(terms Terms, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
+func NewSet(terms Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
-		Terms: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
-		Peers:      func() (Peer, []Peer) { return Peer{}, nil },
-		Trusted:    func() bool { return true },
-		Changed:    func(Server, string) {},
-		Found:      func(Finding) {},
-		Limited:    func() bool { return false },
-		NamesLimit: func(*Server) bool { return false },
-		Admit:      func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
-		Release:    func(*Server) {},
-		IsLeaving:  func(string) bool { return false },
-		zoneHeard:  map[string]time.Time{},
-		servers:    map[string]*server{},
-		services:   map[string]*group{},
-		evacuated:  map[string]bool{},
-		terms:      map[string]ServiceTerms{},
-		rested:     map[*server]bool{},
-		missing:    map[string]*server{},
+		Bounds: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
+		Peers:         func() (Peer, []Peer) { return Peer{}, nil },
+		Trusted:       func() bool { return true },
+		OnChange:      func(Server, string) {},
+		ReportFailure: func(FailureReport) {},
+		AnyLimited:    func() bool { return false },
+		HasLimit:      func(*Server) bool { return false },
+		Admit:         func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
+		Release:       func(*Server) {},
+		IsLeaving:     func(string) bool { return false },
+		zoneHeard:     map[string]time.Time{},
+		servers:       map[string]*server{},
+		services:      map[string]*group{},
+		evacuated:     map[string]bool{},
+		terms:         map[string]ColdStartConfig{},
+		backedOff:     map[*server]bool{},
+		missing:       map[string]*server{},
 	}
 }
 
 // SetServices sets what the configuration says of the services.
-func (s *Set) SetServices(terms map[string]ServiceTerms) {
+func (s *Set) SetServices(terms map[string]ColdStartConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.terms = terms
@@ -233,25 +233,25 @@
 
 func (s *Set) put(v Server) {
 	old := s.servers[v.ID]
-	if old != nil && old.Born != v.Born {
+	if old != nil && old.StartedAtMs != v.StartedAtMs {
 		// It has started again and knows nothing of before, nor does anything hold that was
 		// known of it; what was chosen for its earlier life is chosen anew.
 		s.leave(old)
-		s.Changed(v, "started again")
+		s.OnChange(v, "started again")
 		old = nil
 	}
 	if old == nil {
-		old = &server{hash: Hash(v.ID), leaving: s.IsLeaving(v.Life())}
+		old = &server{hash: Hash(v.ID), leaving: s.IsLeaving(v.Incarnation())}
 		s.servers[v.ID] = old
-		s.Changed(v, Listed)
+		s.OnChange(v, Listed)
 	}
 	if old.Server != v && v.Draining && !old.Draining {
-		s.Changed(v, "draining")
+		s.OnChange(v, "draining")
 	}
-	cold := v.Cold != old.Cold
+	cold := v.ColdFor != old.ColdFor
 	old.Server = v
 	if cold {
-		s.startCold(old, v.Cold)
+		s.markCold(old, v.ColdFor)
 	}
 	old.region = s.RegionOf(v.Zone)
 	old.missing = time.Time{}
@@ -292,7 +292,7 @@
 	v.group.changed = true
 	v.group.isIndexed = false
 	v.group = nil
-	delete(s.rested, v)
+	delete(s.backedOff, v)
 }
 
 func (s *Set) remove(id string, trusted bool) {
@@ -304,13 +304,13 @@
 		s.leave(v)
 		delete(s.servers, id)
 		delete(s.missing, id)
-		s.Changed(v.Server, "gone")
+		s.OnChange(v.Server, "gone")
 		return
 	}
 	if v.missing.IsZero() {
 		v.missing = s.Now()
 		s.missing[id] = v
-		s.Changed(v.Server, "missing")
+		s.OnChange(v.Server, "missing")
 	}
 }
 
@@ -337,7 +337,7 @@
 	}
 	for _, v := range s.servers {
 		if s.evacuated[v.Zone] && !evacuated[v.Zone] {
-			s.startCold(v, s.terms[v.Service].ColdStart)
+			s.markCold(v, s.terms[v.Service].ColdStart)
 		}
 	}
 	s.evacuated = evacuated
@@ -354,7 +354,7 @@
 	for _, v := range s.servers {
 		if v.missing.IsZero() {
 			out := v.Server
-			out.Cold = max(0, v.coldUntil.Sub(s.Now()))
+			out.ColdFor = max(0, v.coldUntil.Sub(s.Now()))
 			list = append(list, out)
 		}
 	}
@@ -381,5 +381,5 @@
 
 // forgotten reports whether the server has been missing for too long.
 func (s *Set) forgotten(v *server) bool {
-	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Terms.Forget
+	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Bounds.MissingTTL
 }
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -24,9 +24,9 @@
 
 func newTestSet(boxes int) (*Set, *clock) {
 	c := &clock{at: time.Unix(1000, 0)}
-	terms := Terms{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, Forget: 1750 * time.Millisecond}
+	terms := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, MissingTTL: 1750 * time.Millisecond}
 	s := NewSet(terms, "east-a", regionOf, func() int { return boxes }, c.now)
-	s.SetServices(map[string]ServiceTerms{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
+	s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 	return s, c
 }
 
@@ -56,7 +56,7 @@
 	s.Remove("east-a-0", false)
 	_, err := choose(s, 1)
 	is.NoErr(err) // a platform that was down may have lost the entry of a server that is well
-	c.advance(s.Terms.Forget + time.Millisecond)
+	c.advance(s.Bounds.MissingTTL + time.Millisecond)
 	s.Expire()
 	_, err = choose(s, 1)
 	is.True(err != nil)
@@ -71,7 +71,7 @@
 	lease, err := choose(s, 1)
 	is.NoErr(err)
 	s.Remove("east-a-0", false)
-	c.advance(s.Terms.Forget)
+	c.advance(s.Bounds.MissingTTL)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 	is.True(lease.Usable())
@@ -115,7 +115,7 @@
 		second, err := choose(s, 1)
 		is.NoErr(err)
 		is.Equal(second.ID, first.ID)
-		is.Equal(second.Busy, e.busy)
+		is.Equal(second.InFlight, e.busy)
 	}
 }
 
@@ -145,9 +145,9 @@
 	is := is.New(t)
 	s, c := newTestSet(12)
 	s.Replace(servers("east-a", 8, 4), true)
-	joined := Server{ID: "east-a-joined", Service: "shop", Address: "10.0.0.9:1", Zone: "east-a", Slots: 4, Cold: 3 * time.Second}
+	joined := Server{ID: "east-a-joined", Service: "shop", Address: "10.0.0.9:1", Zone: "east-a", Slots: 4, ColdFor: 3 * time.Second}
 	s.Put(joined)
-	c.advance(joined.Cold + policy.Default().ColdMargin + time.Millisecond)
+	c.advance(joined.ColdFor + policy.Default().ColdMargin + time.Millisecond)
 	got := 0
 	for i := range 4 * 25 { // four seconds of a box's part of 300 requests a second
 		lease, err := choose(s, mix(uint64(i%80)))
@@ -187,10 +187,10 @@
 		is.Equal(home(hot), first) // with free slots, it stays
 		home(rare[i%len(rare)])
 	}
-	s.servers[first].load.told(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
+	s.servers[first].load.update(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
 	is.True(home(hot) != first)
 	for _, key := range rare {
-		s.servers[first].load.told(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
+		s.servers[first].load.update(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
 		is.Equal(home(key), first)
 	}
 }
@@ -252,7 +252,7 @@
 		for range boxes {
 			s, c := newTestSet(boxes)
 			cold := servers("east-a", 1, 100)[0]
-			cold.Cold = 3 * time.Second
+			cold.ColdFor = 3 * time.Second
 			s.Put(cold)
 			for c.at.Before(time.Unix(1003, 0)) {
 				if lease, err := choose(s, 1); err == nil {
@@ -282,13 +282,13 @@
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	var told []string
-	s.Changed = func(v Server, what string) {
+	s.OnChange = func(v Server, what string) {
 		is.Equal(v.ID, "east-a-0")
 		is.Equal(v.Service, "shop")
 		told = append(told, what)
 	}
 	v := servers("east-a", 1, 4)[0]
-	v.Cold = time.Second
+	v.ColdFor = time.Second
 	s.Put(v)
 	v.Draining = true
 	s.Put(v)
@@ -407,7 +407,7 @@
 // much as slow answers do. (On a recorded day servers that took eight times as
 // long went on getting their keys for ten seconds.)
 func TestSlowServerIsSparedThoughNothingEnds(t *testing.T) {
-	for _, result := range []Result{Late, Abandoned} {
+	for _, result := range []Result{TimedOut, Abandoned} {
 		t.Run(result.String(), func(t *testing.T) {
 			is := is.New(t)
 			s, c := newTestSet(1)
@@ -487,7 +487,7 @@
 	s.Replace(servers("east-a", 6, 4), true)
 	const slowServer = "east-a-0"
 	var told []string
-	s.Changed = func(v Server, what string) { told = append(told, v.ID+" "+what) }
+	s.OnChange = func(v Server, what string) { told = append(told, v.ID+" "+what) }
 	play := func(length, slowTook time.Duration) (atSlow int) {
 		for end := c.at.Add(length); c.at.Before(end); c.advance(20 * time.Millisecond) {
 			lease, err := choose(s, Hash(fmt.Sprint(c.at.UnixNano())))
@@ -555,11 +555,11 @@
 		exchange(near, 3*time.Second)
 	}
 	exchange(near, 200*time.Millisecond) // the trial: the average is still high
-	is.True(near.health.resting(c.at))
+	is.True(near.health.ejected(c.at))
 	for near.health.suspected {
 		exchange(near, 100*time.Millisecond)
 	}
-	is.True(!near.health.resting(c.at))
+	is.True(!near.health.ejected(c.at))
 }
 
 // TestWhereAllHaveFailedTheEndOfTheirRestIsTold. The story: the only servers that may take a request had failed and
@@ -576,8 +576,8 @@
 	_, err := choose(s, 1)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.RoomIn, s.Policy.FirstRest-200*time.Millisecond) // the first one's rest
-	c.advance(choice.RoomIn)
+	is.Equal(choice.RetryAfter, s.Policy.FirstRest-200*time.Millisecond) // the first one's rest
+	c.advance(choice.RetryAfter)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 }
--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -32,7 +32,7 @@
 type Message struct {
 	// Box is the sender's name.
 	Box     string
-	Reports []backend.Finding
+	Reports []backend.FailureReport
 }
 
 // Wire packs messages.
@@ -46,17 +46,17 @@
 	Now func() time.Time
 
 	mu      sync.Mutex
-	pending []backend.Finding
-	sent    map[backend.Finding]time.Time
+	pending []backend.FailureReport
+	sent    map[backend.FailureReport]time.Time
 }
 
 // Add takes in a finding; one that was told a moment ago is left out.
-func (o *Outbox) Add(f backend.Finding) {
+func (o *Outbox) Add(f backend.FailureReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.Now()
 	if o.sent == nil {
-		o.sent = map[backend.Finding]time.Time{}
+		o.sent = map[backend.FailureReport]time.Time{}
 	}
 	if at, ok := o.sent[f]; ok && now.Sub(at) < resendAfter {
 		return
--- a/pkg/steering/steering_findings.go
+++ b/pkg/node/node_findings.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"net"
@@ -17,20 +17,20 @@
 	// findingsEvery is how soon others are told of a server that is gone: a
 	// fraction of the time that finding it out takes each of them.
 	findingsEvery = 100 * time.Millisecond
-	// servingFor is for how long after a request a box counts as one that
+	// servingWindow is for how long after a request a box counts as one that
 	// serves clients: a few times as long as clients keep what they looked up.
-	servingFor = 15 * time.Second
+	servingWindow = 15 * time.Second
 )
 
 // serving reports whether clients have lately sent this box requests.
 func (n *Node) serving() bool {
 	last := n.lastRequest.Load()
-	return last > 0 && n.age()-time.Duration(last) < servingFor
+	return last > 0 && n.uptime()-time.Duration(last) < servingWindow
 }
 
-// tellFindings sends what this box has found to all boxes that serve clients.
+// broadcastFindings sends what this box has found to all boxes that serve clients.
 // Others have no use for it.
-func (n *Node) tellFindings() {
+func (n *Node) broadcastFindings() {
 	messages := n.findings.Take()
 	if len(messages) == 0 {
 		return
@@ -51,11 +51,11 @@
 func (n *Node) receiveFindings(datagram []byte, from *net.UDPAddr) {
 	m, err := failurereport.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	for _, f := range m.Reports {
-		n.Set.Learn(m.Box, f)
+		n.Set.ApplyFailureReport(m.Box, f)
 	}
 	metrics.GetOrRegisterCounter("findings.received", n.Metrics).Inc(int64(len(m.Reports)))
 }
--- a/pkg/steering/steering_holds.go
+++ b/pkg/node/node_holds.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -25,8 +25,8 @@
 	holdTries = 8
 )
 
-// tryCall makes a call of the store until it succeeds or has failed so many times.
-func (n *Node) tryCall(times int, what string, call func(ctx context.Context) error) {
+// retryCall makes a call of the store until it succeeds or has failed so many times.
+func (n *Node) retryCall(times int, what string, call func(ctx context.Context) error) {
 	pause := holdPause
 	for try := 1; ; try++ {
 		ctx, cancel := context.WithTimeout(n.context, holdCallTime)
@@ -44,9 +44,9 @@
 	}
 }
 
-// keepHold writes a request to the store that this box has begun to hold.
-func (n *Node) keepHold(r *quarantine.Record) {
-	n.tryCall(holdTries, "keeping a hold in the store", func(ctx context.Context) error {
+// storeHold writes a request to the store that this box has begun to hold.
+func (n *Node) storeHold(r *quarantine.Record) {
+	n.retryCall(holdTries, "keeping a hold in the store", func(ctx context.Context) error {
 		if len(r.Crashed) > n.policy.Load().QuarantineAfter {
 			// The one of an earlier hold, which has ended.
 			if err := n.store.Remove(ctx, n.adapter.HoldsKind, r.Request.String()); err != nil {
@@ -60,18 +60,18 @@
 // removeHold removes a request from the store that is held no longer.
 func (n *Node) removeHold(f quarantine.Fingerprint) {
 	n.background.Go(func() {
-		n.tryCall(holdTries, "removing a hold from the store", func(ctx context.Context) error {
+		n.retryCall(holdTries, "removing a hold from the store", func(ctx context.Context) error {
 			return n.store.Remove(ctx, n.adapter.HoldsKind, f.String())
 		})
 	})
 }
 
-// mostReads bounds the tries of a box that starts; another one that lives tells it all the same.
-const mostReads = 1000
+// holdReadTries bounds the tries of a box that starts; another one that lives tells it all the same.
+const holdReadTries = 1000
 
 // readHolds takes in what the store keeps.
 func (n *Node) readHolds() {
-	n.tryCall(mostReads, "reading holds from the store", n.readHoldsOnce)
+	n.retryCall(holdReadTries, "reading holds from the store", n.readHoldsOnce)
 }
 
 func (n *Node) readHoldsOnce(ctx context.Context) error {
@@ -82,7 +82,7 @@
 			return err
 		}
 		for _, o := range page.Items {
-			n.takeHold(o)
+			n.loadHold(o)
 			after = o.Name
 		}
 		more = page.More
@@ -90,15 +90,15 @@
 	return nil
 }
 
-// takeHold takes in one object. One that is over is removed.
-func (n *Node) takeHold(o objects.Object) {
+// loadHold takes in one object. One that is over is removed.
+func (n *Node) loadHold(o objects.Object) {
 	f, err := quarantine.ParseFingerprint(o.Name)
 	var stored quarantine.Stored
 	if err == nil {
 		err = json.Unmarshal(o.Spec, &stored)
 	}
 	if err != nil {
-		n.unreadObject(n.log, err)
+		n.noteUnreadObject(n.log, err)
 		return
 	}
 	r, ok := stored.Record(f, time.Now())
--- a/pkg/steering/steering_limits.go
+++ b/pkg/node/node_limits.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -22,10 +22,10 @@
 // ================================================================
 
 const (
-	// roomTime bounds how long a request waits for its box to find out whether a server's
+	// serverLimitWait bounds how long a request waits for its box to find out whether a server's
 	// limit has room: a way between regions and back, and the ways in two zones. Where nothing
 	// is to come it is told so sooner, and goes to another server.
-	roomTime = 100 * time.Millisecond
+	serverLimitWait = 100 * time.Millisecond
 )
 
 func (n *Node) newLimits(log *logging.Part) {
@@ -35,23 +35,23 @@
 			n.statusChanged.Store(true)
 			return
 		}
-		n.bindLimit(&r, what)
+		n.applyLimit(&r, what)
 		log.Info("limit of server "+what.String(), map[string]any{
 			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.Number,
 		})
 	}
-	n.Set.Limited = func() bool { return !n.Statuses.Empty() }
-	n.Set.NamesLimit = func(v *backend.Server) bool {
-		_, named := n.Statuses.Of(v.Life())
+	n.Set.AnyLimited = func() bool { return !n.Statuses.Empty() }
+	n.Set.HasLimit = func(v *backend.Server) bool {
+		_, named := n.Statuses.Of(v.Incarnation())
 		return named
 	}
-	n.Set.Admit = n.admitTo
+	n.Set.Admit = n.admitToServer
 	n.Set.Release = n.releaseRoom
 	n.Set.IsLeaving = n.Statuses.IsLeaving
 }
 
-// bindLimit has a server's limit hold, or hold no more.
-func (n *Node) bindLimit(r *serverstatus.Record, what serverstatus.Change) {
+// applyLimit has a server's limit hold, or hold no more.
+func (n *Node) applyLimit(r *serverstatus.Record, what serverstatus.Change) {
 	id := quota.ServerIDOf(r.Server)
 	switch what {
 	case serverstatus.Ended:
@@ -84,13 +84,13 @@
 // What servers say
 // ----------------------------------------------------------------
 
-// heardLimit takes in what an answer says of its server's limit.
-func (n *Node) heardLimit(server *backend.Server, v *ingress.Verdict, sent time.Time) {
+// noteLimit takes in what an answer says of its server's limit.
+func (n *Node) noteLimit(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	if v.Limit.Malformed {
 		metrics.GetOrRegisterCounter("limits.unread", n.Metrics).Inc(1)
 		return
 	}
-	if v.Limit.Named {
+	if v.Limit.Present {
 		metrics.GetOrRegisterCounter("limits.answers", n.Metrics).Inc(1)
 	}
 	n.Statuses.Answered(server, v.Limit, v.Signed, sent)
@@ -113,10 +113,10 @@
 // Each box by itself cannot keep a limit that holds for all of them together, so each request takes a
 // token of the limit's sum over all boxes.
 
-// admitTo reports whether the limit that a server may name leaves room for one more request, and
+// admitToServer reports whether the limit that a server may name leaves room for one more request, and
 // has that take it. One that yields leaves it to more urgent ones.
-func (n *Node) admitTo(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
-	life := server.Life()
+func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, roomIn time.Duration) {
+	life := server.Incarnation()
 	if _, named := n.Statuses.Of(life); !named {
 		return backend.Unlimited, 0
 	}
@@ -128,9 +128,9 @@
 	d := n.Quota.Arrive(id)
 	if d.Verdict == quota.Waiting {
 		if ask {
-			return backend.Open, 0
+			return backend.AdmissionUnknown, 0
 		}
-		d = n.Quota.Again(id, true)
+		d = n.Quota.Recheck(id, true)
 	}
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
@@ -143,9 +143,9 @@
 // awaitRoom waits for what the zone's allocator says of a request for which admitTo left that
 // open, and reports whether it has room.
 func (n *Node) awaitRoom(ctx context.Context, server *backend.Server) bool {
-	id := quota.ServerIDOf(server.Life())
+	id := quota.ServerIDOf(server.Incarnation())
 	n.sendQuota()
-	d := n.awaitDecision(ctx, id, n.Quota.Again(id, false), roomTime)
+	d := n.awaitDecision(ctx, id, n.Quota.Recheck(id, false), serverLimitWait)
 	if d.Verdict == quota.Admitted {
 		metrics.GetOrRegisterCounter("limits.admitted", n.Metrics).Inc(1)
 		return true
@@ -156,7 +156,7 @@
 
 // releaseRoom gives back what a request has taken of a server's limit and not used.
 func (n *Node) releaseRoom(server *backend.Server) {
-	n.Quota.GiveBack(quota.ServerIDOf(server.Life()))
+	n.Quota.GiveBack(quota.ServerIDOf(server.Incarnation()))
 }
 
 // ----------------------------------------------------------------
@@ -170,7 +170,7 @@
 		if !r.Named {
 			continue
 		}
-		s := n.Quota.Statement(quota.ServerIDOf(r.Server))
+		s := n.Quota.Stats(quota.ServerIDOf(r.Server))
 		told.Limits = append(told.Limits, serverstatus.Limit{
 			Server: r.Server, Zone: r.Zone, PerSecond: r.PerSecond, Admitted: s.Admitted, Denied: s.Refused, AskedPerSecond: s.PerSecond,
 		})
--- a/pkg/steering/steering_mirrors.go
+++ b/pkg/node/node_mirrors.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"bytes"
@@ -37,11 +37,11 @@
 func (n *Node) fetchMirror(ctx context.Context, source string, m *objects.Mirror) (*replica.Handover, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(replica.PullTime, cancel)
+	idle := time.AfterFunc(replica.PullIdleTimeout, cancel)
 	defer idle.Stop()
 	address := "http://" + source + pathMirror + m.Kind
 	if m.Synced() {
-		address += "?since=" + strconv.FormatUint(m.Version().At, 10)
+		address += "?since=" + strconv.FormatUint(m.Version().Revision, 10)
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -57,18 +57,18 @@
 		return nil, &PeerError{Address: source, Status: answer.StatusCode}
 	}
 	body := &replica.Handover{}
-	arriving := &arrivingBody{body: answer.Body, arrived: func() { idle.Reset(replica.PullTime) }}
+	arriving := &progressReader{body: answer.Body, arrived: func() { idle.Reset(replica.PullIdleTimeout) }}
 	return body, json.NewDecoder(arriving).Decode(body)
 }
 
-// arrivingBody tells whenever a part of a body has arrived.
-type arrivingBody struct {
+// progressReader tells whenever a part of a body has arrived.
+type progressReader struct {
 	body    io.Reader
 	arrived func()
 }
 
 // Read implements io.Reader.
-func (b *arrivingBody) Read(p []byte) (int, error) {
+func (b *progressReader) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if n > 0 {
 		b.arrived()
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	packed, err := n.packed.of(m)
+	packed, err := n.compressed.of(m)
 	if err != nil {
 		n.log.Warn("mirror not packed", map[string]any{"kind": m.Kind, "error": err.Error()})
 		w.WriteHeader(http.StatusInternalServerError)
@@ -110,15 +110,15 @@
 	}
 }
 
-// packedMirrors are whole mirrors as they were last handed over: the boxes of a
+// compressedMirrors are whole mirrors as they were last handed over: the boxes of a
 // zone that start together ask for the same one.
-type packedMirrors struct {
+type compressedMirrors struct {
 	mu   sync.Mutex
-	last map[string]packedMirror
+	last map[string]compressedMirror
 }
 
-// packedMirror is a mirror as it is sent, of one version.
-type packedMirror struct {
+// compressedMirror is a mirror as it is sent, of one version.
+type compressedMirror struct {
 	version objects.Version
 	body    []byte
 }
@@ -126,7 +126,7 @@
 // of returns the mirror as it is sent. Entries are much alike: packed, a tenth of
 // the bytes is left. A version is packed once, since the boxes of a zone that start
 // together all ask for it.
-func (p *packedMirrors) of(m *objects.Mirror) ([]byte, error) {
+func (p *compressedMirrors) of(m *objects.Mirror) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	version := m.Version()
@@ -143,8 +143,8 @@
 		return nil, err
 	}
 	if p.last == nil {
-		p.last = map[string]packedMirror{}
+		p.last = map[string]compressedMirror{}
 	}
-	p.last[m.Kind] = packedMirror{version, b.Bytes()}
+	p.last[m.Kind] = compressedMirror{version, b.Bytes()}
 	return b.Bytes(), nil
 }
--- a/pkg/steering/steering_ports.go
+++ b/pkg/node/node_ports.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -31,15 +31,15 @@
 	// serves only the connections that it has.
 	front   *http.Server
 	fronts  []*http.Server
-	intake  *intake
+	handoff *handoffListener
 	limits  routing.Limits
 	handler http.Handler
-	// ahead serves requests that clients send ahead.
-	ahead *pipeline.Handler
+	// pipelined serves requests that clients send pipelined.
+	pipelined *pipeline.Handler
 }
 
-// intake is a listener that is handed its connections.
-type intake struct {
+// handoffListener is a listener that is handed its connections.
+type handoffListener struct {
 	net.Listener
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -47,7 +47,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *intake) Accept() (net.Conn, error) {
+func (l *handoffListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accepted:
 		return c, nil
@@ -57,13 +57,13 @@
 }
 
 // Close implements net.Listener.
-func (l *intake) Close() error {
+func (l *handoffListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// limit makes a server with the limits serve new connections.
-func (p *ports) limit(limits routing.Limits) {
+// setLimits makes a server with the limits serve new connections.
+func (p *ports) setLimits(limits routing.Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.handler == nil || limits == p.limits {
@@ -71,11 +71,11 @@
 		return
 	}
 	p.limits = limits
-	p.replaceFront()
+	p.replaceClientServer()
 }
 
-func (p *ports) replaceFront() {
-	old := p.intake
+func (p *ports) replaceClientServer() {
+	old := p.handoff
 	p.front = &http.Server{
 		Handler:           p.handler,
 		ReadHeaderTimeout: p.limits.HeaderTimeout,
@@ -86,8 +86,8 @@
 		ConnContext:    pipeline.ConnContext,
 	}
 	p.fronts = append(p.fronts, p.front)
-	p.intake = &intake{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
-	server, in := p.front, p.intake
+	p.handoff = &handoffListener{Listener: p.clients, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	server, in := p.front, p.handoff
 	go func() { _ = server.Serve(in) }()
 	if old != nil {
 		_ = old.Close()
@@ -97,11 +97,11 @@
 // serveClients hands the clients' connections to the server in force.
 func (p *ports) serveClients(handler *pipeline.Handler) {
 	p.mu.Lock()
-	p.handler, p.ahead = handler, handler
+	p.handler, p.pipelined = handler, handler
 	if p.limits == (routing.Limits{}) {
 		p.limits = routing.DefaultLimits
 	}
-	p.replaceFront()
+	p.replaceClientServer()
 	p.mu.Unlock()
 	for {
 		c, err := p.clients.Accept()
@@ -112,21 +112,21 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		p.hand(p.ahead.Wrap(c))
+		p.handOff(p.pipelined.Wrap(c))
 	}
 }
 
-func (p *ports) hand(c net.Conn) {
+func (p *ports) handOff(c net.Conn) {
 	for {
 		p.mu.Lock()
-		in := p.intake
+		in := p.handoff
 		p.mu.Unlock()
 		select {
 		case in.accepted <- c:
 			return
 		case <-in.closed:
 			p.mu.Lock()
-			same := in == p.intake
+			same := in == p.handoff
 			p.mu.Unlock()
 			if same {
 				_ = c.Close()
@@ -136,12 +136,12 @@
 	}
 }
 
-// shut stops taking connections and waits for requests that are on their way. What is served ahead
+// shutdown stops taking connections and waits for requests that are on their way. What is served ahead
 // is waited for first, since the answer in front of it closes its connection from then on.
-func (p *ports) shut(ctx context.Context) {
+func (p *ports) shutdown(ctx context.Context) {
 	_ = p.clients.Close()
 	p.mu.Lock()
-	fronts, ahead := p.fronts, p.ahead
+	fronts, ahead := p.fronts, p.pipelined
 	p.mu.Unlock()
 	for ahead != nil && ahead.Running() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPoll)
@@ -230,7 +230,7 @@
 func (n *Node) counting(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.Clock.Sync()
-		n.lastRequest.Store(int64(n.age()))
+		n.lastRequest.Store(int64(n.uptime()))
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
 		h.ServeHTTP(w, r)
--- a/pkg/steering/steering_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"encoding/json"
@@ -17,10 +17,10 @@
 // ================================================================
 
 const (
-	// gatherCrashes is how long a box waits after a crash before it tells others, so that one
+	// crashBatchDelay is how long a box waits after a crash before it tells others, so that one
 	// datagram tells of all requests that the server took with it. A request that crashes
 	// servers does so each 40 ms and more, and another box may be about to send it on.
-	gatherCrashes = 2 * time.Millisecond
+	crashBatchDelay = 2 * time.Millisecond
 	// quarantineEvery is how often a box looks whether anything is to be told again.
 	quarantineEvery = 100 * time.Millisecond
 	// largeFleet is from how many boxes on a first crash is not told to all of them: the requests
@@ -29,8 +29,8 @@
 	// spreadEvery is how often a box tells some others of all requests that it holds, and
 	// spreadTo how many: one that has started meanwhile, or was cut off, hears of each six
 	// times a second, and of none within a second once in 400 times in a large fleet.
-	spreadEvery = 500 * time.Millisecond
-	spreadTo    = 3
+	spreadEvery  = 500 * time.Millisecond
+	spreadFanout = 3
 )
 
 func (n *Node) newQuarantine(log *logging.Part) {
@@ -52,22 +52,22 @@
 // noteCrash has a crash count against a request, here and soon at all boxes.
 func (n *Node) noteCrash(f quarantine.Fingerprint, server string) {
 	if begun := n.Quarantine.Crashed(f, server); begun != nil {
-		n.background.Go(func() { n.keepHold(begun) })
+		n.background.Go(func() { n.storeHold(begun) })
 	}
-	if n.tellsCrashes.Swap(true) {
+	if n.crashSendPending.Swap(true) {
 		return
 	}
 	n.background.Go(func() {
-		sleep(n.context, gatherCrashes)
-		n.tellsCrashes.Store(false)
-		n.tellCrashes()
+		sleep(n.context, crashBatchDelay)
+		n.crashSendPending.Store(false)
+		n.broadcastCrashes()
 	})
 }
 
-// tellCrashes tells others what this one has seen. In a large fleet, of requests against
+// broadcastCrashes tells others what this one has seen. In a large fleet, of requests against
 // which one crash counts, as it does against all that a server took with it, only the boxes
 // that are known to serve clients are told.
-func (n *Node) tellCrashes() {
+func (n *Node) broadcastCrashes() {
 	if n.Quarantine.Empty() {
 		return
 	}
@@ -102,19 +102,19 @@
 		return
 	}
 	all, _ := n.liveBoxes()
-	n.sendRecords(someOf(all, spreadTo), held)
+	n.sendRecords(randomSubset(all, spreadFanout), held)
 }
 
 func (n *Node) sendRecords(to []string, records []quarantine.Record) {
-	tellBoxes(n, quarantine.Wire, "quarantine.sent", to, quarantine.Messages(n.Settings.Box, records),
+	sendMessages(n, quarantine.Wire, "quarantine.sent", to, quarantine.Messages(n.Settings.Box, records),
 		func(m *quarantine.Message) int { return len(m.Records) })
 }
 
-// receiveRecords takes in what another box knows.
-func (n *Node) receiveRecords(datagram []byte, from *net.UDPAddr) {
+// receiveQuarantine takes in what another box knows.
+func (n *Node) receiveQuarantine(datagram []byte, from *net.UDPAddr) {
 	m, err := quarantine.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	for i := range m.Records {
@@ -142,7 +142,7 @@
 		http.Error(w, f.String()+" is not held", http.StatusNotFound)
 	default:
 		n.log.Info("request released by an operator", map[string]any{"fingerprint": f.String(), "from": r.RemoteAddr})
-		n.tellCrashes()
+		n.broadcastCrashes()
 		n.removeHold(f)
 		w.WriteHeader(http.StatusNoContent)
 	}
--- a/pkg/steering/steering_run.go
+++ b/pkg/node/node_run.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -36,13 +36,13 @@
 		return err
 	}
 	n.Timers.Every(clockEvery, n.Clock.Sync)
-	n.Timers.Every(gossip.Interval, n.beat)
+	n.Timers.Every(gossip.Interval, n.heartbeat)
 	n.Timers.Every(announceEvery, n.announce)
 	n.Timers.Every(quota.ReportEvery, n.tickQuota)
-	n.Timers.Every(findingsEvery, n.tellFindings)
-	n.Timers.Every(quarantineEvery, n.tellCrashes)
+	n.Timers.Every(findingsEvery, n.broadcastFindings)
+	n.Timers.Every(quarantineEvery, n.broadcastCrashes)
 	n.Timers.Every(spreadEvery, n.spreadHolds)
-	n.Timers.Every(statusesEvery, n.tellStatuses)
+	n.Timers.Every(statusesEvery, n.broadcastStatuses)
 	n.Timers.Every(spreadEvery, n.spreadStatuses)
 	if n.Settings.Platform.Rollouts {
 		n.Timers.Every(rolloutsEvery, n.tickRollouts)
@@ -52,7 +52,7 @@
 	n.background.Go(n.receiveDatagrams)
 	n.background.Go(func() { n.ports.serveClients(n.clients()) })
 	n.Replica.Run()
-	n.beat()
+	n.heartbeat()
 	n.background.Go(n.meet)
 	n.background.Go(n.readHolds)
 	n.log.Info("started", map[string]any{"box": n.Settings.Box, "zone": n.Settings.Zone, "life": n.started.UnixNano()})
@@ -69,10 +69,10 @@
 
 // meet makes a box that starts known to others, and its zone to it.
 func (n *Node) meet() {
-	for n.age() < meetTime && n.context.Err() == nil {
+	for n.uptime() < meetTime && n.context.Err() == nil {
 		sleep(n.context, meetEvery)
 		if n.Members.Alone() {
-			n.sendBeat()
+			n.sendHeartbeats()
 		}
 		n.tickQuota()
 	}
@@ -93,7 +93,7 @@
 	grace := n.Settings.Bounds.Grace
 	start := n.Clock.Now()
 	n.leaving.Store(true)
-	n.beat()
+	n.heartbeat()
 	n.send(n.Members.Announce())
 	n.log.Info("leaving", map[string]any{"in_flight": n.inFlight.Load(), "grace": grace.String()})
 	sleep(ctx, time.Duration(closeShare*float64(grace)))
@@ -101,7 +101,7 @@
 	left := grace - endMargin - n.Clock.Since(start)
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	n.ports.shut(ctx)
+	n.ports.shutdown(ctx)
 	for n.inFlight.Load() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPoll)
 	}
--- a/pkg/steering/steering_status.go
+++ b/pkg/node/node_status.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"encoding/json"
@@ -23,39 +23,39 @@
 // ================================================================
 
 const (
-	// wordsEvery is how often something that a server may say in each answer is logged. All
+	// malformedHeaderEvery is how often something that a server may say in each answer is logged. All
 	// answers are counted.
-	wordsEvery = time.Second
-	// configurationEvery is how often a configuration is looked at for fields that nothing reads.
-	configurationEvery = 30 * time.Second
+	malformedHeaderEvery = time.Second
+	// configurationFieldsEvery is how often a configuration is looked at for fields that nothing reads.
+	configurationFieldsEvery = 30 * time.Second
 	// statusesEvery is how often a box looks whether anything that servers say is to be told again.
 	statusesEvery = 100 * time.Millisecond
-	// spreadRecords bounds the servers of which a box tells some others each spreadEvery: what
+	// maxSpreadRecords bounds the servers of which a box tells some others each spreadEvery: what
 	// that sends must stay a small part of what control may take.
-	spreadRecords = 8
-	// endSpreads is for how long boxes are told that a limit has ended.
-	endSpreads = time.Minute
-	// gone is how long a life of a server may be missing from the list until it is forgotten.
-	gone = time.Minute
+	maxSpreadRecords = 8
+	// endedLimitSpreadTime is for how long boxes are told that a limit has ended.
+	endedLimitSpreadTime = time.Minute
+	// unlistedTime is how long a life of a server may be missing from the list until it is forgotten.
+	unlistedTime = time.Minute
 )
 
-// heardOf takes in what an answer says of its server. One that another server gave in its place
+// noteAnswer takes in what an answer says of its server. One that another server gave in its place
 // says nothing of it.
-func (n *Node) heardOf(server *backend.Server, v *ingress.Verdict, sent time.Time) {
+func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
-		if n.malformedHeaders.pass(n.age(), wordsEvery) {
+		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
 			n.log.Warn("header of answers malformed", map[string]any{"server": server.ID, "error": problem.Error()})
 		}
 	}
 	if v.Stale {
 		return
 	}
-	n.heardLeaving(server, v)
-	n.heardRest(server, v)
-	n.heardLimit(server, v, sent)
+	n.noteLeaving(server, v)
+	n.noteBackoff(server, v)
+	n.noteLimit(server, v, sent)
 	if n.statusChanged.Swap(false) {
-		n.tellStatuses()
+		n.broadcastStatuses()
 		n.tickQuota()
 	}
 }
@@ -64,24 +64,24 @@
 // long as the store is silent. So the word is kept for the server's life, whatever the list says, and told
 // to all boxes: each would else send it requests until it was told itself.
 
-// heardLeaving takes in that a server says that it leaves.
-func (n *Node) heardLeaving(server *backend.Server, v *ingress.Verdict) {
+// noteLeaving takes in that a server says that it leaves.
+func (n *Node) noteLeaving(server *backend.Server, v *ingress.Verdict) {
 	if !v.Leaving {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
 	n.Statuses.Leave(server)
-	n.Set.Leave(server.Life())
+	n.Set.MarkLeaving(server.Incarnation())
 }
 
-// heardRest takes in that a server wants no requests from this box for a time. What it asks of one
+// noteBackoff takes in that a server wants no requests from this box for a time. What it asks of one
 // box is no word to others.
-func (n *Node) heardRest(server *backend.Server, v *ingress.Verdict) {
+func (n *Node) noteBackoff(server *backend.Server, v *ingress.Verdict) {
 	if v.Rest == 0 {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.Rest(server.Life(), v.Rest) {
+	if n.Set.BackOff(server.Incarnation(), v.Rest) {
 		n.log.Info("server asks for rest", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
 	}
 }
@@ -90,9 +90,9 @@
 // What boxes tell each other
 // ----------------------------------------------------------------
 
-// tellStatuses tells others of what has changed: all boxes, and in a large fleet those that serve
+// broadcastStatuses tells others of what has changed: all boxes, and in a large fleet those that serve
 // clients and those that grant tokens of limits.
-func (n *Node) tellStatuses() {
+func (n *Node) broadcastStatuses() {
 	records := n.Statuses.Due()
 	if len(records) == 0 {
 		return
@@ -113,17 +113,17 @@
 	}
 	listed := map[string]bool{}
 	for i := range known {
-		listed[known[i].Server] = n.Set.Lists(known[i].Server)
+		listed[known[i].Server] = n.Set.HasIncarnation(known[i].Server)
 	}
-	n.Statuses.Expire(func(life string) bool { return listed[life] }, gone)
-	records := n.Statuses.InForce(endSpreads)
+	n.Statuses.Expire(func(life string) bool { return listed[life] }, unlistedTime)
+	records := n.Statuses.InForce(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-	n.sendStatuses(someOf(all, spreadTo), records[:min(spreadRecords, len(records))])
+	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(maxSpreadRecords, len(records))])
 }
 
 func (n *Node) sendStatuses(to []string, records []serverstatus.Record) {
-	tellBoxes(n, serverstatus.Wire, "statuses.sent", to, serverstatus.Messages(n.Settings.Box, records),
+	sendMessages(n, serverstatus.Wire, "statuses.sent", to, serverstatus.Messages(n.Settings.Box, records),
 		func(m *serverstatus.Message) int { return len(m.Records) })
 }
 
@@ -131,13 +131,13 @@
 func (n *Node) receiveStatuses(datagram []byte, from *net.UDPAddr) {
 	m, err := serverstatus.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	for _, r := range m.Records {
 		n.Statuses.Learn(r)
 		if r.Leaving {
-			n.Set.Leave(r.Server)
+			n.Set.MarkLeaving(r.Server)
 		}
 	}
 	metrics.GetOrRegisterCounter("statuses.received", n.Metrics).Inc(int64(len(m.Records)))
@@ -154,8 +154,8 @@
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
 	records := n.Statuses.InForce(0)
-	for _, r := range n.Set.Resting() {
-		life := r.Server.Life()
+	for _, r := range n.Set.BackedOff() {
+		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
 		known := func(other serverstatus.Record) bool { return other.Server == life }
 		if !slices.ContainsFunc(records, known) {
@@ -178,12 +178,12 @@
 // What nothing reads
 // ----------------------------------------------------------------
 
-// logGate lets one log line pass in a time. What is kept is one more than when the last one did, in
+// logLimiter lets one log line pass in a time. What is kept is one more than when the last one did, in
 // nanoseconds, and 0 before the first.
-type logGate struct{ last atomic.Int64 }
+type logLimiter struct{ last atomic.Int64 }
 
-// pass reports whether a line may be written now; the time counts from any fixed moment.
-func (g *logGate) pass(now, every time.Duration) bool {
+// allow reports whether a line may be written now; the time counts from any fixed moment.
+func (g *logLimiter) allow(now, every time.Duration) bool {
 	last := g.last.Load()
 	if last != 0 && now+1-time.Duration(last) < every {
 		return false
@@ -191,45 +191,45 @@
 	return g.last.CompareAndSwap(last, int64(now)+1)
 }
 
-// unknownWords are words that have been told.
-type unknownWords struct {
-	mu    sync.Mutex
-	words map[string]bool
+// unreadNames are words that have been told.
+type unreadNames struct {
+	mu     sync.Mutex
+	logged map[string]bool
 }
 
-// mostUnread bounds the words that are remembered as unread.
-const mostUnread = 64
+// maxUnreadNames bounds the words that are remembered as unread.
+const maxUnreadNames = 64
 
 // first reports whether a word has not been told yet.
-func (u *unknownWords) first(word string) bool {
+func (u *unreadNames) first(word string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.words[word] || len(u.words) >= mostUnread {
+	if u.logged[word] || len(u.logged) >= maxUnreadNames {
 		return false
 	}
-	if u.words == nil {
-		u.words = map[string]bool{}
+	if u.logged == nil {
+		u.logged = map[string]bool{}
 	}
-	u.words[word] = true
+	u.logged[word] = true
 	return true
 }
 
-// unreadHeader tells once of a header of answers that nothing here reads: it may say what
+// logUnreadHeader tells once of a header of answers that nothing here reads: it may say what
 // the platform's pages say and the adapter does not know.
-func (n *Node) unreadHeader(name string) {
-	if n.unknown.first(name) {
+func (n *Node) logUnreadHeader(name string) {
+	if n.unreadNames.first(name) {
 		n.log.Warn("header of answers not read", map[string]any{"header": name})
 	}
 }
 
-// noteFields tells once of each field of the store's objects that nothing here reads. Of
+// logUnreadFields tells once of each field of the store's objects that nothing here reads. Of
 // configurations, which are large and each of which is whole, it looks at one in a while.
-func (n *Node) noteFields(kind string, o objects.Object) {
-	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.pass(n.age(), configurationEvery) {
+func (n *Node) logUnreadFields(kind string, o objects.Object) {
+	if kind == n.adapter.Kinds.Configuration && !n.configurationFields.allow(n.uptime(), configurationFieldsEvery) {
 		return
 	}
 	for _, field := range n.adapter.UnreadFields(kind, o) {
-		if n.unknown.first(field) {
+		if n.unreadNames.first(field) {
 			n.log.Warn("field of objects not read", map[string]any{"field": field, "object": o.Name, "revision": o.Revision})
 		}
 	}
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -13,9 +13,9 @@
 // goes back to an older list.
 type Mirror struct {
 	Kind string
-	// Changed is called with each object that changed, gone or not, in the
+	// OnChange is called with each object that changed, gone or not, in the
 	// order of changes. It runs under the mirror's lock and must not call it.
-	Changed func(o Object, gone bool)
+	OnChange func(o Object, gone bool)
 
 	mu     sync.Mutex
 	items  map[string]Object
@@ -31,19 +31,19 @@
 
 // Extent tells how far a list, or some changes, follow the store.
 type Extent struct {
-	// At: all that changed up to this revision is in it.
-	At uint64 `json:"at"`
-	// UpTo: nothing that changed after this revision is. The pages of a long list
+	// CompleteTo: all that changed up to this revision is in it.
+	CompleteTo uint64 `json:"at"`
+	// PartialTo: nothing that changed after this revision is. The pages of a long list
 	// are read one after the other, and what changes meanwhile is in some of them.
-	UpTo uint64 `json:"up_to,omitempty"`
+	PartialTo uint64 `json:"up_to,omitempty"`
 }
 
 // Exactly is the extent of what is as the store was at one revision.
-func Exactly(at uint64) Extent { return Extent{At: at, UpTo: at} }
+func Exactly(at uint64) Extent { return Extent{CompleteTo: at, PartialTo: at} }
 
 // and returns the extent of what two things together hold.
 func (e Extent) and(other Extent) Extent {
-	return Extent{At: max(e.At, other.At), UpTo: max(e.UpTo, other.UpTo, e.At, other.At)}
+	return Extent{CompleteTo: max(e.CompleteTo, other.CompleteTo), PartialTo: max(e.PartialTo, other.PartialTo, e.CompleteTo, other.CompleteTo)}
 }
 
 // change is a change of one object. It was made at the revision upTo or before.
@@ -57,18 +57,20 @@
 
 // Version tells boxes whose mirror is newer.
 type Version struct {
-	// At is the store's revision up to which changes are known.
-	At uint64 `json:"at"`
+	// Revision is the store's revision up to which changes are known.
+	Revision uint64 `json:"at"`
 	// Digest is equal on mirrors with equal objects.
 	Digest uint32 `json:"digest"`
 }
 
 // NewerThan reports whether the mirror holds something that the other lacks.
-func (v Version) NewerThan(other Version) bool { return v.Digest != other.Digest && v.At > other.At }
+func (v Version) NewerThan(other Version) bool {
+	return v.Digest != other.Digest && v.Revision > other.Revision
+}
 
 // NewMirror makes an empty mirror.
 func NewMirror(kind string) *Mirror {
-	return &Mirror{Kind: kind, Changed: func(Object, bool) {}, items: map[string]Object{}}
+	return &Mirror{Kind: kind, OnChange: func(Object, bool) {}, items: map[string]Object{}}
 }
 
 // Load takes in a whole list. One that is older than what is known changes
@@ -79,7 +81,7 @@
 func (m *Mirror) Load(items []Object, held Extent) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.synced && held.At < m.held.At {
+	if m.synced && held.CompleteTo < m.held.CompleteTo {
 		return false
 	}
 	listed := map[string]bool{}
@@ -88,16 +90,16 @@
 		m.take(o)
 	}
 	for name, o := range m.items {
-		if !listed[name] && o.Revision <= max(held.At, held.UpTo) {
+		if !listed[name] && o.Revision <= max(held.CompleteTo, held.PartialTo) {
 			m.drop(o)
-			m.Changed(o, true)
+			m.OnChange(o, true)
 		}
 	}
 	m.synced = true
 	m.held = m.held.and(held)
 	clear(m.changes)
 	m.changes, m.oldest = m.changes[:0], 0
-	m.forgotten = m.held.UpTo
+	m.forgotten = m.held.PartialTo
 	return true
 }
 
@@ -105,19 +107,19 @@
 func (m *Mirror) Apply(events []Event, held Extent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.held.At
+	before := m.held.CompleteTo
 	m.held = m.held.and(held)
 	for _, e := range events {
 		known, ok := m.items[e.Object.Name]
 		switch {
-		case e.Gone && !ok:
+		case e.Deleted && !ok:
 			// Others may hold it.
 			m.remember(e)
-		case e.Gone && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
+		case e.Deleted && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
 			m.drop(known)
 			m.remember(e)
-			m.Changed(known, true)
-		case !e.Gone && (ok || e.Object.Revision > before || !m.synced):
+			m.OnChange(known, true)
+		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
 			// An object that a newer list no longer held is not revived.
 			m.put(e.Object)
 		}
@@ -139,7 +141,7 @@
 	}
 	m.set(o)
 	if !ok || !bytes.Equal(known.Spec, o.Spec) || !bytes.Equal(known.Status, o.Status) {
-		m.Changed(o, false)
+		m.OnChange(o, false)
 	}
 	return true
 }
@@ -148,7 +150,7 @@
 // mirror holds, and counts as such: told by the revision that the mirror had come to,
 // a change that a list had brought early was told to nobody who had come further.
 func (m *Mirror) remember(e Event) {
-	m.changes = append(m.changes, change{event: e, upTo: m.held.UpTo})
+	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
 	if len(m.changes)-m.oldest > maxChanges {
 		m.forgotten = m.changes[m.oldest].upTo
 		m.oldest++
@@ -205,7 +207,7 @@
 func (m *Mirror) Version() Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Version{At: m.held.At, Digest: m.digest}
+	return Version{Revision: m.held.CompleteTo, Digest: m.digest}
 }
 
 // Lacks reports whether a mirror of the version holds something that this one
@@ -213,7 +215,7 @@
 func (m *Mirror) Lacks(v Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.synced || v.NewerThan(Version{At: m.held.At, Digest: m.digest})
+	return !m.synced || v.NewerThan(Version{Revision: m.held.CompleteTo, Digest: m.digest})
 }
 
 // Synced reports whether a whole list was ever taken in.
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -22,9 +22,9 @@
 // page reads the next page and reports whether the list is whole.
 func (l *listing) page(s *storeModel) bool {
 	if !l.began {
-		l.began, l.held.At = true, s.at
+		l.began, l.held.CompleteTo = true, s.at
 	}
-	l.held.UpTo = s.at
+	l.held.PartialTo = s.at
 	names := make([]string, 0, len(s.items))
 	for name := range s.items {
 		if name > l.after {
@@ -43,7 +43,7 @@
 // its revision.
 func lacking(s *storeModel, m *Mirror) string {
 	items, extent := m.Items()
-	at := extent.At
+	at := extent.CompleteTo
 	held := map[string]Object{}
 	for _, o := range items {
 		held[o.Name] = o
@@ -57,11 +57,11 @@
 	for name, e := range last {
 		o, ok := held[name]
 		switch {
-		case e.Gone && ok && o.Revision < e.Object.Revision:
+		case e.Deleted && ok && o.Revision < e.Object.Revision:
 			return fmt.Sprintf("%s is gone since %d, held as of %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
-		case !e.Gone && ok && o.Revision < e.Object.Revision:
+		case !e.Deleted && ok && o.Revision < e.Object.Revision:
 			return fmt.Sprintf("%s changed at %d, held as of %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
-		case !e.Gone && !ok && s.items[name].Revision == e.Object.Revision:
+		case !e.Deleted && !ok && s.items[name].Revision == e.Object.Revision:
 			return fmt.Sprintf("%s is there since %d, not held by a mirror at %d", name, e.Object.Revision, at)
 		}
 	}
@@ -103,14 +103,14 @@
 				}
 			case 3:
 				if m.Synced() {
-					m.Apply(s.since(m.Version().At), Exactly(s.at))
+					m.Apply(s.since(m.Version().Revision), Exactly(s.at))
 				}
 			case 4:
 				source := boxes[box.Draw(t, "source")]
 				if source == m || !m.Lacks(source.Version()) {
 					continue
 				}
-				if events, held, ok := source.EventsSince(m.Version().At); ok && m.Synced() {
+				if events, held, ok := source.EventsSince(m.Version().Revision); ok && m.Synced() {
 					arriving[i] = func() { m.Apply(events, held) }
 				} else if source.Synced() {
 					items, held := source.Items()
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -10,7 +10,7 @@
 	// latelySpan over how long where clients may have come or gone: the greater of
 	// both is borrowed for, and the lesser kept from other zones.
 	demandSpan = time.Second
-	latelySpan = 200 * time.Millisecond
+	recentSpan = 200 * time.Millisecond
 	// reserveTime is for how long an allocator keeps tokens for its own zone before
 	// it lends any.
 	reserveTime = 300 * time.Millisecond
@@ -24,11 +24,11 @@
 	life    int64
 	now     time.Time
 	started time.Time
-	lends   *lends
+	leases  *leases
 	buckets map[ID]*bucket
-	// needy are the buckets that may have to borrow.
-	needy map[ID]*bucket
-	boxes map[uint64]*grantee
+	// low are the buckets that may have to borrow.
+	low   map[ID]*bucket
+	boxes map[uint64]*boxState
 	loans loans
 	// divide returns the zone's part of a customer's limit; ok is false where the
 	// customer is not known or has no limit.
@@ -37,16 +37,16 @@
 	send func(to Box, m Message)
 }
 
-// grantee is a box that reports to this allocator.
-type grantee struct {
+// boxState is a box that reports to this allocator.
+type boxState struct {
 	box   Box
 	life  int64
-	lines map[ID]*line
+	usage map[ID]*boxUsage
 	heard time.Time
 }
 
-// line is what is known of one customer's tokens at a box.
-type line struct {
+// boxUsage is what is known of one customer's tokens at a box.
+type boxUsage struct {
 	arrived uint32
 	used    uint32
 	ceiling uint32
@@ -57,35 +57,35 @@
 }
 
 // held is how many unused tokens the box has.
-func (l *line) held() int { return int(int32(l.ceiling - l.used)) }
+func (l *boxUsage) held() int { return int(int32(l.ceiling - l.used)) }
 
 // needed is how many more tokens its waiting requests need.
-func (l *line) needed() int { return max(0, l.waiting-l.held()) }
+func (l *boxUsage) needed() int { return max(0, l.waiting-l.held()) }
 
 // missing is how many more tokens the box would like to have.
-func (l *line) missing() int { return max(0, l.want+l.waiting-l.held()) }
+func (l *boxUsage) missing() int { return max(0, l.want+l.waiting-l.held()) }
 
 // bucket holds a customer's tokens.
 type bucket struct {
 	id ID
 	division
 	tokens float64
-	// brought is what the lends had brought when tokens were last added.
-	brought float64
-	// inUse are the unused tokens at boxes.
-	inUse int
+	// weightSeconds is what the lends had weightSeconds when tokens were last added.
+	weightSeconds float64
+	// heldByBoxes are the unused tokens at boxes.
+	heldByBoxes int
 	// demand is what the zone asks, and lately what it asked a moment ago.
 	demand rate
-	lately rate
+	recent rate
 	// short are the boxes that want more than they got.
-	short map[uint64]*line
+	short map[uint64]*boxUsage
 	loans bucketLoans
 }
 
-// asked counts requests of the zone's clients.
-func (b *bucket) asked(requests float64, now time.Time) {
+// countDemand counts requests of the zone's clients.
+func (b *bucket) countDemand(requests float64, now time.Time) {
 	b.demand.add(requests, now)
-	b.lately.add(requests, now)
+	b.recent.add(requests, now)
 }
 
 // rate is a moving average of events a second over a span.
@@ -114,25 +114,25 @@
 
 func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
-		self: self, life: life, now: now, started: now, lends: newLends(self, now), divide: divide, send: send,
-		buckets: map[ID]*bucket{}, needy: map[ID]*bucket{}, boxes: map[uint64]*grantee{}, loans: newLoans(),
+		self: self, life: life, now: now, started: now, leases: newLeases(self, now), divide: divide, send: send,
+		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*boxState{}, loans: newLoans(),
 	}
 }
 
 // advance moves the allocator's time on.
 func (a *allocator) advance(now time.Time) {
 	a.now = now
-	a.lends.advance(now)
+	a.leases.advance(now)
 }
 
 // stamp is the time of the allocator's clock as it is told to boxes.
 func (a *allocator) stamp() Stamp {
-	return Stamp{Life: a.life, Passed: uint32(a.now.Sub(a.started).Milliseconds())}
+	return Stamp{Incarnation: a.life, ElapsedMs: uint32(a.now.Sub(a.started).Milliseconds())}
 }
 
-// when is the time of a stamp; ok is false for one of another life.
-func (a *allocator) when(s Stamp) (at time.Time, ok bool) {
-	return a.started.Add(time.Duration(s.Passed) * time.Millisecond), s.Life == a.life && s.Passed <= a.stamp().Passed
+// timeOf is the time of a stamp; ok is false for one of another life.
+func (a *allocator) timeOf(s Stamp) (at time.Time, ok bool) {
+	return a.started.Add(time.Duration(s.ElapsedMs) * time.Millisecond), s.Incarnation == a.life && s.ElapsedMs <= a.stamp().ElapsedMs
 }
 
 // bucket returns the customer's bucket with the tokens of now, or nil if the customer
@@ -144,13 +144,13 @@
 	}
 	b := a.buckets[id]
 	if b == nil {
-		b = &bucket{id: id, demand: newRate(demandSpan, a.now), lately: newRate(latelySpan, a.now), short: map[uint64]*line{}, loans: newBucketLoans()}
+		b = &bucket{id: id, demand: newRate(demandSpan, a.now), recent: newRate(recentSpan, a.now), short: map[uint64]*boxUsage{}, loans: newBucketLoans()}
 		a.buckets[id] = b
 	}
 	b.division = d
-	brought := a.lends.of(id)
-	b.tokens = min(b.tokens+(brought-b.brought)*d.rate, d.saved)
-	b.brought = brought
+	weightSeconds := a.leases.weightSecondsOf(id)
+	b.tokens = min(b.tokens+(weightSeconds-b.weightSeconds)*d.rate, d.maxSaved)
+	b.weightSeconds = weightSeconds
 	return b
 }
 
@@ -160,22 +160,22 @@
 
 // report takes in a box's report and answers it.
 func (a *allocator) report(from Box, m *Report) {
-	if at, ok := a.when(m.Echo); ok {
-		a.lends.lend(from.Key, m.Life, m.Weight, m.Allocators, at.Add(lendFor))
+	if at, ok := a.timeOf(m.Echo); ok {
+		a.leases.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(leaseTime))
 	}
-	g := a.grantee(from, m.Life)
+	g := a.boxState(from, m.Incarnation)
 	if g == nil {
 		return
 	}
 	g.heard = a.now
-	answer := &Grant{Life: m.Life, Stamp: a.stamp()}
+	answer := &Grant{Incarnation: m.Incarnation, Stamp: a.stamp()}
 	for i := range m.Usage {
 		u := &m.Usage[i]
 		b := a.bucket(u.ID)
 		if b == nil {
 			continue
 		}
-		l := a.takeIn(b, g, u)
+		l := a.applyUsage(b, g, u)
 		a.grant(b, from.Key, l)
 		if b.short[from.Key] != nil {
 			a.borrow(b)
@@ -185,8 +185,8 @@
 	a.send(from, Message{Grant: answer})
 }
 
-// grantee returns what is known of a box; nil for a life of it that has ended.
-func (a *allocator) grantee(from Box, life int64) *grantee {
+// boxState returns what is known of a box; nil for a life of it that has ended.
+func (a *allocator) boxState(from Box, life int64) *boxState {
 	g := a.boxes[from.Key]
 	if g != nil && life < g.life {
 		return nil
@@ -195,7 +195,7 @@
 		if g != nil {
 			a.forget(from.Key, g)
 		}
-		g = &grantee{life: life, lines: map[ID]*line{}}
+		g = &boxState{life: life, usage: map[ID]*boxUsage{}}
 		a.boxes[from.Key] = g
 	}
 	g.box = from
@@ -203,28 +203,28 @@
 }
 
 // forget drops what is known of a box. What it held is gone.
-func (a *allocator) forget(key uint64, g *grantee) {
-	for id, l := range g.lines {
+func (a *allocator) forget(key uint64, g *boxState) {
+	for id, l := range g.usage {
 		if b := a.buckets[id]; b != nil {
-			b.inUse -= l.held()
+			b.heldByBoxes -= l.held()
 			delete(b.short, key)
 		}
 	}
 	delete(a.boxes, key)
 }
 
-// takeIn notes what a box has used. What this allocator has granted and the box has
+// applyUsage notes what a box has used. What this allocator has granted and the box has
 // not heard of counts as held.
-func (a *allocator) takeIn(b *bucket, g *grantee, u *Usage) *line {
-	l := g.lines[u.ID]
+func (a *allocator) applyUsage(b *bucket, g *boxState, u *Usage) *boxUsage {
+	l := g.usage[u.ID]
 	if l == nil {
-		l = &line{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
-		g.lines[u.ID] = l
-		b.inUse += l.held()
-		b.asked(float64(u.Waiting), a.now)
+		l = &boxUsage{arrived: u.Arrived, used: u.Used, ceiling: u.Ceiling, returned: u.Returned}
+		g.usage[u.ID] = l
+		b.heldByBoxes += l.held()
+		b.countDemand(float64(u.Waiting), a.now)
 	}
 	if more := int32(u.Arrived - l.arrived); more > 0 {
-		b.asked(float64(more), a.now)
+		b.countDemand(float64(more), a.now)
 		l.arrived = u.Arrived
 	}
 	held := l.held()
@@ -234,9 +234,9 @@
 	if int32(u.Ceiling-l.ceiling) > 0 {
 		l.ceiling = u.Ceiling
 	}
-	b.inUse += l.held() - held
+	b.heldByBoxes += l.held() - held
 	if back := int32(u.Returned - l.returned); back > 0 {
-		b.tokens = min(b.tokens+float64(back), max(b.tokens, b.saved))
+		b.tokens = min(b.tokens+float64(back), max(b.tokens, b.maxSaved))
 		l.returned = u.Returned
 	}
 	l.want, l.waiting = int(u.Want), int(u.Waiting)
@@ -245,14 +245,14 @@
 
 // grant gives a box what it wants, as far as there are tokens. What its requests wait
 // for is used at once; what it will hold is bounded.
-func (a *allocator) grant(b *bucket, key uint64, l *line) {
-	room := max(l.needed(), int(b.held)-b.inUse)
+func (a *allocator) grant(b *bucket, key uint64, l *boxUsage) {
+	room := max(l.needed(), int(b.maxHeld)-b.heldByBoxes)
 	n := max(0, min(l.missing(), room, int(b.tokens)))
 	b.tokens -= float64(n)
-	b.inUse += n
+	b.heldByBoxes += n
 	l.ceiling += uint32(n)
 	if b.isLow() {
-		a.needy[b.id] = b
+		a.low[b.id] = b
 	}
 	if l.missing() > 0 && b.tokens < 1 {
 		b.short[key] = l
@@ -262,8 +262,8 @@
 }
 
 // ceiling is what the box is told of the customer.
-func (a *allocator) ceiling(b *bucket, key uint64, l *line) Ceiling {
-	return Ceiling{ID: b.id, Ceiling: l.ceiling, Dry: b.short[key] != nil && !a.mayBorrow(b)}
+func (a *allocator) ceiling(b *bucket, key uint64, l *boxUsage) Ceiling {
+	return Ceiling{ID: b.id, Ceiling: l.ceiling, Exhausted: b.short[key] != nil && !a.mayBorrow(b)}
 }
 
 // serveShort gives boxes that got less than they wanted what has come meanwhile, and
@@ -271,47 +271,47 @@
 func (a *allocator) serveShort(b *bucket) {
 	for key, l := range b.short {
 		g := a.boxes[key]
-		if g == nil || g.lines[b.id] != l {
+		if g == nil || g.usage[b.id] != l {
 			delete(b.short, key)
 			continue
 		}
 		before := l.ceiling
 		a.grant(b, key, l)
 		c := a.ceiling(b, key, l)
-		if l.ceiling != before || c.Dry {
-			a.send(g.box, Message{Grant: &Grant{Life: g.life, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
+		if l.ceiling != before || c.Exhausted {
+			a.send(g.box, Message{Grant: &Grant{Incarnation: g.life, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
 		}
 	}
 }
 
 // isLow reports whether the zone is to borrow.
-func (b *bucket) isLow() bool { return len(b.short) > 0 || b.tokens < b.saved/2 }
+func (b *bucket) isLow() bool { return len(b.short) > 0 || b.tokens < b.maxSaved/2 }
 
 // tick borrows what is short; with tidy set it also forgets what has not been used for a
 // while.
-func (a *allocator) tick(tidy bool) {
+func (a *allocator) tick(cleanUp bool) {
 	a.expireLoans()
-	for id, b := range a.needy {
+	for id, b := range a.low {
 		if a.bucket(id) == nil || !b.isLow() {
-			delete(a.needy, id)
+			delete(a.low, id)
 			continue
 		}
 		a.borrow(b)
 	}
-	if tidy {
-		a.tidy()
+	if cleanUp {
+		a.cleanUp()
 	}
 }
 
-// tidy forgets buckets that are full and boxes that have ended.
-func (a *allocator) tidy() {
+// cleanUp forgets buckets that are full and boxes that have ended.
+func (a *allocator) cleanUp() {
 	for id, b := range a.buckets {
 		a.bucket(id)
-		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.inUse == 0 && b.tokens >= d.saved {
+		if d, ok := a.divide(id); !ok || len(b.short) == 0 && b.heldByBoxes == 0 && b.tokens >= d.maxSaved {
 			delete(a.buckets, id)
-			delete(a.needy, id)
+			delete(a.low, id)
 			if !ok {
-				a.dropLines(id)
+				a.dropUsage(id)
 			}
 		}
 	}
@@ -320,22 +320,22 @@
 			a.forget(key, g)
 		}
 	}
-	if len(a.lends.sets) > mostSets {
+	if len(a.leases.sets) > maxSets {
 		a.pruneSets()
 	}
 }
 
-// dropLines forgets what boxes have of a limit that has ended. Where it holds again, they count on
+// dropUsage forgets what boxes have of a limit that has ended. Where it holds again, they count on
 // from where they were.
-func (a *allocator) dropLines(id ID) {
+func (a *allocator) dropUsage(id ID) {
 	for _, g := range a.boxes {
-		delete(g.lines, id)
+		delete(g.usage, id)
 	}
 }
 
-// mostSets is how many sets of allocators are kept: those of today and some that
+// maxSets is how many sets of allocators are kept: those of today and some that
 // boxes saw before.
-const mostSets = 8
+const maxSets = 8
 
 // pruneSets drops the sets that no box sees any more, without a change of what is in
 // the buckets.
@@ -343,8 +343,8 @@
 	for id := range a.buckets {
 		a.bucket(id)
 	}
-	a.lends.prune()
+	a.leases.prune()
 	for id, b := range a.buckets {
-		b.brought = a.lends.of(id)
+		b.weightSeconds = a.leases.weightSecondsOf(id)
 	}
 }
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -10,8 +10,8 @@
 // the same port, begin with others. It changes with the layout of messages.
 const wireVersion = 0xe1
 
-// entriesTogether bounds the entries of one message, so that it fits one packet.
-const entriesTogether = 48
+// maxEntries bounds the entries of one message, so that it fits one packet.
+const maxEntries = 48
 
 // Message is what boxes tell each other of limits. One field but From is set.
 type Message struct {
@@ -19,14 +19,14 @@
 	From   uint64
 	Report *Report
 	Grant  *Grant
-	Ask    *Ask
+	Ask    *LoanRequest
 	Loan   *Loan
 }
 
 // Report is what a box tells an allocator of its zone. It lends its part with it.
 type Report struct {
-	// Life tells the lives of a box apart.
-	Life int64
+	// Incarnation tells the lives of a box apart.
+	Incarnation int64
 	// Echo is the newest Stamp of the allocator that the box has seen, zero for none:
 	// what the box lends counts from when that was made, however long the report is
 	// on its way.
@@ -60,8 +60,8 @@
 
 // Grant is an allocator's answer: up to where boxes may go.
 type Grant struct {
-	// Life is that of the box.
-	Life int64
+	// Incarnation is that of the box.
+	Incarnation int64
 	// Stamp is the time of the allocator's clock.
 	Stamp    Stamp
 	Ceilings []Ceiling
@@ -70,20 +70,20 @@
 // Stamp is a time of an allocator's clock: in milliseconds since the start of one of
 // its lives.
 type Stamp struct {
-	Life   int64
-	Passed uint32
+	Incarnation int64
+	ElapsedMs   uint32
 }
 
 // Ceiling is up to which count of used tokens a box may go.
 type Ceiling struct {
 	ID      ID
 	Ceiling uint32
-	// Dry: there are no more tokens, nor are any expected from other zones.
-	Dry bool
+	// Exhausted: there are no more tokens, nor are any expected from other zones.
+	Exhausted bool
 }
 
-// Ask asks another zone's allocator for tokens, Loan hands them over.
-type Ask struct {
+// LoanRequest asks another zone's allocator for tokens, Loan hands them over.
+type LoanRequest struct {
 	// Number tells the asks of a box apart.
 	Number uint32
 	Wanted []Tokens
@@ -117,12 +117,12 @@
 const (
 	kindReport kind = iota + 1
 	kindGrant
-	kindAsk
+	kindLoanRequest
 	kindLoan
 )
 
-// Is reports whether a datagram claims to be a message.
-func Is(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == wireVersion }
+// IsMessage reports whether a datagram claims to be a message.
+func IsMessage(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == wireVersion }
 
 // Encode returns the message as a datagram.
 func Encode(m *Message) []byte {
@@ -138,7 +138,7 @@
 		w.u64(m.From)
 		w.grant(m.Grant)
 	case m.Ask != nil:
-		w.u8(byte(kindAsk))
+		w.u8(byte(kindLoanRequest))
 		w.u64(m.From)
 		w.u32(m.Ask.Number)
 		w.tokens(m.Ask.Wanted)
@@ -164,14 +164,14 @@
 		m.Report = r.report()
 	case kindGrant:
 		m.Grant = r.grant()
-	case kindAsk:
-		m.Ask = &Ask{Number: r.u32(), Wanted: r.tokens()}
+	case kindLoanRequest:
+		m.Ask = &LoanRequest{Number: r.u32(), Wanted: r.tokens()}
 	case kindLoan:
 		m.Loan = &Loan{Number: r.u32(), Tokens: r.tokens()}
 	default:
 		return nil, &WireError{Problem: fmt.Sprintf("kind %d", k)}
 	}
-	if r.short || len(r.b) > 0 {
+	if r.invalid || len(r.b) > 0 {
 		return nil, &WireError{Problem: fmt.Sprintf("%d bytes do not make a message", len(datagram))}
 	}
 	return m, nil
@@ -190,7 +190,7 @@
 func (w *writer) u64(v uint64) { w.b = binary.BigEndian.AppendUint64(w.b, v) }
 
 func (w *writer) report(m *Report) {
-	w.u64(uint64(m.Life))
+	w.u64(uint64(m.Incarnation))
 	w.stamp(m.Echo)
 	w.u64(math.Float64bits(m.Weight))
 	w.u8(byte(len(m.Allocators)))
@@ -210,19 +210,19 @@
 }
 
 func (w *writer) stamp(s Stamp) {
-	w.u64(uint64(s.Life))
-	w.u32(s.Passed)
+	w.u64(uint64(s.Incarnation))
+	w.u32(s.ElapsedMs)
 }
 
 func (w *writer) grant(m *Grant) {
-	w.u64(uint64(m.Life))
+	w.u64(uint64(m.Incarnation))
 	w.stamp(m.Stamp)
 	w.u8(byte(len(m.Ceilings)))
 	for _, c := range m.Ceilings {
 		w.u64(uint64(c.ID))
 		w.u32(c.Ceiling)
 		dry := byte(0)
-		if c.Dry {
+		if c.Exhausted {
 			dry = 1
 		}
 		w.u8(dry)
@@ -244,14 +244,14 @@
 
 // reader takes numbers from a datagram; short is set when it ends too early.
 type reader struct {
-	b     []byte
-	short bool
+	b       []byte
+	invalid bool
 }
 
 // number returns the number in the next bytes.
 func (r *reader) number(size int) uint64 {
 	if len(r.b) < size {
-		r.short, r.b = true, nil
+		r.invalid, r.b = true, nil
 		return 0
 	}
 	v := uint64(0)
@@ -268,32 +268,32 @@
 func (r *reader) u64() uint64 { return r.number(8) }
 
 func (r *reader) report() *Report {
-	m := &Report{Life: int64(r.u64()), Echo: r.stamp(), Weight: math.Float64frombits(r.u64())}
+	m := &Report{Incarnation: int64(r.u64()), Echo: r.stamp(), Weight: math.Float64frombits(r.u64())}
 	if !(m.Weight >= 0 && m.Weight <= 1) {
-		r.short = true
+		r.invalid = true
 	}
-	for count := int(r.u8()); len(m.Allocators) < count && !r.short; {
+	for count := int(r.u8()); len(m.Allocators) < count && !r.invalid; {
 		m.Allocators = append(m.Allocators, r.u64())
 	}
-	for count := int(r.u8()); len(m.Usage) < count && !r.short; {
+	for count := int(r.u8()); len(m.Usage) < count && !r.invalid; {
 		m.Usage = append(m.Usage, Usage{ID: ID(r.u64()), Arrived: r.u32(), Used: r.u32(), Ceiling: r.u32(), Returned: r.u32(), Want: r.u16(), Waiting: r.u16()})
 	}
 	return m
 }
 
-func (r *reader) stamp() Stamp { return Stamp{Life: int64(r.u64()), Passed: r.u32()} }
+func (r *reader) stamp() Stamp { return Stamp{Incarnation: int64(r.u64()), ElapsedMs: r.u32()} }
 
 func (r *reader) grant() *Grant {
-	m := &Grant{Life: int64(r.u64()), Stamp: r.stamp()}
-	for count := int(r.u8()); len(m.Ceilings) < count && !r.short; {
-		m.Ceilings = append(m.Ceilings, Ceiling{ID: ID(r.u64()), Ceiling: r.u32(), Dry: r.u8() != 0})
+	m := &Grant{Incarnation: int64(r.u64()), Stamp: r.stamp()}
+	for count := int(r.u8()); len(m.Ceilings) < count && !r.invalid; {
+		m.Ceilings = append(m.Ceilings, Ceiling{ID: ID(r.u64()), Ceiling: r.u32(), Exhausted: r.u8() != 0})
 	}
 	return m
 }
 
 func (r *reader) tokens() []Tokens {
 	var list []Tokens
-	for count := int(r.u8()); len(list) < count && !r.short; {
+	for count := int(r.u8()); len(list) < count && !r.invalid; {
 		list = append(list, Tokens{ID: ID(r.u64()), Count: r.u16(), Left: r.u16()})
 	}
 	return list
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -50,9 +50,9 @@
 // ServerIDOf returns the ID of a backend server by the name of its life.
 func ServerIDOf(life string) ID { return ID(hashing.Of("server", life)) }
 
-// Terms are what is promised of all limits. In any Window a customer's requests stay
+// Tolerance are what is promised of all limits. In any Window a customer's requests stay
 // within (rate x Window + burst) x (1 + Overage) + Slack.
-type Terms struct {
+type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
@@ -71,16 +71,16 @@
 // for each request. The rest covers what boxes believe of their zone while they do
 // not agree, such as in the moment in which some start.
 const (
-	savedPart = 0.7
-	heldPart  = 0.2
+	savedShare = 0.7
+	heldPart   = 0.2
 )
 
-// leastSaved is how many tokens a zone must be able to save to have a part of a
+// minSaved is how many tokens a zone must be able to save to have a part of a
 // customer's limit: with fewer it could not serve two requests at once.
-const leastSaved = 2
+const minSaved = 2
 
-// beyond is how many requests more than at the rate may be sent in a window.
-func (t *Terms) beyond(l Limit) float64 {
+// allowance is how many requests more than at the rate may be sent in a window.
+func (t *Tolerance) allowance(l Limit) float64 {
 	return t.Overage*l.Rate*t.Window.Seconds() + (1+t.Overage)*l.Burst + t.Slack
 }
 
@@ -88,27 +88,27 @@
 type division struct {
 	// rate is a zone's part of the rate, in tokens a second.
 	rate float64
-	// saved and held bound a zone's tokens at its allocators and at its boxes.
-	saved float64
-	held  float64
+	// maxSaved and held bound a zone's tokens at its allocators and at its boxes.
+	maxSaved float64
+	maxHeld  float64
 	// holders are the zones that have a part, and of each of them its rate and what its
 	// allocators may save. A zone without a part borrows of them.
-	holders     []string
-	holderRate  float64
-	holderSaved float64
+	holders        []string
+	holderRate     float64
+	holderMaxSaved float64
 }
 
 // divide returns the zone's part of a rate, beyond which so many requests may be sent in a
 // window. One too small for all of the zones is held by some of them; the others borrow.
-func divide(id ID, rate, beyond float64, zone string, zones []string) division {
+func divide(id ID, rate, allowance float64, zone string, zones []string) division {
 	holders := zones
-	if count := max(1, int(savedPart*beyond/leastSaved)); count < len(zones) {
+	if count := max(1, int(savedShare*allowance/minSaved)); count < len(zones) {
 		holders = firstZones(id, zones, count)
 	}
-	parts := float64(len(holders))
-	d := division{holders: holders, holderRate: rate / parts, holderSaved: savedPart * beyond / parts}
+	shares := float64(len(holders))
+	d := division{holders: holders, holderRate: rate / shares, holderMaxSaved: savedShare * allowance / shares}
 	if slices.Contains(holders, zone) {
-		d.rate, d.saved, d.held = d.holderRate, d.holderSaved, heldPart*beyond/parts
+		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderMaxSaved, heldPart*allowance/shares
 	}
 	return d
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -58,18 +58,18 @@
 type Options struct {
 	Kinds Kinds
 	Zone  string
-	// Contact is the time within which a calm box is in touch with the store, and Drain
+	// ContactWindow is the time within which a calm box is in touch with the store, and DrainTime
 	// how long after it was listed as leaving a server may still get requests.
-	Contact, Drain time.Duration
-	Client         *objects.Client
-	Members        *gossip.Table
+	ContactWindow, DrainTime time.Duration
+	Client                   *objects.Client
+	Members                  *gossip.Table
 	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
 	// for PullTime.
 	Fetch func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error)
 	// WatchersPerZone is how many boxes of a zone are to ask the store.
 	WatchersPerZone func() int
-	// Answered is called when the store, or another box in its place, has told something.
-	Answered func()
+	// OnAnswer is called when the store, or another box in its place, has told something.
+	OnAnswer func()
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Go runs work in the background, and Context ends it all.
@@ -106,8 +106,8 @@
 	now := o.Now()
 	r := &Replica{
 		Options: o, mirrors: map[string]*objects.Mirror{}, followers: map[string]*objects.Follower{},
-		contact: newContact(o.Now, o.Contact), revisions: newRevisions(), pulls: newPulls(),
-		role: storepoller.New(o.WatchersPerZone, o.Contact, now, rand.Float64()),
+		contact: newContact(o.Now, o.ContactWindow), revisions: newRevisions(), pulls: newPulls(),
+		role: storepoller.New(o.WatchersPerZone, o.ContactWindow, now, rand.Float64()),
 	}
 	for _, kind := range o.Kinds.all() {
 		r.mirrors[kind] = objects.NewMirror(kind)
@@ -119,7 +119,7 @@
 // OnChange sets what is called with each object of a kind that has changed, gone or not.
 // Call it before Run.
 func (r *Replica) OnChange(kind string, changed func(o objects.Object, gone bool)) {
-	r.mirrors[kind].Changed = func(o objects.Object, gone bool) {
+	r.mirrors[kind].OnChange = func(o objects.Object, gone bool) {
 		changed(o, gone)
 		r.changed.Store(true)
 	}
@@ -142,25 +142,25 @@
 	r.pollIfUntold()
 }
 
-// Beat takes over what other boxes have had for a while. Call it with each heartbeat.
-func (r *Replica) Beat() {
+// PullOverdue takes over what other boxes have had for a while. Call it with each heartbeat.
+func (r *Replica) PullOverdue() {
 	for _, kind := range r.Kinds.all() {
 		r.catchUp(kind, false)
 	}
 }
 
-// Hear takes in what another box tells of its copies.
-func (r *Replica) Hear(from *gossip.Record) {
+// HandleRecord takes in what another box tells of its copies.
+func (r *Replica) HandleRecord(from *gossip.Record) {
 	r.catchUpWith(from)
 	r.hearConfirmations(from)
 }
 
-// TakeNews reports whether this box asks the store and has changes that it has not told
+// TakeUnannounced reports whether this box asks the store and has changes that it has not told
 // its zone of yet, and takes them for told.
-func (r *Replica) TakeNews() bool { return r.watching.Load() && r.changed.Swap(false) }
+func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.changed.Swap(false) }
 
-// Tell writes into this box's record what others are to know of its copies.
-func (r *Replica) Tell(self *gossip.Record) {
+// FillRecord writes into this box's record what others are to know of its copies.
+func (r *Replica) FillRecord(self *gossip.Record) {
 	self.Versions = map[string]objects.Version{}
 	for kind, m := range r.mirrors {
 		if m.Synced() {
@@ -237,7 +237,7 @@
 	r.contact.forgetFailures()
 	for _, f := range r.followers {
 		if watching {
-			f.Hurry()
+			f.RetryNow()
 		} else {
 			f.Restart()
 		}
