--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -51,9 +51,9 @@
 	is.True(len(datagram) < len(text)/2)
 }
 
-// TestSightingsAreSmall: most of what a heartbeat says of others is said of
+// TestLivenessRecordsAreSmall: most of what a heartbeat says of others is said of
 // boxes that the receiver knows already.
-func TestSightingsAreSmall(t *testing.T) {
+func TestLivenessRecordsAreSmall(t *testing.T) {
 	is := is.New(t)
 	alone, err := Wire.Encode(&Message{From: fullRecord("edge-1")})
 	is.NoErr(err)
