--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -303,9 +303,9 @@
 	is.Equal(f.live("box-4"), 39)
 }
 
-// TestBoxThatHearsNobodyTellsNoSilence: a box whose own link is cut one way takes
+// TestBoxThatHearsNobodyReportsNoSilence: a box whose own link is cut one way takes
 // all others for silent, and must not make other zones believe so.
-func TestBoxThatHearsNobodyTellsNoSilence(t *testing.T) {
+func TestBoxThatHearsNobodyReportsNoSilence(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(60, zoneOfTen)
 	f.beat(20)
