--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -34,7 +34,7 @@
 	role       *Role
 	watches    bool
 	synced     bool
-	told       [2]bool
+	announced  [2]bool
 	pages      int
 	nextTick   time.Time
 	nextBeat   time.Time
@@ -173,8 +173,8 @@
 		}
 		self.StoreHealthy, self.StoreUnanswered = now[0], now[1] && !now[0]
 	})
-	if now != b.told {
-		b.told = now
+	if now != b.announced {
+		b.announced = now
 		f.carry(b, b.table.Announce())
 	}
 }
