--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -220,7 +220,7 @@
 }
 
 func synced(b *modelBox) bool   { return b.synced }
-func watches(b *modelBox) bool  { return b.watches }
+func polls(b *modelBox) bool    { return b.watches }
 func readLong(b *modelBox) bool { return b.readLong }
 
 // TestStartOfAFleetReadsFewLists: however many boxes start at once, as many as
@@ -237,7 +237,7 @@
 			is.True(long <= 3*9)
 			is.Equal(f.count(synced), len(f.boxes))
 			f.run(5 * time.Second)
-			is.Equal(f.count(watches), 9)
+			is.Equal(f.count(polls), 9)
 		}
 	}
 }
@@ -304,6 +304,6 @@
 		is.True(b.synced)
 		is.True(!b.readLong)
 		f.run(3 * time.Second)
-		is.Equal(f.count(watches), 3)
+		is.Equal(f.count(polls), 3)
 	}
 }
