--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -28,20 +28,20 @@
 // modelBox is a box of a model fleet: its view of the others and its role, with a
 // list that it reads or is handed.
 type modelBox struct {
-	name, zone string
-	far        bool
-	table      *gossip.Table
-	role       *Role
-	watches    bool
-	synced     bool
-	announced  [2]bool
-	pages      int
-	nextTick   time.Time
-	nextBeat   time.Time
-	nextPage   time.Time
-	behind     time.Time
-	calls      int
-	readLong   bool
+	name, zone  string
+	far         bool
+	table       *gossip.Table
+	role        *Role
+	watches     bool
+	synced      bool
+	announced   [2]bool
+	pages       int
+	nextTick    time.Time
+	nextBeat    time.Time
+	nextPage    time.Time
+	heardOfList time.Time
+	calls       int
+	readLong    bool
 }
 
 // modelFleet is many boxes in one process, without sockets. The store is in the
@@ -201,10 +201,10 @@
 // learn makes a box take the list of one that has it: at once in its own zone or if
 // it is to ask the store, and otherwise when it has known of it for two heartbeats.
 func (f *modelFleet) learn(b *modelBox, zone string) {
-	if b.behind.IsZero() {
-		b.behind = f.now
+	if b.heardOfList.IsZero() {
+		b.heardOfList = f.now
 	}
-	if zone == b.zone || b.watches || f.now.Sub(b.behind) >= 2*gossip.Interval {
+	if zone == b.zone || b.watches || f.now.Sub(b.heardOfList) >= 2*gossip.Interval {
 		b.synced = true
 	}
 }
