--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -187,7 +187,7 @@
 		}
 		answers, greetings := to.table.Receive(&e.Message)
 		if len(e.Message.From.Versions) > 0 {
-			f.learn(to, e.Message.From.Zone)
+			f.copyList(to, e.Message.From.Zone)
 		}
 		for _, a := range answers {
 			f.carry(to, gossip.Envelope{Message: a, To: []string{from.name}})
@@ -198,9 +198,9 @@
 	}
 }
 
-// learn makes a box take the list of one that has it: at once in its own zone or if
+// copyList makes a box take the list of one that has it: at once in its own zone or if
 // it is to ask the store, and otherwise when it has known of it for two heartbeats.
-func (f *modelFleet) learn(b *modelBox, zone string) {
+func (f *modelFleet) copyList(b *modelBox, zone string) {
 	if b.heardOfList.IsZero() {
 		b.heardOfList = f.now
 	}
