--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -91,7 +91,7 @@
 	return b
 }
 
-func (f *modelFleet) end(name string) {
+func (f *modelFleet) stop(name string) {
 	delete(f.byName, name)
 	for i := range f.boxes {
 		if f.boxes[i].name == name {
@@ -266,8 +266,8 @@
 		{"ended", func(f *modelFleet) {
 			f.run(600 * time.Millisecond)
 			for z := range 9 {
-				f.end(fmt.Sprintf("box-%d-0", z))
-				f.end(fmt.Sprintf("box-%d-1", z))
+				f.stop(fmt.Sprintf("box-%d-0", z))
+				f.stop(fmt.Sprintf("box-%d-1", z))
 			}
 		}},
 	} {
@@ -293,7 +293,7 @@
 		f.run(8 * time.Second)
 		for _, b := range f.boxes {
 			if b.watches && b.zone == "zone-1" {
-				f.end(b.name)
+				f.stop(b.name)
 				break
 			}
 		}
