--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -24,9 +24,9 @@
 	is.True(r.ShouldPoll(View{Synced: true, StoreAnswers: true, ZoneHealthy: 1}, start)) // it comes first
 }
 
-// TestBoxWithoutACopyTakesNoRoleOver: a box that starts would read for long
+// TestBoxWithoutACopyDoesNotTakeOver: a box that starts would read for long
 // what the zone has; until it has that, it leaves the role where it is.
-func TestBoxWithoutACopyTakesNoRoleOver(t *testing.T) {
+func TestBoxWithoutACopyDoesNotTakeOver(t *testing.T) {
 	is := is.New(t)
 	is.True(!newRole(0).ShouldPoll(View{ZoneHealthy: 1, StoreAnswers: true}, start))
 	is.True(newRole(0).ShouldPoll(View{}, start))
