--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -33,9 +33,9 @@
 	is.True(!newRole(0).ShouldPoll(View{}, start.Add(-1))) // it has not met its zone
 }
 
-// TestFewTryWhileTheStoreIsDown: two at first, then one more each time that the
+// TestFewPollWhileTheStoreIsDown: two at first, then one more each time that the
 // outage has doubled.
-func TestFewTryWhileTheStoreIsDown(t *testing.T) {
+func TestFewPollWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
 	is.True(r.ShouldPoll(View{Synced: true, StoreAnswers: true}, start))
