--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -61,9 +61,9 @@
 	is.True(!r.ShouldPoll(View{Synced: true, StoreAnswers: true, UnansweredBefore: 2}, later.Add(2*tick)))
 }
 
-// TestBoxesTakeTheRoleUpOneAfterTheOther: when the box that watched is gone, the
+// TestBoxesTakeOverOneAfterAnother: when the box that watched is gone, the
 // next one does at once, and the others only if they do not hear that it has.
-func TestBoxesTakeTheRoleUpOneAfterTheOther(t *testing.T) {
+func TestBoxesTakeOverOneAfterAnother(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
 	watched := View{Synced: true, StoreAnswers: true, HealthyBefore: 1, ZoneHealthy: 1, IdleBefore: 2}
