--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -82,9 +82,9 @@
 	is.True(r.ShouldPoll(gone, start.Add(time.Minute)))
 }
 
-// TestLongListsAreReadByThoseThatWatch: others wait to be handed the list, but
+// TestLongListsAreReadByPollers: others wait to be handed the list, but
 // not for ever, and do not begin together.
-func TestLongListsAreReadByThoseThatWatch(t *testing.T) {
+func TestLongListsAreReadByPollers(t *testing.T) {
 	is := is.New(t)
 	watches, early, late := newRole(0), newRole(0), newRole(0.99)
 	is.True(!watches.ReadsAllPages(start))
