--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -16,7 +16,7 @@
 	return New(func() int { return 1 }, contact, start.Add(-DiscoveryTime), chance)
 }
 
-func TestOneHealthyBoxOfAZoneWatches(t *testing.T) {
+func TestOneHealthyBoxOfAZonePolls(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
 	is.True(r.ShouldPoll(View{Synced: true, StoreAnswers: true}, start))
