--- a/pkg/failurereport/failurereport_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestFindingsAreToldOnceAndInParts: the same is told of a server again only
+// TestReportsAreSentOnceAndSplit: the same is told of a server again only
 // after a while, and no message is too large for a packet.
-func TestFindingsAreToldOnceAndInParts(t *testing.T) {
+func TestReportsAreSentOnceAndSplit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	o := &Outbox{Box: "edge-1", Now: func() time.Time { return now }}
