--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -49,13 +49,13 @@
 		to = append(to, pick(t.silentAddresses(), farFanOut, t.Random)...)
 	}
 	live, quiet := t.liveInZone()
-	near, others, news := t.takeRecent()
+	near, others, updates := t.takeRecent()
 	zone := t.newHeartbeat()
 	far, probe := zone, zone
-	zone.Liveness = slices.Concat(news, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(news)-len(near))]))
-	far.Liveness = news
+	zone.Liveness = slices.Concat(updates, livenessRecords(near), livenessRecords(others[:min(len(others), maxLivenessRecords-len(updates)-len(near))]))
+	far.Liveness = updates
 	if t.heartbeats%shareZoneEvery == 0 {
-		far.Liveness = slices.Concat(news, livenessRecords(near))
+		far.Liveness = slices.Concat(updates, livenessRecords(near))
 	}
 	probe.Probe = true
 	return []Envelope{
