--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -181,7 +181,7 @@
 
 // takeRecent returns the boxes of the own zone and of others that were heard since
 // the last heartbeat, in an order of chance, and the news.
-func (t *Table) takeRecent() (near, others []*entry, news LivenessRecords) {
+func (t *Table) takeRecent() (near, others []*entry, updates LivenessRecords) {
 	for _, e := range t.recent {
 		switch {
 		case e.silent:
@@ -195,8 +195,8 @@
 	t.recent = t.recent[:0]
 	shuffle(near, t.Random)
 	shuffle(others, t.Random)
-	news = t.takeUpdates()
-	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-minOtherZoneRecords-len(news))], others, news
+	updates = t.takeUpdates()
+	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-minOtherZoneRecords-len(updates))], others, updates
 }
 
 // takeUpdates returns some of what is still to be told of boxes that fell silent, and
