--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -90,8 +90,8 @@
 	case r.eligibleSince.IsZero():
 		r.eligibleSince = now
 	}
-	back := min(time.Duration(v.IdleBefore)*takeoverDelay, maxTakeoverDelay)
-	r.polling = wants && (r.polling || now.Sub(r.eligibleSince) >= back)
+	delay := min(time.Duration(v.IdleBefore)*takeoverDelay, maxTakeoverDelay)
+	r.polling = wants && (r.polling || now.Sub(r.eligibleSince) >= delay)
 	return r.polling
 }
 
