--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -104,8 +104,8 @@
 		// The zone hands it the copy sooner than it could read it.
 		return false
 	}
-	without := now.Sub(r.lastAnswer)
-	mayTry := initialPollers + int(math.Log2(1+without.Seconds()/r.Contact.Seconds()))
+	outage := now.Sub(r.lastAnswer)
+	mayTry := initialPollers + int(math.Log2(1+outage.Seconds()/r.Contact.Seconds()))
 	return v.HealthyBefore < r.PerZone() && (v.Answered || v.UnansweredBefore < mayTry)
 }
 
