--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -83,15 +83,15 @@
 	if v.StoreAnswers {
 		r.lastAnswer = now
 	}
-	wants := r.eligible(v, now)
+	isEligible := r.eligible(v, now)
 	switch {
-	case !wants:
+	case !isEligible:
 		r.eligibleSince = time.Time{}
 	case r.eligibleSince.IsZero():
 		r.eligibleSince = now
 	}
 	delay := min(time.Duration(v.IdleBefore)*takeoverDelay, maxTakeoverDelay)
-	r.polling = wants && (r.polling || now.Sub(r.eligibleSince) >= delay)
+	r.polling = isEligible && (r.polling || now.Sub(r.eligibleSince) >= delay)
 	return r.polling
 }
 
