--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -32,7 +32,7 @@
 	far         bool
 	table       *gossip.Table
 	role        *Role
-	watches     bool
+	polls       bool
 	synced      bool
 	announced   [2]bool
 	pages       int
@@ -155,17 +155,17 @@
 
 func (f *modelFleet) decide(b *modelBox) {
 	z := b.table.StoreContacts(silence)
-	answered := b.watches && b.synced && !f.refused(b)
+	answered := b.polls && b.synced && !f.refused(b)
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
 	watches := b.role.ShouldPoll(View{
 		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: b.synced, Answered: answered, StoreAnswers: answers,
 	}, f.now)
-	if watches != b.watches {
+	if watches != b.polls {
 		f.changes++
 	}
-	b.watches = watches
+	b.polls = watches
 	now := [2]bool{watches && b.synced && !f.refused(b), watches}
 	b.table.Update(func(self *gossip.Record) {
 		if b.synced {
@@ -204,7 +204,7 @@
 	if b.heardOfList.IsZero() {
 		b.heardOfList = f.now
 	}
-	if zone == b.zone || b.watches || f.now.Sub(b.heardOfList) >= 2*gossip.Interval {
+	if zone == b.zone || b.polls || f.now.Sub(b.heardOfList) >= 2*gossip.Interval {
 		b.synced = true
 	}
 }
@@ -220,7 +220,7 @@
 }
 
 func synced(b *modelBox) bool   { return b.synced }
-func polls(b *modelBox) bool    { return b.watches }
+func polls(b *modelBox) bool    { return b.polls }
 func readLong(b *modelBox) bool { return b.readLong }
 
 // TestStartOfAFleetReadsFewLists: however many boxes start at once, as many as
@@ -292,13 +292,13 @@
 		f := newModelFleet(3, 33, seed)
 		f.run(8 * time.Second)
 		for _, b := range f.boxes {
-			if b.watches && b.zone == "zone-1" {
+			if b.polls && b.zone == "zone-1" {
 				f.stop(b.name)
 				break
 			}
 		}
 		f.run(2500 * time.Millisecond)
-		is.Equal(f.count(func(b *modelBox) bool { return b.watches && b.zone == "zone-1" }), 1)
+		is.Equal(f.count(func(b *modelBox) bool { return b.polls && b.zone == "zone-1" }), 1)
 		b := f.start("box-1-0", "zone-1", true)
 		f.run(time.Second)
 		is.True(b.synced)
