--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -158,15 +158,15 @@
 	answered := b.polls && b.synced && !f.refused(b)
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
-	watches := b.role.ShouldPoll(View{
+	polls := b.role.ShouldPoll(View{
 		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: b.synced, Answered: answered, StoreAnswers: answers,
 	}, f.now)
-	if watches != b.polls {
+	if polls != b.polls {
 		f.changes++
 	}
-	b.polls = watches
-	now := [2]bool{watches && b.synced && !f.refused(b), watches}
+	b.polls = polls
+	now := [2]bool{polls && b.synced && !f.refused(b), polls}
 	b.table.Update(func(self *gossip.Record) {
 		if b.synced {
 			self.Versions = map[string]objects.Version{"servers": {Revision: 1}}
