--- a/pkg/gossip/beat.go
+++ b/pkg/gossip/beat.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// zoneFanOut and farFanOut bound the boxes of the own zone and of others
-	// that one heartbeat goes to. Bytes between regions have a price.
+	// zoneFanOut and farFanOut bound how many boxes of the own zone and of other zones one
+	// heartbeat goes to. Traffic between regions is charged by the byte.
 	zoneFanOut = 6
 	farFanOut  = 4
-	// maxOwnZoneRecords and seenTogether bound the sightings of one heartbeat: of the
-	// own zone, and of all. With zoneFanOut a box of a zone of 125 hears of
-	// each other one more than once in an Interval.
+	// maxOwnZoneRecords and maxLivenessRecords bound the liveness records of one heartbeat:
+	// those of the own zone, and all. With zoneFanOut, a box in a zone of 125 hears of each
+	// other one more than once in an Interval.
 	maxOwnZoneRecords  = 32
 	maxLivenessRecords = 48
-	// minOtherZoneRecords is the least that is kept for boxes of other zones. While a fleet starts
-	// the news of the own zone would take all; then nothing but a zone's own few
-	// heartbeats tells of it, some boxes hear none for SuspectFarAfter, and each
-	// takes the whole zone for silent.
+	// minOtherZoneRecords is how many liveness records are reserved for boxes of other zones.
+	// While a fleet starts, updates on the own zone would take all the room. Then another zone
+	// would be heard of only through its own few heartbeats, and a box that received none for
+	// SuspectFarAfter would consider the whole zone silent.
 	minOtherZoneRecords = 12
-	// maxUpdates bounds the news of one heartbeat. What does not fit, as when a
-	// fleet starts, is told with the next ones.
+	// maxUpdates bounds the membership updates of one heartbeat. What does not fit, such as
+	// when a fleet starts, is sent with the next ones.
 	maxUpdates = 24
-	// shareZoneEvery: one in so many heartbeats to other zones tells what was
-	// heard of this zone's boxes.
+	// shareZoneEvery: one in this many heartbeats to other zones carries liveness records of
+	// this zone's boxes.
 	shareZoneEvery = 4
-	// contactSilentEvery: one in so many heartbeats also goes to silent boxes, so that
-	// boxes find each other again after a cut.
+	// contactSilentEvery: one in this many heartbeats also goes to silent boxes, so that boxes
+	// find each other again after a network partition.
 	contactSilentEvery = 4
 )
 
@@ -38,8 +38,8 @@
 	To      []string
 }
 
-// Beat returns the next heartbeat: one message for the own zone, one for some
-// boxes of others, and one for those of the zone that have been silent.
+// Beat returns the next heartbeat: one message for the own zone, one for some boxes of other
+// zones, and a probe for boxes of the own zone that have been silent for a while.
 func (t *Table) Beat() []Envelope {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,8 +65,7 @@
 	}
 }
 
-// Announce returns a heartbeat out of turn, and the addresses of the live
-// boxes of this box's zone.
+// Announce returns a heartbeat that is sent out of turn to the live boxes of this box's zone.
 func (t *Table) Announce() Envelope {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,8 +73,8 @@
 	return Envelope{Message: t.newHeartbeat(), To: peers(live)}
 }
 
-// liveInZone returns the live boxes of the own zone in the order of names, and where those of them
-// are that have been silent for a while.
+// liveInZone returns the live boxes of the own zone by name, and the addresses of those that
+// have been silent for longer than probeAfter.
 func (t *Table) liveInZone() (live []*entry, quiet []string) {
 	now := t.Now()
 	for _, e := range t.ownZone.members {
@@ -90,8 +89,8 @@
 	return live, quiet
 }
 
-// silentAddresses returns where boxes are that are silent and not forgotten, and seeds that are not
-// known.
+// silentAddresses returns the addresses of boxes that are silent but not yet forgotten, and of
+// seeds that are not known.
 func (t *Table) silentAddresses() []string {
 	now := t.Now()
 	unknown := map[string]bool{}
@@ -119,10 +118,10 @@
 	return list
 }
 
-// zoneTargets returns the next boxes of the zone in turn, from this one's own
-// place on, so that each waits for no longer than one round and as many come to
-// each. A box that asks the store tells all of the zone: the others take its
-// silence for its end, and learn from it of changes.
+// zoneTargets returns the addresses of the next boxes of the zone in round-robin order,
+// starting after this box's own position. So each box waits no longer than one round for a
+// heartbeat, and all receive equally many. A box that polls the store sends to the whole zone:
+// the others learn of changes from it, and consider it gone when it is silent.
 func (t *Table) zoneTargets(zone []*entry) []string {
 	if len(zone) <= zoneFanOut || t.self.StoreHealthy || t.self.StoreUnanswered {
 		return peers(zone)
@@ -136,16 +135,16 @@
 	return to
 }
 
-// farTargets returns the next boxes of other zones, in an order of chance in
-// which each comes once before any comes again. Drawn anew for each heartbeat,
-// small zones would not be heard for SuspectFarAfter by chance alone.
+// farTargets returns the addresses of the next boxes of other zones, in a random order in
+// which each is used once before any is used again. If boxes were drawn anew for each
+// heartbeat, small zones could go unheard for SuspectFarAfter by chance alone.
 func (t *Table) farTargets() []string {
 	now := t.Now()
 	var to []string
 	for isNew := false; len(to) < farFanOut; {
 		if len(t.farQueue) == 0 {
 			if isNew {
-				return to // there are no more
+				return to // all live boxes are in the list
 			}
 			t.farQueue, isNew = t.farBoxes(now), true
 			shuffle(t.farQueue, t.Random)
@@ -179,8 +178,9 @@
 	return out
 }
 
-// takeRecent returns the boxes of the own zone and of others that were heard since
-// the last heartbeat, in an order of chance, and the news.
+// takeRecent returns the boxes of the own zone and of others that were heard of since the last
+// heartbeat, in random order, and the membership updates to send. It clears the list of recent
+// boxes.
 func (t *Table) takeRecent() (near, others []*entry, updates LivenessRecords) {
 	for _, e := range t.recent {
 		switch {
@@ -199,8 +199,8 @@
 	return near[:min(len(near), maxOwnZoneRecords, maxLivenessRecords-minOtherZoneRecords-len(updates))], others, updates
 }
 
-// takeUpdates returns some of what is still to be told of boxes that fell silent, and
-// then of boxes that came or came back.
+// takeUpdates returns pending membership updates in random order, first of boxes that fell
+// silent, then of boxes that joined or came back.
 func (t *Table) takeUpdates() LivenessRecords {
 	var silent, live []*entry
 	still := t.updates[:0]
@@ -228,7 +228,7 @@
 	return livenessRecords(list)
 }
 
-// pick returns some of the list, drawn by chance.
+// pick returns up to n elements of the list, drawn at random. It changes the list's order.
 func pick[T any](list []T, n int, random func(n int) int) []T {
 	shuffle(list, random)
 	return list[:min(len(list), n):min(len(list), n)]
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -1,23 +1,22 @@
-// Package gossip keeps boxes aware of each other. Each box sends heartbeats
-// as datagrams to some of its zone and some of other zones, and with them what
-// it heard of others, in short.
+// Package gossip tracks which boxes are live. Each box sends heartbeats as datagrams to some
+// boxes of its own zone and some of other zones. A heartbeat also carries compact liveness
+// records of other boxes.
 //
-// A box's own zone decides whether it is silent. The boxes of a zone hear each
-// other from themselves or from any of the zone, and ask one that was not heard
-// for a while before they take it for silent; then they tell the other zones.
-// Those need not hear each single box: one is live for them as long as anything
-// is heard of its zone and nobody there says that it is silent. So what a box
-// sends does not grow with the fleet, and a silence that is told wrongly needs
-// the loss of many datagrams, not of a few.
+// A box's own zone decides whether the box is silent. The boxes of a zone hear of each other
+// directly or through other boxes of the zone, and probe a box that they have not heard of for
+// a while before they consider it silent. Then they report it to the other zones. Those need
+// not hear of every single box: they consider a box live as long as anything is heard of its
+// zone and its zone does not report it silent. So what a box sends does not grow with the
+// fleet, and a wrong report of silence takes the loss of many datagrams, not of a few.
 //
-// Example: box b loses its power. Its zone a hears no higher beat of it, asks
-// it twice, and after SuspectAfter tells it as silent with its next heartbeats;
-// boxes of zone c drop it from what they name to clients with the first of these.
+// Example: box b loses its power. The boxes of its zone a receive no higher sequence number of
+// it, probe it, and after SuspectAfter report it silent with their next heartbeats. Boxes of
+// zone c stop naming it to clients when the first of these heartbeats arrives.
 //
-// Datagrams are used and not connections, since a heartbeat that is lost is
-// replaced by the next, and none may hang on a box that is cut off.
+// Heartbeats are datagrams and use no connections, since the next heartbeat replaces a lost
+// one, and sending must not block on a box that is cut off.
 //
-// This package has no input or output: Messages are handed in and out.
+// This package does no input or output: it takes in and returns Messages.
 package gossip
 
 import (
@@ -30,21 +29,20 @@
 const (
 	// Interval is the time between two heartbeats of a box.
 	Interval = 500 * time.Millisecond
-	// SuspectAfter is how long a box may be silent for those of its zone before
-	// it is not named to clients any more; SuspectFarAfter is how long a whole
-	// zone may be for the boxes of others.
+	// SuspectAfter is how long a box may be silent before boxes of its own zone stop naming it
+	// to clients; SuspectFarAfter is how long a whole zone may be silent before boxes of other
+	// zones stop naming its boxes.
 	SuspectAfter    = 5 * Interval
 	SuspectFarAfter = 8 * Interval
-	// probeAfter is how long a box may be silent before those of its zone ask
-	// it for an answer: it is asked three times before it is suspected, since
-	// datagrams are lost.
+	// probeAfter is how long a box may be silent before boxes of its zone probe it for an
+	// answer. It is probed three times before it is suspected, since datagrams may be lost.
 	probeAfter = 2 * Interval
-	// ForgetAfter is how long a silent box counts among those that may still
-	// be sending requests.
+	// ForgetAfter is how long a silent box is still counted as one that may be sending
+	// requests.
 	ForgetAfter = time.Minute
-	// silentRepeats is for how many heartbeats a box tells that another one of its
-	// zone is silent, and tellLive for how many that one has come or come back;
-	// passSilent is for how many boxes of other zones pass a silence on.
+	// silentRepeats is the number of heartbeats in which a box reports that another one of its
+	// zone is silent, and liveRepeats the number in which it reports that one has joined or
+	// come back; silentForwards is the number in which boxes of other zones forward a silence.
 	silentRepeats  = 12
 	liveRepeats    = 8
 	silentForwards = 6
@@ -53,7 +51,7 @@
 // Member is another box as this one sees it.
 type Member struct {
 	Record
-	// Silent is how long its heartbeats have not risen.
+	// Silent is how long ago its sequence number last rose.
 	Silent time.Duration
 	live   bool
 }
@@ -61,15 +59,15 @@
 // Live reports whether the box may be named to clients.
 func (m *Member) Live() bool { return m.live }
 
-// Table holds what is known of all boxes.
+// Table holds what this box knows of all boxes.
 type Table struct {
-	// Seeds are addresses at which boxes may be found.
+	// Seeds returns addresses at which other boxes may be found.
 	Seeds func() []string
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Random returns a number in [0, n).
 	Random func(n int) int
-	// OnChange is told when a box is first heard, comes back or falls silent.
+	// OnChange is called when a box is first heard of, comes back or falls silent.
 	OnChange func(r Record, what string)
 
 	mu   sync.Mutex
@@ -77,38 +75,41 @@
 	// updated is when this box's own record was last changed.
 	updated time.Time
 	members map[string]*entry
-	// sorted are the members by name.
+	// sorted lists the members by name.
 	sorted []*entry
-	// ids are the members by the IDs of their sightings.
+	// ids maps the IDs of liveness records to members.
 	ids   map[uint32]*entry
 	zones map[string]*zone
 	// ownZone is this box's zone.
 	ownZone *zone
-	// requested is when the record of an ID was last requested for.
+	// requested is when the record of an ID was last requested.
 	requested map[uint32]time.Time
-	// servingSince is since when clients send this box requests.
+	// servingSince is since when clients have sent this box requests.
 	servingSince time.Time
-	// lastReceived is when any message last came.
+	// lastReceived is when the last message of any box came.
 	lastReceived time.Time
 	heartbeats   int
-	// zoneOffset is how far the heartbeats to the own zone have come round it.
+	// zoneOffset is the distance, in the own zone's list, from this box's place to the next box
+	// that a heartbeat goes to.
 	zoneOffset int
-	// farQueue are the boxes of other zones whose turn is still to come.
+	// farQueue lists the boxes of other zones that are still to be sent a heartbeat in this
+	// round.
 	farQueue []*entry
-	// recent are those that were heard since the last heartbeat, and updates those of which there
-	// is still something to tell. A heartbeat must not look at all boxes of the fleet for these.
+	// recent lists the boxes that were heard of since the last heartbeat, and updates those
+	// with a membership update that is still to be sent. They are kept so that a heartbeat
+	// need not look at all boxes of the fleet.
 	recent, updates []*entry
 }
 
 // zone is what is known of an availability zone.
 type zone struct {
-	// heard is when anything was last heard of it.
+	// heard is when anything was last heard of the zone.
 	heard time.Time
 	// members are its boxes by name.
 	members []*entry
 }
 
-// zoneOf returns what is known of a zone.
+// zoneOf returns the zone of that name, and adds it if it is not known.
 func (t *Table) zoneOf(name string) *zone {
 	z := t.zones[name]
 	if z == nil {
@@ -118,25 +119,27 @@
 	return z
 }
 
-// entry is a member with what is needed to judge and to pass on.
+// entry is a member and the state that is needed to judge its liveness and to pass it on.
 type entry struct {
 	Record
 	ID    uint32
 	zone  *zone
 	heard time.Time
-	// servingHeard is when it was last heard that clients send it requests.
+	// servingHeard is when the box was last heard to serve clients.
 	servingHeard time.Time
-	// silent: it was taken for silent, by this box or by its zone.
+	// silent: this box or the member's own zone considers it silent.
 	silent bool
-	// inRecent: its beat has inRecent since this box's last heartbeat.
+	// inRecent: the entry is in Table.recent, since its sequence number has risen since this
+	// box's last heartbeat.
 	inRecent bool
-	// updatesLeft is for how many heartbeats it is still news; see setTell.
+	// updatesLeft is the number of heartbeats that are still to carry its membership update;
+	// see setUpdatesLeft.
 	updatesLeft int
-	// inUpdates: it stands in the table's list of those that are.
+	// inUpdates: the entry is in Table.updates.
 	inUpdates bool
 }
 
-// setUpdatesLeft makes a box news for so many heartbeats.
+// setUpdatesLeft sets the number of heartbeats that are to carry an update about the box.
 func (t *Table) setUpdatesLeft(e *entry, beats int) {
 	e.updatesLeft = beats
 	if beats > 0 && !e.inUpdates {
@@ -145,7 +148,7 @@
 	}
 }
 
-// currentLiveness is the box as it is currentLiveness to others.
+// currentLiveness returns the liveness record that is sent to other boxes.
 func (e *entry) currentLiveness() LivenessRecord {
 	s := e.livenessRecord()
 	s.ID = e.ID
@@ -186,7 +189,7 @@
 }
 
 // ----------------------------------------------------------------
-// What is known
+// Queries
 // ----------------------------------------------------------------
 
 // Members returns the other boxes by name.
@@ -201,8 +204,8 @@
 	return list
 }
 
-// EachLive calls f with the record of each live box by name. It must not keep
-// the record, nor call the table.
+// EachLive calls f with the record of each live box, by name. It must neither keep the record
+// nor call the table.
 func (t *Table) EachLive(f func(r *Record)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,8 +224,8 @@
 	return len(t.members) == 0
 }
 
-// AnyStoreHealthy reports whether the store answers any other live box without fail. Boxes of the own zone are
-// looked at first: one of them is, on most days.
+// AnyStoreHealthy reports whether the store answers any other live box without failures. Boxes
+// of the own zone are checked first, since usually one of them is healthy.
 func (t *Table) AnyStoreHealthy() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -238,8 +241,8 @@
 	return count
 }
 
-// EachPossibleSender calls f for each of the other boxes that may be sending requests, and tells whether it is live.
-// It must not call the table.
+// EachPossibleSender calls f for each other box that may be sending requests, with whether the
+// box is live. It must not call the table.
 func (t *Table) EachPossibleSender(f func(r *Record, live bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -251,19 +254,21 @@
 	}
 }
 
-// StoreContacts is what the boxes of this box's own zone say of the store. "Before" are
-// those that come before this box in the order of the zone's work.
+// StoreContacts counts the boxes of this box's own zone by their contact with the store.
+// "Before" counts only those that precede this box in the order in which boxes take on work
+// for the zone.
 type StoreContacts struct {
-	// Healthy are those that the store answers.
+	// Healthy counts the boxes that the store answers.
 	Healthy       int
 	HealthyBefore int
-	// UnansweredBefore ask the store without an answer, IdleBefore do not ask it.
+	// UnansweredBefore counts boxes that poll the store without an answer, IdleBefore those
+	// that do not poll it.
 	UnansweredBefore int
 	IdleBefore       int
 }
 
-// StoreContacts counts the boxes of this box's zone that have been heard within the time
-// and do not leave.
+// StoreContacts counts the boxes of this box's zone that were heard of within the given time
+// and are not leaving.
 func (t *Table) StoreContacts(within time.Duration) StoreContacts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -300,12 +305,12 @@
 	return now.Sub(e.zone.heard) <= SuspectFarAfter
 }
 
-// Expire notes which boxes have fallen silent. Call it with each heartbeat.
+// Expire marks the boxes that have fallen silent. It is to be called with each heartbeat.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	// A box that hears nobody is cut off itself, or stood still.
+	// A box that hears nobody is itself cut off, or was suspended.
 	hears := now.Sub(t.lastReceived) <= probeAfter
 	for _, e := range t.sorted {
 		if e.silent || t.live(e, now) {
@@ -323,7 +328,7 @@
 	}
 }
 
-// markSilent takes a box for silent.
+// markSilent marks a box as silent.
 func (t *Table) markSilent(e *entry) {
 	e.silent = true
 	t.OnChange(e.Record, "silent")
@@ -336,7 +341,7 @@
 	t.setZone(e)
 }
 
-// setZone puts a box among those of its zone.
+// setZone moves a box into its zone's list of members.
 func (t *Table) setZone(e *entry) {
 	z := t.zoneOf(e.Zone)
 	if e.zone == z {
