--- a/pkg/gossip/receive.go
+++ b/pkg/gossip/receive.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// maxRecords bounds the records of one datagram, so that it fits one
-	// packet of a link; recordsAsked bounds those asked for at once.
+	// maxRecords bounds the records in one datagram, so that it fits into one packet;
+	// maxRequested bounds the records requested at once.
 	maxRecords   = 8
 	maxRequested = 48
-	// requestAgainAfter is after what time a record that was asked for and did not come
-	// is asked for again: a way between regions and back, and some.
+	// requestAgainAfter is the time after which a record that was requested and did not arrive
+	// is requested again: somewhat more than a round trip between regions.
 	requestAgainAfter = 300 * time.Millisecond
-	// maxIntroducedOwnZone and greetedFar bound the sightings told to a box that was not
-	// known: of its own zone, which it needs first, and of others.
+	// maxIntroducedOwnZone and maxIntroducedOther bound the liveness records that a box that
+	// was not known is sent: of its own zone, which it needs first, and of others.
 	maxIntroducedOwnZone = 128
 	maxIntroducedOther   = 24
-	// lateHeartbeats is by how many beats what third zones pass on of a box that
-	// was told as silent may be ahead of what its zone told: the last datagrams
+	// lateHeartbeats is by how many sequence numbers a liveness record forwarded by a third
+	// zone may be ahead of what a box's own zone reported with its silence: the last datagrams
 	// of a box do not reach all of its zone.
 	lateHeartbeats = 3
 )
 
-// Receive takes in a message. It returns what its sender is to be told at once,
-// and greetings for boxes of the own zone that were only heard of.
+// Receive processes a message. It returns answers, which are to be sent to the sender at once,
+// and greetings to boxes of the own zone that were only heard of.
 func (t *Table) Receive(m *Message) (answers []Message, greetings []Envelope) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,7 +56,8 @@
 	return answers, greetings
 }
 
-// newMessage returns a message that carries this box's own record, with spans of time as of now.
+// newMessage returns a message that carries this box's own record, with its durations as of
+// now.
 func (t *Table) newMessage() Message {
 	r := t.self
 	since := uint32(t.Now().Sub(t.updated).Milliseconds())
@@ -68,16 +69,16 @@
 	return Message{From: r}
 }
 
-// newHeartbeat is the same with a beat that counts as a heartbeat where it arrives.
-// It goes to the own zone at least: no other zone may know a higher beat of a
-// box that ends than its own, which tells that it is silent.
+// newHeartbeat returns a message with a new sequence number, so that it counts as a heartbeat
+// for its receivers. It must go to the own zone at least: when a box ends, no other zone may
+// know a higher sequence number than its own zone, which reports it silent.
 func (t *Table) newHeartbeat() Message {
 	t.self.Sequence++
 	return t.newMessage()
 }
 
-// applyRecord takes in a record, direct if it came from the box itself, and reports
-// whether that life of the box was not known, or was taken for silent.
+// applyRecord applies a record; direct says that it came from the box itself. It reports
+// whether the box or this incarnation of it was not known, or was considered silent.
 func (t *Table) applyRecord(r *Record, direct bool) (isNew bool) {
 	if r.Box == "" || r.Box == t.self.Box {
 		return false
@@ -114,9 +115,9 @@
 	return returned
 }
 
-// accepts reports whether the record replaces what is known. What a box says
-// itself of a new life counts even if its clock was set back in between, and
-// so does what others say once the life that is known has fallen silent.
+// accepts reports whether the record replaces the known one. A box's own record of a new
+// incarnation counts even if the box's clock was set back in between, and so does one that
+// others forward once the known incarnation has fallen silent.
 func (t *Table) accepts(r *Record, old *entry, direct bool) bool {
 	if r.newer(&old.Record) {
 		return true
@@ -124,9 +125,10 @@
 	return r.Started != old.Started && (direct || old.silent || t.Now().Sub(old.heard) > SuspectFarAfter)
 }
 
-// applyLiveness takes in what a box of a zone heard, and reports whether the box that it
-// is of is known. Of its own zone a box believes its own zone alone: what others
-// say is older than what is heard here, and would delay that a silence is noticed.
+// applyLiveness applies a liveness record sent by a box of the given zone, and reports whether
+// the box it is about is known. About its own zone a box accepts records from its own zone
+// only: those of others are older than what is heard here, and would delay the detection of a
+// silent box.
 func (t *Table) applyLiveness(s LivenessRecord, zone string) (known bool) {
 	e := t.ids[s.ID]
 	if e == nil {
@@ -154,8 +156,8 @@
 	return true
 }
 
-// applySilence takes a box of another zone for silent since its own zone does,
-// unless something newer was heard of it, or it was heard a moment ago.
+// applySilence marks a box of another zone as silent because its own zone reports it so,
+// unless something newer is known of it and it was heard of within SuspectAfter.
 func (t *Table) applySilence(e *entry, s LivenessRecord) {
 	if e.Zone == t.self.Zone {
 		return
@@ -167,13 +169,13 @@
 	if uint64(s.Sequence) < e.Sequence && t.Now().Sub(e.heard) < SuspectAfter {
 		return
 	}
-	// What others heard of it before that is no sign of life.
+	// Liveness records up to this sequence number are no sign of life.
 	e.Sequence = max(e.Sequence, uint64(s.Sequence))
 	t.markSilent(e)
 	t.setUpdatesLeft(e, silentForwards)
 }
 
-// markHeard notes that a higher beat of a box has come.
+// markHeard notes that a higher sequence number of a box has arrived.
 func (t *Table) markHeard(e *entry) {
 	e.heard = t.Now()
 	if !e.inRecent {
@@ -186,15 +188,15 @@
 	e.zone.heard = e.heard
 }
 
-// markLive takes a box for live again.
+// markLive marks a box as live again.
 func (t *Table) markLive(e *entry) {
 	e.silent = false
 	t.announceLive(e)
 	t.OnChange(e.Record, "back")
 }
 
-// announceLive makes it news that a box of this zone is there. Of others their own
-// zones tell, and a silence that was told ends.
+// announceLive queues the update that a box of this zone is live. For boxes of other zones it
+// ends a pending update, such as a silence: their own zones announce them.
 func (t *Table) announceLive(e *entry) {
 	beats := 0
 	if e.zone == t.ownZone {
@@ -203,7 +205,8 @@
 	t.setUpdatesLeft(e, beats)
 }
 
-// mayRequest reports whether the record of an unknown box is to be asked for now.
+// mayRequest reports whether the record of an unknown box is to be requested now, and notes
+// the request.
 func (t *Table) mayRequest(s LivenessRecord) bool {
 	now := t.Now()
 	if s.Flags&FlagSilent != 0 || now.Sub(t.requested[s.ID]) < requestAgainAfter {
@@ -213,7 +216,7 @@
 	return true
 }
 
-// recordsFor returns the recordsFor of the IDs, in parts that fit datagrams.
+// recordsFor returns messages with the records of the IDs, each small enough for a datagram.
 func (t *Table) recordsFor(ids []uint32) []Message {
 	var messages []Message
 	for _, id := range ids[:min(len(ids), maxRequested)] {
@@ -227,15 +230,15 @@
 			last++
 		}
 		r := e.Record
-		// What a box's mirrors hold is asked of that box itself.
+		// What a box's mirrors hold is requested from that box itself.
 		r.Versions = nil
 		messages[last].Others = append(messages[last].Others, r)
 	}
 	return messages
 }
 
-// introduction returns the live boxes of a zone, and some of this box's own, for
-// a box of that zone that was not known or has come back.
+// introduction returns liveness records of the live boxes of a zone, and of some others, first
+// of this box's own zone, for a box of that zone that was not known or has come back.
 func (t *Table) introduction(zone string) LivenessRecords {
 	now := t.Now()
 	var near, own, others []*entry
--- a/pkg/gossip/record.go
+++ b/pkg/gossip/record.go
@@ -7,35 +7,34 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// Record is what a box tells of itself.
+// Record is what a box sends about itself.
 type Record struct {
 	Box  string `json:"box"`
 	Zone string `json:"zone"`
-	// Clients and Peers are the box's addresses.
+	// Clients and Peers are the box's addresses for clients and for other boxes.
 	Clients string `json:"clients"`
 	Peers   string `json:"peers"`
-	// Started tells the lives of a box apart, in nanoseconds of its clock.
+	// Started identifies the incarnation of the box: its start, in nanoseconds of its clock.
 	Started int64 `json:"started"`
-	// Capacity is about how many requests a second the box bears; 0 if that is
-	// not known.
+	// Capacity is roughly how many requests per second the box can handle; 0 if that is not
+	// known.
 	Capacity float64 `json:"capacity,omitempty"`
-	// Sequence rises with each message of a life.
+	// Sequence rises with each heartbeat of an incarnation.
 	Sequence uint64 `json:"beat"`
 	Ready    bool   `json:"ready,omitempty"`
 	Leaving  bool   `json:"leaving,omitempty"`
-	// StoreHealthy: the store has answered this box without fail for a while.
+	// StoreHealthy: the store has answered this box without failures for a while.
 	StoreHealthy bool `json:"store_healthy,omitempty"`
-	// StoreUnanswered: the box asks the store, but has no healthy contact with it.
+	// StoreUnanswered: the box polls the store, but has no healthy contact with it.
 	StoreUnanswered bool `json:"trying,omitempty"`
-	// Serving: clients have lately sent it requests.
+	// Serving: clients have recently sent the box requests.
 	Serving bool `json:"serving,omitempty"`
-	// ConfirmedAgo is how long before this was sent the store last told the box, or
-	// confirmed, the configuration that it has, in milliseconds and one more; 0 if it
-	// does not ask the store.
+	// ConfirmedAgo is how long before this record was sent the store last sent or confirmed
+	// the box's configuration, in milliseconds plus one; 0 if the box does not poll the store.
 	ConfirmedAgo uint32 `json:"confirmed_ago,omitempty"`
 	// ListConfirmedAgo is the same for the list of backend servers.
 	ListConfirmedAgo uint32 `json:"list_confirmed_ago,omitempty"`
-	// Versions tells how new the box's mirrors are, by kind.
+	// Versions are the versions of the box's mirrors, by kind.
 	Versions map[string]objects.Version `json:"versions,omitempty"`
 }
 
@@ -47,9 +46,8 @@
 	return r.Sequence > old.Sequence
 }
 
-// precedes reports whether r comes before the other box of its zone in the
-// order in which boxes take on work for the zone: larger boxes first, since
-// that work grows with the zone, then by name.
+// precedes reports whether r comes before other in the order in which boxes of a zone take on
+// work for the zone: larger boxes first, since that work grows with the zone, then by name.
 func (r *Record) precedes(other *Record) bool {
 	if r.Capacity != other.Capacity {
 		return r.Capacity > other.Capacity
@@ -57,12 +55,12 @@
 	return r.Box < other.Box
 }
 
-// id names this life of the box in sightings.
+// id identifies this incarnation of the box in liveness records.
 func (r *Record) id() uint32 {
 	return uint32(hashing.Of(r.Box, strconv.FormatInt(r.Started, 10)))
 }
 
-// livenessRecord is the record in short.
+// livenessRecord returns the compact form of the record.
 func (r *Record) livenessRecord() LivenessRecord {
 	s := LivenessRecord{ID: r.id(), Sequence: uint32(r.Sequence)}
 	for _, f := range []struct {
@@ -78,7 +76,7 @@
 	return s
 }
 
-// apply takes over what a sighting says of this life of the box.
+// apply updates the record from a liveness record of the same incarnation.
 func (r *Record) apply(s LivenessRecord) {
 	r.Sequence = uint64(s.Sequence)
 	r.Ready = s.Flags&FlagReady != 0
@@ -88,28 +86,29 @@
 	r.Serving = s.Flags&FlagServing != 0
 }
 
-// Flags are the states of a box in a sighting.
+// Flags are the states of a box in a liveness record.
 type Flags uint8
 
-// The states.
+// The states of a box.
 const (
 	FlagReady Flags = 1 << iota
 	FlagLeaving
 	FlagStoreHealthy
 	FlagTrying
-	// FlagSilent: a box of its own zone has not heard it for SuspectAfter.
+	// FlagSilent: a box of its own zone has not heard of it for SuspectAfter.
 	FlagSilent
 	FlagServing
 )
 
-// LivenessRecord is what was heard of a box, for those that know its record: 9 bytes
-// in place of a whole record.
+// LivenessRecord is what was heard of a box, for receivers that know its full record: 9 bytes
+// instead of a whole record.
 type LivenessRecord struct {
-	// ID is a hash of the box's name and the start of its life. Two of 3,000
-	// boxes share one with a chance of 1 in 1,000; the one that is heard then
-	// stands for both until either starts anew.
+	// ID is a hash of the box's name and the start of its incarnation. With 3,000 boxes, two
+	// share an ID with a probability of 1 in 1,000; the one that is heard then stands for both
+	// until either restarts.
 	ID uint32
-	// Sequence is the newest that was heard; a life of 68 years fits.
+	// Sequence is the highest sequence number that was heard; 32 bits last for an incarnation
+	// of 68 years.
 	Sequence uint32
 	Flags    Flags
 }
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -12,24 +12,25 @@
 // wireVersion is the first byte of a heartbeat. It changes with the fields of Message.
 const wireVersion = 5
 
-// livenessRecordSize is the size of a sighting on the wire, in bytes.
+// livenessRecordSize is the encoded size of a liveness record, in bytes.
 const livenessRecordSize = 9
 
-// Message is one heartbeat.
+// Message is one heartbeat, or an answer to one.
 type Message struct {
 	From Record `json:"from"`
-	// Others are whole records, for a box that does not know them.
+	// Others are whole records, for a box that lacks them.
 	Others []Record `json:"others,omitempty"`
-	// Liveness is what the sender heard of other boxes.
+	// Liveness is what the sender has heard of other boxes.
 	Liveness LivenessRecords `json:"seen,omitempty"`
-	// Ask names sightings whose records the sender lacks.
+	// Ask lists the IDs of liveness records whose full records the sender lacks.
 	Ask []uint32 `json:"ask,omitempty"`
-	// Probe: the sender has not heard the receiver for a while and asks for an
-	// answer at once.
+	// Probe: the sender has not heard of the receiver for a while and requests an immediate
+	// answer.
 	Probe bool `json:"probe,omitempty"`
 }
 
-// LivenessRecords are packed on the wire.
+// LivenessRecords is a list that is encoded as a byte string, with livenessRecordSize bytes
+// for each record.
 type LivenessRecords []LivenessRecord
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
@@ -43,15 +44,15 @@
 	return e.EncodeBytes(packed)
 }
 
-// DecodeMsgpack implements msgpack.CustomDecoder. The error is a *packet.Error
-// or the library's.
+// DecodeMsgpack implements msgpack.CustomDecoder. The error is a *packet.Error or the msgpack
+// library's.
 func (s *LivenessRecords) DecodeMsgpack(d *msgpack.Decoder) error {
 	packed, err := d.DecodeBytes()
 	if err != nil {
 		return err
 	}
 	if len(packed)%livenessRecordSize != 0 {
-		return &packet.Error{Kind: Wire.Kind, Problem: fmt.Sprintf("sightings of %d bytes", len(packed))}
+		return &packet.Error{Kind: Wire.Kind, Problem: fmt.Sprintf("liveness records take %d bytes, which is not a multiple of their size", len(packed))}
 	}
 	*s = nil
 	for ; len(packed) > 0; packed = packed[livenessRecordSize:] {
@@ -62,5 +63,5 @@
 	return nil
 }
 
-// Wire packs heartbeats.
+// Wire encodes and decodes heartbeats.
 var Wire = packet.Codec[Message]{Kind: "heartbeat", First: wireVersion}
