--- a/pkg/gossip/operators.go
+++ b/pkg/gossip/operators.go
@@ -8,10 +8,11 @@
 	"text/tabwriter"
 )
 
-// PathFleet is where a box tells operators what it knows of all boxes, on its admin address.
+// PathFleet is the path on a box's admin address at which operators get what it knows of all
+// boxes.
 const PathFleet = "/v1/fleet"
 
-// maxNamed bounds the boxes of a zone that are named in an overview.
+// maxNamed bounds how many boxes of a zone an overview names in a list.
 const maxNamed = 4
 
 // FleetBox is the fleet as one box knows it.
@@ -19,8 +20,9 @@
 	Box   string         `json:"box"`
 	Zone  string         `json:"zone"`
 	Zones []ZoneOverview `json:"zones"`
-	// ListAt is the store's revision up to which the box knows the list of servers, ListAgeMS how long ago it
-	// was last known to be the newest, ConfigurationAgeMS the same of the configuration, in milliseconds.
+	// ListAt is the store's revision up to which the box knows the list of servers, ListAgeMS
+	// how long ago that list was last known to be the newest, and ConfigurationAgeMS the same
+	// for the configuration, in milliseconds.
 	ListAt             uint64 `json:"list_at"`
 	ListAgeMS          int64  `json:"list_age_ms"`
 	ConfigurationAgeMS int64  `json:"configuration_age_ms"`
@@ -31,23 +33,25 @@
 	Zone  string `json:"zone"`
 	Boxes int    `json:"boxes"`
 	Live  int    `json:"live"`
-	// Ready, Leaving and Serving are live ones; Serving have clients.
+	// Ready, Leaving and Serving count live boxes; Serving are those with clients.
 	Ready   int `json:"ready"`
 	Leaving int `json:"leaving"`
 	Serving int `json:"serving"`
-	// Asking ask the store, Unanswered those of them that it does not answer.
+	// Asking are some of the boxes that poll the store, Unanswered is how many boxes poll it
+	// without an answer.
 	Asking     []string `json:"asking"`
 	Unanswered int      `json:"unanswered"`
-	// Silent are some of those that are not live.
+	// Silent are some of the boxes that are not live.
 	Silent []string `json:"silent"`
-	// Behind are how many live boxes last told of an older list of servers than this box has, of those that have
-	// told this box of theirs, and Slowest the one whose list was oldest.
+	// Behind is how many live boxes last reported an older list of servers than this box has,
+	// among those that have reported theirs to it, and Slowest is the one with the oldest
+	// list.
 	Behind  int    `json:"behind"`
 	Slowest string `json:"slowest,omitempty"`
 }
 
-// Overview counts the boxes that are known by zone, this one included. Kind is the kind of objects whose
-// versions are compared.
+// Overview counts the known boxes by zone, this one included. Kind is the kind of objects
+// whose versions are compared.
 func (t *Table) Overview(kind string) []ZoneOverview {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +81,7 @@
 	return list
 }
 
-// count takes in a box.
+// count adds a box to the overview.
 func (o *ZoneOverview) count(r *Record, live bool) {
 	o.Boxes++
 	if !live {
@@ -100,7 +104,8 @@
 	}
 }
 
-// PrintFleet writes what boxes know of the fleet as a table, a line a zone and box that was asked.
+// PrintFleet writes what boxes know of the fleet as a table, with a heading for each box that
+// was asked and a line for each zone.
 func PrintFleet(w io.Writer, boxes []FleetBox) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	for _, b := range boxes {
--- a/pkg/gossip/position.go
+++ b/pkg/gossip/position.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// servingDelay is how long after clients have come to a box it counts as one that shares
-// its zone's work: by then the others know.
+// servingDelay is how long after clients first sent a box requests it counts as one that
+// shares its zone's work: by then the other boxes know.
 const servingDelay = 2 * Interval
 
-// Position is a box's place in its zone, and who comes first in each zone.
+// Position is a box's position in its zone, and the first boxes of each zone.
 type Position struct {
-	// CapacityShare is this box's part of the capacity of the boxes that share the zone's work:
-	// the first ones of the zone, and those whose clients have sent requests within the
-	// last minute. It is 0 for one that is neither. Those that have lately fallen silent
-	// count; while nothing is heard of the zone none is forgotten, since this box may be
-	// cut off.
+	// CapacityShare is this box's share of the capacity of the boxes that share the zone's
+	// work: the first boxes of the zone, and those that clients have sent requests within the
+	// last minute. It is 0 for a box that is neither. Boxes that have recently fallen silent
+	// count; while nothing is heard of the zone none is forgotten, since this box may be cut
+	// off.
 	CapacityShare float64
-	// Neighbours is how many other boxes of the zone are known, Others how many boxes
-	// of other zones.
+	// Neighbours is how many other boxes of the zone are known, Others how many boxes of other
+	// zones.
 	Neighbours int
 	Others     int
-	// First are the first boxes of each zone that are live and not leaving, in the
-	// order in which they take on the zone's work, this one included.
+	// First are the first boxes of each zone that are live and not leaving, in the order in
+	// which they take on the zone's work, this one included.
 	First map[string][]Record
 }
 
-// Position returns this box's place, with up to count first boxes of each zone. The
-// first sharing boxes of its own zone share the zone's work whether clients come to
-// them or not.
+// Position returns this box's position, with up to count first boxes of each zone. The first
+// sharing boxes of its own zone share the zone's work whether or not clients send them
+// requests.
 func (t *Table) Position(count, sharing int) Position {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	return s
 }
 
-// neighbours are the other boxes of the zone, but for those forgotten.
+// neighbours returns the other boxes of the zone, except forgotten ones.
 func (t *Table) neighbours() []*entry {
 	var list []*entry
 	for _, e := range t.ownZone.members {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// capacityShare is this box's capacityShare among those that share the zone's work.
+// capacityShare returns this box's share among the boxes that share the zone's work.
 func (t *Table) capacityShare(neighbours []*entry, sharing int, now time.Time) float64 {
 	before := 0
 	for _, e := range neighbours {
@@ -94,7 +94,7 @@
 	return own / total
 }
 
-// weightOf is what a box counts for among those of its zone.
+// weightOf returns the weight of a box among those of its zone.
 func weightOf(r *Record) float64 {
 	if r.Capacity <= 0 {
 		return 1
@@ -102,7 +102,7 @@
 	return r.Capacity
 }
 
-// insertFirst keeps the first count records, in their order.
+// insertFirst inserts a record into an ordered list and keeps its first count records.
 func insertFirst(list []Record, r Record, count int) []Record {
 	at := sort.Search(len(list), func(i int) bool { return r.precedes(&list[i]) })
 	if at >= count {
