--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// fleet is some boxes whose datagrams a test carries.
+// fleet is a set of boxes whose datagrams a test delivers.
 type fleet struct {
 	now    time.Time
 	random *rand.Rand
@@ -20,7 +20,7 @@
 	zoneOf func(name string) string
 	// cut reports whether a datagram is lost.
 	cut func(from, to string) bool
-	// strip: datagrams carry nothing but who sent them.
+	// strip: datagrams carry only their sender's record.
 	strip bool
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// names are the boxes in an order of chance that a seed repeats.
+// names returns the boxes in a random order that repeats with the seed.
 func (f *fleet) names() []string {
 	names := slices.Sorted(maps.Keys(f.boxes))
 	shuffle(names, f.random.Intn)
@@ -85,7 +85,7 @@
 	}
 }
 
-// deliver hands a message over, and carries what is said in return.
+// deliver delivers a message, and then the answers and greetings that it causes.
 func (f *fleet) deliver(from, to string, sender, receiver *Table, m *Message) {
 	answers, greetings := receiver.Receive(m)
 	for i := range answers {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestDeadBoxIsNotNamed: a box that fell silent is not live soon after, and
-// no box that passes its old records on brings it back.
+// TestDeadBoxIsNotNamed checks that a box that has ended is soon not live any more, and that
+// boxes that forward its old records don't bring it back.
 func TestDeadBoxIsNotNamed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6)
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestRestartedBoxIsKnownAtOnce: a new life counts though its heartbeats
-// begin anew, and though the seeds are gone.
+// TestRestartedBoxIsKnownAtOnce checks that a new incarnation is recognized although its
+// sequence numbers start again and the seeds are gone.
 func TestRestartedBoxIsKnownAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
@@ -151,8 +151,8 @@
 	is.Equal(f.live("box-4"), 4)
 }
 
-// TestHeartbeatsArePassedOn: two boxes that cannot hear each other know of
-// each other through the others.
+// TestHeartbeatsArePassedOn checks that two boxes that cannot reach each other know of each
+// other through other boxes.
 func TestHeartbeatsArePassedOn(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(5, func(name string) string {
@@ -169,8 +169,8 @@
 	is.Equal(f.live("box-4"), 4)
 }
 
-// TestHeartbeatStaysSmall: neither the boxes that a heartbeat goes to nor its
-// bytes grow with the fleet; a box that asks the store tells all of its zone.
+// TestHeartbeatStaysSmall checks that neither the number of receivers of a heartbeat nor its
+// size grows with the fleet. Only a box that polls the store sends to its whole zone.
 func TestHeartbeatStaysSmall(t *testing.T) {
 	is := is.New(t)
 	for _, boxes := range []int{30, 100, 297} {
@@ -187,18 +187,18 @@
 			}
 		}
 		perSecond := sent / boxes * int(time.Second/Interval)
-		t.Log(boxes, "boxes:", perSecond, "bytes a box and second")
+		t.Log(boxes, "boxes:", perSecond, "bytes per box and second")
 		is.True(perSecond < 11_000)
 	}
 }
 
-// zoneOfTen gives boxes one of ten zones by their number.
+// zoneOfTen assigns boxes to ten zones by their number.
 func zoneOfTen(name string) string { return "zone-" + name[len(name)-1:] }
 
-// TestFalseSuspicionsAreRare: of boxes that are well, fewer than one an hour and
-// box is taken for silent where one datagram in 40 is lost: in zones of 3, 30 and
-// 125 boxes. A box that hears others by chance alone, from 16 of its zone drawn for
-// each heartbeat, took 30 a second for silent in a zone of 33.
+// TestFalseSuspicionsAreRare checks that fewer than one healthy box per hour and box is
+// considered silent when one datagram in 40 is lost, in zones of 3, 30 and 125 boxes. When
+// boxes heard of others from 16 boxes of the zone, drawn at random for each heartbeat, 30 a
+// second were considered silent in a zone of 33.
 func TestFalseSuspicionsAreRare(t *testing.T) {
 	for _, e := range []struct {
 		boxes, beats int
@@ -215,14 +215,14 @@
 		silent := f.countSilent()
 		f.beat(e.beats)
 		hours := float64(e.boxes) * (time.Duration(e.beats) * Interval).Hours()
-		t.Logf("%d boxes: %d taken for silent in %.1f hours of a box", e.boxes, *silent, hours)
+		t.Logf("%d boxes: %d considered silent in %.1f box hours", e.boxes, *silent, hours)
 		is.True(float64(*silent) <= hours)
 	}
 }
 
-// TestManyBoxesStayLive: where boxes are too many to hear each of them from
-// itself, none that is well is taken for silent. (On a deployment of 85 boxes
-// each had taken about a hundred for silent in a day, all of them wrongly.)
+// TestManyBoxesStayLive checks that no healthy box is considered silent where boxes are too
+// many to hear from each other directly. On a deployment of 85 boxes, each had considered
+// about a hundred boxes silent in a day, all of them wrongly.
 func TestManyBoxesStayLive(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(90, zoneOfTen)
@@ -233,12 +233,12 @@
 	for name := range f.boxes {
 		is.True(f.live(name) >= 88)
 	}
-	t.Log(*silent, "taken for silent")
-	is.True(*silent <= 90*89*100/2000) // fewer than one in 2,000 of box, other box and heartbeat
+	t.Log(*silent, "considered silent")
+	is.True(*silent <= 90*89*100/2000) // fewer than one in 2,000 combinations of box, other box and heartbeat
 }
 
-// TestChanceAloneIsNotEnough is the control of TestFalseSuspicionsAreRare: where
-// nothing that was heard is passed on and nobody is asked, it would fail.
+// TestChanceAloneIsNotEnough is the control of TestFalseSuspicionsAreRare: that test would
+// fail if liveness records were not forwarded and boxes were not probed.
 func TestChanceAloneIsNotEnough(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(125, func(string) string { return "zone-0" })
@@ -246,11 +246,11 @@
 	silent := f.countSilent()
 	f.strip = true
 	f.beat(20)
-	t.Log(*silent, "taken for silent")
+	t.Log(*silent, "considered silent")
 	is.True(*silent > 125*20)
 }
 
-// countSilent counts the boxes taken for silent from now on.
+// countSilent counts the boxes that are considered silent from now on.
 func (f *fleet) countSilent() *int {
 	silent := 0
 	for _, table := range f.boxes {
@@ -263,9 +263,9 @@
 	return &silent
 }
 
-// TestSilenceIsToldToOtherZones: a box that ends is not named by boxes of other
-// zones, which hear it seldom themselves, within three seconds after its own zone
-// has noticed, and one that starts is known to all within as much.
+// TestSilenceIsToldToOtherZones checks that boxes of other zones, which rarely hear from a box
+// directly, stop naming a box that ends within three seconds after its own zone has noticed,
+// and that a box that starts is known to all within the same time.
 func TestSilenceIsToldToOtherZones(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(200, zoneOfTen)
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestSilentZoneIsNotNamed: where nothing is heard of a zone, none of its boxes
-// is live, and each one is again when it is heard.
+// TestSilentZoneIsNotNamed checks that none of a zone's boxes is live while nothing is heard
+// of the zone, and that each one is live again when it is heard of.
 func TestSilentZoneIsNotNamed(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(40, zoneOfTen)
@@ -303,8 +303,8 @@
 	is.Equal(f.live("box-4"), 39)
 }
 
-// TestBoxThatHearsNobodyReportsNoSilence: a box whose own link is cut one way takes
-// all others for silent, and must not make other zones believe so.
+// TestBoxThatHearsNobodyReportsNoSilence checks that a box that receives nothing, and so
+// considers all others silent, does not make other zones consider them silent too.
 func TestBoxThatHearsNobodyReportsNoSilence(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(60, zoneOfTen)
@@ -318,8 +318,8 @@
 	}
 }
 
-// TestStartedFleetKnowsItselfWithinASecond: what boxes of one zone need of each
-// other is there before the second heartbeat, though each knows three seeds only.
+// TestStartedFleetKnowsItselfWithinASecond checks that boxes of a zone know almost all of each
+// other before the second heartbeat, although each starts with only three seeds.
 func TestStartedFleetKnowsItselfWithinASecond(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(297, zoneOfTen)
@@ -335,8 +335,8 @@
 	}
 }
 
-// TestClockSetBackBetweenLives: a box that starts again with an earlier time of
-// day than its last life is known all the same.
+// TestClockSetBackBetweenLives checks that a box is recognized when it restarts with an
+// earlier time of day than its last incarnation had.
 func TestClockSetBackBetweenLives(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6)
@@ -349,10 +349,10 @@
 	}
 }
 
-// TestEachZoneIsHeardOfWhileAFleetStarts: 295 boxes of nine zones start together, and
-// some datagrams are lost; no box goes without word of another zone for half of the
-// time after which it takes it for silent. Before room was kept for what is heard of
-// other zones, news of the own one took it all, and 3.5 s passed here.
+// TestEachZoneIsHeardOfWhileAFleetStarts checks that no box goes without news of another zone
+// for half of SuspectFarAfter while 295 boxes of nine zones start together and some datagrams
+// are lost. Without room reserved for liveness records of other zones, updates on the own zone
+// took it all, and 3.5 s passed here.
 func TestEachZoneIsHeardOfWhileAFleetStarts(t *testing.T) {
 	is := is.New(t)
 	f := newZonedFleet(0, func(name string) string {
@@ -374,9 +374,9 @@
 	}
 }
 
-// TestPartsOfAZoneNeverSumUpToMore: whichever boxes serve clients, start, end or are
-// cut off, the parts that boxes of one zone take for their own do not sum up to more
-// than the whole, but for the moment in which one that starts is not yet known.
+// TestPartsOfAZoneNeverSumUpToMore checks that the capacity shares computed by the boxes of
+// one zone never sum to more than the whole, whichever boxes serve clients, start, end or are
+// cut off, except for the moment in which a box that starts is not yet known.
 func TestPartsOfAZoneNeverSumUpToMore(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(0)
@@ -399,7 +399,7 @@
 	f.beat(8)
 	total := sum()
 	if total < 0.999 || total > 1.001 {
-		t.Fatalf("the parts sum up to %.3f", total)
+		t.Fatalf("the capacity shares sum to %.3f", total)
 	}
 	is.True(f.boxes["box-00"].Position(4, 2).CapacityShare > 0.4)
 	is.Equal(f.boxes["box-09"].Position(4, 2).CapacityShare, 0.0)
@@ -423,8 +423,8 @@
 	}
 }
 
-// TestConfirmationsAgeUntilTheyAreSent: an answer out of turn carries what the box noted of
-// itself a moment before.
+// TestConfirmationsAgeUntilTheyAreSent checks that the ages in a box's own record grow from
+// when it is updated until it is sent out of turn.
 func TestConfirmationsAgeUntilTheyAreSent(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -433,6 +433,6 @@
 	now = now.Add(80 * time.Millisecond)
 	m := table.Announce().Message
 	is.Equal(m.From.ConfirmedAgo, uint32(1+380))
-	is.Equal(m.From.ListConfirmedAgo, uint32(0)) // this box does not ask the store
+	is.Equal(m.From.ListConfirmedAgo, uint32(0)) // this box does not poll the store
 	is.Equal(table.Self().ConfirmedAgo, uint32(1+300))
 }
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// newCrowd returns a table that knows so many boxes, evenly in some zones, and a heartbeat of one of them with
-// as many sightings as fit.
+// newCrowd returns a table that knows the given number of boxes, spread evenly over zones, and
+// a heartbeat of one of them with as many liveness records as fit.
 func newCrowd(boxes, zones int) (*Table, *Message) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -37,7 +37,7 @@
 	return t, m
 }
 
-// bytesABeat is what heartbeats allocate each.
+// bytesABeat returns how many bytes are allocated for each heartbeat.
 func bytesABeat(boxes, zones int) float64 {
 	t, _ := newCrowd(boxes, zones)
 	const beats = 2000
@@ -51,18 +51,19 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / beats
 }
 
-// TestHeartbeatsCostNoMoreInLargeFleets. The story: an idle box of a fleet of 1,000 spent ten times what one of
-// 100 did on its own heartbeats, and nine boxes in ten of such a fleet do nothing else. The cause: each heartbeat
-// listed all boxes of the fleet, in two maps by address, to send to four of them.
+// TestHeartbeatsCostNoMoreInLargeFleets checks that the cost of a heartbeat does not grow with
+// the fleet. When each heartbeat listed all boxes of the fleet in two maps by address to send
+// to four of them, an idle box of a fleet of 1,000 spent ten times what one of 100 did on its
+// own heartbeats, and nine boxes in ten of such a fleet do nothing else.
 func TestHeartbeatsCostNoMoreInLargeFleets(t *testing.T) {
 	is := is.New(t)
-	// With zones of one size: what is sent to the own zone may grow with it.
+	// Zones have one size, since what is sent to the own zone may grow with it.
 	small, large := bytesABeat(300, 9), bytesABeat(3000, 90)
-	t.Logf("%.0f bytes a heartbeat of 300 boxes, %.0f of 3,000", small, large)
+	t.Logf("%.0f bytes per heartbeat with 300 boxes, %.0f with 3,000", small, large)
 	is.True(large < 2*small)
 }
 
-// BenchmarkBeat is what a heartbeat costs its sender, twice a second.
+// BenchmarkBeat measures the cost of a heartbeat for its sender, twice a second.
 func BenchmarkBeat(b *testing.B) {
 	for _, boxes := range []int{100, 1000, 3000} {
 		t, _ := newCrowd(boxes, 9)
@@ -75,7 +76,7 @@
 	}
 }
 
-// BenchmarkReceive is what a heartbeat costs those that it goes to.
+// BenchmarkReceive measures the cost of a heartbeat for each receiver.
 func BenchmarkReceive(b *testing.B) {
 	for _, boxes := range []int{100, 1000, 3000} {
 		t, m := newCrowd(boxes, 9)
@@ -91,7 +92,8 @@
 	}
 }
 
-// BenchmarkLook is what a box looks at ten times a second: its zone, and all live boxes.
+// BenchmarkLook measures the queries that a box makes ten times a second, on its zone and on
+// all live boxes.
 func BenchmarkLook(b *testing.B) {
 	for _, boxes := range []int{100, 1000, 3000} {
 		t, _ := newCrowd(boxes, 9)
--- a/pkg/gossip/operators_test.go
+++ b/pkg/gossip/operators_test.go
@@ -9,7 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// TestFleetOfAThousandFitsAScreen: a line a zone, all boxes counted.
+// TestFleetOfAThousandFitsAScreen checks that an overview counts all boxes and has one line
+// per zone.
 func TestFleetOfAThousandFitsAScreen(t *testing.T) {
 	is := is.New(t)
 	table, _ := newCrowd(1000, 9)
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/pkg/packet"
 )
 
-// fullRecord is a record with all that a box tells.
+// fullRecord returns a record with all fields set that a box sends about itself.
 func fullRecord(box string) Record {
 	return Record{
 		Box: box, Zone: "brum-digbeth", Clients: "10.1.0.34:8548", Peers: "10.1.0.34:8544",
@@ -37,8 +37,9 @@
 	is.Equal(back, m)
 }
 
-// TestHeartbeatsAreSmall: heartbeats are most of what boxes say across
-// regions, where bytes have a price; JSON takes 328 bytes here.
+// TestHeartbeatsAreSmall checks the size of a heartbeat. Most of what boxes send between
+// regions, where traffic is charged by the byte, is heartbeats; this one takes 328 bytes as
+// JSON.
 func TestHeartbeatsAreSmall(t *testing.T) {
 	is := is.New(t)
 	m := &Message{From: fullRecord("edge-brum-digbeth-1")}
@@ -51,8 +52,8 @@
 	is.True(len(datagram) < len(text)/2)
 }
 
-// TestLivenessRecordsAreSmall: most of what a heartbeat says of others is said of
-// boxes that the receiver knows already.
+// TestLivenessRecordsAreSmall checks the size of liveness records. Most of what a heartbeat
+// carries about other boxes concerns boxes that the receiver knows already.
 func TestLivenessRecordsAreSmall(t *testing.T) {
 	is := is.New(t)
 	alone, err := Wire.Encode(&Message{From: fullRecord("edge-1")})
