--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// tick is how often a box decides on its role, and step by how much time
-	// goes on in the model; ticks of boxes do not fall together.
+	// tick is how often a box decides on its role, and step by how much the model's time
+	// advances; the ticks of boxes do not coincide.
 	tick = 100 * time.Millisecond
 	step = 20 * time.Millisecond
-	// pages is how long the list is, and atOnce how much of it each box reads
-	// without the role.
+	// pages is the length of the list in pages, and atOnce how many of them each box reads
+	// without having the role.
 	pages  = 33
 	atOnce = 2
-	// silence is how long a watching box may be silent.
+	// silence is how long a polling box may be silent.
 	silence = 3 * gossip.Interval
 )
 
-// modelBox is a box of a model fleet: its view of the others and its role, with a
-// list that it reads or is handed.
+// modelBox is a box of a model fleet, with its table of other boxes, its role, and a list that
+// it reads or receives from another box.
 type modelBox struct {
 	name, zone  string
 	far         bool
@@ -44,16 +44,16 @@
 	readLong    bool
 }
 
-// modelFleet is many boxes in one process, without sockets. The store is in the
-// region of the first zones; a page takes others 75 ms.
+// modelFleet is many boxes in one process, without sockets. The store is in the region of the
+// first zones; boxes of other zones need 75 ms for a page.
 type modelFleet struct {
 	now    time.Time
 	random *rand.Rand
 	boxes  []*modelBox
 	byName map[string]*modelBox
-	// refused reports whether the store answers a box with a failure.
+	// refused reports whether the store answers a box with an error.
 	refused func(b *modelBox) bool
-	// changes counts how often boxes took up or left the role.
+	// changes counts how often boxes began or stopped polling.
 	changes int
 }
 
@@ -101,7 +101,7 @@
 	}
 }
 
-// run lets time go on. One datagram in 40 is lost.
+// run advances the time. One datagram in 40 is lost.
 func (f *modelFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		for _, b := range f.boxes {
@@ -134,7 +134,7 @@
 	}
 }
 
-// read asks the store for a page if the box may.
+// read requests a page of the store if the box may.
 func (f *modelFleet) read(b *modelBox) {
 	if b.pages >= atOnce && !b.role.ReadsAllPages(f.now) {
 		return
@@ -198,8 +198,9 @@
 	}
 }
 
-// copyList makes a box take the list of one that has it: at once in its own zone or if
-// it is to ask the store, and otherwise when it has known of it for two heartbeats.
+// copyList makes a box copy the list of a box that has it: at once if that box is of its own zone
+// or if it is to poll the store, and otherwise two heartbeats after it first heard of the
+// list.
 func (f *modelFleet) copyList(b *modelBox, zone string) {
 	if b.heardOfList.IsZero() {
 		b.heardOfList = f.now
@@ -223,9 +224,9 @@
 func polls(b *modelBox) bool    { return b.polls }
 func readLong(b *modelBox) bool { return b.readLong }
 
-// TestStartOfAFleetReadsFewLists: however many boxes start at once, as many as
-// three for each zone at most read a long list, all have it within three seconds, and one of each
-// zone watches the store from then on.
+// TestStartOfAFleetReadsFewLists checks that, however many boxes start at once, at most three
+// for each zone read a long list, all have it within three seconds, and one of each zone polls
+// the store from then on.
 func TestStartOfAFleetReadsFewLists(t *testing.T) {
 	for _, perZone := range []int{3, 10, 33} {
 		for seed := range int64(3) {
@@ -242,8 +243,8 @@
 	}
 }
 
-// TestRolesAreStable: in a fleet without faults nobody takes the role up or leaves
-// it. With heartbeats drawn by chance 295 boxes did so 973 times in 21 s.
+// TestRolesAreStable checks that no box begins or stops polling in a fleet without faults.
+// With the receivers of heartbeats drawn at random, 295 boxes did so 973 times in 21 s.
 func TestRolesAreStable(t *testing.T) {
 	is := is.New(t)
 	f := newModelFleet(9, 33, 1)
@@ -253,8 +254,8 @@
 	is.Equal(f.changes, before)
 }
 
-// TestStartWithoutTheFirstBoxes: where the store refuses the boxes that come first
-// in each zone, or these end while they read, others read in their place.
+// TestStartWithoutTheFirstBoxes checks that other boxes read the list if the store refuses the
+// first boxes of each zone, or if these end while they read.
 func TestStartWithoutTheFirstBoxes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -283,9 +284,9 @@
 	}
 }
 
-// TestWatcherThatEndsIsFollowed: within two and a half seconds another box of the
-// zone watches, and only one; a box that starts takes nothing over before it has
-// the list.
+// TestWatcherThatEndsIsFollowed checks that when a box that polls ends, exactly one other box
+// of the zone polls within two and a half seconds, and that a box that starts does not take
+// over before it has the list.
 func TestWatcherThatEndsIsFollowed(t *testing.T) {
 	for seed := range int64(5) {
 		is := is.New(t)
--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -9,7 +9,7 @@
 
 const contact = 4 * time.Second
 
-// start is when a box has met its zone.
+// start is when a box has discovered its zone.
 var start = time.Unix(1000, 0)
 
 func newRole(chance float64) *Role {
@@ -21,20 +21,20 @@
 	r := newRole(0)
 	is.True(r.ShouldPoll(View{Synced: true, StoreAnswers: true}, start))
 	is.True(!r.ShouldPoll(View{Synced: true, StoreAnswers: true, HealthyBefore: 1, ZoneHealthy: 1}, start))
-	is.True(r.ShouldPoll(View{Synced: true, StoreAnswers: true, ZoneHealthy: 1}, start)) // it comes first
+	is.True(r.ShouldPoll(View{Synced: true, StoreAnswers: true, ZoneHealthy: 1}, start)) // this box comes first
 }
 
-// TestBoxWithoutACopyDoesNotTakeOver: a box that starts would read for long
-// what the zone has; until it has that, it leaves the role where it is.
+// TestBoxWithoutACopyDoesNotTakeOver checks that a box that starts does not poll while its
+// zone has a copy, which it would take long to read itself.
 func TestBoxWithoutACopyDoesNotTakeOver(t *testing.T) {
 	is := is.New(t)
 	is.True(!newRole(0).ShouldPoll(View{ZoneHealthy: 1, StoreAnswers: true}, start))
 	is.True(newRole(0).ShouldPoll(View{}, start))
-	is.True(!newRole(0).ShouldPoll(View{}, start.Add(-1))) // it has not met its zone
+	is.True(!newRole(0).ShouldPoll(View{}, start.Add(-1))) // it has not discovered its zone
 }
 
-// TestFewPollWhileTheStoreIsDown: two at first, then one more each time that the
-// outage has doubled.
+// TestFewPollWhileTheStoreIsDown checks that two boxes poll at first, then one more each time
+// that the outage has doubled.
 func TestFewPollWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
@@ -50,8 +50,8 @@
 	is.True(!r.ShouldPoll(View{Synced: true, UnansweredBefore: 2, StoreAnswers: true}, start.Add(8*contact)))
 }
 
-// TestAnsweredBoxStays: where the store turns away the boxes that come first in the
-// zone, the one that it answers goes on asking, though those try on.
+// TestAnsweredBoxStays checks that if the store rejects the first boxes of the zone, the box
+// that it answers goes on polling although those keep trying.
 func TestAnsweredBoxStays(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
@@ -61,8 +61,8 @@
 	is.True(!r.ShouldPoll(View{Synced: true, StoreAnswers: true, UnansweredBefore: 2}, later.Add(2*tick)))
 }
 
-// TestBoxesTakeOverOneAfterAnother: when the box that watched is gone, the
-// next one does at once, and the others only if they do not hear that it has.
+// TestBoxesTakeOverOneAfterAnother checks that when the box that polled is gone, the next one
+// takes over at once, and the others only if they do not hear that it has.
 func TestBoxesTakeOverOneAfterAnother(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
@@ -82,8 +82,8 @@
 	is.True(r.ShouldPoll(gone, start.Add(time.Minute)))
 }
 
-// TestLongListsAreReadByPollers: others wait to be handed the list, but
-// not for ever, and do not begin together.
+// TestLongListsAreReadByPollers checks that other boxes wait to receive the list from one that
+// has it, but not forever, and that they do not begin to read it at the same time.
 func TestLongListsAreReadByPollers(t *testing.T) {
 	is := is.New(t)
 	watches, early, late := newRole(0), newRole(0), newRole(0.99)
