--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -1,13 +1,13 @@
-// Package findings lets boxes tell each other of backend servers that are gone
-// before the platform's list says so: each finding saves the other boxes a
-// request that waits for a connection in vain, or meets another server. What a
-// box makes of a finding is package backend's matter.
+// Package failurereport lets boxes report to each other backend servers that are gone before
+// the platform's list says so: each report saves other boxes a request that waits for a
+// connection in vain, or that reaches another server. Package backend decides what a box does
+// with a report.
 //
-// Example: a third of a service's servers lose power, and their addresses go to
-// another service. 27 boxes would each find each of them by a request of a
-// client; with findings the first one or two do.
+// Example: a third of a service's servers lose power, and their addresses are assigned to
+// another service. Without reports, each of 27 boxes would discover each of these servers by a
+// client's request; with reports only the first one or two do.
 //
-// This package has no input or output: messages are handed in and out.
+// This package does no input or output: messages are passed in and returned.
 package failurereport
 
 import (
@@ -19,26 +19,26 @@
 )
 
 const (
-	// wireVersion is the first byte of a message; heartbeats, which come to the
-	// same port, begin with others.
+	// wireVersion is the first byte of a message; heartbeats, which arrive at the same port,
+	// begin with other bytes.
 	wireVersion = 0xf2
-	// maxReports bounds the findings of one message, so that it fits one packet.
+	// maxReports bounds the reports of one message, so that it fits into one packet.
 	maxReports = 48
-	// resendAfter is after what time the same is told of a server resendAfter.
+	// resendAfter is the time after which the same report on a server is sent again.
 	resendAfter = 2 * time.Second
 )
 
-// Message is what one box found since its last message.
+// Message carries the reports of one box since its last message.
 type Message struct {
 	// Box is the sender's name.
 	Box     string
 	Reports []backend.FailureReport
 }
 
-// Wire packs messages.
-var Wire = packet.Codec[Message]{Kind: "findings", First: wireVersion}
+// Wire encodes and decodes messages.
+var Wire = packet.Codec[Message]{Kind: "failure report", First: wireVersion}
 
-// Outbox gathers what this box finds until it is sent.
+// Outbox collects this box's reports until they are sent.
 type Outbox struct {
 	// Box is this box's name.
 	Box string
@@ -50,7 +50,7 @@
 	sent    map[backend.FailureReport]time.Time
 }
 
-// Add takes in a finding; one that was told a moment ago is left out.
+// Add queues a report, unless the same one was queued within resendAfter.
 func (o *Outbox) Add(f backend.FailureReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -65,7 +65,7 @@
 	o.pending = append(o.pending, f)
 }
 
-// Take returns what is to be sent now, and forgets what was told long ago.
+// Take returns the messages to be sent now, and forgets reports older than resendAfter.
 func (o *Outbox) Take() []Message {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/pkg/failurereport/failurereport_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestReportsAreSentOnceAndSplit: the same is told of a server again only
-// after a while, and no message is too large for a packet.
+// TestReportsAreSentOnceAndSplit checks that the same report on a server is sent again only
+// after a while, and that no message is too large for a packet.
 func TestReportsAreSentOnceAndSplit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
