--- a/pkg/directory/directory.go
+++ b/pkg/directory/directory.go
@@ -1,5 +1,4 @@
-// Package directory answers clients that ask which boxes to use. It has no
-// input or output.
+// Package directory answers clients that ask which boxes to use. It does no input or output.
 package directory
 
 import (
@@ -9,14 +8,14 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 )
 
-// MaxAddresses bounds an answer.
+// MaxAddresses bounds the addresses of an answer.
 const MaxAddresses = 64
 
-// minBoxes is how many boxes an answer should name, so that a client whose box
-// fails has another one at hand.
+// minBoxes is how many boxes an answer should name, so that a client whose box fails has
+// another one to use.
 const minBoxes = 2
 
-// Query is what a client asks.
+// Query is a client's request for boxes.
 type Query struct {
 	Host   string
 	Region string
@@ -35,19 +34,18 @@
 	TTL time.Duration
 	// RegionOf returns the region of a zone.
 	RegionOf func(zone string) string
-	// Self returns this box's record, and EachLive hands out those of the live
-	// others; see gossip.Table.
+	// Self returns this box's record, and EachLive calls f with those of the other live boxes;
+	// see gossip.Table.
 	Self     func() gossip.Record
 	EachLive func(f func(r *gossip.Record))
-	// RegionAllowed reports whether the requests of a host may be sent to a
-	// region other than the client's own.
+	// RegionAllowed reports whether the requests of a host may be sent to a region other than
+	// the client's own.
 	RegionAllowed func(host, region string) bool
 }
 
-// Resolve names the boxes of the client's zone; where these are too few, those
-// of its region; and where there are none, those of the other regions that
-// may take the host's requests. Boxes much smaller than others are left out
-// while enough others are left.
+// Resolve names the boxes of the client's zone; if these are too few, those of its region; and
+// if there are none, those of other regions that may serve the host's requests. Boxes much
+// smaller than others are left out as long as enough others remain.
 func (d *Directory) Resolve(q Query) Answer {
 	var zone, region, far, any []*entry
 	serving := d.serving()
@@ -79,15 +77,15 @@
 	return Answer{}
 }
 
-// entry is what the choice needs of a box. Records are large, and
-// are not copied for each look-up.
+// entry holds the fields of a record that the choice depends on. Records are large, and are
+// not copied for each lookup.
 type entry struct {
 	zone     string
 	clients  string
 	capacity float64
 }
 
-// serving lists the boxes that take requests, this one included.
+// serving lists the boxes that accept requests, this one included.
 func (d *Directory) serving() []entry {
 	var list []entry
 	add := func(r *gossip.Record) {
@@ -110,11 +108,11 @@
 	return Answer{Addresses: addresses[:min(len(addresses), MaxAddresses)], TTL: d.TTL}
 }
 
-// largeFraction is how much of the largest box's capacity another must have to be
-// named beside it. Clients choose among the named boxes by chance, so a much
-// smaller one would get as much as the others; and a few boxes with many
-// requests each know more of backend servers' load, and use connections more
-// often, than many with few.
+// largeFraction is the fraction of the largest box's capacity that another box must have to be
+// named beside it. Clients choose randomly among the named boxes, so a much smaller box would
+// receive as many requests as the others. Also, few boxes with many requests each know more
+// about the load of backend servers, and reuse connections more often, than many boxes with
+// few.
 const largeFraction = 0.5
 
 // IsLarge reports whether a box is not much smaller than the largest one.
--- a/pkg/directory/directory_test.go
+++ b/pkg/directory/directory_test.go
@@ -34,7 +34,7 @@
 	is.Equal(d.Resolve(Query{Region: "east", Zone: "east-a"}).Addresses, []string{"a2", "self"})
 	is.Equal(d.Resolve(Query{Region: "east", Zone: "east-b"}).Addresses, []string{"a2", "b1", "self"}) // one is too few
 	is.Equal(d.Resolve(Query{Region: "west", Zone: "west-b"}).Addresses, []string{"w1", "w2"})
-	is.Equal(d.Resolve(Query{Region: "south", Zone: "south-a"}).Addresses, []string{"a2", "b1", "self", "w1", "w2"}) // not where they may not run
+	is.Equal(d.Resolve(Query{Region: "south", Zone: "south-a"}).Addresses, []string{"a2", "b1", "self", "w1", "w2"}) // not in a region where the host's requests may not run
 	is.Equal(d.Resolve(Query{Region: "east", Zone: "east-a"}).TTL, 3*time.Second)
 }
 
@@ -60,15 +60,15 @@
 	}
 	is.Equal(resolve(large, nearlyAsLarge, small, smaller), []string{"w1", "w2"})
 	is.Equal(resolve(large, small, smaller), []string{"w1", "w3", "w4"}) // one is too few
-	is.Equal(resolve(small, smaller), []string{"w3", "w4"})              // where there is no large one
+	is.Equal(resolve(small, smaller), []string{"w3", "w4"})              // if there is no large one
 	neighbour := sized("w7", 1600)
 	neighbour.Zone = "west-b"
-	is.Equal(resolve(large, small, smaller, neighbour), []string{"w1", "w7"}) // rather than half of all to a small one
+	is.Equal(resolve(large, small, smaller, neighbour), []string{"w1", "w7"}) // rather than sending half of all requests to a small box
 	unknown := sized("w5", 0)
 	is.Equal(resolve(unknown, sized("w6", 0)), []string{"w5", "w6"})
 }
 
-// BenchmarkResolve: a look-up on a box that knows 300 others.
+// BenchmarkResolve measures a lookup on a box that knows 300 others.
 func BenchmarkResolve(b *testing.B) {
 	var members []gossip.Record
 	for i := range 300 {
@@ -88,9 +88,10 @@
 	is.Equal(len(d.Resolve(Query{}).Addresses), 0)
 }
 
-// TestNoOtherRegionIsNamedNeedlessly: whatever boxes run, a client is named boxes of its own
-// region where there are any, else of regions where its host's requests may run, and only where
-// there are none of these any others; never one that is not ready or leaves.
+// TestNoOtherRegionIsNamedNeedlessly checks that, whatever boxes run, a client is named boxes
+// of its own region if there are any, otherwise boxes of regions where its host's requests may
+// run, and others only if there are none of these; never a box that is not ready or is
+// leaving.
 func TestNoOtherRegionIsNamedNeedlessly(t *testing.T) {
 	regions := map[string]string{"a-1": "a", "a-2": "a", "b-1": "b", "b-2": "b", "c-1": "c"}
 	zones := []string{"a-1", "a-2", "b-1", "b-2", "c-1"}
