--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -20,8 +20,8 @@
 	zoneOf func(name string) string
 	// cut reports whether a datagram is lost.
 	cut func(from, to string) bool
-	// strip: datagrams carry only their sender's record.
-	strip bool
+	// ownRecordOnly: datagrams carry only their sender's record.
+	ownRecordOnly bool
 }
 
 func newFleet(n int) *fleet {
@@ -78,7 +78,7 @@
 			continue
 		}
 		m := e.Message
-		if f.strip {
+		if f.ownRecordOnly {
 			m = Message{From: m.From}
 		}
 		f.deliver(name, address, t, other, &m)
@@ -244,7 +244,7 @@
 	f := newZonedFleet(125, func(string) string { return "zone-0" })
 	f.beat(30)
 	silent := f.countSilent()
-	f.strip = true
+	f.ownRecordOnly = true
 	f.beat(20)
 	t.Log(*silent, "considered silent")
 	is.True(*silent > 125*20)
