--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -56,7 +56,7 @@
 		for _, name := range f.names() {
 			t := f.boxes[name]
 			for _, e := range t.Beat() {
-				f.carry(name, t, e)
+				f.send(name, t, e)
 			}
 			t.Expire()
 		}
@@ -71,7 +71,7 @@
 	return names
 }
 
-func (f *fleet) carry(name string, t *Table, e Envelope) {
+func (f *fleet) send(name string, t *Table, e Envelope) {
 	for _, address := range e.To {
 		other := f.boxes[address]
 		if other == nil || f.cut(name, address) {
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, e := range greetings {
-		f.carry(to, receiver, e)
+		f.send(to, receiver, e)
 	}
 }
 
