--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -413,8 +413,8 @@
 		case 2:
 			delete(f.boxes, name)
 		case 3:
-			alone := name
-			f.cut = func(from, to string) bool { return (from == alone) != (to == alone) }
+			isolated := name
+			f.cut = func(from, to string) bool { return (from == isolated) != (to == isolated) }
 		}
 		for range 4 {
 			f.beat(1)
