--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// newCrowd returns a table that knows the given number of boxes, spread evenly over zones, and
+// newLargeTable returns a table that knows the given number of boxes, spread evenly over zones, and
 // a heartbeat of one of them with as many liveness records as fit.
-func newCrowd(boxes, zones int) (*Table, *Message) {
+func newLargeTable(boxes, zones int) (*Table, *Message) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 1))
 	record := func(i int) Record {
@@ -39,7 +39,7 @@
 
 // bytesABeat returns how many bytes are allocated for each heartbeat.
 func bytesABeat(boxes, zones int) float64 {
-	t, _ := newCrowd(boxes, zones)
+	t, _ := newLargeTable(boxes, zones)
 	const beats = 2000
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -66,7 +66,7 @@
 // BenchmarkBeat measures the cost of a heartbeat for its sender, twice a second.
 func BenchmarkBeat(b *testing.B) {
 	for _, boxes := range []int{100, 1000, 3000} {
-		t, _ := newCrowd(boxes, 9)
+		t, _ := newLargeTable(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
 				t.Expire()
@@ -79,7 +79,7 @@
 // BenchmarkReceive measures the cost of a heartbeat for each receiver.
 func BenchmarkReceive(b *testing.B) {
 	for _, boxes := range []int{100, 1000, 3000} {
-		t, m := newCrowd(boxes, 9)
+		t, m := newLargeTable(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
 				m.From.Sequence++
@@ -96,7 +96,7 @@
 // all live boxes.
 func BenchmarkLook(b *testing.B) {
 	for _, boxes := range []int{100, 1000, 3000} {
-		t, _ := newCrowd(boxes, 9)
+		t, _ := newLargeTable(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
 				t.StoreContacts(time.Second)
--- a/pkg/gossip/operators_test.go
+++ b/pkg/gossip/operators_test.go
@@ -13,7 +13,7 @@
 // per zone.
 func TestFleetOfAThousandFitsAScreen(t *testing.T) {
 	is := is.New(t)
-	table, _ := newCrowd(1000, 9)
+	table, _ := newLargeTable(1000, 9)
 	table.Update(func(self *Record) { self.Versions = map[string]objects.Version{"servers": {Revision: 9}} })
 	behind := table.members["box-9"].Record
 	behind.Sequence, behind.Serving, behind.StoreHealthy = 99, true, true
