--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -37,8 +37,8 @@
 	return t, m
 }
 
-// bytesABeat returns how many bytes are allocated for each heartbeat.
-func bytesABeat(boxes, zones int) float64 {
+// bytesPerHeartbeat returns how many bytes are allocated for each heartbeat.
+func bytesPerHeartbeat(boxes, zones int) float64 {
 	t, _ := newLargeTable(boxes, zones)
 	const beats = 2000
 	var before, after runtime.MemStats
@@ -58,7 +58,7 @@
 func TestHeartbeatsCostNoMoreInLargeFleets(t *testing.T) {
 	is := is.New(t)
 	// Zones have one size, since what is sent to the own zone may grow with it.
-	small, large := bytesABeat(300, 9), bytesABeat(3000, 90)
+	small, large := bytesPerHeartbeat(300, 9), bytesPerHeartbeat(3000, 90)
 	t.Logf("%.0f bytes per heartbeat with 300 boxes, %.0f with 3,000", small, large)
 	is.True(large < 2*small)
 }
