--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -19,8 +19,8 @@
 	step = 20 * time.Millisecond
 	// pages is the length of the list in pages, and atOnce how many of them each box reads
 	// without having the role.
-	pages  = 33
-	atOnce = 2
+	pages            = 33
+	pagesWithoutRole = 2
 	// silence is how long a polling box may be silent.
 	silence = 3 * gossip.Interval
 )
@@ -136,7 +136,7 @@
 
 // read requests a page of the store if the box may.
 func (f *modelFleet) read(b *modelBox) {
-	if b.pages >= atOnce && !b.role.ReadsAllPages(f.now) {
+	if b.pages >= pagesWithoutRole && !b.role.ReadsAllPages(f.now) {
 		return
 	}
 	b.calls++
@@ -145,7 +145,7 @@
 		return
 	}
 	b.pages++
-	b.readLong = b.pages > atOnce
+	b.readLong = b.pages > pagesWithoutRole
 	b.synced = b.pages == pages
 	b.nextPage = f.now.Add(5 * time.Millisecond)
 	if b.far {
