--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -130,7 +130,7 @@
 
 func (f *modelFleet) beat(b *modelBox) {
 	for _, e := range b.table.Beat() {
-		f.carry(b, e)
+		f.send(b, e)
 	}
 }
 
@@ -175,11 +175,11 @@
 	})
 	if now != b.announced {
 		b.announced = now
-		f.carry(b, b.table.Announce())
+		f.send(b, b.table.Announce())
 	}
 }
 
-func (f *modelFleet) carry(from *modelBox, e gossip.Envelope) {
+func (f *modelFleet) send(from *modelBox, e gossip.Envelope) {
 	for _, name := range e.To {
 		to := f.byName[name]
 		if to == nil || f.random.Intn(40) == 0 {
@@ -190,10 +190,10 @@
 			f.copyList(to, e.Message.From.Zone)
 		}
 		for _, a := range answers {
-			f.carry(to, gossip.Envelope{Message: a, To: []string{from.name}})
+			f.send(to, gossip.Envelope{Message: a, To: []string{from.name}})
 		}
 		for _, g := range greetings {
-			f.carry(to, g)
+			f.send(to, g)
 		}
 	}
 }
