--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -105,12 +105,12 @@
 func (f *modelFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		for _, b := range f.boxes {
-			f.turn(b)
+			f.advance(b)
 		}
 	}
 }
 
-func (f *modelFleet) turn(b *modelBox) {
+func (f *modelFleet) advance(b *modelBox) {
 	if !f.now.Before(b.nextPage) && !b.synced {
 		f.read(b)
 	}
