--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -258,8 +258,8 @@
 // first boxes of each zone, or if these end while they read.
 func TestStartWithoutTheFirstBoxes(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		strike func(f *modelFleet)
+		name        string
+		injectFault func(f *modelFleet)
 	}{
 		{"refused", func(f *modelFleet) {
 			f.refused = func(b *modelBox) bool { return b.name[len(b.name)-2:] == "-0" || b.name[len(b.name)-2:] == "-1" }
@@ -275,7 +275,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newModelFleet(9, 33, 2)
-			c.strike(f)
+			c.injectFault(f)
 			f.run(contact + 4*time.Second)
 			is.Equal(f.count(synced), len(f.boxes))
 			t.Logf("%d of %d boxes read a long list", f.count(readLong), len(f.boxes))
