--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -66,19 +66,19 @@
 func TestBoxesTakeOverOneAfterAnother(t *testing.T) {
 	is := is.New(t)
 	r := newRole(0)
-	watched := View{Synced: true, StoreAnswers: true, HealthyBefore: 1, ZoneHealthy: 1, IdleBefore: 2}
+	polled := View{Synced: true, StoreAnswers: true, HealthyBefore: 1, ZoneHealthy: 1, IdleBefore: 2}
 	gone := View{Synced: true, StoreAnswers: true, IdleBefore: 2}
-	is.True(!r.ShouldPoll(watched, start))
+	is.True(!r.ShouldPoll(polled, start))
 	is.True(!r.ShouldPoll(gone, start))
 	is.True(!r.ShouldPoll(gone, start.Add(2*takeoverDelay-1)))
 	is.True(r.ShouldPoll(gone, start.Add(2*takeoverDelay)))
-	is.True(!r.ShouldPoll(watched, start.Add(3*takeoverDelay)))
+	is.True(!r.ShouldPoll(polled, start.Add(3*takeoverDelay)))
 	is.True(!r.ShouldPoll(gone, start.Add(4*takeoverDelay)))
 	gone.IdleBefore = 100
 	is.True(!r.ShouldPoll(gone, start.Add(5*takeoverDelay)))
 	is.True(r.ShouldPoll(gone, start.Add(4*takeoverDelay+maxTakeoverDelay)))
 	gone.IdleBefore = 0
-	is.True(!r.ShouldPoll(watched, start.Add(time.Minute)))
+	is.True(!r.ShouldPoll(polled, start.Add(time.Minute)))
 	is.True(r.ShouldPoll(gone, start.Add(time.Minute)))
 }
 
