--- a/pkg/storepoller/storepoller_test.go
+++ b/pkg/storepoller/storepoller_test.go
@@ -86,10 +86,10 @@
 // has it, but not forever, and that they do not begin to read it at the same time.
 func TestLongListsAreReadByPollers(t *testing.T) {
 	is := is.New(t)
-	watches, early, late := newRole(0), newRole(0), newRole(0.99)
-	is.True(!watches.ReadsAllPages(start))
-	is.True(watches.ShouldPoll(View{}, start))
-	is.True(watches.ReadsAllPages(start))
+	poller, early, late := newRole(0), newRole(0), newRole(0.99)
+	is.True(!poller.ReadsAllPages(start))
+	is.True(poller.ShouldPoll(View{}, start))
+	is.True(poller.ReadsAllPages(start))
 	began := start.Add(-DiscoveryTime)
 	is.True(!early.ReadsAllPages(began.Add(contact - 1)))
 	is.True(early.ReadsAllPages(began.Add(contact)))
