--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -54,8 +54,8 @@
 type Role struct {
 	// PerZone returns how many boxes of a zone are to poll the store.
 	PerZone func() int
-	// Contact is the time within which boxes are in touch with the store in normal operation.
-	Contact time.Duration
+	// ContactWindow is the time within which boxes are in touch with the store in normal operation.
+	ContactWindow time.Duration
 
 	started time.Time
 	polling bool
@@ -72,7 +72,7 @@
 // the boxes of a zone begin to read the list at different times.
 func New(perZone func() int, contact time.Duration, now time.Time, chance float64) *Role {
 	patience := time.Duration((1 + readDelaySpread*chance) * float64(contact))
-	return &Role{PerZone: perZone, Contact: contact, started: now, lastAnswer: now, readDelay: patience}
+	return &Role{PerZone: perZone, ContactWindow: contact, started: now, lastAnswer: now, readDelay: patience}
 }
 
 // ShouldPoll reports whether the box is to poll the store from now on. A box that is eligible
@@ -103,7 +103,7 @@
 		return false
 	}
 	outage := now.Sub(r.lastAnswer)
-	mayTry := initialPollers + int(math.Log2(1+outage.Seconds()/r.Contact.Seconds()))
+	mayTry := initialPollers + int(math.Log2(1+outage.Seconds()/r.ContactWindow.Seconds()))
 	return v.HealthyBefore < r.PerZone() && (v.Answered || v.UnansweredBefore < mayTry)
 }
 
