--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -71,8 +71,8 @@
 // New makes the role of a box that starts now. The random number chance, from 0 to 1, makes
 // the boxes of a zone begin to read the list at different times.
 func New(perZone func() int, contact time.Duration, now time.Time, chance float64) *Role {
-	patience := time.Duration((1 + readDelaySpread*chance) * float64(contact))
-	return &Role{PerZone: perZone, ContactWindow: contact, started: now, lastAnswer: now, readDelay: patience}
+	readDelay := time.Duration((1 + readDelaySpread*chance) * float64(contact))
+	return &Role{PerZone: perZone, ContactWindow: contact, started: now, lastAnswer: now, readDelay: readDelay}
 }
 
 // ShouldPoll reports whether the box is to poll the store from now on. A box that is eligible
