--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// newLargeTable returns a table that knows the given number of boxes, spread evenly over zones, and
-// a heartbeat of one of them with as many liveness records as fit.
+// newLargeTable returns a table that knows the given number of boxes, spread evenly over
+// zones, and a heartbeat of one of them with as many liveness records as fit.
 func newLargeTable(boxes, zones int) (*Table, *Message) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 1))
--- a/pkg/storepoller/storepoller.go
+++ b/pkg/storepoller/storepoller.go
@@ -21,8 +21,8 @@
 	// may reject single boxes. It may also be down for all, and then each poller makes calls
 	// in vain.
 	initialPollers = 2
-	// readDelaySpread is over how many further contact times the boxes of a zone that received
-	// no list from another box begin to read it themselves.
+	// readDelaySpread is the number of further contact windows over which the boxes of a zone
+	// that received no list from another box begin to read it themselves.
 	readDelaySpread = 4
 	// takeoverDelay is how much later a box begins to poll for each idle box that comes before
 	// it: enough time to hear that the first of them has begun. Without it many boxes would
@@ -54,7 +54,8 @@
 type Role struct {
 	// PerZone returns how many boxes of a zone are to poll the store.
 	PerZone func() int
-	// ContactWindow is the time within which boxes are in touch with the store in normal operation.
+	// ContactWindow is the time within which boxes are in touch with the store in normal
+	// operation.
 	ContactWindow time.Duration
 
 	started time.Time
@@ -94,9 +95,9 @@
 }
 
 // eligible reports whether the box should poll the store. Where the store answers no box of
-// the zone a few boxes poll, one more after the contact time without any answer, and another
-// one each time that the outage has lasted twice as long. A box that is answered goes on
-// polling, however many boxes before it poll without an answer.
+// the zone a few boxes poll, one more after ContactWindow without any answer, and another one
+// each time that the outage has lasted twice as long. A box that is answered goes on polling,
+// however many boxes before it poll without an answer.
 func (r *Role) eligible(v View, now time.Time) bool {
 	if now.Sub(r.started) < DiscoveryTime || !v.Synced && v.ZoneHealthy > 0 {
 		// It gets the copy from its zone sooner than it could read it.
