--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// tick is how often a box decides on its role, and step by how much time
-	// goes on in the model; ticks of boxes do not fall together.
+	// tick is how often a box decides on its role, and step by how much the model's time
+	// advances; the ticks of boxes do not coincide.
 	tick = 100 * time.Millisecond
 	step = 20 * time.Millisecond
-	// pages is how long the list is, and atOnce how much of it each box reads
-	// without the role.
-	pages  = 33
-	atOnce = 2
-	// silence is how long a watching box may be silent.
+	// pages is the length of the list in pages, and atOnce how many of them each box reads
+	// without having the role.
+	pages            = 33
+	pagesWithoutRole = 2
+	// silence is how long a polling box may be silent.
 	silence = 3 * gossip.Interval
 )
 
-// modelBox is a box of a model fleet: its view of the others and its role, with a
-// list that it reads or is handed.
+// modelBox is a box of a model fleet, with its table of other boxes, its role, and a list that
+// it reads or receives from another box.
 type modelBox struct {
-	name, zone string
-	far        bool
-	table      *gossip.Table
-	role       *Role
-	watches    bool
-	synced     bool
-	told       [2]bool
-	pages      int
-	nextTick   time.Time
-	nextBeat   time.Time
-	nextPage   time.Time
-	behind     time.Time
-	calls      int
-	readLong   bool
+	name, zone  string
+	far         bool
+	table       *gossip.Table
+	role        *Role
+	polls       bool
+	synced      bool
+	announced   [2]bool
+	pages       int
+	nextTick    time.Time
+	nextBeat    time.Time
+	nextPage    time.Time
+	heardOfList time.Time
+	calls       int
+	readLong    bool
 }
 
-// modelFleet is many boxes in one process, without sockets. The store is in the
-// region of the first zones; a page takes others 75 ms.
+// modelFleet is many boxes in one process, without sockets. The store is in the region of the
+// first zones; boxes of other zones need 75 ms for a page.
 type modelFleet struct {
 	now    time.Time
 	random *rand.Rand
 	boxes  []*modelBox
 	byName map[string]*modelBox
-	// refused reports whether the store answers a box with a failure.
+	// refused reports whether the store answers a box with an error.
 	refused func(b *modelBox) bool
-	// changes counts how often boxes took up or left the role.
+	// changes counts how often boxes began or stopped polling.
 	changes int
 }
 
@@ -91,7 +91,7 @@
 	return b
 }
 
-func (f *modelFleet) end(name string) {
+func (f *modelFleet) stop(name string) {
 	delete(f.byName, name)
 	for i := range f.boxes {
 		if f.boxes[i].name == name {
@@ -101,16 +101,16 @@
 	}
 }
 
-// run lets time go on. One datagram in 40 is lost.
+// run advances the time. One datagram in 40 is lost.
 func (f *modelFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		for _, b := range f.boxes {
-			f.turn(b)
+			f.advance(b)
 		}
 	}
 }
 
-func (f *modelFleet) turn(b *modelBox) {
+func (f *modelFleet) advance(b *modelBox) {
 	if !f.now.Before(b.nextPage) && !b.synced {
 		f.read(b)
 	}
@@ -130,13 +130,13 @@
 
 func (f *modelFleet) beat(b *modelBox) {
 	for _, e := range b.table.Beat() {
-		f.carry(b, e)
+		f.send(b, e)
 	}
 }
 
-// read asks the store for a page if the box may.
+// read requests a page of the store if the box may.
 func (f *modelFleet) read(b *modelBox) {
-	if b.pages >= atOnce && !b.role.ReadsAllPages(f.now) {
+	if b.pages >= pagesWithoutRole && !b.role.ReadsAllPages(f.now) {
 		return
 	}
 	b.calls++
@@ -145,7 +145,7 @@
 		return
 	}
 	b.pages++
-	b.readLong = b.pages > atOnce
+	b.readLong = b.pages > pagesWithoutRole
 	b.synced = b.pages == pages
 	b.nextPage = f.now.Add(5 * time.Millisecond)
 	if b.far {
@@ -155,31 +155,31 @@
 
 func (f *modelFleet) decide(b *modelBox) {
 	z := b.table.StoreContacts(silence)
-	answered := b.watches && b.synced && !f.refused(b)
+	answered := b.polls && b.synced && !f.refused(b)
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
-	watches := b.role.ShouldPoll(View{
+	polls := b.role.ShouldPoll(View{
 		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: b.synced, Answered: answered, StoreAnswers: answers,
 	}, f.now)
-	if watches != b.watches {
+	if polls != b.polls {
 		f.changes++
 	}
-	b.watches = watches
-	now := [2]bool{watches && b.synced && !f.refused(b), watches}
+	b.polls = polls
+	now := [2]bool{polls && b.synced && !f.refused(b), polls}
 	b.table.Update(func(self *gossip.Record) {
 		if b.synced {
 			self.Versions = map[string]objects.Version{"servers": {Revision: 1}}
 		}
 		self.StoreHealthy, self.StoreUnanswered = now[0], now[1] && !now[0]
 	})
-	if now != b.told {
-		b.told = now
-		f.carry(b, b.table.Announce())
+	if now != b.announced {
+		b.announced = now
+		f.send(b, b.table.Announce())
 	}
 }
 
-func (f *modelFleet) carry(from *modelBox, e gossip.Envelope) {
+func (f *modelFleet) send(from *modelBox, e gossip.Envelope) {
 	for _, name := range e.To {
 		to := f.byName[name]
 		if to == nil || f.random.Intn(40) == 0 {
@@ -187,24 +187,25 @@
 		}
 		answers, greetings := to.table.Receive(&e.Message)
 		if len(e.Message.From.Versions) > 0 {
-			f.learn(to, e.Message.From.Zone)
+			f.copyList(to, e.Message.From.Zone)
 		}
 		for _, a := range answers {
-			f.carry(to, gossip.Envelope{Message: a, To: []string{from.name}})
+			f.send(to, gossip.Envelope{Message: a, To: []string{from.name}})
 		}
 		for _, g := range greetings {
-			f.carry(to, g)
+			f.send(to, g)
 		}
 	}
 }
 
-// learn makes a box take the list of one that has it: at once in its own zone or if
-// it is to ask the store, and otherwise when it has known of it for two heartbeats.
-func (f *modelFleet) learn(b *modelBox, zone string) {
-	if b.behind.IsZero() {
-		b.behind = f.now
+// copyList makes a box copy the list of a box that has it: at once if that box is of its own zone
+// or if it is to poll the store, and otherwise two heartbeats after it first heard of the
+// list.
+func (f *modelFleet) copyList(b *modelBox, zone string) {
+	if b.heardOfList.IsZero() {
+		b.heardOfList = f.now
 	}
-	if zone == b.zone || b.watches || f.now.Sub(b.behind) >= 2*gossip.Interval {
+	if zone == b.zone || b.polls || f.now.Sub(b.heardOfList) >= 2*gossip.Interval {
 		b.synced = true
 	}
 }
@@ -220,12 +221,12 @@
 }
 
 func synced(b *modelBox) bool   { return b.synced }
-func watches(b *modelBox) bool  { return b.watches }
+func polls(b *modelBox) bool    { return b.polls }
 func readLong(b *modelBox) bool { return b.readLong }
 
-// TestStartOfAFleetReadsFewLists: however many boxes start at once, as many as
-// three for each zone at most read a long list, all have it within three seconds, and one of each
-// zone watches the store from then on.
+// TestStartOfAFleetReadsFewLists checks that, however many boxes start at once, at most three
+// for each zone read a long list, all have it within three seconds, and one of each zone polls
+// the store from then on.
 func TestStartOfAFleetReadsFewLists(t *testing.T) {
 	for _, perZone := range []int{3, 10, 33} {
 		for seed := range int64(3) {
@@ -237,13 +238,13 @@
 			is.True(long <= 3*9)
 			is.Equal(f.count(synced), len(f.boxes))
 			f.run(5 * time.Second)
-			is.Equal(f.count(watches), 9)
+			is.Equal(f.count(polls), 9)
 		}
 	}
 }
 
-// TestRolesAreStable: in a fleet without faults nobody takes the role up or leaves
-// it. With heartbeats drawn by chance 295 boxes did so 973 times in 21 s.
+// TestRolesAreStable checks that no box begins or stops polling in a fleet without faults.
+// With the receivers of heartbeats drawn at random, 295 boxes did so 973 times in 21 s.
 func TestRolesAreStable(t *testing.T) {
 	is := is.New(t)
 	f := newModelFleet(9, 33, 1)
@@ -253,12 +254,12 @@
 	is.Equal(f.changes, before)
 }
 
-// TestStartWithoutTheFirstBoxes: where the store refuses the boxes that come first
-// in each zone, or these end while they read, others read in their place.
+// TestStartWithoutTheFirstBoxes checks that other boxes read the list if the store refuses the
+// first boxes of each zone, or if these end while they read.
 func TestStartWithoutTheFirstBoxes(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		strike func(f *modelFleet)
+		name        string
+		injectFault func(f *modelFleet)
 	}{
 		{"refused", func(f *modelFleet) {
 			f.refused = func(b *modelBox) bool { return b.name[len(b.name)-2:] == "-0" || b.name[len(b.name)-2:] == "-1" }
@@ -266,15 +267,15 @@
 		{"ended", func(f *modelFleet) {
 			f.run(600 * time.Millisecond)
 			for z := range 9 {
-				f.end(fmt.Sprintf("box-%d-0", z))
-				f.end(fmt.Sprintf("box-%d-1", z))
+				f.stop(fmt.Sprintf("box-%d-0", z))
+				f.stop(fmt.Sprintf("box-%d-1", z))
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newModelFleet(9, 33, 2)
-			c.strike(f)
+			c.injectFault(f)
 			f.run(contact + 4*time.Second)
 			is.Equal(f.count(synced), len(f.boxes))
 			t.Logf("%d of %d boxes read a long list", f.count(readLong), len(f.boxes))
@@ -283,27 +284,27 @@
 	}
 }
 
-// TestWatcherThatEndsIsFollowed: within two and a half seconds another box of the
-// zone watches, and only one; a box that starts takes nothing over before it has
-// the list.
+// TestWatcherThatEndsIsFollowed checks that when a box that polls ends, exactly one other box
+// of the zone polls within two and a half seconds, and that a box that starts does not take
+// over before it has the list.
 func TestWatcherThatEndsIsFollowed(t *testing.T) {
 	for seed := range int64(5) {
 		is := is.New(t)
 		f := newModelFleet(3, 33, seed)
 		f.run(8 * time.Second)
 		for _, b := range f.boxes {
-			if b.watches && b.zone == "zone-1" {
-				f.end(b.name)
+			if b.polls && b.zone == "zone-1" {
+				f.stop(b.name)
 				break
 			}
 		}
 		f.run(2500 * time.Millisecond)
-		is.Equal(f.count(func(b *modelBox) bool { return b.watches && b.zone == "zone-1" }), 1)
+		is.Equal(f.count(func(b *modelBox) bool { return b.polls && b.zone == "zone-1" }), 1)
 		b := f.start("box-1-0", "zone-1", true)
 		f.run(time.Second)
 		is.True(b.synced)
 		is.True(!b.readLong)
 		f.run(3 * time.Second)
-		is.Equal(f.count(watches), 3)
+		is.Equal(f.count(polls), 3)
 	}
 }
