--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -41,12 +41,12 @@
 		return
 	}
 	weight := 1 - math.Exp(-now.Sub(f.at).Seconds()/fillSpan.Seconds())
-	f.value += max(weight, fillLeast) * (sample - f.value)
+	f.value += max(weight, minFillWeight) * (sample - f.value)
 	f.at = now
 }
 
-// fillLeast is the least weight of a new answer.
-const fillLeast = 0.002
+// minFillWeight is the least weight of a new answer.
+const minFillWeight = 0.002
 
 // now returns the average. It fades while nothing is told, so that a region that gets
 // nothing any more is tried again.
