--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -54,11 +54,11 @@
 	return f.value * math.Exp(-now.Sub(f.at).Seconds()/fillSpan.Seconds())
 }
 
-// wanted is the share that the load asks for, given that of the slots. Where the
+// targetShare is the share that the load asks for, given that of the slots. Where the
 // region's servers have requests waiting and others much less to do, keys leave it;
 // they come back when its servers have room. Customers that are bound to a region
 // fill its servers so, whoever else has keys there.
-func (f *fills) wanted(p *policy.Policy, share, bySlots float64, now time.Time) float64 {
+func (f *fills) targetShare(p *policy.Policy, share, bySlots float64, now time.Time) float64 {
 	near, far := f.near.now(now), f.far.now(now)
 	switch {
 	case near > p.NearFill && near > far+p.NearGap:
@@ -86,7 +86,7 @@
 		g.locals[regions] = l
 		return target
 	}
-	target = g.fills.wanted(&s.Policy, l.value, target, now)
+	target = g.fills.targetShare(&s.Policy, l.value, target, now)
 	step := s.Policy.ShareStep * s.Bounds.MaxShift * now.Sub(l.at).Seconds() / s.Bounds.ShiftWindow.Seconds()
 	l.value += max(-step, min(step, target-l.value))
 	l.at = now
--- a/pkg/backend/region_test.go
+++ b/pkg/backend/region_test.go
@@ -68,13 +68,13 @@
 	f := fills{near: fill{value: 1.5}, far: fill{value: 1.4}}
 	s, c := newTestSet(1)
 	f.near.at, f.far.at = c.now(), c.now()
-	is.Equal(f.wanted(&s.Policy, 0.4, 0.5, c.now()), 0.4)
+	is.Equal(f.targetShare(&s.Policy, 0.4, 0.5, c.now()), 0.4)
 	f.far.value = 1.9
-	is.Equal(f.wanted(&s.Policy, 0.4, 0.5, c.now()), 0.5)
+	is.Equal(f.targetShare(&s.Policy, 0.4, 0.5, c.now()), 0.5)
 	f.far.value = 0.5
-	is.Equal(f.wanted(&s.Policy, 0.4, 0.5, c.now()), 0.0)
+	is.Equal(f.targetShare(&s.Policy, 0.4, 0.5, c.now()), 0.0)
 	f.near.value = 0.8
-	is.Equal(f.wanted(&s.Policy, 0.4, 0.5, c.now()), 0.4)
+	is.Equal(f.targetShare(&s.Policy, 0.4, 0.5, c.now()), 0.4)
 }
 
 // TestAFullHomeTellsWhenItHasRoom: the more it has too much, the later, by how long its
