--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -138,7 +138,7 @@
 // is good until the next call.
 func (s *Set) candidates(g *group, r *Request, version versionChoice, now time.Time) (near, far []candidate) {
 	share := s.localShareOf(g, r, now)
-	stays := fraction(mix(r.Key+1)) < g.shareOfKind(share, r.LargeBody)
+	stays := fraction(mix(r.Key+1)) < g.shareBySize(share, r.LargeBody)
 	g.compareSpeeds(&s.Policy, now)
 	s.skippedBackoffs = skippedBackoffs{}
 	near, far, ok := s.shortCandidates(g, r, version, stays, now)
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -96,9 +96,9 @@
 // heavyWeight is the weight of a new request in the share of heavy ones.
 const heavyWeight = 0.005
 
-// shareOfKind divides the share of keys that stay in the region between heavy
+// shareBySize divides the share of keys that stay in the region between heavy
 // requests and others: heavy ones stay first. The sum remains the same.
-func (g *group) shareOfKind(share float64, heavy bool) float64 {
+func (g *group) shareBySize(share float64, heavy bool) float64 {
 	sample := 0.0
 	if heavy {
 		sample = 1
