--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -93,8 +93,8 @@
 	return l.value
 }
 
-// heavyWeight is the weight of a new request in the share of heavy ones.
-const heavyWeight = 0.005
+// largeBodyWeight is the weight of a new request in the share of heavy ones.
+const largeBodyWeight = 0.005
 
 // shareBySize divides the share of keys that stay in the region between heavy
 // requests and others: heavy ones stay first. The sum remains the same.
@@ -103,7 +103,7 @@
 	if heavy {
 		sample = 1
 	}
-	g.heavy += heavyWeight * (sample - g.heavy)
+	g.heavy += largeBodyWeight * (sample - g.heavy)
 	heavyShare := 1.0
 	if g.heavy > share {
 		heavyShare = share / g.heavy
