--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -103,15 +103,15 @@
 	if heavy {
 		sample = 1
 	}
-	g.heavy += largeBodyWeight * (sample - g.heavy)
+	g.largeBodies += largeBodyWeight * (sample - g.largeBodies)
 	heavyShare := 1.0
-	if g.heavy > share {
-		heavyShare = share / g.heavy
+	if g.largeBodies > share {
+		heavyShare = share / g.largeBodies
 	}
 	if heavy {
 		return heavyShare
 	}
-	return (share - g.heavy*heavyShare) / (1 - min(g.heavy, 0.99))
+	return (share - g.largeBodies*heavyShare) / (1 - min(g.largeBodies, 0.99))
 }
 
 // regionSlots is how many slots the servers of a region have that may get
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -148,9 +148,9 @@
 	typicalAt time.Time
 	// comparedAt is when the servers' speeds were last compared.
 	comparedAt time.Time
-	// heavy is the share of heavy requests, as a moving average.
-	heavy    float64
-	versions versionSlots
+	// largeBodies is the share of largeBodies requests, as a moving average.
+	largeBodies float64
+	versions    versionSlots
 	// index holds the servers for choices, if isIndexed; isWeighted: their weights are not all 1.
 	index      []indexEntry
 	isIndexed  bool
