--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -36,7 +36,7 @@
 	switch {
 	case result == Stale:
 		s.ReportFailure(FailureReport{Server: l.Incarnation(), Stale: true})
-	case (result == Unreachable || result == Refused) && now.Sub(s.zoneHeard[l.Zone]) < zoneAnswerMaxAge:
+	case (result == Unreachable || result == Refused) && now.Sub(s.zoneAnsweredAt[l.Zone]) < zoneAnswerMaxAge:
 		s.ReportFailure(FailureReport{Server: l.Incarnation()})
 	}
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -101,7 +101,7 @@
 		v.backoff.unproven = v.backoff.unproven && !l.trial
 		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
-		s.zoneHeard[l.Zone] = now
+		s.zoneAnsweredAt[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
 		if l.KeyKnown && l.InFlight < float64(l.Slots) {
 			v.speed.took(&s.Policy, now.Sub(l.start))
@@ -111,7 +111,7 @@
 	case Shed:
 		s.answeredAfterRefusal(v, now)
 		v.health.answeredAt = now
-		s.zoneHeard[l.Zone] = now
+		s.zoneAnsweredAt[l.Zone] = now
 		if !load.HasRoom() {
 			// It is full, whatever was believed before.
 			v.load.others = max(v.load.others, float64(v.Slots)*s.Policy.RefusedFill)
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -70,8 +70,8 @@
 	ReportFailure func(f FailureReport)
 
 	mu sync.Mutex
-	// zoneHeard is when a server of a zone last answered this box.
-	zoneHeard map[string]time.Time
+	// zoneAnsweredAt is when a server of a zone last answered this box.
+	zoneAnsweredAt map[string]time.Time
 	// near and far are the room of candidates, and resting what the last choice passed over.
 	near, far, zone []candidate
 	short           [3]shortList
@@ -161,22 +161,22 @@
 func NewSet(terms Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
 		Bounds: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
-		Peers:         func() (Peer, []Peer) { return Peer{}, nil },
-		Trusted:       func() bool { return true },
-		OnChange:      func(Server, string) {},
-		ReportFailure: func(FailureReport) {},
-		AnyLimited:    func() bool { return false },
-		HasLimit:      func(*Server) bool { return false },
-		Admit:         func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
-		Release:       func(*Server) {},
-		IsLeaving:     func(string) bool { return false },
-		zoneHeard:     map[string]time.Time{},
-		servers:       map[string]*server{},
-		services:      map[string]*group{},
-		evacuated:     map[string]bool{},
-		terms:         map[string]ColdStartConfig{},
-		backedOff:     map[*server]bool{},
-		missing:       map[string]*server{},
+		Peers:          func() (Peer, []Peer) { return Peer{}, nil },
+		Trusted:        func() bool { return true },
+		OnChange:       func(Server, string) {},
+		ReportFailure:  func(FailureReport) {},
+		AnyLimited:     func() bool { return false },
+		HasLimit:       func(*Server) bool { return false },
+		Admit:          func(*Server, bool, bool) (Admission, time.Duration) { return Unlimited, 0 },
+		Release:        func(*Server) {},
+		IsLeaving:      func(string) bool { return false },
+		zoneAnsweredAt: map[string]time.Time{},
+		servers:        map[string]*server{},
+		services:       map[string]*group{},
+		evacuated:      map[string]bool{},
+		terms:          map[string]ColdStartConfig{},
+		backedOff:      map[*server]bool{},
+		missing:        map[string]*server{},
 	}
 }
 
