--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.byIncarnation(life)
-	return v != nil && v.missing.IsZero() && v.Address == address
+	return v != nil && v.missingSince.IsZero() && v.Address == address
 }
 
 // MarkLeaving takes a life of a server to leave, whatever the list says of it: it gets nothing new, and
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -105,8 +105,8 @@
 	hash   uint64
 	group  *group
 
-	// missing is when the server vanished from a list that is not trusted.
-	missing time.Time
+	// missingSince is when the server vanished from a list that is not trusted.
+	missingSince time.Time
 	// stale: the address belongs to another server now.
 	stale bool
 	// leaving: it has said that it leaves, in answers.
@@ -254,7 +254,7 @@
 		s.markCold(old, v.ColdFor)
 	}
 	old.region = s.RegionOf(v.Zone)
-	old.missing = time.Time{}
+	old.missingSince = time.Time{}
 	delete(s.missing, v.ID)
 	s.join(old)
 	old.group.changed = true
@@ -307,8 +307,8 @@
 		s.OnChange(v.Server, "gone")
 		return
 	}
-	if v.missing.IsZero() {
-		v.missing = s.Now()
+	if v.missingSince.IsZero() {
+		v.missingSince = s.Now()
 		s.missing[id] = v
 		s.OnChange(v.Server, "missing")
 	}
@@ -352,7 +352,7 @@
 	defer s.mu.Unlock()
 	list := make([]Server, 0, len(s.servers))
 	for _, v := range s.servers {
-		if v.missing.IsZero() {
+		if v.missingSince.IsZero() {
 			out := v.Server
 			out.ColdFor = max(0, v.coldUntil.Sub(s.Now()))
 			list = append(list, out)
@@ -381,5 +381,5 @@
 
 // forgotten reports whether the server has been missing for too long.
 func (s *Set) forgotten(v *server) bool {
-	return !v.missing.IsZero() && s.Now().Sub(v.missing) > s.Bounds.MissingTTL
+	return !v.missingSince.IsZero() && s.Now().Sub(v.missingSince) > s.Bounds.MissingTTL
 }
