--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -118,13 +118,13 @@
 // cold, while the list still has the entry of before. A server that does not tell its starts
 // apart has another ID with each.
 func (s *Set) mayHaveRestarted(v *server, now time.Time) bool {
-	return v.StartedAtMs != 0 && !v.refused.IsZero() && now.Sub(v.refused) < restartWindow
+	return v.StartedAtMs != 0 && !v.refusedAt.IsZero() && now.Sub(v.refusedAt) < restartWindow
 }
 
 // isProbed reports whether a request is on its way that finds out whether such a server is there
 // again, where the list cannot tell later either: one request of this box at a time does.
 func (s *Set) isProbed(v *server, now time.Time) bool {
-	return v.StartedAtMs != 0 && !v.refused.IsZero() && !s.mayHaveRestarted(v, now) && !s.Trusted() && v.load.own > 0
+	return v.StartedAtMs != 0 && !v.refusedAt.IsZero() && !s.mayHaveRestarted(v, now) && !s.Trusted() && v.load.own > 0
 }
 
 // answeredAfterRefusal notes that a server answers whose port had refused. A list that can be trusted tells
@@ -132,10 +132,10 @@
 // known.
 func (s *Set) answeredAfterRefusal(v *server, now time.Time) {
 	trusted := s.Trusted()
-	if v.refused.IsZero() || trusted && s.mayHaveRestarted(v, now) {
+	if v.refusedAt.IsZero() || trusted && s.mayHaveRestarted(v, now) {
 		return
 	}
-	v.refused = time.Time{}
+	v.refusedAt = time.Time{}
 	if v.StartedAtMs != 0 && !trusted {
 		s.markCold(v, s.terms[v.Service].ColdStart)
 	}
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -118,12 +118,12 @@
 			v.load.at = now
 		}
 	case Refused:
-		v.refused = now
+		v.refusedAt = now
 		rests = v.health.failed(&s.Policy, now, s.Policy.FailuresToRest)
 	case Unreachable:
 		rests = v.health.failed(&s.Policy, now, s.Policy.FailuresToRest)
 	case Crashed:
-		v.refused = now
+		v.refusedAt = now
 		rests = v.health.failed(&s.Policy, now, 1)
 	case Broken:
 		rests = v.health.failed(&s.Policy, now, 1)
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -113,9 +113,9 @@
 	leaving bool
 
 	coldUntil time.Time
-	// refused is when its port last refused a connection, or it crashed under a request; see
+	// refusedAt is when its port last refusedAt a connection, or it crashed under a request; see
 	// mayHaveStartedAgain.
-	refused   time.Time
+	refusedAt time.Time
 	coldSends []time.Time
 	// coldPlace is this box's place among those that may send to the server while it is cold, as of
 	// coldPlaceAt.
