--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -19,8 +19,8 @@
 // costs the keys that move first uses, and the server at most leastWeight.
 
 const (
-	// leastCompared is how many servers make a typical one.
-	leastCompared = 3
+	// minCompared is how many servers make a typical one.
+	minCompared = 3
 	// stepBand is how far, in steps, a server must be from its step to get
 	// another one; half a step would swing between two.
 	stepBand = 0.75
@@ -81,7 +81,7 @@
 			means = append(means, v.speed.mean)
 		}
 	}
-	if len(means) < leastCompared {
+	if len(means) < minCompared {
 		return
 	}
 	slices.Sort(means)
