--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -21,9 +21,9 @@
 const (
 	// minCompared is how many servers make a typical one.
 	minCompared = 3
-	// stepBand is how far, in steps, a server must be from its step to get
+	// stepHysteresis is how far, in steps, a server must be from its step to get
 	// another one; half a step would swing between two.
-	stepBand = 0.75
+	stepHysteresis = 0.75
 	// leastWeight and mostWeight bound a server's part of the keys against
 	// that of a typical one: a server far off these is slow, or the others are.
 	leastWeight = 0.25
@@ -59,7 +59,7 @@
 // compare finds the server's step, given how long a typical one takes, and returns its part.
 func (s *speed) compare(p *policy.Policy, typical float64) (part float64) {
 	steps := math.Log(s.mean/typical) / math.Log(p.SpeedStep)
-	if math.Abs(steps-s.steps) > stepBand {
+	if math.Abs(steps-s.steps) > stepHysteresis {
 		s.steps = math.Round(steps)
 		s.part = max(leastWeight, min(mostWeight, math.Pow(p.SpeedStep, -s.steps)))
 	}
