--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -24,10 +24,10 @@
 	// stepHysteresis is how far, in steps, a server must be from its step to get
 	// another one; half a step would swing between two.
 	stepHysteresis = 0.75
-	// leastWeight and mostWeight bound a server's part of the keys against
+	// minWeight and mostWeight bound a server's part of the keys against
 	// that of a typical one: a server far off these is slow, or the others are.
-	leastWeight = 0.25
-	mostWeight  = 4
+	minWeight  = 0.25
+	mostWeight = 4
 )
 
 // speed is how fast a server is.
@@ -61,7 +61,7 @@
 	steps := math.Log(s.mean/typical) / math.Log(p.SpeedStep)
 	if math.Abs(steps-s.steps) > stepHysteresis {
 		s.steps = math.Round(steps)
-		s.part = max(leastWeight, min(mostWeight, math.Pow(p.SpeedStep, -s.steps)))
+		s.part = max(minWeight, min(mostWeight, math.Pow(p.SpeedStep, -s.steps)))
 	}
 	return s.part
 }
