--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -26,8 +26,8 @@
 	stepHysteresis = 0.75
 	// minWeight and mostWeight bound a server's part of the keys against
 	// that of a typical one: a server far off these is slow, or the others are.
-	minWeight  = 0.25
-	mostWeight = 4
+	minWeight = 0.25
+	maxWeight = 4
 )
 
 // speed is how fast a server is.
@@ -61,7 +61,7 @@
 	steps := math.Log(s.mean/typical) / math.Log(p.SpeedStep)
 	if math.Abs(steps-s.steps) > stepHysteresis {
 		s.steps = math.Round(steps)
-		s.part = max(minWeight, min(mostWeight, math.Pow(p.SpeedStep, -s.steps)))
+		s.part = max(minWeight, min(maxWeight, math.Pow(p.SpeedStep, -s.steps)))
 	}
 	return s.part
 }
--- a/pkg/backend/speed_test.go
+++ b/pkg/backend/speed_test.go
@@ -94,7 +94,7 @@
 		c.advance(time.Minute)
 		g.compareSpeeds(&s.Policy, c.at)
 		for _, v := range g.servers {
-			if w := v.speed.weight(); !(w >= minWeight && w <= mostWeight) {
+			if w := v.speed.weight(); !(w >= minWeight && w <= maxWeight) {
 				t.Fatalf("%s: weight %v", v.ID, w)
 			}
 		}
