--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -30,7 +30,7 @@
 			v.health.ejectedUntil = c.at.Add(time.Second)
 		}
 		if r.Float64() < 0.2 {
-			v.speed.part = 0.5 + r.Float64()
+			v.speed.keyWeight = 0.5 + r.Float64()
 		}
 		v.load.own = r.IntN(12)
 	}
--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -37,8 +37,8 @@
 	answers int
 	// steps is by how many steps it is slower than a typical one.
 	steps float64
-	// part is its part of the keys against that of a typical one, 0 for 1.
-	part float64
+	// keyWeight is its keyWeight of the keys against that of a typical one, 0 for 1.
+	keyWeight float64
 }
 
 // took takes in an answer for a key that the server knew, while it had a free
@@ -50,10 +50,10 @@
 
 // weight is the server's part of the keys against that of a typical one.
 func (s *speed) weight() float64 {
-	if s.part == 0 {
+	if s.keyWeight == 0 {
 		return 1
 	}
-	return s.part
+	return s.keyWeight
 }
 
 // compare finds the server's step, given how long a typical one takes, and returns its part.
@@ -61,9 +61,9 @@
 	steps := math.Log(s.mean/typical) / math.Log(p.SpeedStep)
 	if math.Abs(steps-s.steps) > stepHysteresis {
 		s.steps = math.Round(steps)
-		s.part = max(minWeight, min(maxWeight, math.Pow(p.SpeedStep, -s.steps)))
+		s.keyWeight = max(minWeight, min(maxWeight, math.Pow(p.SpeedStep, -s.steps)))
 	}
-	return s.part
+	return s.keyWeight
 }
 
 // compareEvery is how often speeds are compared. They change slowly.
@@ -88,7 +88,7 @@
 	typical := means[len(means)/2]
 	for _, v := range g.servers {
 		if v.speed.answers >= p.SpeedAnswers && typical > 0 {
-			if before := v.speed.part; before != v.speed.compare(p, typical) {
+			if before := v.speed.keyWeight; before != v.speed.compare(p, typical) {
 				g.isIndexed = false
 			}
 		}
--- a/pkg/backend/speed_test.go
+++ b/pkg/backend/speed_test.go
@@ -118,7 +118,7 @@
 	for i := range before {
 		before[i] = home(mix(uint64(i)))
 	}
-	s.servers["east-a-3"].speed.part = 0.5
+	s.servers["east-a-3"].speed.keyWeight = 0.5
 	kept, given := 0, 0
 	for i := range before {
 		after := home(mix(uint64(i)))
