--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -104,7 +104,7 @@
 		s.zoneAnsweredAt[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
 		if l.KeyKnown && l.InFlight < float64(l.Slots) {
-			v.speed.took(&s.Policy, now.Sub(l.start))
+			v.speed.addAnswer(&s.Policy, now.Sub(l.start))
 		}
 		v.keys.answered(l.key)
 		s.clearSuspicion(v, now)
--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -41,9 +41,9 @@
 	keyWeight float64
 }
 
-// took takes in an answer for a key that the server knew, while it had a free
+// addAnswer takes in an answer for a key that the server knew, while it had a free
 // slot.
-func (s *speed) took(p *policy.Policy, d time.Duration) {
+func (s *speed) addAnswer(p *policy.Policy, d time.Duration) {
 	s.answers++
 	s.mean += max(p.SpeedWeight, 1/float64(s.answers)) * (d.Seconds() - s.mean)
 }
--- a/pkg/backend/speed_test.go
+++ b/pkg/backend/speed_test.go
@@ -88,7 +88,7 @@
 		g := s.services["shop"]
 		for _, v := range g.servers {
 			for range rapid.IntRange(0, 40).Draw(t, "answers") {
-				v.speed.took(&s.Policy, time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "took")))
+				v.speed.addAnswer(&s.Policy, time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "took")))
 			}
 		}
 		c.advance(time.Minute)
