--- a/pkg/backend/spill.go
+++ b/pkg/backend/spill.go
@@ -11,9 +11,9 @@
 type spillGuard struct {
 	requests [2 * spillBuckets]int
 	spilled  [2 * spillBuckets]int
-	// began is when the first request was counted; buckets are counted from then on.
-	began time.Time
-	at    int64
+	// startedAt is when the first request was counted; buckets are counted from then on.
+	startedAt time.Time
+	at        int64
 }
 
 // request counts a request.
@@ -51,10 +51,10 @@
 }
 
 func (g *spillGuard) advance(terms *Bounds, now time.Time) {
-	if g.began.IsZero() {
-		g.began = now
+	if g.startedAt.IsZero() {
+		g.startedAt = now
 	}
-	at := int64(now.Sub(g.began) / (terms.ShiftWindow / spillBuckets))
+	at := int64(now.Sub(g.startedAt) / (terms.ShiftWindow / spillBuckets))
 	size := int64(len(g.requests))
 	for steps := int64(0); g.at < at && steps < size; steps++ {
 		g.at++
