--- a/pkg/backend/version.go
+++ b/pkg/backend/version.go
@@ -12,8 +12,8 @@
 // versionSlots are the slots of a service's servers that may get requests and are not cold, of a version and of
 // the others.
 type versionSlots struct {
-	fresh, others float64
-	at            time.Time
+	ofVersion, others float64
+	at                time.Time
 }
 
 // freshShare bounds the share of requests for a version by its slots against those of the others: its servers
@@ -30,16 +30,16 @@
 			switch {
 			case !s.usable(server) || now.Before(server.coldUntil):
 			case server.Version == rule.Version:
-				v.fresh += float64(server.Slots)
+				v.ofVersion += float64(server.Slots)
 			default:
 				v.others += float64(server.Slots)
 			}
 		}
 	}
-	if v.fresh >= v.others {
+	if v.ofVersion >= v.others {
 		return rule.Share
 	}
-	return min(rule.Share, v.fresh/v.others)
+	return min(rule.Share, v.ofVersion/v.others)
 }
 
 // SetVersions sets which services are being moved to a version of their servers.
