--- a/pkg/backend/version.go
+++ b/pkg/backend/version.go
@@ -16,9 +16,9 @@
 	at                time.Time
 }
 
-// freshShare bounds the share of requests for a version by its slots against those of the others: its servers
+// versionShare bounds the share of requests for a version by its slots against those of the others: its servers
 // start one after the other, and the first ones would get what is meant for all.
-func (s *Set) freshShare(g *group, rule *rollout.Rule, now time.Time) float64 {
+func (s *Set) versionShare(g *group, rule *rollout.Rule, now time.Time) float64 {
 	if rule.Share >= 1 {
 		// The others stop.
 		return 1
@@ -65,7 +65,7 @@
 		return versionChoice{}
 	}
 	s.versionDraws++
-	return versionChoice{rule: &rule, isNew: !rule.Barred && fraction(mix(s.versionDraws)) < s.freshShare(g, &rule, now)}
+	return versionChoice{rule: &rule, isNew: !rule.Barred && fraction(mix(s.versionDraws)) < s.versionShare(g, &rule, now)}
 }
 
 // allows reports whether the request may go to the server.
