--- a/pkg/backend/version.go
+++ b/pkg/backend/version.go
@@ -52,8 +52,8 @@
 // versionChoice is which of a service's servers a request may go to, by their version.
 type versionChoice struct {
 	rule *rollout.Rule
-	// isNew: servers of the new version, else the others.
-	isNew bool
+	// isVersion: servers of the new version, else the others.
+	isVersion bool
 }
 
 // versionOf decides which servers the request goes to. It is drawn for each request and not for each key:
@@ -65,12 +65,12 @@
 		return versionChoice{}
 	}
 	s.versionDraws++
-	return versionChoice{rule: &rule, isNew: !rule.Barred && fraction(mix(s.versionDraws)) < s.versionShare(g, &rule, now)}
+	return versionChoice{rule: &rule, isVersion: !rule.Barred && fraction(mix(s.versionDraws)) < s.versionShare(g, &rule, now)}
 }
 
 // allows reports whether the request may go to the server.
 func (c versionChoice) allows(v *server) bool {
-	return c.rule == nil || (v.Version == c.rule.Version) == c.isNew
+	return c.rule == nil || (v.Version == c.rule.Version) == c.isVersion
 }
 
 // other returns the choice for where no such server is left, and reports whether there is one: what is
@@ -79,6 +79,6 @@
 	if c.rule == nil || c.rule.Barred {
 		return c, false
 	}
-	c.isNew = !c.isNew
+	c.isVersion = !c.isVersion
 	return c, true
 }
