--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -75,7 +75,7 @@
 			return nil, s.allEjected(r.Service, now, near, far)
 		}
 		if best.fill() >= limit {
-			best.order.record(&s.Policy, r.Priority, best.fill(), now)
+			best.shortages.record(&s.Policy, r.Priority, best.fill(), now)
 			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.retryAfter(limit, g.typicalLatency(now))}
 		}
 		admission, roomIn := s.admit(best, r, now)
@@ -83,7 +83,7 @@
 			return nil, &ChoiceError{Reason: AdmissionPending, Service: r.Service, Server: best.Server}
 		}
 		if admission == Denied {
-			best.order.record(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
+			best.shortages.record(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
 			best.skipped = true
 			denied.add(roomIn)
 			if denied.count == maxDenied {
@@ -92,7 +92,7 @@
 			}
 			continue
 		}
-		best.order.record(&s.Policy, r.Priority, best.fill(), now)
+		best.shortages.record(&s.Policy, r.Priority, best.fill(), now)
 		l := s.lease(best, place, r.Key, now)
 		l.Metered, l.Denied, l.BackedOff = admission == Granted, denied.count, s.skippedBackoffs.count
 		return l, nil
@@ -261,7 +261,7 @@
 func (s *Set) pick(near, far []candidate, r *Request, short bool, now time.Time) (best *candidate, place int, limit float64) {
 	best, place = s.home(near, r.Key)
 	if best != nil {
-		limit = best.order.limit(&s.Policy, r.Priority, now)
+		limit = best.shortages.limit(&s.Policy, r.Priority, now)
 		if best.fill() < limit && !best.lastResort() {
 			return best, place, limit
 		}
@@ -269,7 +269,7 @@
 	other, otherPlace := s.home(far, r.Key)
 	if best == nil && !short {
 		if other != nil {
-			limit = other.order.limit(&s.Policy, r.Priority, now)
+			limit = other.shortages.limit(&s.Policy, r.Priority, now)
 		}
 		return other, otherPlace, limit
 	}
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -72,5 +72,5 @@
 	if r.GrantedBy != "" && r.GrantedBy == c.Incarnation() {
 		return Granted, 0
 	}
-	return s.Admit(&c.Server, !r.AdmissionAsked, c.order.yieldsToken(r.Priority, now))
+	return s.Admit(&c.Server, !r.AdmissionAsked, c.shortages.yieldsToken(r.Priority, now))
 }
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -128,9 +128,9 @@
 	load        loadEstimate
 	// keys is nil until the server is sent its first request: most boxes of a
 	// zone serve no clients.
-	keys  *keyTable
-	speed speed
-	order shortages
+	keys      *keyTable
+	speed     speed
+	shortages shortages
 }
 
 // group is the servers of one service.
