--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// lose makes an exchange with the server end with the result.
-func lose(s *Set, id string, result Result) {
+// endExchange makes an exchange with the server end with the result.
+func endExchange(s *Set, id string, result Result) {
 	s.mu.Lock()
 	lease := s.lease(&candidate{server: s.servers[id]}, 0, 1, s.Now())
 	s.mu.Unlock()
@@ -24,16 +24,16 @@
 	s.Replace(servers("east-a", 3, 4), true)
 	var told []FailureReport
 	s.ReportFailure = func(f FailureReport) { told = append(told, f) }
-	lose(s, "east-a-0", Stale)
+	endExchange(s, "east-a-0", Stale)
 	is.Equal(told, []FailureReport{{Server: "east-a-0", Stale: true}})
 	told = nil
-	lose(s, "east-a-1", Unreachable) // nothing was heard of the zone
-	lose(s, "east-a-2", Answered)
+	endExchange(s, "east-a-1", Unreachable) // nothing was heard of the zone
+	endExchange(s, "east-a-2", Answered)
 	c.advance(zoneAnswerMaxAge)
-	lose(s, "east-a-1", Unreachable) // nor lately
+	endExchange(s, "east-a-1", Unreachable) // nor lately
 	is.Equal(len(told), 0)
-	lose(s, "east-a-2", Answered)
-	lose(s, "east-a-1", Unreachable)
+	endExchange(s, "east-a-2", Answered)
+	endExchange(s, "east-a-1", Unreachable)
 	is.Equal(told, []FailureReport{{Server: "east-a-1"}})
 }
 
@@ -65,11 +65,11 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
-	lose(s, "east-a-0", Answered)
+	endExchange(s, "east-a-0", Answered)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0"})
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-0"})
 	is.True(!s.servers["east-a-0"].health.ejected(c.at))
-	lose(s, "east-a-1", Broken)
+	endExchange(s, "east-a-1", Broken)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
 	is.True(s.servers["east-a-1"].health.ejected(c.at))
 }
--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -20,7 +20,7 @@
 	again, err := choose(s, 7)
 	is.NoErr(err)
 	again.Done(Answered, &Load{Running: 4, Waiting: 8, Slots: 4})
-	lose(s, first.ID, Unreachable)
+	endExchange(s, first.ID, Unreachable)
 	s.ApplyFailureReport("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
 	_, err = choose(s, 7)
 	is.True(err != nil)
@@ -84,7 +84,7 @@
 			return n
 		}
 		s.Put(v)
-		lose(s, v.ID, result)
+		endExchange(s, v.ID, result)
 		c.advance(3 * time.Second) // its rest is over
 		s.Put(v)                   // and its entry as it was
 		is.True(sent(time.Second) <= 5)
@@ -92,13 +92,13 @@
 		renewed.StartedAtMs = 2000
 		s.Put(renewed)
 		is.Equal(sent(time.Second), 100)
-		lose(s, v.ID, result)
+		endExchange(s, v.ID, result)
 		c.advance(restartWindow)
 		is.Equal(sent(time.Second), 100) // it was the same one
 		// Without word of its starts each has an id of its own.
 		v.StartedAtMs = 0
 		s.Put(v)
-		lose(s, v.ID, result)
+		endExchange(s, v.ID, result)
 		c.advance(3 * time.Second)
 		is.Equal(sent(time.Second), 100)
 	}
@@ -114,7 +114,7 @@
 	v := servers("east-a", 1, 4)[0]
 	v.StartedAtMs = 1000
 	s.Put(v)
-	lose(s, v.ID, Refused)
+	endExchange(s, v.ID, Refused)
 	c.advance(restartWindow)
 	first, err := choose(s, 7)
 	is.NoErr(err)
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -570,7 +570,7 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
 	for _, id := range []string{"east-a-0", "east-a-1"} {
-		lose(s, id, Unreachable)
+		endExchange(s, id, Unreachable)
 		c.advance(100 * time.Millisecond)
 	}
 	_, err := choose(s, 1)
