--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// playCold has a fleet of boxes, two zones of each of three regions, send all that they may to one cold server
+// simulateCold has a fleet of boxes, two zones of each of three regions, send all that they may to one cold server
 // for three seconds, and returns the most requests in a second, and all. Of each zone one box in so many
 // gets clients.
-func playCold(t *testing.T, boxes, oneIn int) (most, all int) {
+func simulateCold(t *testing.T, boxes, oneIn int) (most, all int) {
 	t.Helper()
 	zones := []string{"east-a", "east-b", "west-a", "west-b", "north-a", "north-b"}
 	c := &clock{at: time.Unix(1000, 0)}
@@ -101,7 +101,7 @@
 func TestColdServerIsWarmedByFleetsOfAnySize(t *testing.T) {
 	for _, boxes := range []int{1, 6, 12, 21, 22, 74, 300, 1000} {
 		is := is.New(t)
-		most, all := playCold(t, boxes, 1)
+		most, all := simulateCold(t, boxes, 1)
 		t.Logf("%d boxes: at most %d requests in a second, %d in three", boxes, most, all)
 		is.True(most <= 21)
 		is.True(all >= 3*21/4) // a quarter of what it bears, at least
@@ -114,7 +114,7 @@
 func TestColdServerIsWarmedByBoxesThatServe(t *testing.T) {
 	for _, boxes := range []int{74, 300, 1000, 3000} {
 		is := is.New(t)
-		most, all := playCold(t, boxes, 10)
+		most, all := simulateCold(t, boxes, 10)
 		t.Logf("%d boxes: at most %d requests in a second, %d in three", boxes, most, all)
 		is.True(most <= 21)
 		is.True(all >= min(3*21/4, 3*boxes/10/2))
