--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -152,9 +152,9 @@
 	}
 }
 
-// playLimited plays ten seconds in which two kinds of requests ask a server for four times the
+// simulateLimited plays ten seconds in which two kinds of requests ask a server for four times the
 // requests a second that it says it takes, and returns which share of each it gets.
-func playLimited(t *testing.T, urgent, other int) (urgentShare, otherShare float64) {
+func simulateLimited(t *testing.T, urgent, other int) (urgentShare, otherShare float64) {
 	t.Helper()
 	const perSecond, each = 20, 40
 	s, c, rs := newLimitedSet(map[string]int{"east-a-0": 0})
@@ -182,12 +182,12 @@
 // get most, others no less than a quarter as large a share, and those of one rank the same.
 func TestLimitServesTheMoreUrgentFirst(t *testing.T) {
 	is := is.New(t)
-	urgent, other := playLimited(t, 0, 2)
+	urgent, other := simulateLimited(t, 0, 2)
 	t.Logf("%.2f of the urgent requests, %.2f of others", urgent, other)
 	is.True(urgent >= 1.5*other)
 	is.True(other >= urgent/4)
 	is.True(urgent+other > 0.45) // of the half that the server takes
-	one, another := playLimited(t, 1, 1)
+	one, another := simulateLimited(t, 1, 1)
 	t.Logf("%.2f and %.2f of requests of one rank", one, another)
 	is.True(one < 1.2*another && another < 1.2*one)
 }
