--- a/pkg/backend/order_test.go
+++ b/pkg/backend/order_test.go
@@ -37,11 +37,11 @@
 	is.Equal(o.limit(&p, 2, now), p.FullFill)
 }
 
-// playShortage plays ten seconds in which two kinds of requests ask a server of four slots for
+// simulateShortage plays ten seconds in which two kinds of requests ask a server of four slots for
 // four times what it can do, each request taking 100 ms, and returns which share of each was
 // answered within 250 ms. Of the second kind one in a number of requests is sent, which leaves
 // the whole above twice what the server can do.
-func playShortage(t *testing.T, urgent, other, oneIn int) (urgentShare, otherShare float64) {
+func simulateShortage(t *testing.T, urgent, other, oneIn int) (urgentShare, otherShare float64) {
 	t.Helper()
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 1, 4), true)
@@ -104,10 +104,10 @@
 // got nothing at all while more urgent ones took all that there is was seen here first.
 func TestShortageServesTheMoreUrgentFirst(t *testing.T) {
 	is := is.New(t)
-	a, b := playShortage(t, 1, 1, 1)
+	a, b := simulateShortage(t, 1, 1, 1)
 	t.Logf("equal: %.2f and %.2f in time", a, b)
 	is.True(a-b < 0.05 && b-a < 0.05)
-	urgent, other := playShortage(t, 1, 2, 1)
+	urgent, other := simulateShortage(t, 1, 2, 1)
 	t.Logf("urgent %.2f, others %.2f in time", urgent, other)
 	is.True(urgent > 1.5*other)
 	is.True(other > 0.25*(urgent+other)/2)
@@ -118,7 +118,7 @@
 // a ninth of what the other does is served as often, by the share of its requests.
 func TestShortageServesSmallCustomersAsWell(t *testing.T) {
 	is := is.New(t)
-	large, small := playShortage(t, 1, 1, 9)
+	large, small := simulateShortage(t, 1, 1, 9)
 	t.Logf("large %.2f, small %.2f in time", large, small)
 	is.True(small > 0.5*large)
 	is.True(large > 0.5*small)
