--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// drawSet makes a set in a state of chance: servers that are cold, have failed, drain, are of unlike speed.
-func drawSet(r *rand.Rand) (*Set, *clock) {
+// randomSet makes a set in a state of chance: servers that are cold, have failed, drain, are of unlike speed.
+func randomSet(r *rand.Rand) (*Set, *clock) {
 	s, c := newTestSet(1)
 	var list []Server
 	for _, zone := range []string{"east-a", "east-b", "west-a", "north-a"} {
@@ -58,7 +58,7 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	short := 0
 	for range 3000 {
-		s, c := drawSet(r)
+		s, c := randomSet(r)
 		g := s.services["shop"]
 		request := &Request{Service: "shop", Key: r.Uint64(), LargeBody: r.IntN(3) == 0, RegionAllowed: anyRegion}
 		for range r.IntN(3) {
