--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -8,17 +8,17 @@
 	"github.com/matryer/is"
 )
 
-// rooms are the limits of a test's servers: how many requests each takes yet.
-type rooms struct {
+// fakeLimits are the limits of a test's servers: how many requests each takes yet.
+type fakeLimits struct {
 	left map[string]int
 	// open: whether a server has room is not known where it may be asked.
 	open     bool
 	released []string
 }
 
-func newLimitedSet(left map[string]int) (*Set, *clock, *rooms) {
+func newLimitedSet(left map[string]int) (*Set, *clock, *fakeLimits) {
 	s, c := newTestSet(1)
-	rs := &rooms{left: left}
+	rs := &fakeLimits{left: left}
 	s.AnyLimited = func() bool { return true }
 	s.HasLimit = func(v *Server) bool {
 		_, limited := rs.left[v.ID]
