--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -3,10 +3,10 @@
 import "strings"
 
 // byIncarnation returns the server of a life, nil if that is not known.
-func (s *Set) byIncarnation(life string) *server {
-	id, _, _ := strings.Cut(life, incarnationSeparator)
+func (s *Set) byIncarnation(incarnation string) *server {
+	id, _, _ := strings.Cut(incarnation, incarnationSeparator)
 	v := s.servers[id]
-	if v == nil || v.Incarnation() != life {
+	if v == nil || v.Incarnation() != incarnation {
 		return nil
 	}
 	return v
