--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -21,10 +21,10 @@
 }
 
 // HasIncarnation reports whether the life of a server is known, see Server.Life.
-func (s *Set) HasIncarnation(life string) bool {
+func (s *Set) HasIncarnation(incarnation string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.byIncarnation(life) != nil
+	return s.byIncarnation(incarnation) != nil
 }
 
 // IsListedAt reports whether the life of a server is listed at an address now.
