--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -28,10 +28,10 @@
 }
 
 // IsListedAt reports whether the life of a server is listed at an address now.
-func (s *Set) IsListedAt(life, address string) bool {
+func (s *Set) IsListedAt(incarnation, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.byIncarnation(life)
+	v := s.byIncarnation(incarnation)
 	return v != nil && v.missingSince.IsZero() && v.Address == address
 }
 
