--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -38,10 +38,10 @@
 // MarkLeaving takes a life of a server to leave, whatever the list says of it: it gets nothing new, and
 // what waits to be sent to it goes elsewhere. The platform's store may be silent, and its list
 // say that the server is ready, for as long as that lasts.
-func (s *Set) MarkLeaving(life string) {
+func (s *Set) MarkLeaving(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.byIncarnation(life)
+	v := s.byIncarnation(incarnation)
 	if v == nil || v.leaving {
 		return
 	}
