--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -28,10 +28,10 @@
 
 // BackOff has a life of a server get nothing from this box for a time, or for the rest of a longer one,
 // and reports whether that began now.
-func (s *Set) BackOff(life string, d time.Duration) (began bool) {
+func (s *Set) BackOff(incarnation string, d time.Duration) (began bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.byIncarnation(life)
+	v := s.byIncarnation(incarnation)
 	if v == nil || d <= 0 {
 		return false
 	}
