--- a/pkg/backend/leaving_test.go
+++ b/pkg/backend/leaving_test.go
@@ -40,7 +40,7 @@
 func TestServerThatLeavesIsKnownBeforeItIsListed(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
-	s.IsLeaving = func(life string) bool { return life == "east-a-0@7" }
+	s.IsLeaving = func(incarnation string) bool { return incarnation == "east-a-0@7" }
 	list := servers("east-a", 1, 4)
 	list[0].StartedAtMs = 7
 	s.MarkLeaving("east-a-0@7") // nothing to do yet
