--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -64,7 +64,7 @@
 	Release    func(server *Server)
 	// IsLeaving reports whether a life of a server has said that it leaves; see Leave. It runs under
 	// the set's lock and must not call it.
-	IsLeaving func(life string) bool
+	IsLeaving func(incarnation string) bool
 	// ReportFailure is told what other boxes should know of a server. It runs under the
 	// set's lock and must not call it.
 	ReportFailure func(f FailureReport)
