--- a/pkg/steering/steering_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 	}
 	order, err := n.adapter.Rollout(o)
 	if err != nil {
-		n.unreadObject(log, err)
+		n.noteUnreadObject(log, err)
 		return
 	}
 	n.Rollouts.Set(order)
@@ -48,7 +48,7 @@
 
 // noteOutcome counts how a server has dealt with a request.
 func (n *Node) noteAttempt(route string, lease *backend.Lease, a ingress.Attempt) {
-	n.Rollouts.Note(rollout.Outcome{
+	n.Rollouts.Observe(rollout.Outcome{
 		Service: lease.Service, Route: route, Version: lease.Version, Failed: a.Failed, Late: a.Late, Known: lease.KeyKnown, Took: a.Took,
 	})
 }
@@ -61,7 +61,7 @@
 	}
 	changes := n.Rollouts.Changes()
 	n.Set.SetVersions(n.Rollouts.Rules())
-	tellBoxes(n, rollout.Wire, "rollouts.sent", n.judges(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
+	sendMessages(n, rollout.Wire, "rollouts.sent", n.judges(), n.Rollouts.Reports(), func(*rollout.Report) int { return 1 })
 	if self := n.Members.Self(); self.StoreHealthy {
 		for i := range changes {
 			n.noteState(&changes[i])
@@ -87,7 +87,7 @@
 	err := n.store.SetStatus(ctx, n.adapter.Kinds.Rollouts, c.Order.Service, c.Order.Revision, n.adapter.RolloutStatus(c))
 	fields := map[string]any{
 		"service": c.Order.Service, "version": c.Order.Version, "state": string(c.State), "revision": c.Order.Revision,
-		"route": c.Why.Route, "bad_share": c.Why.Share, "slower": c.Why.Slower,
+		"route": c.Verdict.Route, "bad_share": c.Verdict.BadShare, "slower": c.Verdict.Slowdown,
 	}
 	var conflict *objects.ConflictError
 	switch {
@@ -106,8 +106,8 @@
 func (n *Node) receiveReport(datagram []byte, from *net.UDPAddr) {
 	r, err := rollout.Wire.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
-	n.Rollouts.Learn(r)
+	n.Rollouts.AddReport(r)
 }
--- a/pkg/steering/steering_store.go
+++ b/pkg/node/node_store.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"fmt"
@@ -23,13 +23,13 @@
 	}
 	n.store = n.adapter.Store(s.Platform.Address, n.dialPeer, func(verb string) {
 		metrics.GetOrRegisterCounter("store."+verb, n.Metrics).Inc(1)
-	}, func(err error) { n.unreadObject(log, err) })
+	}, func(err error) { n.noteUnreadObject(log, err) })
 	n.Replica = replica.New(replica.Options{
-		Kinds: kinds, Zone: s.Zone, Contact: s.Bounds.Contact, Drain: s.Bounds.Drain,
+		Kinds: kinds, Zone: s.Zone, ContactWindow: s.Bounds.Contact, DrainTime: s.Bounds.Drain,
 		Client:  n.store,
 		Members: n.Members, Fetch: n.fetchMirror, Now: n.Clock.Now,
 		WatchersPerZone: func() int { return n.policy.Load().WatchersPerZone },
-		Answered:        n.checkReady,
+		OnAnswer:        n.checkReady,
 		Go:              n.background.Go, Context: n.context,
 		Metrics: n.Metrics, BoxLog: n.log, StoreLog: log,
 	})
@@ -46,7 +46,7 @@
 		n.Replica.OnChange(kind, func(o objects.Object, gone bool) {
 			changed(o, gone)
 			if !gone && kind != kinds.Servers {
-				n.noteFields(kind, o)
+				n.logUnreadFields(kind, o)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	n.Set.SetServices(terms)
 	n.Quota.SetCustomers(c.Customers)
 	n.table.Store(t)
-	n.ports.limit(c.Limits)
+	n.ports.setLimits(c.Limits)
 	log.Info("configuration in force", map[string]any{"version": c.Version, "revision": o.Revision, "routes": len(c.Routes), "customers": len(c.Customers)})
 }
 
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// unreadObject notes an object of the store that cannot be read; the others hold.
-func (n *Node) unreadObject(log *logging.Part, err error) {
+// noteUnreadObject notes an object of the store that cannot be read; the others hold.
+func (n *Node) noteUnreadObject(log *logging.Part, err error) {
 	metrics.GetOrRegisterCounter("store.unread", n.Metrics).Inc(1)
 	log.Warn("object not understood", map[string]any{"error": err.Error()})
 }
@@ -129,7 +129,7 @@
 	}
 	v, hasUnread, err := n.adapter.Server(o)
 	if hasUnread {
-		n.noteFields(n.adapter.Kinds.Servers, o)
+		n.logUnreadFields(n.adapter.Kinds.Servers, o)
 	}
 	if err == nil {
 		err = n.checkServer(&v)
@@ -137,7 +137,7 @@
 	if err != nil {
 		// The entry is another writer's. It names no server, also where it has taken the
 		// place of one that did.
-		n.unreadObject(log, err)
+		n.noteUnreadObject(log, err)
 		n.Set.Remove(o.Name, true)
 		return
 	}
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -43,8 +43,8 @@
 	// never answer, since it was asked for while the store said nothing, is given up
 	// after Wait and answerTime; until then nothing is heard of this kind, whatever
 	// the store answers to other watches.
-	Wait    time.Duration
-	WaitNow func() time.Duration
+	Wait     time.Duration
+	NextWait func() time.Duration
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Random returns a number in [0, 1).
@@ -52,19 +52,19 @@
 	// Allowed reports whether this box is to ask the store; nil means that it
 	// is. It is asked before each call but the first list.
 	Allowed func() bool
-	// ReadsOn reports whether a box that has no list yet is to read a long one;
+	// ContinuesList reports whether a box that has no list yet is to read a long one;
 	// nil means that it is. Until then it waits for another box to hand it over.
-	ReadsOn func() bool
-	// Ended is told of each call, before Succeeded or Failed.
-	Ended func(c Call)
-	// Succeeded is called after each call that was answered, Failed after
+	ContinuesList func() bool
+	// OnCall is told of each call, before Succeeded or Failed.
+	OnCall func(c Call)
+	// OnSuccess is called after each call that was answered, Failed after
 	// each that was not.
-	Succeeded func()
-	Failed    func(err error)
-	// Confirmed is called with each answer to a watch, when the mirror holds it: all that
+	OnSuccess func()
+	OnFailure func(err error)
+	// OnConfirmed is called with each answer to a watch, when the mirror holds it: all that
 	// had changed until then. A list confirms nothing, since changes go on while its pages
 	// are read, and it may be stale.
-	Confirmed func(a Answer)
+	OnConfirmed func(a Answer)
 
 	mu sync.Mutex
 	// cancel ends the call that is waiting, and began is when it was made.
@@ -78,9 +78,9 @@
 type Call struct {
 	// Watch: it was a watch, else a page of a list.
 	Watch bool
-	// Since is the revision from which a watch was asked for, and At the store's
+	// Since is the revision from which a watch was asked for, and Revision the store's
 	// revision in the answer.
-	Since, At uint64
+	Since, Revision uint64
 	// Objects is how many objects or changes the answer holds.
 	Objects int
 	Took    time.Duration
@@ -98,12 +98,12 @@
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
-		Ended: func(Call) {}, Succeeded: func() {}, Failed: func(error) {}, Confirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
+		OnCall: func(Call) {}, OnSuccess: func() {}, OnFailure: func(error) {}, OnConfirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
 	}
 }
 
-// Hurry ends the pause after a failure: the store is known to answer.
-func (f *Follower) Hurry() {
+// RetryNow ends the pause after a failure: the store is known to answer.
+func (f *Follower) RetryNow() {
 	select {
 	case f.hurry <- struct{}{}:
 	default:
@@ -128,7 +128,7 @@
 		}
 		if err == nil {
 			failures = 0
-			f.Succeeded()
+			f.OnSuccess()
 			if state.gathers {
 				f.sleep(ctx, gather)
 			}
@@ -146,7 +146,7 @@
 				continue
 			}
 		}
-		f.Failed(err)
+		f.OnFailure(err)
 		f.pause(ctx, failures)
 		failures++
 	}
@@ -158,7 +158,7 @@
 	if f.Allowed == nil || f.Allowed() {
 		return false
 	}
-	return f.Mirror.Synced() || failures > 0 && f.ReadsOn != nil && !f.ReadsOn()
+	return f.Mirror.Synced() || failures > 0 && f.ContinuesList != nil && !f.ContinuesList()
 }
 
 // following is how far a follower has come.
@@ -192,13 +192,13 @@
 // RestartBefore ends the call that is waiting if it was made before the time: the
 // store may have been silent then, and never answers what it was asked meanwhile.
 func (f *Follower) RestartBefore(at time.Time) {
-	if f.Began().Before(at) {
+	if f.CallStart().Before(at) {
 		f.Restart()
 	}
 }
 
-// Began returns when the last call was made.
-func (f *Follower) Began() time.Time {
+// CallStart returns when the last call was made.
+func (f *Follower) CallStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.began
--- a/pkg/objects/objects.go
+++ b/pkg/objects/objects.go
@@ -26,8 +26,8 @@
 
 // Event is one change of an object.
 type Event struct {
-	Object Object `json:"object"`
-	Gone   bool   `json:"gone,omitempty"`
+	Object  Object `json:"object"`
+	Deleted bool   `json:"gone,omitempty"`
 }
 
 // Page is a part of a list.
@@ -35,8 +35,8 @@
 	Items []Object
 	// More is true if the list goes on after the last item's name.
 	More bool
-	// At is the store's revision.
-	At uint64
+	// Revision is the store's revision.
+	Revision uint64
 }
 
 // Client reaches the store.
--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -47,8 +47,8 @@
 	return d
 }
 
-// Again decides on a request that has waited. With last set it waits no longer.
-func (l *Limiter) Again(id ID, last bool) Decision {
+// Recheck decides on a request that has waited. With last set it waits no longer.
+func (l *Limiter) Recheck(id ID, last bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(id)
@@ -65,9 +65,9 @@
 	return d
 }
 
-// Statement is what has become of the requests under a limit at this box since it started.
+// Stats is what has become of the requests under a limit at this box since it started.
 // Counts begin anew after 4,294,967,295.
-type Statement struct {
+type Stats struct {
 	Arrived  uint32
 	Admitted uint32
 	Refused  uint32
@@ -77,16 +77,16 @@
 	Held int
 }
 
-// Statement returns what is known of a limit here; all zero where there is none.
-func (l *Limiter) Statement(id ID) Statement {
+// Stats returns what is known of a limit here; all zero where there is none.
+func (l *Limiter) Stats(id ID) Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[id]
 	if a == nil {
 		c := l.retired[id]
-		return Statement{Arrived: c.arrived, Admitted: c.arrived - c.refused, Refused: c.refused}
+		return Stats{Arrived: c.arrived, Admitted: c.arrived - c.refused, Refused: c.refused}
 	}
-	return Statement{
+	return Stats{
 		Arrived: a.arrived, Admitted: a.arrived - a.refused - uint32(a.waiting), Refused: a.refused,
 		PerSecond: a.arrivals.now(l.Now()), Held: a.held(),
 	}
@@ -133,7 +133,7 @@
 	switch {
 	case a.take():
 		return Decision{Verdict: Admitted}
-	case l.Now().Before(a.dryUntil):
+	case l.Now().Before(a.exhaustedUntil):
 		return l.refuse(a)
 	}
 	return Decision{Verdict: Waiting, Answered: a.answered}
@@ -143,5 +143,5 @@
 	now := l.Now()
 	a.refused++
 	a.refusals.add(1, now)
-	return Decision{Verdict: Refused, RetryAfter: a.returnAfter(l.Random(), now)}
+	return Decision{Verdict: Refused, RetryAfter: a.retryAfter(l.Random(), now)}
 }
--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -68,9 +68,9 @@
 	}
 	s, ok := b.loans.spare[zone]
 	if !ok {
-		return b.holderSaved
+		return b.holderMaxSaved
 	}
-	return min(b.holderSaved, s.left+b.holderRate*a.now.Sub(s.at).Seconds())
+	return min(b.holderMaxSaved, s.left+b.holderRate*a.now.Sub(s.at).Seconds())
 }
 
 // mayBorrow reports whether tokens may come from other zones.
@@ -89,10 +89,10 @@
 // need is how many tokens the zone lacks: what its boxes want now, and what its
 // clients will ask within borrowTime, as far as that can be saved.
 func (a *allocator) need(b *bucket, missing float64) (need, most float64) {
-	ahead := max(b.demand.now(a.now), b.lately.now(a.now)) * borrowTime.Seconds()
+	ahead := max(b.demand.now(a.now), b.recent.now(a.now)) * borrowTime.Seconds()
 	got := b.tokens + float64(b.loans.expected)
-	need = missing + min(b.saved, ahead-float64(b.inUse)) - got
-	return need, missing + b.saved - got
+	need = missing + min(b.maxSaved, ahead-float64(b.heldByBoxes)) - got
+	return need, missing + b.maxSaved - got
 }
 
 // missing is what the boxes that are short would be granted now: what their requests wait for,
@@ -105,7 +105,7 @@
 		needed += n
 		stock += l.missing() - n
 	}
-	return float64(needed + max(0, min(stock, int(b.held)-b.inUse)))
+	return float64(needed + max(0, min(stock, int(b.maxHeld)-b.heldByBoxes)))
 }
 
 // borrow asks other zones for what the zone lacks, the richest first. What it could
@@ -156,18 +156,18 @@
 		a.loans.pending[a.loans.number] = &pendingLoan{zone: zone, from: key, at: a.now, wanted: wanted}
 		b.loans.expected += int(count)
 		b.loans.spare[zone] = spare{left: max(0, a.spareOf(b, zone)-float64(count)), at: a.now}
-		a.send(to, Message{Ask: &Ask{Number: a.loans.number, Wanted: []Tokens{wanted}}})
+		a.send(to, Message{Ask: &LoanRequest{Number: a.loans.number, Wanted: []Tokens{wanted}}})
 	}
 }
 
 // lend answers another zone's ask with what this zone does not need itself.
-func (a *allocator) lend(from Box, m *Ask) {
+func (a *allocator) lend(from Box, m *LoanRequest) {
 	loan := &Loan{Number: m.Number}
 	for _, t := range m.Wanted {
 		b := a.bucket(t.ID)
 		n, left := 0, 0.0
 		if b != nil && len(b.short) == 0 {
-			left = max(0, b.tokens-min(b.demand.now(a.now), b.lately.now(a.now))*reserveTime.Seconds())
+			left = max(0, b.tokens-min(b.demand.now(a.now), b.recent.now(a.now))*reserveTime.Seconds())
 			n = min(int(t.Count), int(left))
 			b.tokens -= float64(n)
 			left -= float64(n)
@@ -197,7 +197,7 @@
 		}
 	}
 	a.serveShort(b)
-	b.tokens = min(b.tokens, b.saved)
+	b.tokens = min(b.tokens, b.maxSaved)
 	if len(b.short) > 0 {
 		a.borrow(b)
 	}
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -67,11 +67,11 @@
 	b.set = backend.NewSet(backend.Bounds{ShiftWindow: 2 * time.Second, MissingTTL: 1500 * time.Millisecond}, "east-a", region, func() int { return 1 }, time.Now)
 	b.Replica = New(Options{
 		Now:   time.Now,
-		Kinds: storeKinds, Zone: "east-a", Contact: contactTime, Drain: drainTime,
+		Kinds: storeKinds, Zone: "east-a", ContactWindow: contactTime, DrainTime: drainTime,
 		Client:          s.client("box"),
 		Members:         gossip.NewTable(gossip.Record{Box: "box", Zone: "east-a"}, time.Now, rand.IntN),
 		WatchersPerZone: func() int { return 1 },
-		Answered:        func() {},
+		OnAnswer:        func() {},
 		Go:              func(work func()) { b.group.Go(work) }, Context: ctx,
 		Metrics: metrics.NewRegistry(), BoxLog: log, StoreLog: log,
 	})
@@ -99,7 +99,7 @@
 // ownVersions are those of the box's copies.
 func (b *modelBox) ownVersions() map[string]objects.Version {
 	var self gossip.Record
-	b.Tell(&self)
+	b.FillRecord(&self)
 	return self.Versions
 }
 
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// buckets is the number of parts of a window that are counted. All but one of
+// bucketCount is the number of parts of a window that are counted. All but one of
 // them make a whole window, so the part that has just begun never hides an
 // older one.
-const buckets = 21
+const bucketCount = 21
 
-// slackShare is the part of the slack that boxes use. The rest covers boxes
+// usableSlack is the part of the slack that boxes use. The rest covers boxes
 // that have just joined and are not counted yet: one in five of them.
-const slackShare = 0.8
+const usableSlack = 0.8
 
 // Terms are the bounds on repeats in any window.
 type Terms struct {
@@ -46,25 +46,25 @@
 	began time.Time
 
 	mu       sync.Mutex
-	services map[string]*account
-	// most is the largest number of boxes that was seen within a window, as
+	services map[string]*serviceCounts
+	// maxBoxes is the largest number of boxes that was seen within a window, as
 	// of mostAt: those that were lost sight of may still use their part.
-	most   int
-	mostAt time.Time
+	maxBoxes int
+	mostAt   time.Time
 }
 
-// account is what is known of one service.
-type account struct {
+// serviceCounts is what is known of one service.
+type serviceCounts struct {
 	tokens float64
 	// requests and repeats are counted over a sliding window, in buckets.
-	requests [buckets]float64
-	repeats  [buckets]float64
+	requests [bucketCount]float64
+	retries  [bucketCount]float64
 	at       int64
 }
 
 // NewBudget makes a budget in which nothing is spent.
 func NewBudget(terms Terms, boxes func() int, now func() time.Time) *Budget {
-	return &Budget{Terms: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*account{}}
+	return &Budget{Terms: terms, Boxes: boxes, Now: now, began: now(), services: map[string]*serviceCounts{}}
 }
 
 // Request counts a request for the service.
@@ -72,8 +72,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.advance(service)
-	a.requests[a.at%buckets]++
-	a.tokens = min(a.tokens+b.Terms.Ratio, max(1, b.slackPart()))
+	a.requests[a.at%bucketCount]++
+	a.tokens = min(a.tokens+b.Terms.Ratio, max(1, b.slackPerBox()))
 }
 
 // Spend takes one repeat from the budget and reports whether there was one.
@@ -81,52 +81,52 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.advance(service)
-	if a.tokens < 1 || sum(&a.repeats)+1 > b.allowed(a) {
+	if a.tokens < 1 || sum(&a.retries)+1 > b.allowed(a) {
 		return false
 	}
 	a.tokens--
-	a.repeats[a.at%buckets]++
+	a.retries[a.at%bucketCount]++
 	return true
 }
 
 // allowed returns how many repeats the window bears. The oldest requests are
 // left out, since they may lie outside the judged window.
-func (b *Budget) allowed(a *account) float64 {
-	requests := sum(&a.requests) - a.requests[(a.at+1)%buckets]
-	return b.Terms.Ratio*requests + b.slackPart()
+func (b *Budget) allowed(a *serviceCounts) float64 {
+	requests := sum(&a.requests) - a.requests[(a.at+1)%bucketCount]
+	return b.Terms.Ratio*requests + b.slackPerBox()
 }
 
-// slackPart is this box's part of the slack.
-func (b *Budget) slackPart() float64 {
+// slackPerBox is this box's part of the slack.
+func (b *Budget) slackPerBox() float64 {
 	now := b.Now()
-	if n := b.Boxes(); n >= b.most || now.Sub(b.mostAt) > b.Terms.Window {
-		b.most = n
+	if n := b.Boxes(); n >= b.maxBoxes || now.Sub(b.mostAt) > b.Terms.Window {
+		b.maxBoxes = n
 		b.mostAt = now
 	}
-	if b.most <= 0 {
+	if b.maxBoxes <= 0 {
 		return 0
 	}
-	return slackShare * b.Terms.Slack / float64(b.most)
+	return usableSlack * b.Terms.Slack / float64(b.maxBoxes)
 }
 
 // advance returns the service's account, with what is too old forgotten.
-func (b *Budget) advance(service string) *account {
-	now := int64(b.Now().Sub(b.began) / (b.Terms.Window / (buckets - 1)))
+func (b *Budget) advance(service string) *serviceCounts {
+	now := int64(b.Now().Sub(b.began) / (b.Terms.Window / (bucketCount - 1)))
 	a := b.services[service]
 	if a == nil {
-		a = &account{at: now}
+		a = &serviceCounts{at: now}
 		b.services[service] = a
 	}
-	for steps := 0; a.at < now && steps < buckets; steps++ {
+	for steps := 0; a.at < now && steps < bucketCount; steps++ {
 		a.at++
-		a.requests[a.at%buckets] = 0
-		a.repeats[a.at%buckets] = 0
+		a.requests[a.at%bucketCount] = 0
+		a.retries[a.at%bucketCount] = 0
 	}
 	a.at = now
 	return a
 }
 
-func sum(values *[buckets]float64) float64 {
+func sum(values *[bucketCount]float64) float64 {
 	total := 0.0
 	for _, v := range values {
 		total += v
