--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -1,10 +1,10 @@
-// Package backend chooses the backend server for each request. It has no
-// input or output: it is told which servers there are, what they said of
-// their load and how exchanges ended, and answers with a Lease on one server.
+// Package backend chooses the backend server for each request. It does no input or output:
+// callers report the listed servers, the load that servers report and the results of exchanges,
+// and get a Lease on one server.
 //
-// A request's affinity key has a home, found by rendezvous hashing, so that
-// all boxes send equal keys to the same server without talking to each other.
-// A request that its home cannot serve goes to the next server in that order.
+// The home of a request's affinity key is found by rendezvous hashing, so that all boxes send
+// equal keys to the same server without coordination. A request that its home cannot serve goes
+// to the next server in the key's order.
 package backend
 
 import (
@@ -15,26 +15,27 @@
 	"github.com/stoneworks/stoneworks/pkg/hashing"
 )
 
-// Server is one backend server as the platform lists it. It may start again under the ID
-// that it had; see Life.
+// Server is one backend server as the platform lists it. It may restart under the same ID; see
+// Incarnation.
 type Server struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the server runs at once.
 	Slots    int  `json:"slots"`
 	Draining bool `json:"draining,omitempty"`
-	// ColdFor is for how much longer it stays cold, counted from when it was told.
+	// ColdFor is how much longer the server stays cold, counted from when the platform reported
+	// it.
 	ColdFor time.Duration `json:"cold,omitempty"`
-	// StartedAtMs is when it started, in milliseconds since 1970 by its own clock; 0 if it does not
-	// say. It tells its lives apart.
+	// StartedAtMs is when the server started, in milliseconds since 1970 by its own clock, or 0
+	// if it does not report that. It distinguishes the incarnations of an ID.
 	StartedAtMs int64 `json:"born,omitempty"`
-	// Version is that of its software.
+	// Version is the version of the server's software.
 	Version string `json:"version,omitempty"`
 }
 
-// Incarnation names one life of the server, from its start to its end.
+// Incarnation returns a name for this run of the server, from its start to its end.
 func (v *Server) Incarnation() string {
 	if v.StartedAtMs == 0 {
 		return v.ID
@@ -42,141 +43,140 @@
 	return v.ID + incarnationSeparator + strconv.FormatInt(v.StartedAtMs, 10)
 }
 
-// incarnationSeparator stands between the ID and the start in the name of a life.
+// incarnationSeparator separates the ID and the start time in the name of an incarnation.
 const incarnationSeparator = "@"
 
-// Load is what a server said of itself in an answer.
+// Load is the load that a server reported in an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// RateLimit is what an answer of a server says of how many requests it takes.
+// RateLimit is the rate limit that a server reported in an answer.
 type RateLimit struct {
-	// Present: the answer names a limit.
+	// Present is true if the answer has a limit.
 	Present bool
-	// PerSecond is how many requests a second the server takes from all boxes together.
+	// PerSecond is how many requests per second the server accepts from all boxes together.
 	PerSecond float64
-	// Malformed: it names something that cannot be read, which ends no limit of before.
+	// Malformed is true if the limit cannot be parsed. An earlier limit then stays in force.
 	Malformed bool
 }
 
-// HasRoom reports whether the server had free slots; false if it said nothing.
+// HasRoom reports whether the server had free slots; false if it reported no load.
 func (l *Load) HasRoom() bool { return l != nil && l.Running+l.Waiting < l.Slots }
 
-// Result is how an exchange ended, as far as the server is concerned.
+// Result is how an exchange ended with respect to the server.
 type Result int
 
 // The results of exchanges.
 const (
-	// Answered: the server gave a whole answer.
+	// Answered: the server sent a complete answer.
 	Answered Result = iota
-	// Shed: the server said that it did not run the request.
+	// Shed: the server reported that it did not run the request.
 	Shed
-	// Unreachable: no connection came up; nothing was sent.
+	// Unreachable: no connection could be opened; nothing was sent.
 	Unreachable
 	// Refused: the server's port refused the connection; nothing was sent.
 	Refused
 	// Broken: the exchange failed after something was sent.
 	Broken
-	// TimedOut: no answer came in time.
+	// TimedOut: no answer arrived in time.
 	TimedOut
-	// Stale: another server has the address now.
+	// Stale: the address now belongs to another server.
 	Stale
-	// Abandoned: the client left; this says nothing of the server.
+	// Abandoned: the client left, which shows nothing about the server.
 	Abandoned
 	// Withdrawn: the server left before anything was sent.
 	Withdrawn
-	// Crashed: the server ended while it had the request, which it had not answered.
+	// Crashed: the server ended while it ran the request and before it answered.
 	Crashed
 )
 
-// resultNames are the results' names in logs, by value.
+// resultNames holds the names of results in logs, indexed by value.
 var resultNames = [...]string{"answered", "shed", "unreachable", "refused", "broken", "late", "stale", "abandoned", "withdrawn", "crashed"}
 
-// unsent reports whether nothing of the request has reached the server.
+// unsent reports whether no part of the request has reached the server.
 func (r Result) unsent() bool { return r == Unreachable || r == Refused || r == Withdrawn }
 
 // String returns the result's name in logs.
 func (r Result) String() string { return resultNames[r] }
 
-// Reason says why no server was chosen.
+// Reason is why no server was chosen.
 type Reason string
 
-// The reasons.
 const (
-	// NoServer: no server may take the request, or it was sent to all that may.
+	// NoServer: no server is eligible, or the request was sent to all that are.
 	NoServer Reason = "no_server"
-	// Full: every server that may take it has more than it can do.
+	// Full: every eligible server has more requests than it can run.
 	Full Reason = "full"
-	// Limited: those that may take it have named limits, which leave no room now.
+	// Limited: the rate limits of the eligible servers leave no room now.
 	Limited Reason = "limited"
-	// BackingOff: those that may take it have asked this box for rest.
+	// BackingOff: the eligible servers have asked this box for a backoff.
 	BackingOff Reason = "resting"
-	// Failing: those that may take it have failed a moment ago, and rest.
+	// Failing: the eligible servers have failed recently and are ejected.
 	Failing Reason = "failing"
-	// AdmissionPending: whether the limit of the server that it prefers leaves room is to be asked
-	// first; see Request.Asked.
+	// AdmissionPending: the caller has to ask first whether the rate limit of the preferred
+	// server leaves room; see Request.AdmissionAsked.
 	AdmissionPending Reason = "undecided"
 )
 
-// ChoiceError is a request for which no server was found.
+// ChoiceError reports that no server was found for a request.
 type ChoiceError struct {
 	Reason  Reason
 	Service string
-	// HomeFill is how much of its slots the key's home has taken, and
-	// FreeSlots how many slots the service's servers have free, none of which
-	// is known to have the key. Both are set where Reason is Full.
+	// HomeFill is the fraction of its slots that the key's home has taken, and FreeSlots is the
+	// number of free slots at the service's servers, none of which is known to have the key. Both
+	// are set where Reason is Full.
 	HomeFill  float64
 	FreeSlots int
-	// RetryAfter is after what time the home is expected to have worked off what it has too
-	// much, a limit to leave room again, or a time of rest to end, 0 if that is not known.
+	// RetryAfter is the expected time until the home has worked off its excess, a rate limit
+	// leaves room again, or a backoff or ejection ends; 0 if unknown.
 	RetryAfter time.Duration
-	// Server is the one whose limit is to be asked for, where Reason is Undecided.
+	// Server is the server whose limit the caller has to ask about, where Reason is
+	// AdmissionPending.
 	Server Server
 }
 
 // Error implements error.
 func (e *ChoiceError) Error() string { return fmt.Sprintf("backend: %s: %s", e.Service, e.Reason) }
 
-// Request is what a choice looks at.
+// Request describes a request for the choice of its server.
 type Request struct {
 	Service string
-	// Key is the hash of the affinity key; requests without one give a random
-	// number.
+	// Key is the hash of the affinity key, or a random number for a request without one.
 	Key uint64
-	// Priority is the rank of the request, 0 the most urgent.
+	// Priority is the priority of the request; 0 is the most urgent.
 	Priority int
-	// LargeBody requests carry large bodies; they are kept near where that costs
-	// nothing else.
+	// LargeBody is true if the request carries a large body. Such requests are kept near the box
+	// where that has no other cost.
 	LargeBody bool
 	// RegionAllowed reports whether the request may run in a region.
 	RegionAllowed func(region string) bool
-	// Tried lists the servers that the request was already sent to.
+	// Tried lists the IDs of the servers that the request was already sent to.
 	Tried []string
-	// AdmissionAsked: it has been asked whether a server's limit leaves room for the request, and Granted
-	// is the life of the one that has, empty for none. It is not asked twice.
+	// AdmissionAsked is true once the caller has asked whether a server's limit leaves room for
+	// the request. GrantedBy is the incarnation that granted it, or empty. The question is not
+	// asked twice.
 	AdmissionAsked bool
 	GrantedBy      string
 }
 
-// Admission is whether a server's limit leaves room for one more request.
+// Admission is whether a server's rate limit leaves room for one more request.
 type Admission int
 
-// The admissions.
 const (
-	// Unlimited: the server names no limit.
+	// Unlimited: the server has no limit.
 	Unlimited Admission = iota
-	// Granted: it leaves room, which this request has taken.
+	// Granted: the limit leaves room, which this request has taken.
 	Granted
-	// Denied: it leaves none.
+	// Denied: the limit leaves no room.
 	Denied
-	// AdmissionUnknown: that is not known here.
+	// AdmissionUnknown: this box does not know whether the limit leaves room.
 	AdmissionUnknown
 )
 
-// Hash is the one hash of affinity keys: equal on all boxes.
+// Hash hashes the parts of an affinity key. It is equal on all boxes.
 func Hash(parts ...string) uint64 { return hashing.Of(parts...) }
 
 func mix(x uint64) uint64 { return hashing.Mix(x) }
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -12,22 +12,24 @@
 type candidate struct {
 	*server
 	score float64
-	// busy is set for those that may be picked; see weigh.
+	// busy is the estimated number of requests at the server. It is set by estimateLoad, and only
+	// for candidates that may be picked.
 	busy float64
 	cold bool
-	// ejected: it has failed a moment ago, and rests by this box's own judgement.
+	// ejected is true if the server has failed recently and this box has ejected it.
 	ejected bool
-	// slow: the request would find out whether the server has recovered.
+	// slow is true if the request would probe whether a slow server has recovered.
 	slow bool
-	// tried: the request was already sent to it. It keeps its place, so that
-	// what a busy home refuses does not go to a server that is no home.
+	// tried is true if the request was already sent to the server. The candidate keeps its place,
+	// so that a request that a busy home refuses does not go to a server that is no home of its key.
 	tried bool
-	// skipped: its limit leaves no room. It keeps its place too.
+	// skipped is true if the server's rate limit leaves no room. The candidate keeps its place as
+	// well.
 	skipped bool
 }
 
-// estimateLoad works out how busy the server is. Of a thousand servers that may get a
-// request a handful comes to be weighed, since weighing takes longer than ordering.
+// estimateLoad sets how busy the server is. It runs only for the first few of possibly a thousand
+// candidates, since it takes longer than ordering them.
 func (c *candidate) estimateLoad(p *policy.Policy, now time.Time) {
 	c.busy = c.load.busy(p, c.Slots, c.health.latency, now)
 	if c.ejected {
@@ -35,14 +37,14 @@
 	}
 }
 
-// lastResort reports whether the server comes after all others: it is cold, or has failed.
+// lastResort reports whether the server comes after all others because it is cold or ejected.
 func (c *candidate) lastResort() bool { return c.cold || c.ejected }
 
-// fill is how much of its slots the server has taken.
+// fill returns the fraction of its slots that the server has taken.
 func (c *candidate) fill() float64 { return c.busy / float64(max(1, c.Slots)) }
 
-// retryAfter is after what time the server has worked off what makes it full and one more
-// request, given how long a typical server takes.
+// retryAfter returns how long the server needs to work off its excess over the limit and one more
+// request, given the typical latency of servers.
 func (c *candidate) retryAfter(limit float64, typical time.Duration) time.Duration {
 	latency := c.health.latency
 	if latency == 0 {
@@ -100,9 +102,9 @@
 	return nil, s.noServer(&denied, r.Service, now)
 }
 
-// allEjected says when the first server is tried again, all of which have failed a moment ago or are passed
-// over: of the region in which the key has its home, if it has any. Clients that are asked back sooner
-// are refused again.
+// allEjected returns the error for a request whose candidates are all ejected or skipped, with
+// the time until the first ejection ends. It considers the region of the key's home if that has
+// any candidate. A client that retries sooner would be refused again.
 func (s *Set) allEjected(service string, now time.Time, near, far []candidate) *ChoiceError {
 	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.skippedBackoffs.roomIn(now)}
 	list := near
@@ -118,8 +120,8 @@
 	return e
 }
 
-// candidatesOfVersion are the candidates of the version that the request goes to, or of the others where it
-// has none left.
+// candidatesOfVersion returns the candidates of the version that the request goes to, or of the
+// other versions if that has none left.
 func (s *Set) candidatesOfVersion(g *group, r *Request, now time.Time) (near, far []candidate) {
 	version := s.versionOf(g, r, now)
 	near, far = s.candidates(g, r, version, now)
@@ -132,10 +134,10 @@
 	return near, far
 }
 
-// candidates returns the servers of the region in which the key has its home,
-// and all others, each with those first that the key prefers and that were not
-// tried, in their order. Those that have asked for rest are left out, and noted in s.resting. All
-// is good until the next call.
+// candidates returns the servers of the region in which the key has its home (near), and all
+// others (far). In each list the servers that the key prefers come first, in the key's order.
+// Servers that have asked for a backoff are left out and counted in s.skippedBackoffs. The lists
+// are valid until the next call.
 func (s *Set) candidates(g *group, r *Request, version versionChoice, now time.Time) (near, far []candidate) {
 	share := s.localShareOf(g, r, now)
 	stays := fraction(mix(r.Key+1)) < g.shareBySize(share, r.LargeBody)
@@ -178,7 +180,8 @@
 	return near, far
 }
 
-// mayTake reports whether the server may get the request at all.
+// mayTake reports whether the server is eligible for the request, apart from a backoff and the
+// rate of a cold server.
 func (s *Set) mayTake(v *server, r *Request, version versionChoice, now time.Time) bool {
 	return version.allows(v) && s.usable(v) && r.RegionAllowed(v.region) && !s.isProbed(v, now)
 }
@@ -200,21 +203,21 @@
 		c.ejected = true
 		c.score = math.Inf(-1)
 	case c.cold:
-		// Below all others, in the key's order.
+		// Cold servers come after all others, in the key's order.
 		c.score = -1 / c.score
 	}
 	return c, true
 }
 
-// estimateLoads works out how busy the first servers of the list are.
+// estimateLoads estimates the load of the first servers of the list.
 func (s *Set) estimateLoads(list []candidate, count int, now time.Time) {
 	for i := range min(count, len(list)) {
 		list[i].estimateLoad(&s.Policy, now)
 	}
 }
 
-// bestFirst puts so many of the servers that the key prefers at the front, in
-// their order. The rest of the list, which may be long, needs none.
+// bestFirst moves the servers that the key prefers to the front, in the key's order. The rest of
+// the list, which may be long, stays unsorted.
 func bestFirst(list []candidate, count int) {
 	for place := range min(count, len(list)) {
 		best := place
@@ -227,9 +230,9 @@
 	}
 }
 
-// zoneFirst puts the server of this box's zone that the key prefers before the
-// others, so that the body stays in the zone, unless all its slots are taken and
-// the region's first one is less loaded.
+// zoneFirst moves the preferred server of this box's zone to the front, so that the body stays in
+// the zone, unless all slots of that server are taken and the first server of the list is less
+// loaded.
 func (s *Set) zoneFirst(list []candidate, now time.Time) {
 	at := -1
 	for i := range list {
@@ -249,15 +252,15 @@
 	list[0] = c
 }
 
-// pick takes the key's home, or where that is full or cold, the first server elsewhere
-// if it is idle enough to do the work although it does not know the key. The limit is
-// how much of its slots the server may have taken for this request. A cold home serves what it
-// bears where nothing else may: with nothing sent to it, a service that is cold as a whole would
-// refuse every request until it is warm.
+// pick returns the key's home or, if that is full or cold, the first server of the other region
+// list if it is idle enough to do the work without knowing the key. The limit is the fraction of
+// its slots that the server may have taken for this request. A cold home gets requests within its
+// rate if no other server may take them: otherwise a service whose servers are all cold would
+// refuse every request until they are warm.
 //
-// Where limits or rest have taken all servers of the region out, which is what short says, no more
-// requests leave it than a full region may send elsewhere: one whose servers all name limits would
-// move at once.
+// With short, rate limits or backoffs exclude servers of the region. Then no more requests leave
+// it than a full region may send elsewhere: the traffic of a region whose servers all have limits
+// would otherwise move at once.
 func (s *Set) pick(near, far []candidate, r *Request, short bool, now time.Time) (best *candidate, place int, limit float64) {
 	best, place = s.home(near, r.Key)
 	if best != nil {
@@ -279,8 +282,8 @@
 	return best, place, limit
 }
 
-// home returns the key's home among the servers of the list, or for a hot key
-// that the home has no free slot for, the next server if that is less loaded.
+// home returns the key's home among the servers of the list. For a hot key whose home has no free
+// slot it returns the next server if that is less loaded.
 func (s *Set) home(list []candidate, key uint64) (best *candidate, place int) {
 	best, place = firstUntried(list)
 	if best == nil || best.fill() < s.Policy.HotFill || !best.keys.hot(&s.Policy, key) {
@@ -293,8 +296,8 @@
 	return best, place
 }
 
-// firstUntried returns the first server of the list that the request was not
-// sent to and that has room by its limit, and its place.
+// firstUntried returns the first server of the list that the request was not sent to and whose
+// limit leaves room, and its place.
 func firstUntried(list []candidate) (best *candidate, place int) {
 	for i := range list {
 		if !list[i].tried && !list[i].skipped {
@@ -304,10 +307,10 @@
 	return nil, 0
 }
 
-// typicalEvery is how often the typical latency of a group is worked out anew.
+// typicalEvery is how often the typical latency of a group is recomputed.
 const typicalEvery = 100 * time.Millisecond
 
-// typicalLatency is the median of the servers' moving averages.
+// typicalLatency returns the median of the servers' average latencies.
 func (g *group) typicalLatency(now time.Time) time.Duration {
 	if now.Sub(g.typicalAt) < typicalEvery {
 		return g.typical
@@ -326,7 +329,7 @@
 	return g.typical
 }
 
-// freeSlots counts the slots that servers have free which may get the request, as far as is known.
+// freeSlots counts the known free slots of the servers that may get the request.
 func (s *Set) freeSlots(g *group, r *Request, now time.Time) int {
 	free := 0.0
 	for _, v := range g.servers {
