--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -6,30 +6,30 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// health is what a box makes of the exchanges with one server.
+// health is what this box derives from its exchanges with one server.
 type health struct {
 	failures     int
 	ejections    int
 	ejectedUntil time.Time
-	// latency is a moving average of the time without waiting for a slot, 0
-	// before the first answer.
+	// latency is a moving average of the latency without the wait for a slot; 0 before the first
+	// answer.
 	latency time.Duration
 	answers int
-	// suspected: it rests, or has rested and not shown that it has recovered.
+	// suspected is true if the server is ejected, or was ejected and has not yet proved its
+	// recovery.
 	suspected bool
-	// answeredAt is when the server last answered anything.
+	// answeredAt is when the server last answered a request or shed one.
 	answeredAt time.Time
 }
 
-// succeeded takes in an answer.
+// succeeded records an answer.
 func (h *health) succeeded(p *policy.Policy, latency time.Duration) {
 	h.failures = 0
 	h.ejections = 0
 	h.addLatency(p, latency)
 }
 
-// unfinished takes in an exchange that was given up after some time: it would
-// have taken at least as long.
+// unfinished records an exchange that was given up. It would have taken at least that long.
 func (h *health) unfinished(p *policy.Policy, latency time.Duration) {
 	if latency >= h.latency {
 		h.addLatency(p, latency)
@@ -53,8 +53,8 @@
 	return h.answers >= p.SlowAnswers && h.latency > max(p.SlowFloor, time.Duration(p.SlowFactor*float64(typical)))
 }
 
-// failed takes in a failure of some weight and reports whether the server
-// rests from now on.
+// failed records a failure of the given weight and reports whether the server is ejected from now
+// on.
 func (h *health) failed(p *policy.Policy, now time.Time, weight int) bool {
 	h.failures += weight
 	if h.failures < p.FailuresToRest {
@@ -69,28 +69,29 @@
 
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// loadEstimate is how busy a server is: this box's own requests, and those of
-// others as far as the server has lately told.
+// loadEstimate is the estimated load of a server: this box's own requests, and those of other
+// boxes as last reported by the server.
 type loadEstimate struct {
 	own    int
 	others float64
 	at     time.Time
 }
 
-// update takes in what the server said, while own requests of this box, this
-// one included, were at the server.
+// update records the load that the server reported while this box had own requests there,
+// including the one that was answered.
 func (l *loadEstimate) update(load Load, now time.Time) {
 	l.others = max(0, float64(load.Running+load.Waiting-l.own))
 	l.at = now
 }
 
-// loadHoldFactor is for how many times of working off what a server holds its word on that
-// counts in full. A box that takes a server for full sends it nothing, and hears nothing from
-// it either: a quick one would be refused requests for long that it could have done.
+// loadHoldFactor limits how long a reported load counts in full, as a multiple of the time in
+// which the server works off its requests. A box that considers a server full sends it nothing
+// and gets no newer report from it: without this limit a fast server would be denied requests for
+// a long time although it could serve them.
 const loadHoldFactor = 6
 
-// busy returns how many requests the server holds, as far as is known, given how long it
-// works on one; 0 if that is not known.
+// busy returns the estimated number of requests at the server, given how long it works on one, or
+// 0 for work if that is unknown.
 func (l *loadEstimate) busy(p *policy.Policy, slots int, work time.Duration, now time.Time) float64 {
 	pace := 1.0
 	if work > 0 {
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -2,42 +2,41 @@
 
 import "time"
 
-// Lease is one request's use of one server. Done must be called once.
+// Lease is one request's use of one server. Done must be called exactly once.
 type Lease struct {
 	Server
 	// Remote is true if the server is in another region than the box.
 	Remote bool
 	// Cold is true if the server was cold.
 	Cold bool
-	// Rank is the server's place in the order in which the key prefers
-	// servers, from 0, its home.
+	// Rank is the server's place in the key's order of servers; 0 is the home.
 	Rank int
-	// InFlight is how many requests the server held, as far as was known.
+	// InFlight is the estimated number of requests at the server.
 	InFlight float64
-	// LoadAge is how old the server's last word on its load was; 0 if it has
-	// said none.
+	// LoadAge is the age of the server's last report of its load; 0 if there is none.
 	LoadAge time.Duration
-	// Metered is true if the server names a limit, of which the request has taken its part,
-	// and Denied is how many servers were passed over whose limits leave no room.
+	// Metered is true if the server has a rate limit from which the request has taken a token.
+	// Denied is the number of servers that were skipped because their limits leave no room.
 	Metered bool
 	Denied  int
-	// BackedOff is how many servers were passed over that have asked for rest.
+	// BackedOff is the number of servers that were skipped because they have asked for a backoff.
 	BackedOff int
-	// KeyKnown is true if the server has lately answered this box for the key.
+	// KeyKnown is true if the server has recently answered this box for the key.
 	KeyKnown bool
-	// Expected is how long the server was expected to take, from its typical
-	// time and its queue; 0 before its first answer.
+	// Expected is the expected time to the answer, from the server's typical latency and its
+	// queue; 0 before its first answer.
 	Expected time.Duration
 
 	set    *Set
 	server *server
 	key    uint64
 	start  time.Time
-	// trial: it finds out whether a server takes requests again that has asked for rest.
+	// trial is true if the request probes whether a server accepts requests again after its
+	// backoff.
 	trial bool
 }
 
-// lease has a server take a request.
+// lease assigns a request to the candidate's server.
 func (s *Set) lease(c *candidate, place int, key uint64, now time.Time) *Lease {
 	v := c.server
 	v.load.own++
@@ -49,7 +48,7 @@
 		v.coldSends = append(v.coldSends, now)
 	}
 	if c.slow {
-		// It gets one request after each rest, to see whether it has recovered.
+		// A slow server gets one request after each ejection, to see whether it has recovered.
 		v.health.ejectedUntil = now.Add(s.Policy.SlowRest)
 		s.markSuspected(v, "slow")
 	}
@@ -67,8 +66,8 @@
 	return l
 }
 
-// Usable reports whether the server may get requests at all: since it was chosen it may have left,
-// or its zone may have been evacuated. See Wanted.
+// Usable reports whether the server may get requests at all. Since the choice it may have left,
+// or its zone may have been evacuated. See MaySend.
 func (l *Lease) Usable() bool {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
@@ -77,8 +76,8 @@
 
 func (l *Lease) usable() bool { return l.server.group != nil && l.set.usable(l.server) }
 
-// Done ends the lease with the result and with what the server said of its
-// load, nil if it said nothing.
+// Done ends the lease with the result and the load that the server reported, nil if it reported
+// none.
 func (l *Lease) Done(result Result, load *Load) {
 	s, v := l.set, l.server
 	s.mu.Lock()
@@ -113,7 +112,7 @@
 		v.health.answeredAt = now
 		s.zoneAnsweredAt[l.Zone] = now
 		if !load.HasRoom() {
-			// It is full, whatever was believed before.
+			// The server is full, whatever was estimated before.
 			v.load.others = max(v.load.others, float64(v.Slots)*s.Policy.RefusedFill)
 			v.load.at = now
 		}
@@ -144,7 +143,7 @@
 	}
 }
 
-// updateFill takes in a server's load for the average of its group.
+// updateFill adds a server's load to the average fill of its group.
 func (s *Set) updateFill(l *Lease, load *Load, now time.Time) {
 	g := l.server.group
 	switch {
@@ -156,14 +155,14 @@
 	}
 }
 
-// markSuspected tells that a server rests from now on.
+// markSuspected records that the server is ejected from now on.
 func (s *Set) markSuspected(v *server, what string) {
 	v.health.suspected = true
 	s.OnChange(v.Server, what)
 }
 
-// clearSuspicion ends the rest of a server that has answered and is as good as others
-// again, and tells of it.
+// clearSuspicion ends the ejection of a server that has answered and is no longer slower than
+// others.
 func (s *Set) clearSuspicion(v *server, now time.Time) {
 	if !v.health.suspected || v.group == nil || v.health.slow(&s.Policy, v.group.typicalLatency(now)) {
 		return
@@ -173,8 +172,8 @@
 	s.OnChange(v.Server, "recovered")
 }
 
-// workTime is how long the server took, without the time for which the
-// request must have waited for a slot.
+// workTime returns how long the server worked on the request, without the estimated time that the
+// request waited for a slot.
 func (l *Lease) workTime(now time.Time) time.Duration {
 	fill := l.InFlight / float64(max(1, l.Slots))
 	return time.Duration(float64(now.Sub(l.start)) / max(1, fill))
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -9,22 +9,21 @@
 	"github.com/stoneworks/stoneworks/pkg/rollout"
 )
 
-// Bounds are the bounds that hold for choices, from the settings.
+// Bounds are the bounds from the settings that choices keep.
 type Bounds struct {
-	// ColdOverage and ColdSlack bound what a cold server gets in any second
-	// from all boxes together: its rate x ColdOverage + ColdSlack.
+	// ColdOverage and ColdSlack bound the requests that a cold server gets in any second from all
+	// boxes together: its rate x ColdOverage + ColdSlack.
 	ColdOverage float64
 	ColdSlack   float64
-	// MaxShift is the largest share of a region's requests that may change
-	// the region in which they run within ShiftWindow.
+	// MaxShift is the largest share of a region's requests that may move to another region within
+	// ShiftWindow.
 	MaxShift    float64
 	ShiftWindow time.Duration
-	// MissingTTL is for how long a server is kept that vanished from the list
-	// while the list could not be trusted.
+	// MissingTTL is how long a server is kept after it vanished from a list that is not trusted.
 	MissingTTL time.Duration
 }
 
-// ColdStartConfig are what a configuration says of a service's cold servers.
+// ColdStartConfig is a service's configuration for its cold servers.
 type ColdStartConfig struct {
 	ColdStart     time.Duration
 	ColdPerSecond float64
@@ -33,72 +32,74 @@
 // Set holds the backend servers of all services.
 type Set struct {
 	Bounds Bounds
-	// Policy holds the figures of the choice; see SetPolicy.
+	// Policy holds the parameters of the choice; see SetPolicy.
 	Policy policy.Policy
-	// Zone and Region are the box's own.
+	// Zone and Region are those of this box.
 	Zone   string
 	Region string
 	// RegionOf returns the region of a zone.
 	RegionOf func(zone string) string
-	// Boxes returns among how many boxes a cold server's rate is divided; 0
-	// when that is not known.
+	// Boxes returns the number of boxes that share the rate of a cold server, or 0 if that is
+	// unknown.
 	Boxes func() int
 	// Peers returns this box and the others that may send requests. It runs under the set's lock
-	// and must not call it.
+	// and must not call the set.
 	Peers func() (self Peer, others []Peer)
-	// Trusted reports whether the list of servers follows the platform's.
+	// Trusted reports whether the list of servers is in step with the platform's.
 	Trusted func() bool
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// OnChange is told what the set came to believe of a server.
+	// OnChange is called when the set changes the state that it holds of a server.
 	OnChange func(server Server, what string)
-	// AnyLimited reports whether any server is known to name a limit, NamesLimit whether one does, and
-	// Admit whether that of a server leaves room for one more request, and when it will where it is
-	// denied. With ask
-	// false the answer is not Open, and with yield set a server that names a limit is denied,
-	// whatever it has room for. Release gives back what was granted and not used. All run
-	// under the set's lock and must not call it.
+	// AnyLimited reports whether any server is known to have a rate limit, and HasLimit whether
+	// one server does. Admit reports whether the limit of a server leaves room for one more
+	// request, and when it will if it is denied. With ask false the answer is never
+	// AdmissionUnknown; with yield true a server that has a limit is always denied. Release
+	// returns what was granted and not used. All run under the set's lock and must not call the
+	// set.
 	AnyLimited func() bool
 	HasLimit   func(server *Server) bool
 	Admit      func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
 	Release    func(server *Server)
-	// IsLeaving reports whether a life of a server has said that it leaves; see Leave. It runs under
-	// the set's lock and must not call it.
+	// IsLeaving reports whether an incarnation of a server has reported that it is leaving; see
+	// MarkLeaving. It runs under the set's lock and must not call the set.
 	IsLeaving func(incarnation string) bool
-	// ReportFailure is told what other boxes should know of a server. It runs under the
-	// set's lock and must not call it.
+	// ReportFailure is called with what other boxes should know of a server. It runs under the
+	// set's lock and must not call the set.
 	ReportFailure func(f FailureReport)
 
 	mu sync.Mutex
-	// zoneAnsweredAt is when a server of a zone last answered this box.
+	// zoneAnsweredAt is when a server of each zone last answered this box.
 	zoneAnsweredAt map[string]time.Time
-	// near and far are the room of candidates, and resting what the last choice passed over.
+	// near, far and zone are reused memory for candidates. skippedBackoffs describes the servers
+	// that the last choice skipped for their backoff.
 	near, far, zone []candidate
 	short           [3]shortList
 	skippedBackoffs skippedBackoffs
-	// backedOff are the servers that have asked this box for rest and may not yet be sent requests as before.
+	// backedOff holds the servers that have asked this box for a backoff and do not get all their
+	// requests yet.
 	backedOff map[*server]bool
 	servers   map[string]*server
 	services  map[string]*group
 	evacuated map[string]bool
 	terms     map[string]ColdStartConfig
 	spill     spillGuard
-	// missing are the servers that have vanished from a list that is not trusted, by ID.
+	// missing holds the servers that have vanished from a list that is not trusted, by ID.
 	missing map[string]*server
-	// versions are the services that are being moved to a version.
+	// versions holds the services that are being moved to a version.
 	versions map[string]rollout.Rule
 	// versionDraws counts the requests for which a version was drawn.
 	versionDraws uint64
 }
 
-// Listed and Cold are what Changed is told of a server that was not known, and of one that has started. Both
-// come for thousands at once.
+// Listed and Cold are passed to OnChange for a server that was unknown and for one that has
+// become cold. Both can come for thousands of servers at once.
 const (
 	Listed = "listed"
 	Cold   = "cold"
 )
 
-// server is a backend server with what this box knows of it.
+// server is a backend server and what this box knows of it.
 type server struct {
 	Server
 	region string
@@ -107,18 +108,18 @@
 
 	// missingSince is when the server vanished from a list that is not trusted.
 	missingSince time.Time
-	// stale: the address belongs to another server now.
+	// stale is true if the address now belongs to another server.
 	stale bool
-	// leaving: it has said that it leaves, in answers.
+	// leaving is true if the server has reported in an answer that it is leaving.
 	leaving bool
 
 	coldUntil time.Time
-	// refusedAt is when its port last refusedAt a connection, or it crashed under a request; see
-	// mayHaveStartedAgain.
+	// refusedAt is when the server's port last refused a connection, or the server crashed during
+	// a request; see mayHaveRestarted.
 	refusedAt time.Time
 	coldSends []time.Time
-	// coldPlace is this box's place among those that may send to the server while it is cold, as of
-	// coldPlaceAt.
+	// coldPlace is this box's place among those that may send to the server while it is cold, as
+	// computed at coldPlaceAt.
 	coldPlace   int
 	coldPlaceAt time.Time
 
@@ -126,38 +127,39 @@
 	backoff     backoffState
 	unconfirmed unconfirmedReport
 	load        loadEstimate
-	// keys is nil until the server is sent its first request: most boxes of a
-	// zone serve no clients.
+	// keys is nil until the server is sent its first request, since most boxes of a zone serve no
+	// clients.
 	keys      *keyTable
 	speed     speed
 	shortages shortages
 }
 
-// group is the servers of one service.
+// group holds the servers of one service.
 type group struct {
 	service string
 	servers []*server
-	// regions are the regions of its servers by name, to be counted anew if
+	// regions holds the slots of each region of the servers, by name. They are recounted if
 	// changed is true.
 	regions []regionSlots
 	changed bool
 	locals  map[string]*localShare
 	fills   fills
-	// typical is the typical latency as of typicalAt.
+	// typical is the typical latency as computed at typicalAt.
 	typical   time.Duration
 	typicalAt time.Time
-	// comparedAt is when the servers' speeds were last compared.
+	// comparedAt is when the speeds of the servers were last compared.
 	comparedAt time.Time
-	// largeBodies is the share of largeBodies requests, as a moving average.
+	// largeBodies is the share of requests with large bodies, as a moving average.
 	largeBodies float64
 	versions    versionSlots
-	// index holds the servers for choices, if isIndexed; isWeighted: their weights are not all 1.
+	// index holds the servers for choices. It is valid if isIndexed is true. isWeighted is true
+	// if not all weights are 1.
 	index      []indexEntry
 	isIndexed  bool
 	isWeighted bool
 }
 
-// NewSet makes a set without servers.
+// NewSet returns a set without servers.
 func NewSet(terms Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
 		Bounds: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
@@ -180,14 +182,14 @@
 	}
 }
 
-// SetServices sets what the configuration says of the services.
+// SetServices sets the configuration of the services' cold servers.
 func (s *Set) SetServices(terms map[string]ColdStartConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.terms = terms
 }
 
-// SetPolicy puts figures in force while the set is in use.
+// SetPolicy replaces the policy while the set is in use.
 func (s *Set) SetPolicy(p policy.Policy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,10 +200,9 @@
 // The list of servers
 // ----------------------------------------------------------------
 
-// Replace puts a whole list in the place of what was known. With trusted
-// false, servers that are not on the list are kept for Terms.Forget: a
-// platform that has just come back may have lost entries of servers that are
-// well.
+// Replace replaces the whole list of servers. If trusted is false, servers that are not on the
+// list are kept for Bounds.MissingTTL, since a platform that has just come back may have lost
+// entries of healthy servers.
 func (s *Set) Replace(list []Server, trusted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +218,7 @@
 	}
 }
 
-// Put adds or changes one server.
+// Put adds or updates one server.
 func (s *Set) Put(v Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,8 +235,8 @@
 func (s *Set) put(v Server) {
 	old := s.servers[v.ID]
 	if old != nil && old.StartedAtMs != v.StartedAtMs {
-		// It has started again and knows nothing of before, nor does anything hold that was
-		// known of it; what was chosen for its earlier life is chosen anew.
+		// The server has restarted: it has lost its state, and nothing that was known of it holds
+		// any more. Requests that chose the earlier incarnation choose again.
 		s.leave(old)
 		s.OnChange(v, "started again")
 		old = nil
@@ -261,7 +262,7 @@
 	old.group.isIndexed = false
 }
 
-// join puts the server into its service's group, in the order of IDs.
+// join adds the server to its service's group, in the order of IDs.
 func (s *Set) join(v *server) {
 	if v.group != nil && v.group.service == v.Service {
 		return
@@ -314,8 +315,7 @@
 	}
 }
 
-// Expire drops servers that have been missing for too long. Call it from time
-// to time.
+// Expire drops the servers that have been missing for too long. It has to be called regularly.
 func (s *Set) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -326,8 +326,8 @@
 	}
 }
 
-// SetEvacuated sets the zones whose servers get nothing. Servers of a zone
-// that is taken back are taken to be cold: they may have been emptied.
+// SetEvacuated sets the zones whose servers get no requests. Servers of a zone that is no longer
+// evacuated count as cold, since they may have been emptied.
 func (s *Set) SetEvacuated(zones []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -346,7 +346,7 @@
 	}
 }
 
-// List returns the servers that are listed, by ID.
+// List returns the listed servers, ordered by ID.
 func (s *Set) List() []Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -379,7 +379,7 @@
 	return !v.Draining && !v.leaving && !v.stale && !s.evacuated[v.Zone] && !s.forgotten(v)
 }
 
-// forgotten reports whether the server has been missing for too long.
+// forgotten reports whether the server has been missing for longer than MissingTTL.
 func (s *Set) forgotten(v *server) bool {
 	return !v.missingSince.IsZero() && s.Now().Sub(v.missingSince) > s.Bounds.MissingTTL
 }
