--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// A server that turns a request away may ask the box that sent it for rest: for so long it wants no
-// requests from that box. What it asks of one box says nothing of others, so boxes do not tell each
-// other. After the time one request at a time finds out whether it takes requests again: all that its
-// keys ask for would else come back at once, to be turned away if it is not well yet.
+// A server that sheds a request may ask the box that sent it for a backoff: for that time it
+// accepts no requests from that box. The request applies to that box only, so boxes do not pass
+// it on. After the backoff, one request at a time probes whether the server accepts requests
+// again. Otherwise all requests for its keys would come back at once, only to be shed if the
+// server has not recovered.
 
-// backoffState is what a server has asked this box for.
+// backoffState is the backoff that a server has asked this box for.
 type backoffState struct {
-	// until is the end of the time for which it wants nothing.
+	// until is the end of the backoff.
 	until time.Time
-	// unproven: it has asked for rest, and run no request since.
+	// unproven is true if the server has asked for a backoff and run no request since.
 	unproven bool
-	// trial: a request is on its way that finds out.
+	// trial is true while a probing request is in flight.
 	trial bool
 }
 
-// blocks reports whether the server is to get nothing now.
+// blocks reports whether the server is to get no request now.
 func (r *backoffState) blocks(now time.Time) bool {
 	return now.Before(r.until) || r.unproven && r.trial
 }
 
-// BackOff has a life of a server get nothing from this box for a time, or for the rest of a longer one,
-// and reports whether that began now.
+// BackOff stops requests from this box to that incarnation of a server for the given time. A
+// longer backoff in progress stays in force. BackOff reports whether a backoff began now.
 func (s *Set) BackOff(incarnation string, d time.Duration) (began bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,13 +46,13 @@
 	return began
 }
 
-// Backoff is a server that has asked this box for rest, and for how much longer.
+// Backoff is a server that has asked this box for a backoff, and the time left of it.
 type Backoff struct {
 	Server Server
 	Left   time.Duration
 }
 
-// BackedOff returns the servers that rest now, by ID.
+// BackedOff returns the servers whose backoff has not ended, ordered by ID.
 func (s *Set) BackedOff() []Backoff {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,11 +67,13 @@
 	return list
 }
 
-// skippedBackoffs are the servers that a choice has passed over since they have asked for rest.
+// skippedBackoffs describes the servers that a choice has skipped because they have asked for a
+// backoff.
 type skippedBackoffs struct {
-	// count is how many, and near how many of the region in which the key has its home.
+	// count is the number of servers, and near how many of them are in the region in which the
+	// key has its home.
 	count, near int
-	// until is when the first of them takes requests again, zero if that is not known.
+	// until is when the first of them accepts requests again; zero if there is none.
 	until time.Time
 }
 
@@ -84,13 +87,13 @@
 	}
 }
 
-// roomIn is after what time the first of them takes requests again, 0 if that is not known.
+// roomIn returns the time until the first of them accepts requests again; 0 if that is unknown.
 func (r *skippedBackoffs) roomIn(now time.Time) time.Duration {
 	return max(0, r.until.Sub(now))
 }
 
-// MaySend reports whether the server may still get the request: since it was chosen it may have left,
-// or asked for rest.
+// MaySend reports whether the request may still be sent to the server. Since the choice the
+// server may have left or asked for a backoff.
 func (l *Lease) MaySend() bool {
 	l.set.mu.Lock()
 	defer l.set.mu.Unlock()
--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// coldWindow is the span in which a cold server's requests are counted.
+	// coldWindow is the span in which the requests to a cold server are counted.
 	coldWindow = time.Second
-	// coldShare is which part of what a cold server bears boxes send it that know that it is cold. The
-	// rest is for those that have not heard of it yet, and for boxes that know unlike sets of boxes.
+	// coldShare is the fraction of a cold server's rate that is used by the boxes that know that
+	// it is cold. The remainder is for boxes that have not learned that yet, and for boxes that
+	// know different sets of boxes.
 	coldShare = 0.5
-	// coldPlaceEvery is how often a box works its place out anew: with each heartbeat it may change.
+	// coldPlaceEvery is how often a box recomputes its place, which may change with each
+	// heartbeat.
 	coldPlaceEvery = 500 * time.Millisecond
 )
 
-// maySendToCold reports whether this box may send one more request to a cold
-// server. The bound holds for the sum over all boxes, which do not ask each
-// other: each has its part of it.
+// maySendToCold reports whether this box may send one more request to a cold server. The bound
+// applies to the sum over all boxes, which do not coordinate: each has its share.
 func (s *Set) maySendToCold(v *server, now time.Time) bool {
 	part := s.coldAllowance(v, now)
 	if part < 1 {
@@ -30,9 +31,9 @@
 	return len(recent) < part
 }
 
-// coldAllowance is how many requests in any second this box may send: an even part, or where that is less
-// than one, one at as many boxes as the server bears requests. A box that counts a few others too
-// many or too few is wrong about its place by as many.
+// coldAllowance returns how many requests this box may send in any second: an equal share or,
+// where that is less than one, one request from as many boxes as the server accepts requests. If
+// a box counts a few boxes too many or too few, its place is off by that many.
 func (s *Set) coldAllowance(v *server, now time.Time) int {
 	boxes := s.Boxes()
 	if boxes <= 0 {
@@ -52,13 +53,14 @@
 	return 0
 }
 
-// Peer is a box, as far as the order is concerned in which boxes send to a cold server.
+// Peer is a box in the order in which boxes send to a cold server.
 type Peer struct {
 	Zone   string
 	Region string
-	// Hash is that of the box's name, see Hash.
+	// Hash is the hash of the box's name; see Hash.
 	Hash uint64
-	// Advertised: clients of its zone are told of it, others only where there are none of these.
+	// Advertised is true if clients of the box's zone are given its address. Other boxes get
+	// clients only where no such box is left.
 	Advertised bool
 }
 
@@ -70,9 +72,9 @@
 	rankOther
 )
 
-// coldRank is a box's rank for a server. Boxes that clients are told of come first, since others hardly ever have a
-// request for it; of these the boxes of its own zone, which know best of each other which those are, and then
-// those of its region, which have most of its keys.
+// coldRank returns the box's rank for a server. Advertised boxes come first, since others rarely
+// have a request for it. Of these, the boxes of the server's zone come first, since they know
+// best which of them are advertised, and then those of its region, which have most of its keys.
 func (p *Peer) coldRank(v *server) int {
 	switch {
 	case !p.Advertised:
@@ -85,14 +87,14 @@
 	return rankNamed
 }
 
-// coldPlaceOf returns this box's place, from 0, in the order in which boxes send to a cold server where
-// there are more of them than it bears requests: by their rank, and else by a hash, so that each
-// server has others. It runs for each cold server, of which there may be a thousand, and each box, so
-// names are hashed beforehand.
+// coldPlaceOf returns this box's place, from 0, in the order in which boxes send to a cold server
+// where there are more boxes than it accepts requests. The order is by rank and then by a hash,
+// so that each server has different boxes. It is computed for every cold server, of which there
+// may be a thousand, over all boxes, so names are hashed beforehand.
 //
-// Where boxes of a zone know of unlike ones that clients are told of, as when all of these have ended, two groups
-// send: that is what coldShare leaves room for. A box that does not know all the others yet, of so
-// many boxes, has the last place.
+// If boxes of a zone disagree on which boxes are advertised, for example after all of these have
+// ended, two groups of boxes send; coldShare leaves room for that. A box that does not know all
+// other boxes yet takes the last place.
 func (s *Set) coldPlaceOf(v *server, boxes int) int {
 	self, peers := s.Peers()
 	if len(peers)+1 < boxes {
@@ -109,27 +111,28 @@
 	return place
 }
 
-// restartWindow is within what time of its end a server that has started again is listed
-// anew, or else listed no more: three of its heartbeats of 1.5 s, and a second and more for the list to be known.
+// restartWindow is the time after a server's end within which it is listed again if it has
+// restarted, or its entry is removed: three of its heartbeats of 1.5 s, plus more than a second
+// until the list is known here.
 const restartWindow = 6 * time.Second
 
-// mayHaveRestarted reports whether the server's port has lately refused a connection: that
-// life has ended, and what answers there next, under the same ID, has just started and is
-// cold, while the list still has the entry of before. A server that does not tell its starts
-// apart has another ID with each.
+// mayHaveRestarted reports whether the server's port has refused a connection recently. That
+// incarnation has ended. A server that answers there next under the same ID has just started and
+// is cold, while the list still holds the entry of the earlier incarnation. A server that does
+// not report its start time gets a new ID with each start.
 func (s *Set) mayHaveRestarted(v *server, now time.Time) bool {
 	return v.StartedAtMs != 0 && !v.refusedAt.IsZero() && now.Sub(v.refusedAt) < restartWindow
 }
 
-// isProbed reports whether a request is on its way that finds out whether such a server is there
-// again, where the list cannot tell later either: one request of this box at a time does.
+// isProbed reports whether a request is in flight that probes whether such a server is running
+// again, where the list cannot show that later either. This box sends one such request at a time.
 func (s *Set) isProbed(v *server, now time.Time) bool {
 	return v.StartedAtMs != 0 && !v.refusedAt.IsZero() && !s.mayHaveRestarted(v, now) && !s.Trusted() && v.load.own > 0
 }
 
-// answeredAfterRefusal notes that a server answers whose port had refused. A list that can be trusted tells
-// in time whether it has started again; where it cannot be, it has just started for all that is
-// known.
+// answeredAfterRefusal records an answer from a server whose port had refused a connection. A
+// list that is trusted shows in time whether the server has restarted. If the list is not
+// trusted, the server counts as just started.
 func (s *Set) answeredAfterRefusal(v *server, now time.Time) {
 	trusted := s.Trusted()
 	if v.refusedAt.IsZero() || trusted && s.mayHaveRestarted(v, now) {
@@ -141,9 +144,8 @@
 	}
 }
 
-// markCold takes a server to be cold for a time. What is told may have been on
-// its way for a while, so it is counted from now, with a margin for clocks
-// that run apart.
+// markCold marks a server as cold for a time. The time is counted from now, since the information
+// may have been delayed, with a margin for clocks that differ.
 func (s *Set) markCold(v *server, d time.Duration) {
 	if d <= 0 {
 		return
--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// FailureReport is what a box found of a server that others should know before the
-// platform's list tells them.
+// FailureReport is what a box found out about a server that other boxes should know before the
+// platform's list shows it.
 type FailureReport struct {
-	// Server names the server's life, see Server.Life: another one under its ID is not
-	// concerned.
+	// Server is the server's incarnation, see Server.Incarnation. The report does not apply to
+	// other incarnations of the same ID.
 	Server string
-	// Stale: another server has its address, so it is gone for good. Otherwise
-	// no connection to it came up.
+	// Stale is true if the server's address belongs to another server, so that it is gone for
+	// good. Otherwise no connection to the server could be opened.
 	Stale bool
 }
 
-// confirmWindow is within what time two boxes must tell that a server cannot be
-// reached for a third one to believe it.
+// confirmWindow is the time within which two boxes must report that a server cannot be reached
+// for a third box to believe it.
 const confirmWindow = 2 * time.Second
 
-// zoneAnswerMaxAge is within what time another server of the zone must have answered for
-// a server that cannot be reached to be told: less than a
-// connection in vain takes, so that the way there is known to have been open since.
+// zoneAnswerMaxAge is how recently another server of the zone must have answered for a box to
+// report a server as unreachable. It is shorter than a failed connection attempt takes, so that
+// the network path to the zone is known to have worked since the attempt began.
 const zoneAnswerMaxAge = 500 * time.Millisecond
 
-// unconfirmedReport is what other boxes told of a server.
+// unconfirmedReport is the first report by another box that a server cannot be reached.
 type unconfirmedReport struct {
-	// box was the first to tell that it cannot be reached, at the time.
+	// box sent the report, which arrived at the time at.
 	box string
 	at  time.Time
 }
 
-// reportFailure tells others what an exchange has shown. A box that cannot reach a server
-// may be cut off itself: it tells so only if another server of that zone has just
+// reportFailure reports to other boxes what an exchange has shown. A box that cannot reach a
+// server may be cut off itself, so it reports that only if another server of the zone has just
 // answered it.
 func (s *Set) reportFailure(l *Lease, result Result, now time.Time) {
 	switch {
@@ -41,10 +41,10 @@
 	}
 }
 
-// ApplyFailureReport takes in what another box found. That an address has gone to another
-// server is a fact. That a server cannot be reached is believed when a second
-// box says so, or this box has lately failed with it, and has had no answer of it
-// since; it then rests like one that this box could not reach.
+// ApplyFailureReport applies another box's report. A reused address is a fact. That a server
+// cannot be reached is believed if a second box reports it, or if this box has failed with the
+// server recently, and only if the server has not answered this box recently. The server is then
+// ejected as if this box could not reach it.
 func (s *Set) ApplyFailureReport(box string, f FailureReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// markStale takes a server for gone whose address another one has.
+// markStale marks a server as gone because its address belongs to another server.
 func (s *Set) markStale(v *server) {
 	v.stale = true
 	if v.group != nil {
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// byIncarnation returns the server of a life, nil if that is not known.
+// byIncarnation returns the server with that incarnation, or nil if it is unknown.
 func (s *Set) byIncarnation(incarnation string) *server {
 	id, _, _ := strings.Cut(incarnation, incarnationSeparator)
 	v := s.servers[id]
@@ -12,7 +12,7 @@
 	return v
 }
 
-// ReportsStart reports whether the server is known and tells when it started.
+// ReportsStart reports whether the server is known and reports when it started.
 func (s *Set) ReportsStart(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,14 +20,14 @@
 	return v != nil && v.StartedAtMs != 0
 }
 
-// HasIncarnation reports whether the life of a server is known, see Server.Life.
+// HasIncarnation reports whether that incarnation of a server is known; see Server.Incarnation.
 func (s *Set) HasIncarnation(incarnation string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.byIncarnation(incarnation) != nil
 }
 
-// IsListedAt reports whether the life of a server is listed at an address now.
+// IsListedAt reports whether that incarnation of a server is listed at the address now.
 func (s *Set) IsListedAt(incarnation, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,9 +35,9 @@
 	return v != nil && v.missingSince.IsZero() && v.Address == address
 }
 
-// MarkLeaving takes a life of a server to leave, whatever the list says of it: it gets nothing new, and
-// what waits to be sent to it goes elsewhere. The platform's store may be silent, and its list
-// say that the server is ready, for as long as that lasts.
+// MarkLeaving marks that incarnation of a server as leaving, whatever the list has of it: it gets
+// no new requests, and requests that wait to be sent to it go elsewhere. The platform's store may
+// be silent, and its list then keeps showing the server as ready.
 func (s *Set) MarkLeaving(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// maxDenied bounds how many servers are asked for a token of their limits in vain. After that only
-// those that name no limit are considered.
+// maxDenied bounds how many servers a choice asks for a token in vain. After that it considers
+// only servers without a rate limit.
 const maxDenied = 4
 
-// skipLimited passes over all servers of the list that name limits, and puts those that the key
-// prefers of the others first. Without it, where most servers of a service name limits, requests
+// skipLimited skips all servers of the list that have a rate limit and moves the preferred ones
+// of the others to the front. Without it, where most servers of a service have limits, requests
 // would be refused that the few others can serve.
 func (s *Set) skipLimited(list []candidate, r *Request, now time.Time) {
 	end := len(list)
@@ -26,9 +26,9 @@
 	s.estimateLoads(list[:end], front, now)
 }
 
-// frontSize is how many servers of a list a choice may have to look at: a key's home, and the next one
-// for a hot key, besides those that are passed over since they were tried or have no room by their
-// limits.
+// frontSize returns how many servers of a list a choice may look at: the key's home and, for a
+// hot key, the next server, besides those that are skipped because they were tried or their
+// limits leave no room.
 func (s *Set) frontSize(r *Request) int {
 	front := 2 + len(r.Tried)
 	if s.AnyLimited() {
@@ -37,10 +37,10 @@
 	return front
 }
 
-// denials are the servers that a choice has passed over since their limits leave no room.
+// denials counts the servers that a choice has skipped because their limits leave no room.
 type denials struct {
 	count int
-	// retryAfter is when the first of them has room again.
+	// retryAfter is the time until the first of them has room again.
 	retryAfter time.Duration
 }
 
@@ -51,7 +51,8 @@
 	d.count++
 }
 
-// noServer says why no server is left, and when the first of those that were passed over has room.
+// noServer returns the error for a choice that no server is left for, with the time until the
+// first skipped server has room.
 func (s *Set) noServer(denied *denials, service string, now time.Time) *ChoiceError {
 	e := &ChoiceError{Reason: NoServer, Service: service}
 	if s.skippedBackoffs.count > 0 {
@@ -63,8 +64,8 @@
 	return e
 }
 
-// admit reports whether the limit that the server may have named leaves room for the request, and
-// for more urgent ones that lately found none.
+// admit reports whether the server's rate limit, if any, leaves room for the request and for more
+// urgent ones that recently found none.
 func (s *Set) admit(c *candidate, r *Request, now time.Time) (a Admission, roomIn time.Duration) {
 	if !s.AnyLimited() {
 		return Unlimited, 0
