--- a/pkg/backend/backoff.go
+++ b/pkg/backend/backoff.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// roomIn returns the time until the first of them accepts requests again; 0 if that is unknown.
-func (r *skippedBackoffs) roomIn(now time.Time) time.Duration {
+// retryAfter returns the time until the first of them accepts requests again; 0 if that is unknown.
+func (r *skippedBackoffs) retryAfter(now time.Time) time.Duration {
 	return max(0, r.until.Sub(now))
 }
 
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -106,7 +106,7 @@
 // the time until the first ejection ends. It considers the region of the key's home if that has
 // any candidate. A client that retries sooner would be refused again.
 func (s *Set) allEjected(service string, now time.Time, near, far []candidate) *ChoiceError {
-	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.skippedBackoffs.roomIn(now)}
+	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.skippedBackoffs.retryAfter(now)}
 	list := near
 	if len(list) == 0 {
 		list = far
--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -56,7 +56,7 @@
 func (s *Set) noServer(denied *denials, service string, now time.Time) *ChoiceError {
 	e := &ChoiceError{Reason: NoServer, Service: service}
 	if s.skippedBackoffs.count > 0 {
-		e.Reason, e.RetryAfter = BackingOff, s.skippedBackoffs.roomIn(now)
+		e.Reason, e.RetryAfter = BackingOff, s.skippedBackoffs.retryAfter(now)
 	}
 	if denied.count > 0 && (e.RetryAfter == 0 || denied.retryAfter < e.RetryAfter) {
 		e.Reason, e.RetryAfter = Limited, denied.retryAfter
