--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -80,14 +80,14 @@
 			best.shortages.record(&s.Policy, r.Priority, best.fill(), now)
 			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.retryAfter(limit, g.typicalLatency(now))}
 		}
-		admission, roomIn := s.admit(best, r, now)
+		admission, retryAfter := s.admit(best, r, now)
 		if admission == AdmissionUnknown {
 			return nil, &ChoiceError{Reason: AdmissionPending, Service: r.Service, Server: best.Server}
 		}
 		if admission == Denied {
 			best.shortages.record(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
 			best.skipped = true
-			denied.add(roomIn)
+			denied.add(retryAfter)
 			if denied.count == maxDenied {
 				s.skipLimited(near, r, now)
 				s.skipLimited(far, r, now)
