--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -44,9 +44,9 @@
 	retryAfter time.Duration
 }
 
-func (d *denials) add(roomIn time.Duration) {
-	if d.count == 0 || roomIn < d.retryAfter {
-		d.retryAfter = roomIn
+func (d *denials) add(retryAfter time.Duration) {
+	if d.count == 0 || retryAfter < d.retryAfter {
+		d.retryAfter = retryAfter
 	}
 	d.count++
 }
