--- a/pkg/backend/limited.go
+++ b/pkg/backend/limited.go
@@ -66,7 +66,7 @@
 
 // admit reports whether the server's rate limit, if any, leaves room for the request and for more
 // urgent ones that recently found none.
-func (s *Set) admit(c *candidate, r *Request, now time.Time) (a Admission, roomIn time.Duration) {
+func (s *Set) admit(c *candidate, r *Request, now time.Time) (a Admission, retryAfter time.Duration) {
 	if !s.AnyLimited() {
 		return Unlimited, 0
 	}
