--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -59,7 +59,7 @@
 	// set.
 	AnyLimited func() bool
 	HasLimit   func(server *Server) bool
-	Admit      func(server *Server, ask, yield bool) (a Admission, roomIn time.Duration)
+	Admit      func(server *Server, ask, yield bool) (a Admission, retryAfter time.Duration)
 	Release    func(server *Server)
 	// IsLeaving reports whether an incarnation of a server has reported that it is leaving; see
 	// MarkLeaving. It runs under the set's lock and must not call the set.
