--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A choice needs the first few servers in a key's order. All servers of a service are gone over for that, of
-// which there may be thousands, so that has to be little for each: their hashes lie in one list, and only those
-// that come first are looked at.
+// A choice needs the first few servers in a key's order. That takes a pass over all servers of a
+// service, of which there may be thousands, so the work for each has to be small: the index holds
+// their hashes in one list, and only the servers that come first are examined further.
 
-// indexEntry is what a server's place in keys' orders follows from.
+// indexEntry holds what determines a server's place in the orders of keys.
 type indexEntry struct {
 	hash   uint64
 	weight float64
@@ -19,11 +19,11 @@
 	server *server
 }
 
-// shortListSize is how many servers come into a short list: a key's home, and enough others for those that are
-// passed over on most days.
+// shortListSize is the number of servers in a short list: a key's home, and enough others to
+// replace those that are commonly skipped.
 const shortListSize = 12
 
-// reindex makes the index anew after the group or the parts of its servers have changed.
+// reindex rebuilds the index after the group or the weights of its servers have changed.
 func (s *Set) reindex(g *group) {
 	g.index = g.index[:0]
 	g.isWeighted = false
@@ -35,11 +35,11 @@
 	g.isIndexed = true
 }
 
-// shortList is the first servers of a list in a key's order, the best first.
+// shortList holds the first servers of a list in a key's order, best first.
 type shortList struct {
 	best  [shortListSize]scoredServer
 	count int
-	// total is how many servers the list has.
+	// total is the number of servers in the list.
 	total int
 }
 
@@ -48,7 +48,7 @@
 	server *server
 }
 
-// insert takes in a server if it is among the first.
+// insert adds a server if it is among the first.
 func (l *shortList) insert(score float64, v *server) {
 	l.total++
 	if l.count == shortListSize && score <= l.best[shortListSize-1].score {
@@ -65,8 +65,8 @@
 	l.best[at] = scoredServer{score, v}
 }
 
-// shortLists returns the first servers of the region in which the key has its home, of all others, and of
-// this box's zone, which only heavy requests ask for.
+// shortLists returns the first servers of the region in which the key has its home, of all other
+// regions, and of this box's zone. The last is filled only for requests with large bodies.
 func (s *Set) shortLists(g *group, r *Request, stays bool) (near, far, zone *shortList) {
 	if !g.isIndexed {
 		s.reindex(g)
@@ -76,7 +76,7 @@
 	for i := range g.index {
 		e := &g.index[i]
 		hash := mix(r.Key ^ e.hash)
-		// In one order with the weighted score, where all weights are 1.
+		// This has the same order as the weighted score if all weights are 1.
 		score := float64(hash >> 11)
 		if g.isWeighted {
 			score = weightedScore(hash, e.weight)
@@ -93,8 +93,9 @@
 	return near, far, zone
 }
 
-// candidatesFromShortList makes the candidates of a short list. It is not ok if the list may lack one that comes before
-// those that it has: they are cold or have failed.
+// candidatesFromShortList returns the candidates of a short list. It returns false if the list
+// may lack a candidate that comes before those in it, because too many of these are cold or have
+// failed.
 func (s *Set) candidatesFromShortList(to []candidate, l *shortList, g *group, r *Request, version versionChoice, front int, now time.Time) (list []candidate, ok bool) {
 	list = to[:0]
 	normal := 0
@@ -112,11 +113,11 @@
 	return list, normal >= front || l.count == l.total
 }
 
-// shortCandidates returns the same first candidates as candidates does, from short lists. It is not ok where
-// these do not tell.
+// shortCandidates returns the same first candidates as allCandidates after sorting, from short
+// lists. It returns false if the short lists do not determine them.
 func (s *Set) shortCandidates(g *group, r *Request, version versionChoice, stays bool, now time.Time) (near, far []candidate, ok bool) {
 	if s.AnyLimited() || s.anyBackedOff(now) {
-		// Servers that are passed over count, wherever they stand.
+		// Skipped servers are counted, wherever they are in the order.
 		return nil, nil, false
 	}
 	front := s.frontSize(r)
@@ -138,7 +139,8 @@
 	return near, far, true
 }
 
-// anyBackedOff reports whether any server has asked this box for rest and is not yet sent requests as before.
+// anyBackedOff reports whether any server has asked this box for a backoff and does not get all
+// its requests yet.
 func (s *Set) anyBackedOff(now time.Time) bool {
 	for v := range s.backedOff {
 		if !v.backoff.unproven && !now.Before(v.backoff.until) {
@@ -148,7 +150,7 @@
 	return len(s.backedOff) > 0
 }
 
-// addZone adds servers of this box's zone to those near, where they are of the same region.
+// addZone adds the servers of this box's zone to the near ones if they are in the same region.
 func (s *Set) addZone(near, inZone []candidate, stays bool) []candidate {
 	if !stays {
 		return near
--- a/pkg/backend/keys.go
+++ b/pkg/backend/keys.go
@@ -7,33 +7,31 @@
 )
 
 const (
-	// rememberedKeys is how many keys a box remembers of each server that it
-	// sends requests to.
+	// rememberedKeys is the number of keys that a box remembers for each server that it sends
+	// requests to.
 	rememberedKeys = 256
-	// halveEvery is how often the counts of a server's requests are halved:
-	// within a few seconds a key is known to have become hot, or to have
-	// cooled down.
+	// halveEvery is how often the counts of a server's requests are halved. A key that becomes
+	// hot or stops being hot is recognized within a few seconds.
 	halveEvery = 2 * time.Second
-	// hotCount is how many counted requests make a key hot at least: fewer say
-	// nothing of its share.
+	// hotCount is the least count of requests for a hot key. A lower count is no evidence of the
+	// key's share.
 	hotCount = 6
 )
 
-// keyTable remembers keys that were lately sent to a server by this box, and
-// which of them it answered. A key whose place is taken by another one is
-// forgotten, so a key that is found was answered there, while one that is not
-// found may have been.
+// keyTable holds keys that this box has recently sent to a server, and which of them the server
+// has answered. A key is forgotten when another one takes its place. So the server has answered
+// for a key that is found as known, and may have answered for one that is not found.
 type keyTable struct {
 	keys  [rememberedKeys]uint64
 	known [rememberedKeys]bool
-	// counts are the requests for each key, total all of the server's, halved
-	// from time to time.
+	// counts holds the requests for each key, and total those for the server. Both are halved
+	// periodically.
 	counts   [rememberedKeys]uint16
 	total    float64
 	halvedAt time.Time
 }
 
-// place returns the key's place, taken from another key if need be.
+// place returns the index of the key, which replaces another key there if necessary.
 func (t *keyTable) place(key uint64) int {
 	i := int(key % rememberedKeys)
 	if t.keys[i] != key {
@@ -42,7 +40,7 @@
 	return i
 }
 
-// sent counts a request.
+// sent counts a request for the key.
 func (t *keyTable) sent(key uint64, now time.Time) {
 	if now.Sub(t.halvedAt) >= halveEvery {
 		t.halvedAt = now
@@ -57,11 +55,11 @@
 	}
 }
 
-// answered notes that the server knows the key.
+// answered records that the server knows the key.
 func (t *keyTable) answered(key uint64) { t.known[t.place(key)] = true }
 
-// has reports whether the server has answered for the key. A nil table, of a
-// server that was sent nothing, has none.
+// has reports whether the server has answered for the key. A nil table, for a server that was
+// sent nothing, has no keys.
 func (t *keyTable) has(key uint64) bool {
 	if t == nil {
 		return false
@@ -70,7 +68,7 @@
 	return t.keys[i] == key && t.known[i]
 }
 
-// hot reports whether the key is a large part of what the server gets.
+// hot reports whether the key makes up a large part of the server's requests.
 func (t *keyTable) hot(p *policy.Policy, key uint64) bool {
 	if t == nil {
 		return false
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -9,17 +9,16 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// localShare is the share of a region's keys that have their home in that
-// region; the others have it elsewhere. It follows the regions' slots, and the load
-// where the region's servers have more to do than others, but no faster than the cap
-// on shifts allows.
+// localShare is the share of a region's keys that have their home in that region; the others have
+// it elsewhere. It follows the slots of the regions, and the load if the region's servers are
+// busier than others, but changes no faster than the cap on shifts allows.
 type localShare struct {
 	value float64
 	at    time.Time
 }
 
-// fills are how much of their slots a service's servers have taken, as they told it in
-// their answers: those of this region, and others. They are moving averages.
+// fills holds how much of their slots a service's servers have taken, as reported in their
+// answers, for this region (near) and all others (far).
 type fills struct {
 	near, far fill
 }
@@ -30,10 +29,10 @@
 	at    time.Time
 }
 
-// fillSpan is the span of the averages: as long as a window of the cap on shifts.
+// fillSpan is the span of the averages, which equals a window of the cap on shifts.
 const fillSpan = 2 * time.Second
 
-// add takes in what a server add.
+// add adds the load that a server reported.
 func (f *fill) add(load *Load, now time.Time) {
 	sample := float64(load.Running+load.Waiting) / float64(max(1, load.Slots))
 	if f.at.IsZero() {
@@ -45,19 +44,19 @@
 	f.at = now
 }
 
-// minFillWeight is the least weight of a new answer.
+// minFillWeight is the least weight of a new report.
 const minFillWeight = 0.002
 
-// now returns the average. It fades while nothing is told, so that a region that gets
-// nothing any more is tried again.
+// now returns the average. It decays while no server reports, so that a region that gets no
+// requests is tried again.
 func (f *fill) now(now time.Time) float64 {
 	return f.value * math.Exp(-now.Sub(f.at).Seconds()/fillSpan.Seconds())
 }
 
-// targetShare is the share that the load asks for, given that of the slots. Where the
-// region's servers have requests waiting and others much less to do, keys leave it;
-// they come back when its servers have room. Customers that are bound to a region
-// fill its servers so, whoever else has keys there.
+// targetShare returns the share that the load calls for, given the share of the slots. If
+// requests wait at the region's servers and others have much less to do, keys move away; they
+// return when the region's servers have room. Customers that are bound to a region can fill its
+// servers, whatever other keys have their home there.
 func (f *fills) targetShare(p *policy.Policy, share, bySlots float64, now time.Time) float64 {
 	near, far := f.near.now(now), f.far.now(now)
 	switch {
@@ -69,8 +68,8 @@
 	return min(share, bySlots)
 }
 
-// localShareOf returns the share of this region's keys that stay in the
-// region, among the regions that are allowed.
+// localShareOf returns the share of this region's keys that stay in the region, given the regions
+// that the request allows.
 func (s *Set) localShareOf(g *group, r *Request, now time.Time) float64 {
 	mean, own, regions := s.slotsOf(g, r)
 	if regions == "" {
@@ -93,11 +92,11 @@
 	return l.value
 }
 
-// largeBodyWeight is the weight of a new request in the share of heavy ones.
+// largeBodyWeight is the weight of a new request in the share of requests with large bodies.
 const largeBodyWeight = 0.005
 
-// shareBySize divides the share of keys that stay in the region between heavy
-// requests and others: heavy ones stay first. The sum remains the same.
+// shareBySize divides the share of keys that stay in the region between requests with large
+// bodies and others. Those with large bodies stay first; the sum is unchanged.
 func (g *group) shareBySize(share float64, heavy bool) float64 {
 	sample := 0.0
 	if heavy {
@@ -114,14 +113,13 @@
 	return (share - g.largeBodies*heavyShare) / (1 - min(g.largeBodies, 0.99))
 }
 
-// regionSlots is how many slots the servers of a region have that may get
-// requests.
+// regionSlots is the number of slots of a region's servers that may get requests.
 type regionSlots struct {
 	region string
 	slots  float64
 }
 
-// countSlots works out the slots of each region.
+// countSlots counts the slots of each region.
 func (s *Set) countSlots(g *group) {
 	g.changed = false
 	slots := map[string]float64{}
@@ -138,8 +136,8 @@
 	}
 }
 
-// slotsOf returns the mean of the slots of the allowed regions, the slots of
-// this region, and a name for the set of regions.
+// slotsOf returns the mean slots of the allowed regions, the slots of this region, and a name for
+// the set of allowed regions.
 func (s *Set) slotsOf(g *group, r *Request) (mean, own float64, regions string) {
 	if g.changed {
 		s.countSlots(g)
--- a/pkg/backend/order.go
+++ b/pkg/backend/shortage.go
@@ -7,18 +7,18 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// shortages knows which priorities are short of room at a server, so that less urgent requests
-// leave them some there. It is known for each server: for a whole service, requests would be
-// refused at servers that nobody more urgent asks.
+// shortages tracks which priorities are short of room at one server, so that less urgent requests
+// leave them some there. If it were kept for a whole service, requests would be refused at
+// servers that get no more urgent requests.
 type shortages struct {
 	pressures map[int]*pressure
-	// yields counts the requests that were to leave room.
+	// yields counts the requests that had to leave room.
 	yields int
-	// tokenYields counts those that were to leave what the server takes by its limit.
+	// tokenYields counts the requests that had to leave the tokens of the server's rate limit.
 	tokenYields int
 }
 
-// pressure is the share of a priority's requests that found their server short of room: a
+// pressure is the share of a priority's requests that found their server short of room, as a
 // moving average over pressureSpan.
 type pressure struct {
 	share float64
@@ -26,22 +26,22 @@
 }
 
 const (
-	// pressureSpan is the span of the average: some service times, so that a burst counts
+	// pressureSpan is the span of the average: several service times, so that a burst counts
 	// while it lasts.
 	pressureSpan = time.Second
-	// pressureWeight is the weight of one request.
+	// pressureWeight is the weight of one request in the average.
 	pressureWeight = 0.1
-	// fullPressure is from which share on less urgent requests leave all the room that they
-	// are to leave.
+	// fullPressure is the pressure from which on less urgent requests leave all the room between
+	// YieldFill and FullFill.
 	fullPressure = 0.2
-	// minPressure is below what nobody is short.
+	// minPressure is the share below which no priority counts as short of room.
 	minPressure = 0.005
-	// exemptOneIn: of the requests that are to leave room one in so many is not, so that no
-	// kind is served less than a third as often as more urgent ones, however long the
-	// shortage lasts.
+	// exemptOneIn is the number of requests that would have to leave room of which one is exempt,
+	// so that no priority is served less than a third as often as more urgent ones, however long
+	// the shortage lasts.
 	exemptOneIn = 3
-	// exemptTokenOneIn is the same at a server that names a limit, of which the first to ask gets
-	// what there is.
+	// exemptTokenOneIn is the same for a server that has a rate limit, where the first request to
+	// ask gets the available token.
 	exemptTokenOneIn = 2
 )
 
@@ -49,7 +49,7 @@
 	return c.share * math.Exp(-now.Sub(c.at).Seconds()/pressureSpan.Seconds())
 }
 
-// record notes how full a request of a priority found its server.
+// record records how full a request of a priority found its server.
 func (o *shortages) record(p *policy.Policy, priority int, fill float64, now time.Time) {
 	if o.pressures == nil {
 		o.pressures = map[int]*pressure{}
@@ -67,8 +67,8 @@
 	c.share, c.at = before+pressureWeight*(sample-before), now
 }
 
-// limit is how much of its slots a server may have taken to be given a request of a
-// priority: less where more urgent ones are short of room.
+// limit returns the fraction of its slots that a server may have taken to get a request of a
+// priority. It is lower if more urgent requests are short of room.
 func (o *shortages) limit(p *policy.Policy, priority int, now time.Time) float64 {
 	most := o.moreUrgentPressure(priority, now)
 	if most < minPressure {
@@ -81,18 +81,19 @@
 	return p.FullFill - (p.FullFill-p.YieldFill)*min(1, most/fullPressure)
 }
 
-// yieldsToken reports whether a request of a priority leaves what the server takes by its limit to
-// more urgent ones, which lately found no room there.
+// yieldsToken reports whether a request of a priority leaves the tokens of the server's rate
+// limit to more urgent requests that recently found no room there.
 func (o *shortages) yieldsToken(priority int, now time.Time) bool {
 	if o.moreUrgentPressure(priority, now) < minPressure {
 		return false
 	}
 	o.tokenYields++
-	// Drawn, and not in turn: tokens and requests may both come in turn.
+	// The exempt requests are drawn by hash rather than by turn, since tokens and requests may
+	// both arrive in a regular pattern.
 	return mix(uint64(o.tokenYields))%exemptTokenOneIn != 0
 }
 
-// moreUrgentPressure is the greatest share of a more urgent priority's requests that found no room.
+// moreUrgentPressure returns the greatest pressure of the more urgent priorities.
 func (o *shortages) moreUrgentPressure(priority int, now time.Time) float64 {
 	most := 0.0
 	for other, c := range o.pressures {
--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -8,47 +8,45 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// Servers of unlike speed get unlike parts of the keys. How fast a server is
-// shows only in answers for keys that it knows, given while it had a free slot:
-// all others measure first uses and queues. Prior: all servers are alike, until
-// a server has given SpeedAnswers such answers and the service has enough such
-// servers to compare with.
+// Servers of different speed get different shares of the keys. The speed of a server shows only
+// in answers for keys that it knows, given while it had a free slot; all other answers measure
+// first uses and queues. All servers count as equally fast until a server has given SpeedAnswers
+// such answers and the service has enough such servers to compare with.
 //
-// A part changes in steps only: boxes observe for themselves, and a key that
-// one box takes elsewhere than another becomes known twice. A wrong estimate
-// costs the keys that move first uses, and the server at most leastWeight.
+// A weight changes only in steps: each box observes for itself, and a key that two boxes send to
+// different servers is learned twice. A wrong estimate costs a first use for each key that moves,
+// and reduces the server's weight to no less than minWeight.
 
 const (
-	// minCompared is how many servers make a typical one.
+	// minCompared is the least number of servers from which a typical speed is derived.
 	minCompared = 3
-	// stepHysteresis is how far, in steps, a server must be from its step to get
-	// another one; half a step would swing between two.
+	// stepHysteresis is how far, in steps, a server must be from its current step to change it.
+	// With half a step it would alternate between two steps.
 	stepHysteresis = 0.75
-	// minWeight and mostWeight bound a server's part of the keys against
-	// that of a typical one: a server far off these is slow, or the others are.
+	// minWeight and maxWeight bound a server's share of the keys relative to a typical one. If a
+	// server is far outside, either it is slow or the others are.
 	minWeight = 0.25
 	maxWeight = 4
 )
 
-// speed is how fast a server is.
+// speed is the speed of a server.
 type speed struct {
-	// mean is how long it takes for keys that it knows, in seconds.
+	// mean is the mean latency for keys that the server knows, in seconds.
 	mean    float64
 	answers int
-	// steps is by how many steps it is slower than a typical one.
+	// steps is the number of steps by which the server is slower than a typical one.
 	steps float64
-	// keyWeight is its keyWeight of the keys against that of a typical one, 0 for 1.
+	// keyWeight is the server's share of the keys relative to a typical one; 0 stands for 1.
 	keyWeight float64
 }
 
-// addAnswer takes in an answer for a key that the server knew, while it had a free
-// slot.
+// addAnswer records an answer for a key that the server knew, given while it had a free slot.
 func (s *speed) addAnswer(p *policy.Policy, d time.Duration) {
 	s.answers++
 	s.mean += max(p.SpeedWeight, 1/float64(s.answers)) * (d.Seconds() - s.mean)
 }
 
-// weight is the server's part of the keys against that of a typical one.
+// weight returns the server's share of the keys relative to a typical one.
 func (s *speed) weight() float64 {
 	if s.keyWeight == 0 {
 		return 1
@@ -56,7 +54,7 @@
 	return s.keyWeight
 }
 
-// compare finds the server's step, given how long a typical one takes, and returns its part.
+// compare updates the server's step, given the typical mean latency, and returns its weight.
 func (s *speed) compare(p *policy.Policy, typical float64) (part float64) {
 	steps := math.Log(s.mean/typical) / math.Log(p.SpeedStep)
 	if math.Abs(steps-s.steps) > stepHysteresis {
@@ -69,7 +67,7 @@
 // compareEvery is how often speeds are compared. They change slowly.
 const compareEvery = time.Second
 
-// compareSpeeds compares the group's servers with each other.
+// compareSpeeds compares the servers of the group with each other.
 func (g *group) compareSpeeds(p *policy.Policy, now time.Time) {
 	if now.Sub(g.comparedAt) < compareEvery {
 		return
@@ -95,9 +93,9 @@
 	}
 }
 
-// weightedScore orders servers for a key so that each is first for a part of
-// the keys in proportion to its weight, and a changed weight moves no more keys
-// than it must (weighted rendezvous hashing).
+// weightedScore orders servers for a key so that each one is first for a share of the keys in
+// proportion to its weight, and a changed weight moves no more keys than necessary (weighted
+// rendezvous hashing).
 func weightedScore(hash uint64, weight float64) float64 {
 	u := (float64(hash>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(u)
--- a/pkg/backend/spill.go
+++ b/pkg/backend/spill.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// spillBuckets is the number of parts of a window that are counted.
+// spillBuckets is the number of buckets into which a window is divided.
 const spillBuckets = 4
 
-// spillGuard bounds how fast the share of requests rises that leave a region
-// which is full, so that a burst does not move more of a region's traffic from
-// one window to the next than the cap on shifts allows.
+// spillGuard bounds how fast the share of requests that leave a full region rises, so that a
+// burst moves no more of a region's traffic from one window to the next than the cap on shifts
+// allows.
 type spillGuard struct {
 	requests [2 * spillBuckets]int
 	spilled  [2 * spillBuckets]int
-	// startedAt is when the first request was counted; buckets are counted from then on.
+	// startedAt is when the first request was counted; buckets are numbered from then on.
 	startedAt time.Time
 	at        int64
 }
@@ -22,8 +22,8 @@
 	g.requests[g.at%int64(len(g.requests))]++
 }
 
-// allow takes one request that leaves the region, if the share of such requests
-// rises by no more than the given rise from one window to the next.
+// allow counts one request that leaves the region and returns true if the share of such requests
+// then rises by no more than the given rise from one window to the next.
 func (g *spillGuard) allow(rise float64, terms *Bounds, now time.Time) bool {
 	g.advance(terms, now)
 	requests, spilled := g.sum(0)
@@ -39,7 +39,7 @@
 	return true
 }
 
-// sum adds up a window that ends some buckets ago.
+// sum returns the totals of a window that ended the given number of buckets ago.
 func (g *spillGuard) sum(ago int64) (requests, spilled int) {
 	size := int64(len(g.requests))
 	for i := ago; i < ago+spillBuckets; i++ {
--- a/pkg/backend/version.go
+++ b/pkg/backend/version.go
@@ -6,21 +6,22 @@
 	"github.com/stoneworks/stoneworks/pkg/rollout"
 )
 
-// countVersionsEvery is how often the slots of a service's versions are counted anew.
+// countVersionsEvery is how often the slots of a service's versions are recounted.
 const countVersionsEvery = 100 * time.Millisecond
 
-// versionSlots are the slots of a service's servers that may get requests and are not cold, of a version and of
-// the others.
+// versionSlots holds the slots of a service's servers that may get requests and are not cold, for
+// a version and for all others.
 type versionSlots struct {
 	ofVersion, others float64
 	at                time.Time
 }
 
-// versionShare bounds the share of requests for a version by its slots against those of the others: its servers
-// start one after the other, and the first ones would get what is meant for all.
+// versionShare returns the share of requests for a version, bounded by the ratio of its slots to
+// those of the others: its servers start one by one, and the first ones would otherwise get the
+// load meant for all.
 func (s *Set) versionShare(g *group, rule *rollout.Rule, now time.Time) float64 {
 	if rule.Share >= 1 {
-		// The others stop.
+		// The servers of other versions stop.
 		return 1
 	}
 	v := &g.versions
@@ -52,13 +53,13 @@
 // versionChoice is which of a service's servers a request may go to, by their version.
 type versionChoice struct {
 	rule *rollout.Rule
-	// isVersion: servers of the new version, else the others.
+	// isVersion is true for servers of the rule's version, and false for the others.
 	isVersion bool
 }
 
-// versionOf decides which servers the request goes to. It is drawn for each request and not for each key:
-// by the time that all requests move, servers of the new version know most keys, and all kinds of requests
-// have tried it.
+// versionOf decides which servers the request goes to. The version is drawn for each request and
+// not for each key, so that by the time that all requests move, the servers of the new version
+// know most keys and all kinds of requests have tried it.
 func (s *Set) versionOf(g *group, r *Request, now time.Time) versionChoice {
 	rule, isMoved := s.versions[r.Service]
 	if !isMoved {
@@ -73,8 +74,8 @@
 	return c.rule == nil || (v.Version == c.rule.Version) == c.isVersion
 }
 
-// other returns the choice for where no such server is left, and reports whether there is one: what is
-// found to be bad gets nothing.
+// other returns the choice for a request that has no server left in the first one, and reports
+// whether there is one. A version that was found bad gets no requests.
 func (c versionChoice) other() (versionChoice, bool) {
 	if c.rule == nil || c.rule.Excluded {
 		return c, false
