--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -97,9 +97,9 @@
 
 // shareBySize divides the share of keys that stay in the region between requests with large
 // bodies and others. Those with large bodies stay first; the sum is unchanged.
-func (g *group) shareBySize(share float64, heavy bool) float64 {
+func (g *group) shareBySize(share float64, largeBody bool) float64 {
 	sample := 0.0
-	if heavy {
+	if largeBody {
 		sample = 1
 	}
 	g.largeBodies += largeBodyWeight * (sample - g.largeBodies)
@@ -107,7 +107,7 @@
 	if g.largeBodies > share {
 		heavyShare = share / g.largeBodies
 	}
-	if heavy {
+	if largeBody {
 		return heavyShare
 	}
 	return (share - g.largeBodies*heavyShare) / (1 - min(g.largeBodies, 0.99))
