--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -103,14 +103,14 @@
 		sample = 1
 	}
 	g.largeBodies += largeBodyWeight * (sample - g.largeBodies)
-	heavyShare := 1.0
+	largeBodyShare := 1.0
 	if g.largeBodies > share {
-		heavyShare = share / g.largeBodies
+		largeBodyShare = share / g.largeBodies
 	}
 	if largeBody {
-		return heavyShare
+		return largeBodyShare
 	}
-	return (share - g.largeBodies*heavyShare) / (1 - min(g.largeBodies, 0.99))
+	return (share - g.largeBodies*largeBodyShare) / (1 - min(g.largeBodies, 0.99))
 }
 
 // regionSlots is the number of slots of a region's servers that may get requests.
