--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -17,8 +17,8 @@
 // maySendToCold reports whether this box may send one more request to a cold server. The bound
 // applies to the sum over all boxes, which do not coordinate: each has its share.
 func (s *Set) maySendToCold(v *server, now time.Time) bool {
-	part := s.coldAllowance(v, now)
-	if part < 1 {
+	allowance := s.coldAllowance(v, now)
+	if allowance < 1 {
 		return false
 	}
 	recent := v.coldSends[:0]
@@ -28,7 +28,7 @@
 		}
 	}
 	v.coldSends = recent
-	return len(recent) < part
+	return len(recent) < allowance
 }
 
 // coldAllowance returns how many requests this box may send in any second: an equal share or,
