--- a/pkg/backend/speed.go
+++ b/pkg/backend/speed.go
@@ -55,7 +55,7 @@
 }
 
 // compare updates the server's step, given the typical mean latency, and returns its weight.
-func (s *speed) compare(p *policy.Policy, typical float64) (part float64) {
+func (s *speed) compare(p *policy.Policy, typical float64) (keyWeight float64) {
 	steps := math.Log(s.mean/typical) / math.Log(p.SpeedStep)
 	if math.Abs(steps-s.steps) > stepHysteresis {
 		s.steps = math.Round(steps)
