--- a/pkg/backend/shortage.go
+++ b/pkg/backend/shortage.go
@@ -45,8 +45,8 @@
 	exemptTokenOneIn = 2
 )
 
-func (c *pressure) now(now time.Time) float64 {
-	return c.share * math.Exp(-now.Sub(c.at).Seconds()/pressureSpan.Seconds())
+func (p *pressure) now(now time.Time) float64 {
+	return p.share * math.Exp(-now.Sub(p.at).Seconds()/pressureSpan.Seconds())
 }
 
 // record records how full a request of a priority found its server.
