--- a/pkg/backend/backoff_test.go
+++ b/pkg/backend/backoff_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestServerThatAskedForRestGetsNothing for that time, also what was about to be sent to it; its keys go to
-// the next server; then one request finds out, and once that is answered it gets all of its keys again.
+// TestServerThatAskedForRestGetsNothing checks that a server gets no request during its backoff,
+// not even one that was about to be sent to it, and that its keys go to the next server. Then one
+// request probes it, and once that is answered the server gets all of its keys again.
 func TestServerThatAskedForRestGetsNothing(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -21,10 +22,10 @@
 	is.NoErr(err)
 	is.Equal(waiting.ID, home.ID)
 	is.True(s.BackOff(home.Incarnation(), 3*time.Second))
-	is.True(!s.BackOff(home.Incarnation(), time.Second)) // the longer one holds
+	is.True(!s.BackOff(home.Incarnation(), time.Second)) // the longer backoff stays in force
 	home.Done(Shed, nil)
 	is.True(!waiting.MaySend())
-	is.True(waiting.Usable()) // it does not leave
+	is.True(waiting.Usable()) // the server is not leaving
 	waiting.Done(Withdrawn, nil)
 	for range 29 {
 		l, err := choose(s, 7)
@@ -41,7 +42,7 @@
 	is.True(trial.MaySend())
 	other, err := choose(s, 7)
 	is.NoErr(err)
-	is.True(other.ID != home.ID) // one at a time
+	is.True(other.ID != home.ID) // one probe at a time
 	trial.Done(Answered, nil)
 	l, err := choose(s, 7)
 	is.NoErr(err)
@@ -51,8 +52,9 @@
 	is.Equal(l.ID, home.ID)
 }
 
-// TestTrialThatFailsIsFollowedByAnother, one at a time; and an answer to what was sent before the server
-// asked for rest says nothing.
+// TestTrialThatFailsIsFollowedByAnother checks that a failed probe is followed by another one,
+// one at a time, and that the answer to a request sent before the backoff does not count as a
+// probe's.
 func TestTrialThatFailsIsFollowedByAnother(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -79,8 +81,9 @@
 	}
 }
 
-// TestWhereAllRest: a request is refused, with when the first one takes requests again; none leaves the
-// region for that but what a full region may spill.
+// TestWhereAllRest checks that a request whose servers are all in backoff is refused with the
+// time when the first backoff ends, and that no more requests leave the region than a full region
+// may spill.
 func TestWhereAllRest(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -107,7 +110,7 @@
 	is.True(moved > 0 && float64(moved) <= s.Policy.SpillShare*s.Bounds.MaxShift*400+1)
 }
 
-// TestRestOfAnotherLife: what one life asked for is nothing to the next.
+// TestRestOfAnotherLife checks that a backoff does not apply to the server's next incarnation.
 func TestRestOfAnotherLife(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -119,15 +122,15 @@
 	list[0].Slots = 5
 	s.Put(list[0])
 	_, err := choose(s, 1)
-	is.True(err != nil) // the list knows nothing of rest
+	is.True(err != nil) // an update of the list does not end the backoff
 	list[0].StartedAtMs = 8
 	s.Put(list[0])
 	_, err = choose(s, 1)
 	is.NoErr(err)
 }
 
-// TestNothingIsSentInRest: whatever is chosen, asked for and answered, in whatever order, no lease on a
-// server is wanted while it rests, and it is used again in the end.
+// TestNothingIsSentInRest checks that, in any order of choices, backoffs and results, MaySend is
+// false for every lease on a server in backoff, and that each server is used again in the end.
 func TestNothingIsSentInRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, c := newTestSet(1)
--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// simulateCold has a fleet of boxes, two zones of each of three regions, send all that they may to one cold server
-// for three seconds, and returns the most requests in a second, and all. Of each zone one box in so many
-// gets clients.
+// simulateCold runs a fleet of boxes, in two zones of each of three regions, that send as many
+// requests as they may to one cold server for three seconds. It returns the most requests in any
+// second, and the total. In each zone one of every oneIn boxes gets clients.
 func simulateCold(t *testing.T, boxes, oneIn int) (most, all int) {
 	t.Helper()
 	zones := []string{"east-a", "east-b", "west-a", "west-b", "north-a", "north-b"}
@@ -60,9 +60,9 @@
 	return most, len(sent)
 }
 
-// TestServiceThatIsColdServesWhatItBears. The story: all servers of a service were cold, as after a loss of power,
-// and each request was refused for want of room for as long as that took, though a cold server bears some requests
-// a second. What the choice calls better than nothing was never chosen.
+// TestServiceThatIsColdServesWhatItBears guards against refusing every request while all servers
+// of a service are cold, as after a power loss. A cold server accepts some requests per second,
+// but the choice never picked one as the last resort.
 func TestServiceThatIsColdServesWhatItBears(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -89,28 +89,30 @@
 	for key := range 20 {
 		l, err := choose(s, mix(uint64(key)))
 		is.NoErr(err)
-		is.Equal(l.ID, warm[0].ID) // one that is warm goes first
+		is.Equal(l.ID, warm[0].ID) // a warm server goes first
 		l.Done(Answered, nil)
 		c.advance(50 * time.Millisecond)
 	}
 }
 
-// TestColdServerIsWarmedByFleetsOfAnySize. The story: each box has an even part of what a cold server bears from
-// all boxes together, 21 requests a second here, rounded down: from 22 boxes on nobody sent it anything while it was
-// cold, however long that took, and all that its keys ask for came at once when it was not.
+// TestColdServerIsWarmedByFleetsOfAnySize guards against a share that rounds down to zero. A cold
+// server here accepts 21 requests per second from all boxes together. With equal shares rounded
+// down, fleets of 22 boxes or more sent it nothing while it was cold, and all requests for its
+// keys came at once afterwards.
 func TestColdServerIsWarmedByFleetsOfAnySize(t *testing.T) {
 	for _, boxes := range []int{1, 6, 12, 21, 22, 74, 300, 1000} {
 		is := is.New(t)
 		most, all := simulateCold(t, boxes, 1)
 		t.Logf("%d boxes: at most %d requests in a second, %d in three", boxes, most, all)
 		is.True(most <= 21)
-		is.True(all >= 3*21/4) // a quarter of what it bears, at least
+		is.True(all >= 3*21/4) // at least a quarter of what the server accepts
 	}
 }
 
-// TestColdServerIsWarmedByBoxesThatServe. The story: of a fleet of 985 boxes the directory names the ten largest of
-// each zone to clients. A cold server was to get one request a second from each of some boxes of its region, drawn
-// among all of these, nine tenths of which never have a request: it got one a second, or none.
+// TestColdServerIsWarmedByBoxesThatServe guards against shares for boxes without clients. In a
+// fleet of 985 boxes only the ten largest of each zone are advertised to clients. If some boxes
+// of the server's region were drawn to send it one request per second each, nine tenths of them
+// never had a request, and the server got one per second or none.
 func TestColdServerIsWarmedByBoxesThatServe(t *testing.T) {
 	for _, boxes := range []int{74, 300, 1000, 3000} {
 		is := is.New(t)
@@ -121,7 +123,8 @@
 	}
 }
 
-// BenchmarkColdPlace is what each cold server costs a box each coldPlaceEvery, among 300 boxes.
+// BenchmarkColdPlace measures what each cold server costs a box every coldPlaceEvery, among 300
+// boxes.
 func BenchmarkColdPlace(b *testing.B) {
 	s, _ := newTestSet(300)
 	s.Replace(servers("east-a", 1, 4), true)
@@ -135,9 +138,9 @@
 	}
 }
 
-// TestColdServerIsSparedWhereBoxesDisagree: while the boxes that clients are told of vanish and come back, each box
-// believes of each zone either that these live or that others have taken their place, whatever the others believe.
-// A cold server is sent no more than it bears.
+// TestColdServerIsSparedWhereBoxesDisagree covers the time in which advertised boxes vanish and
+// come back. Each box believes, independently of the others, that the advertised boxes of a zone
+// are alive or that others have replaced them. A cold server must not get more than it accepts.
 func TestColdServerIsSparedWhereBoxesDisagree(t *testing.T) {
 	zones := []string{"east-a", "east-b", "west-a", "west-b"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -155,7 +158,8 @@
 		c := &clock{at: time.Unix(1000, 0)}
 		sent := 0
 		for i := range peers {
-			// The server's zone may have changed hands for this box; the large ones may still run.
+			// In the view of this box, other boxes of the server's zone may have become the
+			// advertised ones, while the large ones may still run.
 			changed := rapid.Bool().Draw(t, "changed")
 			view := slices.Clone(peers)
 			for j := range view {
--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// endExchange makes an exchange with the server end with the result.
+// endExchange runs an exchange with the server that ends with the result.
 func endExchange(s *Set, id string, result Result) {
 	s.mu.Lock()
 	lease := s.lease(&candidate{server: s.servers[id]}, 0, 1, s.Now())
@@ -15,9 +15,9 @@
 	lease.Done(result, nil)
 }
 
-// TestGoneServersAreTold: that an address has gone to another server is told at
-// once; that a server cannot be reached only by a box that its zone has just
-// answered, since a box that is cut off reaches none.
+// TestGoneServersAreTold checks that a reused address is reported at once. An unreachable server
+// is reported only by a box that another server of the zone has just answered, since a box that
+// is cut off reaches no server.
 func TestGoneServersAreTold(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -27,18 +27,18 @@
 	endExchange(s, "east-a-0", Stale)
 	is.Equal(told, []FailureReport{{Server: "east-a-0", Stale: true}})
 	told = nil
-	endExchange(s, "east-a-1", Unreachable) // nothing was heard of the zone
+	endExchange(s, "east-a-1", Unreachable) // no server of the zone has answered
 	endExchange(s, "east-a-2", Answered)
 	c.advance(zoneAnswerMaxAge)
-	endExchange(s, "east-a-1", Unreachable) // nor lately
+	endExchange(s, "east-a-1", Unreachable) // or not recently
 	is.Equal(len(told), 0)
 	endExchange(s, "east-a-2", Answered)
 	endExchange(s, "east-a-1", Unreachable)
 	is.Equal(told, []FailureReport{{Server: "east-a-1"}})
 }
 
-// TestToldServersGetNothing: a stale server gets no request of a box that was told
-// so; one that cannot be reached rests once two boxes have told so.
+// TestToldServersGetNothing checks that a stale server gets no request from a box that got a
+// report of it, and that an unreachable server is ejected once two boxes have reported it.
 func TestToldServersGetNothing(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -54,13 +54,12 @@
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-2"})
 	c.advance(confirmWindow + time.Millisecond)
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-2"})
-	is.True(!resting("east-a-2")) // too far apart
+	is.True(!resting("east-a-2")) // the reports are too far apart
 	s.ApplyFailureReport("box-2", FailureReport{Server: "no-such-server"})
 }
 
-// TestOwnAnswersCountMoreThanHearsay: a box that a server has just answered
-// believes nobody who cannot reach it; one that has just failed with it believes
-// the first.
+// TestOwnAnswersCountMoreThanHearsay checks that a box ignores failure reports of a server that
+// has just answered it, and believes the first one of a server that has just failed it.
 func TestOwnAnswersCountMoreThanHearsay(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestServerThatStartsAgainIsAnotherOne: under the id that it had, it knows no keys, holds
-// nothing, and is neither resting, leaving nor stale for what was known of it before.
+// TestServerThatStartsAgainIsAnotherOne checks that a server that restarts under the same ID
+// knows no keys, holds no requests, and is not ejected, leaving or stale because of its earlier
+// incarnation.
 func TestServerThatStartsAgainIsAnotherOne(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -28,24 +29,24 @@
 	second := first
 	second.StartedAtMs = 2000
 	s.Put(second)
-	is.True(!old.Usable()) // what was chosen for the earlier life is chosen anew
+	is.True(!old.Usable()) // requests that chose the earlier incarnation choose again
 	lease, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(lease.StartedAtMs, int64(2000))
 	is.True(!lease.KeyKnown)
-	is.Equal(lease.InFlight, 0.0) // it holds nothing
-	old.Done(Broken, nil)         // the end of the earlier life
+	is.Equal(lease.InFlight, 0.0) // it holds no requests
+	old.Done(Broken, nil)         // the end of the earlier incarnation
 	old = nil
 	is.Equal(s.servers[first.ID].load.own, 1)
 	is.Equal(s.servers[first.ID].health.failures, 0)
 
-	// What is told of the earlier life does not concern the later one.
+	// Reports about the earlier incarnation do not apply to the later one.
 	s.ApplyFailureReport("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
 	is.True(!s.servers[first.ID].stale)
 	s.ApplyFailureReport("box-2", FailureReport{Server: second.Incarnation(), Stale: true})
 	is.True(s.servers[first.ID].stale)
 
-	// One that left and starts again is ready.
+	// A server that left and restarts is ready.
 	third := second
 	third.Draining = true
 	s.Put(third)
@@ -55,7 +56,7 @@
 	_, err = choose(s, 7)
 	is.NoErr(err)
 
-	// Each life is cold from its own start.
+	// Each incarnation is cold from its own start.
 	third.StartedAtMs, third.ColdFor = 4000, 2*time.Second
 	s.Put(third)
 	c.advance(1900 * time.Millisecond)
@@ -65,9 +66,10 @@
 	is.True(c.at.Before(s.servers[first.ID].coldUntil))
 }
 
-// TestServerThatRefusedIsTakenToBeCold: one whose port refused connections has ended; what
-// answers there later under its id has just started, whatever the list says yet. So it gets
-// no more than a cold one, until its entry tells of the new life or must have gone.
+// TestServerThatRefusedIsTakenToBeCold checks that a server whose port refused connections counts
+// as cold when it answers again under its ID, since it has just started, whatever the list still
+// has of it. It gets requests at the rate of a cold server until its entry shows the new
+// incarnation or should have been removed.
 func TestServerThatRefusedIsTakenToBeCold(t *testing.T) {
 	is := is.New(t)
 	for _, result := range []Result{Refused, Crashed} {
@@ -85,8 +87,8 @@
 		}
 		s.Put(v)
 		endExchange(s, v.ID, result)
-		c.advance(3 * time.Second) // its rest is over
-		s.Put(v)                   // and its entry as it was
+		c.advance(3 * time.Second) // its ejection is over
+		s.Put(v)                   // its entry is unchanged
 		is.True(sent(time.Second) <= 5)
 		renewed := v
 		renewed.StartedAtMs = 2000
@@ -94,8 +96,8 @@
 		is.Equal(sent(time.Second), 100)
 		endExchange(s, v.ID, result)
 		c.advance(restartWindow)
-		is.Equal(sent(time.Second), 100) // it was the same one
-		// Without word of its starts each has an id of its own.
+		is.Equal(sent(time.Second), 100) // it was the same incarnation
+		// Servers that do not report their start have a new ID with each start.
 		v.StartedAtMs = 0
 		s.Put(v)
 		endExchange(s, v.ID, result)
@@ -104,9 +106,9 @@
 	}
 }
 
-// TestServerThatRefusedWhileTheListIsOldIsTriedFirst: while the store cannot tell whether a server
-// has started again, it gets one request of a box at a time, and is taken to be cold once it
-// answers: it may have started just before.
+// TestServerThatRefusedWhileTheListIsOldIsTriedFirst checks that, while the store cannot show
+// whether a server has restarted, the box sends it one request at a time, and counts it as cold
+// once it answers, since it may have just started.
 func TestServerThatRefusedWhileTheListIsOldIsTriedFirst(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(4)
@@ -119,7 +121,7 @@
 	first, err := choose(s, 7)
 	is.NoErr(err)
 	_, err = choose(s, 8)
-	is.True(err != nil) // one at a time
+	is.True(err != nil) // one request at a time
 	first.Done(Refused, nil)
 	c.advance(restartWindow)
 	again, err := choose(s, 7)
@@ -128,10 +130,10 @@
 	for range 2 {
 		l, err := choose(s, 7)
 		is.NoErr(err)
-		is.True(l.Cold) // it has just started, for all that is known
+		is.True(l.Cold) // it may have just started
 	}
 	_, err = choose(s, 7)
-	is.True(err != nil) // and gets no more than its part: a quarter of half of 21 in a second
+	is.True(err != nil) // its share is a quarter of half of 21 requests per second
 	c.advance(3*time.Second + s.Policy.ColdMargin)
 	for range 3 {
 		_, err = choose(s, 7)
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// randomSet makes a set in a state of chance: servers that are cold, have failed, drain, are of unlike speed.
+// randomSet returns a set in a random state: servers that are cold, ejected or draining, or have
+// different speeds.
 func randomSet(r *rand.Rand) (*Set, *clock) {
 	s, c := newTestSet(1)
 	var list []Server
@@ -37,8 +38,8 @@
 	return s, c
 }
 
-// firstOf returns the first servers of a list that a choice looks at. Those that have failed have no order:
-// where one of them comes first, all have, and the request is refused.
+// firstOf returns the first servers of a list that a choice looks at. Ejected servers have no
+// order: if one of them comes first, all servers are ejected and the request is refused.
 func firstOf(list []candidate, front int) []string {
 	var ids []string
 	for _, c := range list[:min(front, len(list))] {
@@ -51,8 +52,8 @@
 	return ids
 }
 
-// TestShortListsChooseAsAllServersDo: whatever state servers are in, the first ones that a choice looks at
-// are the same as where all are ordered.
+// TestShortListsChooseAsAllServersDo checks that, in any state of the servers, the first ones
+// that a choice looks at are the same as if all servers were ordered.
 func TestShortListsChooseAsAllServersDo(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -88,7 +89,8 @@
 	is.True(short > 1000)
 }
 
-// TestChoiceAmongManyLooksAtFew: the servers whose state is looked at do not grow with the service.
+// TestChoiceAmongManyLooksAtFew checks that the number of servers whose state is examined does
+// not grow with the service.
 func TestChoiceAmongManyLooksAtFew(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{100, 10000} {
@@ -102,11 +104,12 @@
 			is.NoErr(err)
 			lease.Done(Answered, nil)
 		}
-		is.True(asked <= 50*(2*shortListSize+4)) // and the regions themselves
+		is.True(asked <= 50*(2*shortListSize+4)) // the regions themselves are counted too
 	}
 }
 
-// TestIndexFollowsTheList: servers that come, go, move to another service or start again are found at once.
+// TestIndexFollowsTheList checks that servers that are added, removed, moved to another service
+// or restarted are found at once.
 func TestIndexFollowsTheList(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
--- a/pkg/backend/leaving_test.go
+++ b/pkg/backend/leaving_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestServerThatLeavesGetsNothing: whatever the list says of that life, which may be old, and also where
-// a request was about to be sent to it; its next life gets requests.
+// TestServerThatLeavesGetsNothing checks that a leaving server gets no request, whatever a
+// possibly outdated list has of that incarnation, not even one that was about to be sent to it.
+// Its next incarnation gets requests.
 func TestServerThatLeavesGetsNothing(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -17,7 +18,7 @@
 	s.Replace(list, true)
 	waiting, err := choose(s, 1)
 	is.NoErr(err)
-	s.MarkLeaving("east-a-0@6") // another life
+	s.MarkLeaving("east-a-0@6") // another incarnation
 	is.True(waiting.Usable())
 	s.MarkLeaving("east-a-0@7")
 	is.True(!waiting.Usable())
@@ -28,29 +29,30 @@
 	list[0].Slots = 5
 	s.Put(list[0])
 	_, err = choose(s, 1)
-	is.True(err != nil) // the list says that it is ready
+	is.True(err != nil) // the list shows the server as ready
 	list[0].StartedAtMs = 8
 	s.Put(list[0])
 	_, err = choose(s, 1)
 	is.NoErr(err)
 }
 
-// TestServerThatLeavesIsKnownBeforeItIsListed: another box may tell of it first, and its entry may be
-// away for a while.
+// TestServerThatLeavesIsKnownBeforeItIsListed covers a server that another box reports as leaving
+// before it is listed here, or while its entry is missing.
 func TestServerThatLeavesIsKnownBeforeItIsListed(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	s.IsLeaving = func(incarnation string) bool { return incarnation == "east-a-0@7" }
 	list := servers("east-a", 1, 4)
 	list[0].StartedAtMs = 7
-	s.MarkLeaving("east-a-0@7") // nothing to do yet
+	s.MarkLeaving("east-a-0@7") // the server is unknown, so this has no effect
 	s.Replace(list, true)
 	_, err := choose(s, 1)
 	is.True(err != nil)
 	is.True(!s.HasServers())
 }
 
-// TestServerThatLeavesAndVanishesIsGone: also while the list cannot be trusted.
+// TestServerThatLeavesAndVanishesIsGone checks that a leaving server is dropped when it vanishes,
+// even from a list that is not trusted.
 func TestServerThatLeavesAndVanishesIsGone(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -62,8 +64,8 @@
 	is.True(s.HasIncarnation("east-a-1"))
 }
 
-// TestRegionOfLeavingServersHasNoSlots: its keys go to others within the cap on shifts, as when the list
-// says that they leave.
+// TestRegionOfLeavingServersHasNoSlots checks that the keys of leaving servers go to other
+// regions within the cap on shifts, as they do if the list shows the servers as draining.
 func TestRegionOfLeavingServersHasNoSlots(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// fakeLimits are the limits of a test's servers: how many requests each takes yet.
+// fakeLimits are the limits of a test's servers: how many more requests each accepts.
 type fakeLimits struct {
 	left map[string]int
-	// open: whether a server has room is not known where it may be asked.
+	// open is true if it is unknown whether a server has room, where the choice may ask.
 	open     bool
 	released []string
 }
@@ -43,8 +43,8 @@
 	return s, c, rs
 }
 
-// TestServerWithoutRoomIsPassedOver: its keys go to the next server that they prefer, the same for
-// each key, and come back when it has room.
+// TestServerWithoutRoomIsPassedOver checks that the keys of a server without room go to the next
+// server of their order, which is always the same for a key, and come back when it has room.
 func TestServerWithoutRoomIsPassedOver(t *testing.T) {
 	is := is.New(t)
 	s, _, rs := newLimitedSet(map[string]int{})
@@ -72,8 +72,9 @@
 	is.Equal(l.ID, home.ID)
 }
 
-// TestWhereAllHaveNamedLimits: a request that finds no room is refused, with the soonest time at
-// which one has room; and none leaves the region for that but what a full region may spill.
+// TestWhereAllHaveNamedLimits checks that a request that finds no room is refused with the
+// earliest time at which a server has room, and that no more requests leave the region than a
+// full region may spill.
 func TestWhereAllHaveNamedLimits(t *testing.T) {
 	is := is.New(t)
 	s, c, rs := newLimitedSet(map[string]int{})
@@ -108,8 +109,9 @@
 	is.True(float64(away) <= s.Bounds.MaxShift*100) // of the region's requests, within a window
 }
 
-// TestRoomIsAskedForOnce: where it is open whether the preferred server has room the choice says
-// so, and once it has been asked takes what was granted, or passes the server over.
+// TestRoomIsAskedForOnce checks that the choice reports that it is unknown whether the preferred
+// server has room. Once the caller has asked, the choice uses what was granted, or skips the
+// server.
 func TestRoomIsAskedForOnce(t *testing.T) {
 	is := is.New(t)
 	s, _, rs := newLimitedSet(map[string]int{})
@@ -134,7 +136,7 @@
 	is.True(l.ID != home.ID)
 }
 
-// TestWhatWasNotSentIsReleased, and nothing else.
+// TestWhatWasNotSentIsReleased checks that a token is released if and only if nothing was sent.
 func TestWhatWasNotSentIsReleased(t *testing.T) {
 	is := is.New(t)
 	s, _, rs := newLimitedSet(map[string]int{"east-a-0": 100})
@@ -152,8 +154,9 @@
 	}
 }
 
-// simulateLimited plays ten seconds in which two kinds of requests ask a server for four times the
-// requests a second that it says it takes, and returns which share of each it gets.
+// simulateLimited simulates ten seconds in which two kinds of requests ask a server for four
+// times the requests per second that its limit allows. It returns the share of each kind that is
+// served.
 func simulateLimited(t *testing.T, urgent, other int) (urgentShare, otherShare float64) {
 	t.Helper()
 	const perSecond, each = 20, 40
@@ -178,25 +181,26 @@
 	return float64(got[0]) / float64(sent[0]), float64(got[1]) / float64(sent[1])
 }
 
-// TestLimitServesTheMoreUrgentFirst: of what a server takes by its limit the more urgent requests
-// get most, others no less than a quarter as large a share, and those of one rank the same.
+// TestLimitServesTheMoreUrgentFirst checks that the more urgent requests get most of a server's
+// limit, that others get no less than a quarter as large a share, and that requests of one
+// priority get equal shares.
 func TestLimitServesTheMoreUrgentFirst(t *testing.T) {
 	is := is.New(t)
 	urgent, other := simulateLimited(t, 0, 2)
 	t.Logf("%.2f of the urgent requests, %.2f of others", urgent, other)
 	is.True(urgent >= 1.5*other)
 	is.True(other >= urgent/4)
-	is.True(urgent+other > 0.45) // of the half that the server takes
+	is.True(urgent+other > 0.45) // of the half that the limit allows
 	one, another := simulateLimited(t, 1, 1)
 	t.Logf("%.2f and %.2f of requests of one rank", one, another)
 	is.True(one < 1.2*another && another < 1.2*one)
 }
 
-// TestServersWithoutLimitsServeWhatOthersLeave. The story: seven of nine servers of a service named limits,
-// the other two could serve all, and one request in sixteen was refused for want of room, at boxes of every
-// availability zone, for as long as the limits held. The cause: a choice gave up after it had passed over
-// five servers without room. The evidence: 252 of 1,600 requests refused here, which is how often the first
-// five of nine in a key's order are among seven (7*6*5*4*3 of 9*8*7*6*5: 0.17).
+// TestServersWithoutLimitsServeWhatOthersLeave guards against refusing requests that servers
+// without limits could serve. Seven of nine servers of a service had limits without room, and the
+// choice gave up after it had skipped five. It refused 252 of 1,600 requests here, which is how
+// often the first five of nine servers in a key's order are among those seven (7*6*5*4*3 of
+// 9*8*7*6*5: 0.17).
 func TestServersWithoutLimitsServeWhatOthersLeave(t *testing.T) {
 	is := is.New(t)
 	s, c, rs := newLimitedSet(map[string]int{})
