--- a/pkg/backend/region_test.go
+++ b/pkg/backend/region_test.go
@@ -8,17 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// TestKeysLeaveARegionWhoseServersAreFull: while the servers of a region tell that
-// requests wait, and others that they have room, the region's share of its keys falls,
-// no faster than the cap on shifts; it comes back when they have room again, and never
-// rises above its part of the slots. Customers that are bound to a region fill its
-// servers so: with the share by slots alone the clients of a region of 8 of 88 servers
-// earned 0.67 of their credit where others earned 0.85.
+// TestKeysLeaveARegionWhoseServersAreFull checks that the region's share of its keys falls while
+// its servers report waiting requests and others report room, no faster than the cap on shifts.
+// It comes back when they have room again, and never rises above the region's share of the slots.
+// Customers that are bound to a region can fill its servers: with the share by slots alone, the
+// clients of a region with 8 of 88 servers earned 0.67 of their credit, and others 0.85.
 func TestKeysLeaveARegionWhoseServersAreFull(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(append(servers("east-a", 4, 4), servers("west-a", 12, 4)...), true)
-	// window sends requests for 2 s and returns the part that stayed in the region.
+	// window sends requests for 2 s and returns the share that stayed in the region.
 	window := func(near, far *Load) float64 {
 		stayed := 0
 		for key := range uint64(1000) {
@@ -31,7 +30,7 @@
 			} else {
 				stayed++
 			}
-			// What is told of others' requests would make the server full.
+			// Passed to Done, the load of others' requests would make the server full.
 			lease.Done(Answered, nil)
 			s.updateFill(lease, load, c.now())
 		}
@@ -47,7 +46,7 @@
 		last = share
 	}
 	is.True(last < 0.1)
-	// Where all are as full, nothing is gained elsewhere.
+	// If all servers are equally full, no keys move.
 	for range 20 {
 		last = window(busy, busy)
 	}
@@ -61,7 +60,7 @@
 	is.True(last > bySlots-0.05)
 }
 
-// TestAShareHoldsWhereAllAreFull: a region does not send keys to others that have as
+// TestAShareHoldsWhereAllAreFull checks that a region does not send keys to others that have as
 // much to do.
 func TestAShareHoldsWhereAllAreFull(t *testing.T) {
 	is := is.New(t)
@@ -77,8 +76,8 @@
 	is.Equal(f.targetShare(&s.Policy, 0.4, 0.5, c.now()), 0.4)
 }
 
-// TestAFullHomeTellsWhenItHasRoom: the more it has too much, the later, by how long its
-// requests take.
+// TestAFullHomeTellsWhenItHasRoom checks that RetryAfter grows with the excess at the home, by
+// the latency of its requests.
 func TestAFullHomeTellsWhenItHasRoom(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -95,7 +94,8 @@
 			leases = append(leases, lease)
 		}
 	}
-	// 9 requests at 4 slots of 200 ms, where 8.4 are full: 1.6 to work off.
+	// The limit is 8.4 requests at 4 slots of 200 ms each, so that with 9 requests 1.6 have to be
+	// worked off.
 	is.Equal(len(leases), 9)
 	is.Equal(choice.Reason, Full)
 	is.Equal(choice.RetryAfter.Round(time.Millisecond), 80*time.Millisecond)
--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -13,13 +13,13 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// clock is a clock that tests move.
+// clock is a clock that tests advance.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time          { return c.at }
 func (c *clock) advance(d time.Duration) { c.at = c.at.Add(d) }
 
-// regionOf: zones are named REGION-LETTER.
+// regionOf returns the region of a zone named REGION-LETTER.
 func regionOf(zone string) string { return zone[:len(zone)-2] }
 
 func newTestSet(boxes int) (*Set, *clock) {
@@ -45,25 +45,25 @@
 	return s.Choose(&Request{Service: "shop", Key: key, RegionAllowed: anyRegion, Tried: tried})
 }
 
-// TestVanishedServerIsLeftInTime: a server that vanished while the list could
-// not be trusted may have left in truth, so it gets nothing after Forget, well
-// before the time in which it drains is over. (Days trouble-3 of one
-// deployment broke this by 377 ms, when it was kept for the time of contact.)
+// TestVanishedServerIsLeftInTime checks that a server that vanished while the list was not
+// trusted gets no requests after MissingTTL, well before its drain time is over, since it may
+// really have left. When such servers were kept for the contact time, requests reached one 377 ms
+// too late.
 func TestVanishedServerIsLeftInTime(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 1, 4), true)
 	s.Remove("east-a-0", false)
 	_, err := choose(s, 1)
-	is.NoErr(err) // a platform that was down may have lost the entry of a server that is well
+	is.NoErr(err) // a platform that was down may have lost the entry of a healthy server
 	c.advance(s.Bounds.MissingTTL + time.Millisecond)
 	s.Expire()
 	_, err = choose(s, 1)
 	is.True(err != nil)
 }
 
-// TestVanishedServerGetsNothingOnceItsTimeIsOver, to the millisecond, and not only when
-// somebody has looked over the list.
+// TestVanishedServerGetsNothingOnceItsTimeIsOver checks that the time ends to the millisecond,
+// and not only when Expire next runs.
 func TestVanishedServerGetsNothingOnceItsTimeIsOver(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -94,15 +94,14 @@
 	is.NoErr(err)
 }
 
-// TestServerThatRefusesWithRoomKeepsItsKeys: a refusal while slots are free
-// does not mean that the server is full; one that tells no load, or no free
-// slot, does.
+// TestServerThatRefusesWithRoomKeepsItsKeys checks that a shed request does not make a server
+// count as full if it reports free slots, and does if it reports no load or no free slot.
 func TestServerThatRefusesWithRoomKeepsItsKeys(t *testing.T) {
 	for _, e := range []struct {
 		load *Load
 		busy float64
 	}{
-		{&Load{Running: 1, Slots: 4}, 0}, // the one that ran was the request's own
+		{&Load{Running: 1, Slots: 4}, 0}, // the one running request was the one of this exchange
 		{&Load{Running: 4, Slots: 4}, 4 * policy.Default().RefusedFill},
 		{nil, 4 * policy.Default().RefusedFill},
 	} {
@@ -119,9 +118,8 @@
 	}
 }
 
-// TestLeavingServerStaysOutWhileTheStoreIsLost: a server that a box has seen
-// leave gets nothing more, whatever of its entry is lost or comes back while
-// the list cannot be trusted.
+// TestLeavingServerStaysOutWhileTheStoreIsLost checks that a server that a box has seen draining
+// gets no more requests, whatever happens to its entry while the list is not trusted.
 func TestLeavingServerStaysOutWhileTheStoreIsLost(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -138,9 +136,9 @@
 	is.True(err != nil)
 }
 
-// TestJoinedServerGetsRequests: a server that joins has its part of the keys as
-// soon as it is not cold any more, and so some of the requests of the seconds
-// that follow, also where keys are few.
+// TestJoinedServerGetsRequests checks that a new server gets its share of the keys as soon as it
+// is no longer cold, and so some of the requests of the following seconds, even if there are few
+// keys.
 func TestJoinedServerGetsRequests(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(12)
@@ -149,7 +147,7 @@
 	s.Put(joined)
 	c.advance(joined.ColdFor + policy.Default().ColdMargin + time.Millisecond)
 	got := 0
-	for i := range 4 * 25 { // four seconds of a box's part of 300 requests a second
+	for i := range 4 * 25 { // four seconds of a box's share of 300 requests per second
 		lease, err := choose(s, mix(uint64(i%80)))
 		is.NoErr(err)
 		if lease.ID == joined.ID {
@@ -161,9 +159,9 @@
 	is.True(got > 0)
 }
 
-// TestOnlyHotKeysHaveTwoServers: a key that is most of what its home gets is
-// served by a second server while the home has no free slot; other keys of the
-// same home stay there, since each would be learnt twice.
+// TestOnlyHotKeysHaveTwoServers checks that a key that makes up most of its home's requests is
+// served by a second server while the home has no free slot. Other keys of the same home stay
+// there, since each would be learned twice.
 func TestOnlyHotKeysHaveTwoServers(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -184,7 +182,7 @@
 		}
 	}
 	for i := range 40 {
-		is.Equal(home(hot), first) // with free slots, it stays
+		is.Equal(home(hot), first) // it stays while slots are free
 		home(rare[i%len(rare)])
 	}
 	s.servers[first].load.update(Load{Running: 4, Waiting: 2, Slots: 4}, c.at)
@@ -195,8 +193,8 @@
 	}
 }
 
-// TestRetryGoesToTheNextInOrder: a request that was sent to some servers goes
-// to another one of the region, on all boxes to the same one.
+// TestRetryGoesToTheNextInOrder checks that a request that was sent to some servers goes to
+// another one of the region, which is the same on all boxes.
 func TestRetryGoesToTheNextInOrder(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -242,8 +240,8 @@
 	is.True(err != nil)
 }
 
-// TestColdServerKeepsItsRate: whatever the number of boxes, the sum of what
-// they send to a cold server in any second stays within the bound.
+// TestColdServerKeepsItsRate checks that, for any number of boxes, the total that they send to a
+// cold server in any second stays within the bound.
 func TestColdServerKeepsItsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := rapid.IntRange(1, 40).Draw(t, "boxes")
@@ -276,8 +274,8 @@
 	})
 }
 
-// TestWhatIsToldOfAServerNamesIt: each line of the log about a server names it
-// and its service, also the first ones.
+// TestWhatIsToldOfAServerNamesIt checks that every call of OnChange, from which a log line is
+// written, has the server's ID and service, even the first one.
 func TestWhatIsToldOfAServerNamesIt(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -303,14 +301,14 @@
 	s.SetEvacuated([]string{"east-a"})
 	s.SetEvacuated(nil)
 	_, err := choose(s, 1)
-	is.True(err != nil) // a hundred boxes have no part each in its rate
+	is.True(err != nil) // the rate divided among a hundred boxes leaves none for this one
 	c.advance(3*time.Second + policy.Default().ColdMargin)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 }
 
-// TestKeyKeepsItsHome: a key goes to at most two servers while these are
-// usable, however loaded they are; when these are full, it is refused.
+// TestKeyKeepsItsHome checks that a key goes to at most two servers while these are usable,
+// however loaded they are. When these are full, its requests are refused.
 func TestKeyKeepsItsHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := newTestSet(1)
@@ -331,7 +329,7 @@
 	})
 }
 
-// TestKeyMovesOnlyWithItsHome: of the keys, only those whose home goes move.
+// TestKeyMovesOnlyWithItsHome checks that only the keys of a removed server move.
 func TestKeyMovesOnlyWithItsHome(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -354,8 +352,8 @@
 	}
 }
 
-// TestShiftStaysWithinItsCap: when a region loses half of its servers, the
-// share of its keys that run elsewhere rises no faster than the cap.
+// TestShiftStaysWithinItsCap checks that, when a region loses half of its servers, the share of
+// its keys that run elsewhere rises no faster than the cap.
 func TestShiftStaysWithinItsCap(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -384,9 +382,8 @@
 	is.True(last > 0.25) // in the end the shares follow the slots
 }
 
-// TestLeaseKnowsThatItsServerLeft: opening a connection takes a while, in
-// which the server may leave. (On a day of our own a request reached a server
-// 144 ms too late after its connection had taken 0.7 s.)
+// TestLeaseKnowsThatItsServerLeft covers a server that leaves while a connection is opened. A
+// request once reached a server 144 ms too late because its connection had taken 0.7 s.
 func TestLeaseKnowsThatItsServerLeft(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
@@ -402,10 +399,9 @@
 	is.True(!lease.Usable())
 }
 
-// TestSlowServerIsSparedThoughNothingEnds: requests at a slow server are given
-// up before they end, by their clients or for their time. That must tell as
-// much as slow answers do. (On a recorded day servers that took eight times as
-// long went on getting their keys for ten seconds.)
+// TestSlowServerIsSparedThoughNothingEnds checks that requests that clients abandon or that time
+// out at a slow server count like slow answers. Otherwise servers that took eight times as long
+// kept getting their keys for ten seconds.
 func TestSlowServerIsSparedThoughNothingEnds(t *testing.T) {
 	for _, result := range []Result{TimedOut, Abandoned} {
 		t.Run(result.String(), func(t *testing.T) {
@@ -437,13 +433,13 @@
 					slow++
 				}
 			}
-			is.True(slow-before <= 3) // one after each rest
+			is.True(slow-before <= 3) // one after each ejection
 		})
 	}
 }
 
-// TestBurstLeavesItsRegionSlowly: when a region is full and another is idle,
-// the share that leaves it rises no faster than the cap on shifts.
+// TestBurstLeavesItsRegionSlowly checks that, when a region is full and another is idle, the
+// share that leaves it rises no faster than the cap on shifts.
 func TestBurstLeavesItsRegionSlowly(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -475,12 +471,12 @@
 		is.True(share-last <= 0.15)
 		last = share
 	}
-	is.True(last > 0.3) // it does rise
+	is.True(last > 0.3) // but it rises
 }
 
-// TestSlowServerIsFoundToHaveRecovered is the failure in which a server that
-// had been slow got nothing any more: its one request after each rest was
-// counted as used up by requests that went elsewhere.
+// TestSlowServerIsFoundToHaveRecovered guards against a recovered server that gets no more
+// requests: its one request after each ejection was counted as used by requests that went
+// elsewhere.
 func TestSlowServerIsFoundToHaveRecovered(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -497,7 +493,7 @@
 				atSlow++
 				took = slowTook
 			}
-			// The answer comes at once, but tells of the time that it took.
+			// The answer comes at once, but its lease has the latency took.
 			lease.start = lease.start.Add(-took)
 			lease.Done(Answered, nil)
 		}
@@ -505,9 +501,9 @@
 	}
 	is.True(play(2*time.Second, 200*time.Millisecond) > 5)
 	atSlow := play(12*time.Second, 3*time.Second)
-	is.True(atSlow < 20) // of 600, 100 of them with their home there
+	is.True(atSlow < 20) // of 600 requests, 100 of which have their home there
 	play(10*time.Second, 200*time.Millisecond)
-	is.True(play(4*time.Second, 200*time.Millisecond) > 10) // of 200
+	is.True(play(4*time.Second, 200*time.Millisecond) > 10) // of 200 requests
 	is.Equal(told[0], "east-a-0 slow")
 	is.Equal(told[len(told)-1], "east-a-0 recovered")
 }
@@ -529,10 +525,9 @@
 	}
 }
 
-// TestRestEndsWithRecovery is the failure of soak seed 534145: a region's only
-// server was tried after a rest, answered as quickly as ever, and yet got
-// nothing until the next rest had passed, while its region's requests were
-// refused.
+// TestRestEndsWithRecovery guards against an ejection that outlasts the recovery (soak seed
+// 534145): a region's only server was probed after an ejection and was as fast as ever, and yet
+// got no requests until the next ejection had ended, while requests of its region were refused.
 func TestRestEndsWithRecovery(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -554,7 +549,7 @@
 	for range 10 {
 		exchange(near, 3*time.Second)
 	}
-	exchange(near, 200*time.Millisecond) // the trial: the average is still high
+	exchange(near, 200*time.Millisecond) // the probe: the average is still high
 	is.True(near.health.ejected(c.at))
 	for near.health.suspected {
 		exchange(near, 100*time.Millisecond)
@@ -562,9 +557,10 @@
 	is.True(!near.health.ejected(c.at))
 }
 
-// TestWhereAllHaveFailedTheEndOfTheirRestIsTold. The story: the only servers that may take a request had failed and
-// rested for half a second and more. Requests were refused as if the servers were full, with a time to come back of
-// some milliseconds, after which they were refused again.
+// TestWhereAllHaveFailedTheEndOfTheirRestIsTold guards against a RetryAfter that is too short.
+// While the only eligible servers were ejected for half a second or more, requests were refused
+// as if the servers were full, with a time of a few milliseconds, after which they were refused
+// again.
 func TestWhereAllHaveFailedTheEndOfTheirRestIsTold(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -576,13 +572,14 @@
 	_, err := choose(s, 1)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.RetryAfter, s.Policy.FirstRest-200*time.Millisecond) // the first one's rest
+	is.Equal(choice.RetryAfter, s.Policy.FirstRest-200*time.Millisecond) // the first server's ejection
 	c.advance(choice.RetryAfter)
 	_, err = choose(s, 1)
 	is.NoErr(err)
 }
 
-// BenchmarkExpire is what a box does with each heartbeat about servers that have vanished, among many that have not.
+// BenchmarkExpire measures what a box does about vanished servers with each heartbeat, among many
+// that have not vanished.
 func BenchmarkExpire(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		s, _ := newTestSet(1)
--- a/pkg/backend/shortage_test.go
+++ b/pkg/backend/shortage_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// TestLessUrgentRequestsLeaveRoom: all of a server's fill where nobody more urgent is short of
-// room, less where somebody is, and all again a while after.
+// TestLessUrgentRequestsLeaveRoom checks that requests may fill a server while no more urgent
+// ones are short of room, less of it while some are, and all of it again some time after.
 func TestLessUrgentRequestsLeaveRoom(t *testing.T) {
 	is := is.New(t)
 	p := policy.Default()
@@ -18,7 +18,7 @@
 	o := shortages{}
 	is.Equal(o.limit(&p, 2, now), p.FullFill)
 	for range 20 {
-		o.record(&p, 2, p.FullFill, now) // its own shortage moves nothing
+		o.record(&p, 2, p.FullFill, now) // a shortage of its own priority has no effect
 		o.record(&p, 1, p.ShortFill-0.1, now)
 	}
 	is.Equal(o.limit(&p, 1, now), p.FullFill)
@@ -31,16 +31,16 @@
 	for range 30 {
 		limits[o.limit(&p, 2, now)]++
 	}
-	is.Equal(limits, map[float64]int{p.YieldFill: 20, p.FullFill: 10}) // one in three is spared
+	is.Equal(limits, map[float64]int{p.YieldFill: 20, p.FullFill: 10}) // one in three is exempt
 	is.Equal(o.limit(&p, 0, now), p.FullFill)
 	now = now.Add(10 * pressureSpan)
 	is.Equal(o.limit(&p, 2, now), p.FullFill)
 }
 
-// simulateShortage plays ten seconds in which two kinds of requests ask a server of four slots for
-// four times what it can do, each request taking 100 ms, and returns which share of each was
-// answered within 250 ms. Of the second kind one in a number of requests is sent, which leaves
-// the whole above twice what the server can do.
+// simulateShortage simulates ten seconds in which two kinds of requests ask a server of four
+// slots for four times what it can serve, with 100 ms per request. It returns the share of each
+// kind that was answered within 250 ms. Only one in oneIn requests of the second kind is sent,
+// which keeps the total above twice what the server can serve.
 func simulateShortage(t *testing.T, urgent, other, oneIn int) (urgentShare, otherShare float64) {
 	t.Helper()
 	s, c := newTestSet(1)
@@ -100,8 +100,9 @@
 	return float64(inTime[0]) / float64(sent[0]), float64(inTime[1]) / float64(sent[1])
 }
 
-// TestShortageServesTheMoreUrgentFirst, all alike where none is, and none never: a kind that
-// got nothing at all while more urgent ones took all that there is was seen here first.
+// TestShortageServesTheMoreUrgentFirst checks that more urgent requests are served first, that
+// requests of equal priority get equal shares, and that no kind is starved: less urgent requests
+// got nothing at all while more urgent ones took all the room.
 func TestShortageServesTheMoreUrgentFirst(t *testing.T) {
 	is := is.New(t)
 	a, b := simulateShortage(t, 1, 1, 1)
@@ -111,11 +112,11 @@
 	t.Logf("urgent %.2f, others %.2f in time", urgent, other)
 	is.True(urgent > 1.5*other)
 	is.True(other > 0.25*(urgent+other)/2)
-	is.True(urgent+other >= 0.9*(a+b)) // nothing is left undone for it
+	is.True(urgent+other >= 0.9*(a+b)) // the server does as much work as before
 }
 
-// TestShortageServesSmallCustomersAsWell: of two customers of the same priority the one that sends
-// a ninth of what the other does is served as often, by the share of its requests.
+// TestShortageServesSmallCustomersAsWell checks that, of two customers of the same priority, one
+// that sends a ninth of the other's requests has a similar share of them served.
 func TestShortageServesSmallCustomersAsWell(t *testing.T) {
 	is := is.New(t)
 	large, small := simulateShortage(t, 1, 1, 9)
--- a/pkg/backend/speed_test.go
+++ b/pkg/backend/speed_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// serveKeys sends requests for keys and answers them as long as each server
-// takes, first use of a key or not.
+// serveKeys sends requests for random keys and answers each after the time that took returns for
+// the server, given whether it is the first use of the key there.
 func serveKeys(s *Set, c *clock, requests, keys int, random *rand.Rand, took func(id string, first bool) time.Duration) map[string]int {
 	known := map[string]bool{}
 	sent := map[string]int{}
@@ -31,8 +31,8 @@
 	return sent
 }
 
-// TestSlowerServersGetFewerKeys: parts follow the speeds, and do so within
-// some twenty answers of each server.
+// TestSlowerServersGetFewerKeys checks that the shares of the keys follow the speeds, after about
+// twenty answers of each server.
 func TestSlowerServersGetFewerKeys(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
@@ -55,9 +55,8 @@
 	is.True(sent[slow] > 8000/8/5) // it still serves
 }
 
-// TestEqualServersKeepTheirParts: whatever the noise, first uses and queues,
-// servers of one speed go on getting the keys that their hash gives them, so
-// that boxes agree.
+// TestEqualServersKeepTheirParts checks that servers of equal speed keep the keys that their hash
+// assigns to them, whatever the noise, first uses and queues, so that boxes agree.
 func TestEqualServersKeepTheirParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, c := newTestSet(1)
@@ -79,8 +78,8 @@
 	})
 }
 
-// TestWeightsStayWithinTheirBounds: whatever servers answer, none gets nothing,
-// and none more than a few times the keys of a typical one.
+// TestWeightsStayWithinTheirBounds checks that, whatever the latencies, no server gets no keys at
+// all and none gets more than a few times the keys of a typical one.
 func TestWeightsStayWithinTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, c := newTestSet(1)
@@ -101,8 +100,8 @@
 	})
 }
 
-// TestChangedWeightMovesFewKeys: a server that gets fewer keys gives some away,
-// and no key moves between others.
+// TestChangedWeightMovesFewKeys checks that a server whose weight falls loses some of its keys,
+// and that no key moves between the others.
 func TestChangedWeightMovesFewKeys(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -9,7 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/rollout"
 )
 
-// shareOfVersion is the share of requests that go to servers of version v2, of so many, beside so many others.
+// shareOfVersion returns the share of requests that go to servers of version v2, for the given
+// numbers of such servers and others.
 func shareOfVersion(t *testing.T, fresh, others int, rule rollout.Rule) float64 {
 	t.Helper()
 	s, _ := newTestSet(1)
@@ -32,23 +33,25 @@
 	return float64(got) / requests
 }
 
-// TestFirstServersOfAVersionGetWhatTheyCanDo. The story: a good version was rolled back three seconds after it was
-// ordered. Two of its 119 servers had started, one request in twenty of the whole service went to these, and most
-// of them got no answer in time. The cause: the share of the version followed the time alone. The evidence: all 27
-// requests that failed there were at the two servers listed by then.
+// TestFirstServersOfAVersionGetWhatTheyCanDo guards against overloading the first servers of a
+// new version. While the share of a version followed the time alone, two servers of 119 had
+// started after three seconds and got one request in twenty of the whole service. Most were not
+// answered in time, and a good version was rolled back. All 27 failed requests were at these two
+// servers.
 func TestFirstServersOfAVersionGetWhatTheyCanDo(t *testing.T) {
 	is := is.New(t)
 	running := rollout.Rule{Version: "v2", Share: 0.2}
 	is.True(shareOfVersion(t, 1, 100, running) <= 0.02)
 	share := shareOfVersion(t, 50, 100, running)
 	is.True(share > 0.17 && share < 0.23)
-	is.Equal(shareOfVersion(t, 0, 10, rollout.Rule{Version: "v2", Share: 1}), 0.0) // the others go on
+	is.Equal(shareOfVersion(t, 0, 10, rollout.Rule{Version: "v2", Share: 1}), 0.0) // the other versions continue
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Share: 1}), 1.0)
 	is.Equal(shareOfVersion(t, 1, 10, rollout.Rule{Version: "v2", Share: 1}), 1.0)
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Excluded: true}), 0.0)
 }
 
-// TestBarredVersionGetsNothing: what a barred version leaves is refused, not sent to it.
+// TestBarredVersionGetsNothing checks that requests for which only a barred version is left are
+// refused.
 func TestBarredVersionGetsNothing(t *testing.T) {
 	s, _ := newTestSet(1)
 	s.Replace([]Server{{ID: "new-0", Service: "shop", Address: "10.0.0.1:1", Zone: "east-a", Slots: 4, Version: "v2"}}, true)
