--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -58,9 +58,9 @@
 	s.ApplyFailureReport("box-2", FailureReport{Server: "no-such-server"})
 }
 
-// TestOwnAnswersCountMoreThanHearsay checks that a box ignores failure reports of a server that
+// TestOwnAnswersOutweighFailureReports checks that a box ignores failure reports of a server that
 // has just answered it, and believes the first one of a server that has just failed it.
-func TestOwnAnswersCountMoreThanHearsay(t *testing.T) {
+func TestOwnAnswersOutweighFailureReports(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
