--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -15,10 +15,10 @@
 	lease.Done(result, nil)
 }
 
-// TestGoneServersAreTold checks that a reused address is reported at once. An unreachable server
+// TestFailuresAreReported checks that a reused address is reported at once. An unreachable server
 // is reported only by a box that another server of the zone has just answered, since a box that
 // is cut off reaches no server.
-func TestGoneServersAreTold(t *testing.T) {
+func TestFailuresAreReported(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
