--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -37,9 +37,9 @@
 	is.Equal(told, []FailureReport{{Server: "east-a-1"}})
 }
 
-// TestToldServersGetNothing checks that a stale server gets no request from a box that got a
+// TestReportedServersGetNothing checks that a stale server gets no request from a box that got a
 // report of it, and that an unreachable server is ejected once two boxes have reported it.
-func TestToldServersGetNothing(t *testing.T) {
+func TestReportedServersGetNothing(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
