--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -43,18 +43,18 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
-	resting := func(id string) bool { return s.servers[id].health.ejected(c.at) }
+	ejected := func(id string) bool { return s.servers[id].health.ejected(c.at) }
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0", Stale: true})
 	is.True(s.servers["east-a-0"].stale)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
-	is.True(!resting("east-a-1")) // one box may be wrong
+	is.True(!ejected("east-a-1")) // one box may be wrong
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-1"})
-	is.True(resting("east-a-1"))
+	is.True(ejected("east-a-1"))
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-2"})
 	c.advance(confirmWindow + time.Millisecond)
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-2"})
-	is.True(!resting("east-a-2")) // the reports are too far apart
+	is.True(!ejected("east-a-2")) // the reports are too far apart
 	s.ApplyFailureReport("box-2", FailureReport{Server: "no-such-server"})
 }
 
