--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -22,19 +22,19 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
-	var told []FailureReport
-	s.ReportFailure = func(f FailureReport) { told = append(told, f) }
+	var reports []FailureReport
+	s.ReportFailure = func(f FailureReport) { reports = append(reports, f) }
 	endExchange(s, "east-a-0", Stale)
-	is.Equal(told, []FailureReport{{Server: "east-a-0", Stale: true}})
-	told = nil
+	is.Equal(reports, []FailureReport{{Server: "east-a-0", Stale: true}})
+	reports = nil
 	endExchange(s, "east-a-1", Unreachable) // no server of the zone has answered
 	endExchange(s, "east-a-2", Answered)
 	c.advance(zoneAnswerMaxAge)
 	endExchange(s, "east-a-1", Unreachable) // or not recently
-	is.Equal(len(told), 0)
+	is.Equal(len(reports), 0)
 	endExchange(s, "east-a-2", Answered)
 	endExchange(s, "east-a-1", Unreachable)
-	is.Equal(told, []FailureReport{{Server: "east-a-1"}})
+	is.Equal(reports, []FailureReport{{Server: "east-a-1"}})
 }
 
 // TestReportedServersGetNothing checks that a stale server gets no request from a box that got a
