--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -525,10 +525,10 @@
 	}
 }
 
-// TestRestEndsWithRecovery guards against an ejection that outlasts the recovery (soak seed
+// TestEjectionEndsWithRecovery guards against an ejection that outlasts the recovery (soak seed
 // 534145): a region's only server was probed after an ejection and was as fast as ever, and yet
 // got no requests until the next ejection had ended, while requests of its region were refused.
-func TestRestEndsWithRecovery(t *testing.T) {
+func TestEjectionEndsWithRecovery(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(append(servers("east-a", 1, 4), servers("west-a", 3, 4)...), true)
