--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -557,11 +557,11 @@
 	is.True(!near.health.ejected(c.at))
 }
 
-// TestWhereAllHaveFailedTheEndOfTheirRestIsTold guards against a RetryAfter that is too short.
+// TestRetryAfterWhereAllAreEjected guards against a RetryAfter that is too short.
 // While the only eligible servers were ejected for half a second or more, requests were refused
 // as if the servers were full, with a time of a few milliseconds, after which they were refused
 // again.
-func TestWhereAllHaveFailedTheEndOfTheirRestIsTold(t *testing.T) {
+func TestRetryAfterWhereAllAreEjected(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
