--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -33,12 +33,12 @@
 	return float64(got) / requests
 }
 
-// TestFirstServersOfAVersionGetWhatTheyCanDo guards against overloading the first servers of a
+// TestFirstServersOfAVersionAreNotOverloaded guards against overloading the first servers of a
 // new version. While the share of a version followed the time alone, two servers of 119 had
 // started after three seconds and got one request in twenty of the whole service. Most were not
 // answered in time, and a good version was rolled back. All 27 failed requests were at these two
 // servers.
-func TestFirstServersOfAVersionGetWhatTheyCanDo(t *testing.T) {
+func TestFirstServersOfAVersionAreNotOverloaded(t *testing.T) {
 	is := is.New(t)
 	running := rollout.Rule{Version: "v2", Share: 0.2}
 	is.True(shareOfVersion(t, 1, 100, running) <= 0.02)
