--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -11,11 +11,11 @@
 
 // shareOfVersion returns the share of requests that go to servers of version v2, for the given
 // numbers of such servers and others.
-func shareOfVersion(t *testing.T, fresh, others int, rule rollout.Rule) float64 {
+func shareOfVersion(t *testing.T, ofVersion, others int, rule rollout.Rule) float64 {
 	t.Helper()
 	s, _ := newTestSet(1)
 	list := servers("east-a", others, 4)
-	for i := range fresh {
+	for i := range ofVersion {
 		list = append(list, Server{ID: fmt.Sprint("new-", i), Service: "shop", Address: "10.0.0.1:1", Zone: "east-a", Slots: 4, Version: "v2"})
 	}
 	s.Replace(list, true)
