--- a/pkg/backend/region_test.go
+++ b/pkg/backend/region_test.go
@@ -76,9 +76,9 @@
 	is.Equal(f.targetShare(&s.Policy, 0.4, 0.5, c.now()), 0.4)
 }
 
-// TestAFullHomeTellsWhenItHasRoom checks that RetryAfter grows with the excess at the home, by
+// TestRetryAfterOfAFullHome checks that RetryAfter grows with the excess at the home, by
 // the latency of its requests.
-func TestAFullHomeTellsWhenItHasRoom(t *testing.T) {
+func TestRetryAfterOfAFullHome(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 1, 4), true)
