--- a/pkg/backend/region_test.go
+++ b/pkg/backend/region_test.go
@@ -60,9 +60,9 @@
 	is.True(last > bySlots-0.05)
 }
 
-// TestAShareHoldsWhereAllAreFull checks that a region does not send keys to others that have as
+// TestShareStaysWhereAllAreFull checks that a region does not send keys to others that have as
 // much to do.
-func TestAShareHoldsWhereAllAreFull(t *testing.T) {
+func TestShareStaysWhereAllAreFull(t *testing.T) {
 	is := is.New(t)
 	f := fills{near: fill{value: 1.5}, far: fill{value: 1.4}}
 	s, c := newTestSet(1)
