--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestServerThatRefusedWhileTheListIsOldIsTriedFirst checks that, while the store cannot show
+// TestServerThatRefusedIsProbedWhileTheListIsOld checks that, while the store cannot show
 // whether a server has restarted, the box sends it one request at a time, and counts it as cold
 // once it answers, since it may have just started.
-func TestServerThatRefusedWhileTheListIsOldIsTriedFirst(t *testing.T) {
+func TestServerThatRefusedIsProbedWhileTheListIsOld(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(4)
 	s.Trusted = func() bool { return false }
