--- a/pkg/backend/load_test.go
+++ b/pkg/backend/load_test.go
@@ -46,9 +46,9 @@
 	is.NoErr(err)
 }
 
-// TestLoadOfASlowServerHolds checks that a server that takes 300 ms per request counts as full
+// TestLoadOfASlowServerCountsLonger checks that a server that takes 300 ms per request counts as full
 // for longer.
-func TestLoadOfASlowServerHolds(t *testing.T) {
+func TestLoadOfASlowServerCountsLonger(t *testing.T) {
 	is := is.New(t)
 	s, c := fullServer(t, 300*time.Millisecond)
 	c.advance(350 * time.Millisecond)
