--- a/pkg/backend/limited_test.go
+++ b/pkg/backend/limited_test.go
@@ -11,8 +11,8 @@
 // fakeLimits are the limits of a test's servers: how many more requests each accepts.
 type fakeLimits struct {
 	left map[string]int
-	// open is true if it is unknown whether a server has room, where the choice may ask.
-	open     bool
+	// unknown is true if it is unknown whether a server has room, where the choice may ask.
+	unknown  bool
 	released []string
 }
 
@@ -31,7 +31,7 @@
 			return Unlimited, 0
 		case yield:
 			return Denied, 0
-		case rs.open && ask:
+		case rs.unknown && ask:
 			return AdmissionUnknown, 0
 		case n == 0:
 			return Denied, time.Second
@@ -119,7 +119,7 @@
 	home, err := choose(s, 7)
 	is.NoErr(err)
 	home.Done(Answered, nil)
-	rs.left[home.ID], rs.open = 0, true
+	rs.left[home.ID], rs.unknown = 0, true
 	_, err = choose(s, 7)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
