--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -18,16 +18,16 @@
 	for _, zone := range []string{"east-a", "east-b", "west-a", "north-a"} {
 		list = append(list, servers(zone, 1+r.IntN(60), 4)...)
 	}
-	trouble := r.Float64()
+	failureRate := r.Float64()
 	for i := range list {
 		list[i].Draining = r.Float64() < 0.1
-		if r.Float64() < trouble {
+		if r.Float64() < failureRate {
 			list[i].ColdFor = time.Second
 		}
 	}
 	s.Replace(list, true)
 	for _, v := range s.services["shop"].servers {
-		if r.Float64() < trouble {
+		if r.Float64() < failureRate {
 			v.health.ejectedUntil = c.at.Add(time.Second)
 		}
 		if r.Float64() < 0.2 {
