--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -67,7 +67,7 @@
 	}
 	v.unconfirmed = unconfirmedReport{}
 	if v.health.failed(&s.Policy, now, s.Policy.FailuresToRest) {
-		s.markSuspected(v, "resting")
+		s.markSuspected(v, "ejected")
 	}
 }
 
@@ -77,5 +77,5 @@
 	if v.group != nil {
 		v.group.changed = true
 	}
-	s.OnChange(v.Server, "stale")
+	s.OnChange(v.Server, "address reused")
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -139,7 +139,7 @@
 	}
 	s.reportFailure(l, result, now)
 	if rests {
-		s.markSuspected(v, "resting")
+		s.markSuspected(v, "ejected")
 	}
 }
 
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -238,7 +238,7 @@
 		// The server has restarted: it has lost its state, and nothing that was known of it holds
 		// any more. Requests that chose the earlier incarnation choose again.
 		s.leave(old)
-		s.OnChange(v, "started again")
+		s.OnChange(v, "restarted")
 		old = nil
 	}
 	if old == nil {
