--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -12,10 +12,10 @@
 type candidate struct {
 	*server
 	score float64
-	// busy is the estimated number of requests at the server. It is set by estimateLoad, and only
+	// inFlight is the estimated number of requests at the server. It is set by estimateLoad, and only
 	// for candidates that may be picked.
-	busy float64
-	cold bool
+	inFlight float64
+	cold     bool
 	// ejected is true if the server has failed recently and this box has ejected it.
 	ejected bool
 	// slow is true if the request would probe whether a slow server has recovered.
@@ -31,9 +31,9 @@
 // estimateLoad sets how busy the server is. It runs only for the first few of possibly a thousand
 // candidates, since it takes longer than ordering them.
 func (c *candidate) estimateLoad(p *policy.Policy, now time.Time) {
-	c.busy = c.load.busy(p, c.Slots, c.health.latency, now)
+	c.inFlight = c.load.busy(p, c.Slots, c.health.latency, now)
 	if c.ejected {
-		c.busy += float64(c.Slots) * p.FullFill
+		c.inFlight += float64(c.Slots) * p.FullFill
 	}
 }
 
@@ -41,7 +41,7 @@
 func (c *candidate) lastResort() bool { return c.cold || c.ejected }
 
 // fill returns the fraction of its slots that the server has taken.
-func (c *candidate) fill() float64 { return c.busy / float64(max(1, c.Slots)) }
+func (c *candidate) fill() float64 { return c.inFlight / float64(max(1, c.Slots)) }
 
 // retryAfter returns how long the server needs to work off its excess over the limit and one more
 // request, given the typical latency of servers.
@@ -51,7 +51,7 @@
 		latency = typical
 	}
 	slots := float64(max(1, c.Slots))
-	return time.Duration((c.busy - limit*slots + 1) * float64(latency) / slots)
+	return time.Duration((c.inFlight - limit*slots + 1) * float64(latency) / slots)
 }
 
 // Choose picks the server for a request. The error is a *ChoiceError.
@@ -338,7 +338,7 @@
 		}
 		c := candidate{server: v}
 		c.estimateLoad(&s.Policy, now)
-		free += max(0, float64(c.Slots)-c.busy)
+		free += max(0, float64(c.Slots)-c.inFlight)
 	}
 	return int(free)
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -53,7 +53,7 @@
 		s.markSuspected(v, "slow")
 	}
 	l := &Lease{
-		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
+		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.inFlight,
 		KeyKnown: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
 	if v.backoff.unproven {
@@ -62,7 +62,7 @@
 	if !v.load.at.IsZero() {
 		l.LoadAge = now.Sub(v.load.at)
 	}
-	l.Expected = time.Duration(float64(v.health.latency) * max(1, (c.busy+1)/float64(max(1, v.Slots))))
+	l.Expected = time.Duration(float64(v.health.latency) * max(1, (c.inFlight+1)/float64(max(1, v.Slots))))
 	return l
 }
 
