--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -31,7 +31,7 @@
 // estimateLoad sets how busy the server is. It runs only for the first few of possibly a thousand
 // candidates, since it takes longer than ordering them.
 func (c *candidate) estimateLoad(p *policy.Policy, now time.Time) {
-	c.inFlight = c.load.busy(p, c.Slots, c.health.latency, now)
+	c.inFlight = c.load.inFlight(p, c.Slots, c.health.latency, now)
 	if c.ejected {
 		c.inFlight += float64(c.Slots) * p.FullFill
 	}
--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -90,9 +90,9 @@
 // a long time although it could serve them.
 const loadHoldFactor = 6
 
-// busy returns the estimated number of requests at the server, given how long it works on one, or
+// inFlight returns the estimated number of requests at the server, given how long it works on one, or
 // 0 for work if that is unknown.
-func (l *loadEstimate) busy(p *policy.Policy, slots int, work time.Duration, now time.Time) float64 {
+func (l *loadEstimate) inFlight(p *policy.Policy, slots int, work time.Duration, now time.Time) float64 {
 	pace := 1.0
 	if work > 0 {
 		fill := (float64(l.own) + l.others) / float64(max(1, slots))
