--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -94,7 +94,7 @@
 	if l.trial {
 		v.backoff.trial = false
 	}
-	rests := false
+	ejected := false
 	switch result {
 	case Answered:
 		v.backoff.unproven = v.backoff.unproven && !l.trial
@@ -118,27 +118,27 @@
 		}
 	case Refused:
 		v.refusedAt = now
-		rests = v.health.failed(&s.Policy, now, s.Policy.FailuresToRest)
+		ejected = v.health.failed(&s.Policy, now, s.Policy.FailuresToRest)
 	case Unreachable:
-		rests = v.health.failed(&s.Policy, now, s.Policy.FailuresToRest)
+		ejected = v.health.failed(&s.Policy, now, s.Policy.FailuresToRest)
 	case Crashed:
 		v.refusedAt = now
-		rests = v.health.failed(&s.Policy, now, 1)
+		ejected = v.health.failed(&s.Policy, now, 1)
 	case Broken:
-		rests = v.health.failed(&s.Policy, now, 1)
+		ejected = v.health.failed(&s.Policy, now, 1)
 	case Abandoned:
 		v.health.unfinished(&s.Policy, l.workTime(now))
 	case TimedOut:
 		v.health.unfinished(&s.Policy, l.workTime(now))
 		if now.Sub(v.health.answeredAt) > s.Policy.Silence {
-			rests = v.health.failed(&s.Policy, now, 1)
+			ejected = v.health.failed(&s.Policy, now, 1)
 		}
 	case Withdrawn:
 	case Stale:
 		s.markStale(v)
 	}
 	s.reportFailure(l, result, now)
-	if rests {
+	if ejected {
 		s.markSuspected(v, "ejected")
 	}
 }
