--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -60,10 +60,10 @@
 	if h.failures < p.FailuresToRest {
 		return false
 	}
-	rest := min(p.FirstRest<<min(h.ejections, 10), p.LongestRest)
+	ejection := min(p.FirstRest<<min(h.ejections, 10), p.LongestRest)
 	h.ejections++
 	h.failures = 0
-	h.ejectedUntil = now.Add(rest)
+	h.ejectedUntil = now.Add(ejection)
 	return true
 }
 
