--- a/pkg/backend/shortage.go
+++ b/pkg/backend/shortage.go
@@ -70,15 +70,15 @@
 // limit returns the fraction of its slots that a server may have taken to get a request of a
 // priority. It is lower if more urgent requests are short of room.
 func (o *shortages) limit(p *policy.Policy, priority int, now time.Time) float64 {
-	most := o.moreUrgentPressure(priority, now)
-	if most < minPressure {
+	pressure := o.moreUrgentPressure(priority, now)
+	if pressure < minPressure {
 		return p.FullFill
 	}
 	o.yields++
 	if o.yields%exemptOneIn == 0 {
 		return p.FullFill
 	}
-	return p.FullFill - (p.FullFill-p.YieldFill)*min(1, most/fullPressure)
+	return p.FullFill - (p.FullFill-p.YieldFill)*min(1, pressure/fullPressure)
 }
 
 // yieldsToken reports whether a request of a priority leaves the tokens of the server's rate
