--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -39,7 +39,7 @@
 	if boxes <= 0 {
 		return 0
 	}
-	terms := s.terms[v.Service]
+	terms := s.coldStart[v.Service]
 	total := int(coldShare * (terms.ColdPerSecond*s.Bounds.ColdOverage + s.Bounds.ColdSlack))
 	if total >= boxes {
 		return total / boxes
@@ -140,7 +140,7 @@
 	}
 	v.refusedAt = time.Time{}
 	if v.StartedAtMs != 0 && !trusted {
-		s.markCold(v, s.terms[v.Service].ColdStart)
+		s.markCold(v, s.coldStart[v.Service].ColdStart)
 	}
 }
 
--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -82,7 +82,7 @@
 	servers   map[string]*server
 	services  map[string]*group
 	evacuated map[string]bool
-	terms     map[string]ColdStartConfig
+	coldStart map[string]ColdStartConfig
 	spill     spillGuard
 	// missing holds the servers that have vanished from a list that is not trusted, by ID.
 	missing map[string]*server
@@ -176,7 +176,7 @@
 		servers:        map[string]*server{},
 		services:       map[string]*group{},
 		evacuated:      map[string]bool{},
-		terms:          map[string]ColdStartConfig{},
+		coldStart:      map[string]ColdStartConfig{},
 		backedOff:      map[*server]bool{},
 		missing:        map[string]*server{},
 	}
@@ -186,7 +186,7 @@
 func (s *Set) SetServices(terms map[string]ColdStartConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.terms = terms
+	s.coldStart = terms
 }
 
 // SetPolicy replaces the policy while the set is in use.
@@ -337,7 +337,7 @@
 	}
 	for _, v := range s.servers {
 		if s.evacuated[v.Zone] && !evacuated[v.Zone] {
-			s.markCold(v, s.terms[v.Service].ColdStart)
+			s.markCold(v, s.coldStart[v.Service].ColdStart)
 		}
 	}
 	s.evacuated = evacuated
