--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -160,9 +160,9 @@
 }
 
 // NewSet returns a set without servers.
-func NewSet(terms Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
+func NewSet(bounds Bounds, zone string, regionOf func(string) string, boxes func() int, now func() time.Time) *Set {
 	return &Set{
-		Bounds: terms, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
+		Bounds: bounds, Policy: policy.Default(), Zone: zone, Region: regionOf(zone), RegionOf: regionOf, Boxes: boxes, Now: now,
 		Peers:          func() (Peer, []Peer) { return Peer{}, nil },
 		Trusted:        func() bool { return true },
 		OnChange:       func(Server, string) {},
