--- a/pkg/backend/set.go
+++ b/pkg/backend/set.go
@@ -183,10 +183,10 @@
 }
 
 // SetServices sets the configuration of the services' cold servers.
-func (s *Set) SetServices(terms map[string]ColdStartConfig) {
+func (s *Set) SetServices(configs map[string]ColdStartConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.coldStart = terms
+	s.coldStart = configs
 }
 
 // SetPolicy replaces the policy while the set is in use.
