--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -39,8 +39,8 @@
 	if boxes <= 0 {
 		return 0
 	}
-	terms := s.coldStart[v.Service]
-	total := int(coldShare * (terms.ColdPerSecond*s.Bounds.ColdOverage + s.Bounds.ColdSlack))
+	config := s.coldStart[v.Service]
+	total := int(coldShare * (config.ColdPerSecond*s.Bounds.ColdOverage + s.Bounds.ColdSlack))
 	if total >= boxes {
 		return total / boxes
 	}
