--- a/pkg/backend/spill.go
+++ b/pkg/backend/spill.go
@@ -17,8 +17,8 @@
 }
 
 // request counts a request.
-func (g *spillGuard) request(terms *Bounds, now time.Time) {
-	g.advance(terms, now)
+func (g *spillGuard) request(bounds *Bounds, now time.Time) {
+	g.advance(bounds, now)
 	g.requests[g.at%int64(len(g.requests))]++
 }
 
