--- a/pkg/backend/spill.go
+++ b/pkg/backend/spill.go
@@ -24,8 +24,8 @@
 
 // allow counts one request that leaves the region and returns true if the share of such requests
 // then rises by no more than the given rise from one window to the next.
-func (g *spillGuard) allow(rise float64, terms *Bounds, now time.Time) bool {
-	g.advance(terms, now)
+func (g *spillGuard) allow(rise float64, bounds *Bounds, now time.Time) bool {
+	g.advance(bounds, now)
 	requests, spilled := g.sum(0)
 	before, spilledBefore := g.sum(spillBuckets)
 	last := 0.0
