--- a/pkg/backend/spill.go
+++ b/pkg/backend/spill.go
@@ -50,11 +50,11 @@
 	return requests, spilled
 }
 
-func (g *spillGuard) advance(terms *Bounds, now time.Time) {
+func (g *spillGuard) advance(bounds *Bounds, now time.Time) {
 	if g.startedAt.IsZero() {
 		g.startedAt = now
 	}
-	at := int64(now.Sub(g.startedAt) / (terms.ShiftWindow / spillBuckets))
+	at := int64(now.Sub(g.startedAt) / (bounds.ShiftWindow / spillBuckets))
 	size := int64(len(g.requests))
 	for steps := int64(0); g.at < at && steps < size; steps++ {
 		g.at++
