--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -156,9 +156,9 @@
 }
 
 // markSuspected records that the server is ejected from now on.
-func (s *Set) markSuspected(v *server, what string) {
+func (s *Set) markSuspected(v *server, state string) {
 	v.health.suspected = true
-	s.OnChange(v.Server, what)
+	s.OnChange(v.Server, state)
 }
 
 // clearSuspicion ends the ejection of a server that has answered and is no longer slower than
