--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -24,8 +24,8 @@
 
 func newTestSet(boxes int) (*Set, *clock) {
 	c := &clock{at: time.Unix(1000, 0)}
-	terms := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, MissingTTL: 1750 * time.Millisecond}
-	s := NewSet(terms, "east-a", regionOf, func() int { return boxes }, c.now)
+	bounds := Bounds{ColdOverage: 1.5, ColdSlack: 5, MaxShift: 0.15, ShiftWindow: 2 * time.Second, MissingTTL: 1750 * time.Millisecond}
+	s := NewSet(bounds, "east-a", regionOf, func() int { return boxes }, c.now)
 	s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: 11}})
 	return s, c
 }
