--- a/pkg/backend/cold_test.go
+++ b/pkg/backend/cold_test.go
@@ -153,8 +153,8 @@
 				peers = append(peers, Peer{Zone: zone, Region: regionOf(zone), Hash: Hash(zone, fmt.Sprint(i)), Advertised: i < large})
 			}
 		}
-		terms := Bounds{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
-		bound := int(perSecond*terms.ColdOverage + terms.ColdSlack)
+		bounds := Bounds{ColdOverage: 1.5, ColdSlack: 8, MaxShift: 0.15, ShiftWindow: 2 * time.Second}
+		bound := int(perSecond*bounds.ColdOverage + bounds.ColdSlack)
 		c := &clock{at: time.Unix(1000, 0)}
 		sent := 0
 		for i := range peers {
@@ -167,7 +167,7 @@
 					view[j].Advertised = !view[j].Advertised
 				}
 			}
-			s := NewSet(terms, peers[i].Zone, regionOf, func() int { return len(peers) }, c.now)
+			s := NewSet(bounds, peers[i].Zone, regionOf, func() int { return len(peers) }, c.now)
 			s.SetServices(map[string]ColdStartConfig{"shop": {ColdStart: 3 * time.Second, ColdPerSecond: perSecond}})
 			self, others := view[i], slices.Delete(slices.Clone(view), i, i+1)
 			s.Peers = func() (Peer, []Peer) { return self, others }
