--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -484,7 +484,7 @@
 	const slowServer = "east-a-0"
 	var told []string
 	s.OnChange = func(v Server, what string) { told = append(told, v.ID+" "+what) }
-	play := func(length, slowTook time.Duration) (atSlow int) {
+	run := func(length, slowTook time.Duration) (atSlow int) {
 		for end := c.at.Add(length); c.at.Before(end); c.advance(20 * time.Millisecond) {
 			lease, err := choose(s, Hash(fmt.Sprint(c.at.UnixNano())))
 			is.NoErr(err)
@@ -499,11 +499,11 @@
 		}
 		return atSlow
 	}
-	is.True(play(2*time.Second, 200*time.Millisecond) > 5)
-	atSlow := play(12*time.Second, 3*time.Second)
+	is.True(run(2*time.Second, 200*time.Millisecond) > 5)
+	atSlow := run(12*time.Second, 3*time.Second)
 	is.True(atSlow < 20) // of 600 requests, 100 of which have their home there
-	play(10*time.Second, 200*time.Millisecond)
-	is.True(play(4*time.Second, 200*time.Millisecond) > 10) // of 200 requests
+	run(10*time.Second, 200*time.Millisecond)
+	is.True(run(4*time.Second, 200*time.Millisecond) > 10) // of 200 requests
 	is.Equal(told[0], "east-a-0 slow")
 	is.Equal(told[len(told)-1], "east-a-0 recovered")
 }
