--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -482,8 +482,8 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 6, 4), true)
 	const slowServer = "east-a-0"
-	var told []string
-	s.OnChange = func(v Server, what string) { told = append(told, v.ID+" "+what) }
+	var changes []string
+	s.OnChange = func(v Server, what string) { changes = append(changes, v.ID+" "+what) }
 	run := func(length, slowTook time.Duration) (atSlow int) {
 		for end := c.at.Add(length); c.at.Before(end); c.advance(20 * time.Millisecond) {
 			lease, err := choose(s, Hash(fmt.Sprint(c.at.UnixNano())))
@@ -504,8 +504,8 @@
 	is.True(atSlow < 20) // of 600 requests, 100 of which have their home there
 	run(10*time.Second, 200*time.Millisecond)
 	is.True(run(4*time.Second, 200*time.Millisecond) > 10) // of 200 requests
-	is.Equal(told[0], "east-a-0 slow")
-	is.Equal(told[len(told)-1], "east-a-0 recovered")
+	is.Equal(changes[0], "east-a-0 slow")
+	is.Equal(changes[len(changes)-1], "east-a-0 recovered")
 }
 
 func BenchmarkChooseAmongMany(b *testing.B) {
