--- a/pkg/backend/set_test.go
+++ b/pkg/backend/set_test.go
@@ -279,11 +279,11 @@
 func TestWhatIsToldOfAServerNamesIt(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
-	var told []string
+	var changes []string
 	s.OnChange = func(v Server, what string) {
 		is.Equal(v.ID, "east-a-0")
 		is.Equal(v.Service, "shop")
-		told = append(told, what)
+		changes = append(changes, what)
 	}
 	v := servers("east-a", 1, 4)[0]
 	v.ColdFor = time.Second
@@ -291,7 +291,7 @@
 	v.Draining = true
 	s.Put(v)
 	s.Remove(v.ID, true)
-	is.Equal(told, []string{"listed", "cold", "draining", "gone"})
+	is.Equal(changes, []string{"listed", "cold", "draining", "gone"})
 }
 
 func TestZoneThatIsTakenBackIsCold(t *testing.T) {
