--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -12,8 +12,8 @@
 type candidate struct {
 	*server
 	score float64
-	// inFlight is the estimated number of requests at the server. It is set by estimateLoad, and only
-	// for candidates that may be picked.
+	// inFlight is the estimated number of requests at the server. It is set by estimateLoad, and
+	// only for candidates that may be picked.
 	inFlight float64
 	cold     bool
 	// ejected is true if the server has failed recently and this box has ejected it.
@@ -28,8 +28,8 @@
 	skipped bool
 }
 
-// estimateLoad sets how busy the server is. It runs only for the first few of possibly a thousand
-// candidates, since it takes longer than ordering them.
+// estimateLoad sets inFlight. It runs only for the first few of possibly a thousand candidates,
+// since it takes longer than ordering them.
 func (c *candidate) estimateLoad(p *policy.Policy, now time.Time) {
 	c.inFlight = c.load.inFlight(p, c.Slots, c.health.latency, now)
 	if c.ejected {
@@ -252,8 +252,8 @@
 	list[0] = c
 }
 
-// pick returns the key's home or, if that is full or cold, the first server of the other region
-// list if it is idle enough to do the work without knowing the key. The limit is the fraction of
+// pick returns the key's home or, if that is full or cold, the first server of the far list if it
+// is idle enough to do the work without knowing the key. The limit is the fraction of
 // its slots that the server may have taken for this request. A cold home gets requests within its
 // rate if no other server may take them: otherwise a service whose servers are all cold would
 // refuse every request until they are warm.
--- a/pkg/backend/failure_report.go
+++ b/pkg/backend/failure_report.go
@@ -19,7 +19,7 @@
 
 // zoneAnswerMaxAge is how recently another server of the zone must have answered for a box to
 // report a server as unreachable. It is shorter than a failed connection attempt takes, so that
-// the network path to the zone is known to have worked since the attempt began.
+// the network path to the zone is known to have worked during the attempt.
 const zoneAnswerMaxAge = 500 * time.Millisecond
 
 // unconfirmedReport is the first report by another box that a server cannot be reached.
@@ -41,10 +41,10 @@
 	}
 }
 
-// ApplyFailureReport applies another box's report. A reused address is a fact. That a server
-// cannot be reached is believed if a second box reports it, or if this box has failed with the
-// server recently, and only if the server has not answered this box recently. The server is then
-// ejected as if this box could not reach it.
+// ApplyFailureReport applies another box's report. A report that an address is reused is always
+// applied. A report that a server cannot be reached is believed if a second box reports it or this
+// box has failed with the server recently, but not if the server has answered this box recently.
+// The server is then ejected as if this box could not reach it.
 func (s *Set) ApplyFailureReport(box string, f FailureReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/backend/index.go
+++ b/pkg/backend/index.go
@@ -117,7 +117,7 @@
 // lists. It returns false if the short lists do not determine them.
 func (s *Set) shortCandidates(g *group, r *Request, version versionChoice, stays bool, now time.Time) (near, far []candidate, ok bool) {
 	if s.AnyLimited() || s.anyBackedOff(now) {
-		// Skipped servers are counted, wherever they are in the order.
+		// Skipped servers have to be counted wherever they are in the order.
 		return nil, nil, false
 	}
 	front := s.frontSize(r)
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -29,7 +29,7 @@
 	at    time.Time
 }
 
-// fillSpan is the span of the averages, which equals a window of the cap on shifts.
+// fillSpan is the span of the averages: as long as a window of the cap on shifts.
 const fillSpan = 2 * time.Second
 
 // add adds the load that a server reported.
