--- a/pkg/backend/cold.go
+++ b/pkg/backend/cold.go
@@ -68,7 +68,7 @@
 const (
 	rankZone = iota
 	rankRegion
-	rankNamed
+	rankAdvertised
 	rankOther
 )
 
@@ -84,7 +84,7 @@
 	case p.Region == v.region:
 		return rankRegion
 	}
-	return rankNamed
+	return rankAdvertised
 }
 
 // coldPlaceOf returns this box's place, from 0, in the order in which boxes send to a cold server
