--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -253,10 +253,10 @@
 }
 
 // pick returns the key's home or, if that is full or cold, the first server of the far list if it
-// is idle enough to do the work without knowing the key. The limit is the fraction of
-// its slots that the server may have taken for this request. A cold home gets requests within its
-// rate if no other server may take them: otherwise a service whose servers are all cold would
-// refuse every request until they are warm.
+// is idle enough to do the work without knowing the key. The limit is the fraction of its slots
+// that the server may have taken for this request. A cold home gets requests within its rate if
+// no other server may take them: otherwise a service whose servers are all cold would refuse
+// every request until they are warm.
 //
 // With short, rate limits or backoffs exclude servers of the region. Then no more requests leave
 // it than a full region may send elsewhere: the traffic of a region whose servers all have limits
--- a/pkg/backend/health.go
+++ b/pkg/backend/health.go
@@ -90,8 +90,8 @@
 // a long time although it could serve them.
 const loadHoldFactor = 6
 
-// inFlight returns the estimated number of requests at the server, given how long it works on one, or
-// 0 for work if that is unknown.
+// inFlight returns the estimated number of requests at the server. work is how long the server
+// works on one request, 0 if that is unknown.
 func (l *loadEstimate) inFlight(p *policy.Policy, slots int, work time.Duration, now time.Time) float64 {
 	pace := 1.0
 	if work > 0 {
