--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -50,9 +50,9 @@
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Excluded: true}), 0.0)
 }
 
-// TestBarredVersionGetsNothing checks that requests for which only a barred version is left are
+// TestExcludedVersionGetsNothing checks that requests for which only a barred version is left are
 // refused.
-func TestBarredVersionGetsNothing(t *testing.T) {
+func TestExcludedVersionGetsNothing(t *testing.T) {
 	s, _ := newTestSet(1)
 	s.Replace([]Server{{ID: "new-0", Service: "shop", Address: "10.0.0.1:1", Zone: "east-a", Slots: 4, Version: "v2"}}, true)
 	s.SetVersions(map[string]rollout.Rule{"shop": {Version: "v2", Excluded: true}})
