--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -50,7 +50,7 @@
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Excluded: true}), 0.0)
 }
 
-// TestExcludedVersionGetsNothing checks that requests for which only a barred version is left are
+// TestExcludedVersionGetsNothing checks that requests for which only an excluded version is left are
 // refused.
 func TestExcludedVersionGetsNothing(t *testing.T) {
 	s, _ := newTestSet(1)
