--- a/pkg/backend/version_test.go
+++ b/pkg/backend/version_test.go
@@ -9,12 +9,13 @@
 	"github.com/stoneworks/stoneworks/pkg/rollout"
 )
 
-// shareOfVersion is the share of requests that go to servers of version v2, of so many, beside so many others.
-func shareOfVersion(t *testing.T, fresh, others int, rule rollout.Rule) float64 {
+// shareOfVersion returns the share of requests that go to servers of version v2, for the given
+// numbers of such servers and others.
+func shareOfVersion(t *testing.T, ofVersion, others int, rule rollout.Rule) float64 {
 	t.Helper()
 	s, _ := newTestSet(1)
 	list := servers("east-a", others, 4)
-	for i := range fresh {
+	for i := range ofVersion {
 		list = append(list, Server{ID: fmt.Sprint("new-", i), Service: "shop", Address: "10.0.0.1:1", Zone: "east-a", Slots: 4, Version: "v2"})
 	}
 	s.Replace(list, true)
@@ -32,24 +33,26 @@
 	return float64(got) / requests
 }
 
-// TestFirstServersOfAVersionGetWhatTheyCanDo. The story: a good version was rolled back three seconds after it was
-// ordered. Two of its 119 servers had started, one request in twenty of the whole service went to these, and most
-// of them got no answer in time. The cause: the share of the version followed the time alone. The evidence: all 27
-// requests that failed there were at the two servers listed by then.
-func TestFirstServersOfAVersionGetWhatTheyCanDo(t *testing.T) {
+// TestFirstServersOfAVersionAreNotOverloaded guards against overloading the first servers of a
+// new version. While the share of a version followed the time alone, two servers of 119 had
+// started after three seconds and got one request in twenty of the whole service. Most were not
+// answered in time, and a good version was rolled back. All 27 failed requests were at these two
+// servers.
+func TestFirstServersOfAVersionAreNotOverloaded(t *testing.T) {
 	is := is.New(t)
 	running := rollout.Rule{Version: "v2", Share: 0.2}
 	is.True(shareOfVersion(t, 1, 100, running) <= 0.02)
 	share := shareOfVersion(t, 50, 100, running)
 	is.True(share > 0.17 && share < 0.23)
-	is.Equal(shareOfVersion(t, 0, 10, rollout.Rule{Version: "v2", Share: 1}), 0.0) // the others go on
+	is.Equal(shareOfVersion(t, 0, 10, rollout.Rule{Version: "v2", Share: 1}), 0.0) // the other versions continue
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Share: 1}), 1.0)
 	is.Equal(shareOfVersion(t, 1, 10, rollout.Rule{Version: "v2", Share: 1}), 1.0)
 	is.Equal(shareOfVersion(t, 10, 10, rollout.Rule{Version: "v2", Excluded: true}), 0.0)
 }
 
-// TestBarredVersionGetsNothing: what a barred version leaves is refused, not sent to it.
-func TestBarredVersionGetsNothing(t *testing.T) {
+// TestExcludedVersionGetsNothing checks that requests for which only an excluded version is left are
+// refused.
+func TestExcludedVersionGetsNothing(t *testing.T) {
 	s, _ := newTestSet(1)
 	s.Replace([]Server{{ID: "new-0", Service: "shop", Address: "10.0.0.1:1", Zone: "east-a", Slots: 4, Version: "v2"}}, true)
 	s.SetVersions(map[string]rollout.Rule{"shop": {Version: "v2", Excluded: true}})
