--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -161,7 +161,7 @@
 // report takes in a box's report and answers it.
 func (a *allocator) report(from Box, m *Report) {
 	if at, ok := a.timeOf(m.Echo); ok {
-		a.leases.lend(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(leaseTime))
+		a.leases.renew(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(leaseTime))
 	}
 	g := a.boxState(from, m.Incarnation)
 	if g == nil {
--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -73,8 +73,8 @@
 	l.at = now
 }
 
-// lend takes in that a box lends its part until some time.
-func (l *leases) lend(box uint64, life int64, weight float64, allocators []uint64, until time.Time) {
+// renew takes in that a box lends its part until some time.
+func (l *leases) renew(box uint64, life int64, weight float64, allocators []uint64, until time.Time) {
 	if !until.After(l.at) {
 		return
 	}
