--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -15,9 +15,9 @@
 	// restartTime is the least time between the end of a box and the start of its
 	// next life.
 	restartTime = 500 * time.Millisecond
-	// longestStart is for how long after its start an allocator counts as the only one
+	// firstLeaseTime is for how long after its start an allocator counts as the only one
 	// that may have granted a part; later, boxes have turned to others.
-	longestStart = 600 * time.Millisecond
+	firstLeaseTime = 600 * time.Millisecond
 )
 
 // leases are the parts that boxes lend to an allocator, and what they have brought.
@@ -98,7 +98,7 @@
 // time what nobody has granted of it since the life before. After a loss of power of
 // all boxes that is most of a second's requests at once.
 func (l *leases) creditFirst(b *lease) {
-	if age := l.at.Sub(l.started); age <= longestStart {
+	if age := l.at.Sub(l.started); age <= firstLeaseTime {
 		b.set.weightSeconds += b.weight * (restartTime + age).Seconds()
 	}
 }
