--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -9,12 +9,12 @@
 // lost. It is also how long a box whose allocator has ended waits until it lends its
 // part to another one. It is no longer than restartTime, so that a box that starts
 // again need not wait for what its last life lent.
-const leaseTime = restartTime
+const leaseTime = minRestartTime
 
 const (
-	// restartTime is the least time between the end of a box and the start of its
+	// minRestartTime is the least time between the end of a box and the start of its
 	// next life.
-	restartTime = 500 * time.Millisecond
+	minRestartTime = 500 * time.Millisecond
 	// firstLeaseTime is for how long after its start an allocator counts as the only one
 	// that may have granted a part; later, boxes have turned to others.
 	firstLeaseTime = 600 * time.Millisecond
@@ -99,7 +99,7 @@
 // all boxes that is most of a second's requests at once.
 func (l *leases) creditFirst(b *lease) {
 	if age := l.at.Sub(l.started); age <= firstLeaseTime {
-		b.set.weightSeconds += b.weight * (restartTime + age).Seconds()
+		b.set.weightSeconds += b.weight * (minRestartTime + age).Seconds()
 	}
 }
 
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -138,7 +138,7 @@
 		for _, b := range some(part) {
 			if b.up {
 				b.kill()
-				b.start(restartTime + time.Duration(f.random.Intn(2000))*time.Millisecond)
+				b.start(minRestartTime + time.Duration(f.random.Intn(2000))*time.Millisecond)
 			}
 		}
 	case 2:
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -90,7 +90,7 @@
 func (w *world) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for i := range w.boxes {
-		if !w.up(i) && w.now.Sub(w.down[i]) >= restartTime {
+		if !w.up(i) && w.now.Sub(w.down[i]) >= minRestartTime {
 			w.begin(i)
 		}
 		if w.up(i) {
