--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -38,10 +38,10 @@
 
 // lease is a box that lends its part.
 type lease struct {
-	life   int64
-	weight float64
-	set    *allocatorSet
-	until  time.Time
+	incarnation int64
+	weight      float64
+	set         *allocatorSet
+	until       time.Time
 }
 
 // allocatorSet is one set of allocators that boxes see.
@@ -83,10 +83,10 @@
 		b = &lease{}
 		l.boxes[box] = b
 	}
-	if life < b.life {
+	if life < b.incarnation {
 		return
 	}
-	b.life, b.weight, b.set = life, weight, l.setOf(allocators)
+	b.incarnation, b.weight, b.set = life, weight, l.setOf(allocators)
 	b.until = until
 	if weight > 0 && !l.credited[box] {
 		l.credited[box] = true
