--- a/pkg/quota/lends.go
+++ b/pkg/quota/lends.go
@@ -74,7 +74,7 @@
 }
 
 // renew takes in that a box lends its part until some time.
-func (l *leases) renew(box uint64, life int64, weight float64, allocators []uint64, until time.Time) {
+func (l *leases) renew(box uint64, incarnation int64, weight float64, allocators []uint64, until time.Time) {
 	if !until.After(l.at) {
 		return
 	}
@@ -83,10 +83,10 @@
 		b = &lease{}
 		l.boxes[box] = b
 	}
-	if life < b.incarnation {
+	if incarnation < b.incarnation {
 		return
 	}
-	b.incarnation, b.weight, b.set = life, weight, l.setOf(allocators)
+	b.incarnation, b.weight, b.set = incarnation, weight, l.setOf(allocators)
 	b.until = until
 	if weight > 0 && !l.credited[box] {
 		l.credited[box] = true
