--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -20,12 +20,12 @@
 
 // allocator grants the tokens of a zone's customers to its boxes.
 type allocator struct {
-	self    uint64
-	life    int64
-	now     time.Time
-	started time.Time
-	leases  *leases
-	buckets map[ID]*bucket
+	self        uint64
+	incarnation int64
+	now         time.Time
+	started     time.Time
+	leases      *leases
+	buckets     map[ID]*bucket
 	// low are the buckets that may have to borrow.
 	low   map[ID]*bucket
 	boxes map[uint64]*boxState
@@ -114,7 +114,7 @@
 
 func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
-		self: self, life: life, now: now, started: now, leases: newLeases(self, now), divide: divide, send: send,
+		self: self, incarnation: life, now: now, started: now, leases: newLeases(self, now), divide: divide, send: send,
 		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*boxState{}, loans: newLoans(),
 	}
 }
@@ -127,12 +127,12 @@
 
 // stamp is the time of the allocator's clock as it is told to boxes.
 func (a *allocator) stamp() Stamp {
-	return Stamp{Incarnation: a.life, ElapsedMs: uint32(a.now.Sub(a.started).Milliseconds())}
+	return Stamp{Incarnation: a.incarnation, ElapsedMs: uint32(a.now.Sub(a.started).Milliseconds())}
 }
 
 // timeOf is the time of a stamp; ok is false for one of another life.
 func (a *allocator) timeOf(s Stamp) (at time.Time, ok bool) {
-	return a.started.Add(time.Duration(s.ElapsedMs) * time.Millisecond), s.Incarnation == a.life && s.ElapsedMs <= a.stamp().ElapsedMs
+	return a.started.Add(time.Duration(s.ElapsedMs) * time.Millisecond), s.Incarnation == a.incarnation && s.ElapsedMs <= a.stamp().ElapsedMs
 }
 
 // bucket returns the customer's bucket with the tokens of now, or nil if the customer
