--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -112,9 +112,9 @@
 	return r.perSecond
 }
 
-func newAllocator(self uint64, life int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
+func newAllocator(self uint64, incarnation int64, now time.Time, divide func(id ID) (division, bool), send func(to Box, m Message)) *allocator {
 	return &allocator{
-		self: self, incarnation: life, now: now, started: now, leases: newLeases(self, now), divide: divide, send: send,
+		self: self, incarnation: incarnation, now: now, started: now, leases: newLeases(self, now), divide: divide, send: send,
 		buckets: map[ID]*bucket{}, low: map[ID]*bucket{}, boxes: map[uint64]*boxState{}, loans: newLoans(),
 	}
 }
