--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -186,16 +186,16 @@
 }
 
 // boxState returns what is known of a box; nil for a life of it that has ended.
-func (a *allocator) boxState(from Box, life int64) *boxState {
+func (a *allocator) boxState(from Box, incarnation int64) *boxState {
 	g := a.boxes[from.Key]
-	if g != nil && life < g.life {
+	if g != nil && incarnation < g.life {
 		return nil
 	}
-	if g == nil || g.life != life {
+	if g == nil || g.life != incarnation {
 		if g != nil {
 			a.forget(from.Key, g)
 		}
-		g = &boxState{life: life, usage: map[ID]*boxUsage{}}
+		g = &boxState{life: incarnation, usage: map[ID]*boxUsage{}}
 		a.boxes[from.Key] = g
 	}
 	g.box = from
