--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -39,10 +39,10 @@
 
 // boxState is a box that reports to this allocator.
 type boxState struct {
-	box   Box
-	life  int64
-	usage map[ID]*boxUsage
-	heard time.Time
+	box         Box
+	incarnation int64
+	usage       map[ID]*boxUsage
+	heard       time.Time
 }
 
 // boxUsage is what is known of one customer's tokens at a box.
@@ -188,14 +188,14 @@
 // boxState returns what is known of a box; nil for a life of it that has ended.
 func (a *allocator) boxState(from Box, incarnation int64) *boxState {
 	g := a.boxes[from.Key]
-	if g != nil && incarnation < g.life {
+	if g != nil && incarnation < g.incarnation {
 		return nil
 	}
-	if g == nil || g.life != incarnation {
+	if g == nil || g.incarnation != incarnation {
 		if g != nil {
 			a.forget(from.Key, g)
 		}
-		g = &boxState{life: incarnation, usage: map[ID]*boxUsage{}}
+		g = &boxState{incarnation: incarnation, usage: map[ID]*boxUsage{}}
 		a.boxes[from.Key] = g
 	}
 	g.box = from
@@ -279,7 +279,7 @@
 		a.grant(b, key, l)
 		c := a.ceiling(b, key, l)
 		if l.ceiling != before || c.Exhausted {
-			a.send(g.box, Message{Grant: &Grant{Incarnation: g.life, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
+			a.send(g.box, Message{Grant: &Grant{Incarnation: g.incarnation, Stamp: a.stamp(), Ceilings: []Ceiling{c}}})
 		}
 	}
 }
