--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -48,7 +48,7 @@
 func IDOf(customer string) ID { return ID(hashing.Of("customer", customer)) }
 
 // ServerIDOf returns the ID of a backend server by the name of its life.
-func ServerIDOf(life string) ID { return ID(hashing.Of("server", life)) }
+func ServerIDOf(incarnation string) ID { return ID(hashing.Of("server", incarnation)) }
 
 // Tolerance are what is promised of all limits. In any Window a customer's requests stay
 // within (rate x Window + burst) x (1 + Overage) + Slack.
