--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -17,10 +17,10 @@
 	silentFor   = 2 * time.Second
 )
 
-// lending decides to which allocators a box lends its part, so that no two have it at
+// lender decides to which allocators a box lends its part, so that no two have it at
 // a time. What one was lent for a customer ends lendFor after the last report that
 // lent it; until then no other gets it.
-type lending struct {
+type lender struct {
 	self Box
 	// peers are those that the box has reported to, by their keys.
 	peers map[uint64]*lendingPeer
@@ -46,13 +46,13 @@
 	silentUntil time.Time
 }
 
-func newLending(self Box) *lending {
-	return &lending{self: self, peers: map[uint64]*lendingPeer{}}
+func newLending(self Box) *lender {
+	return &lender{self: self, peers: map[uint64]*lendingPeer{}}
 }
 
 // choose takes the first boxes of the zone as allocators, but for those that do not
 // answer. A box that reaches none is its own.
-func (l *lending) choose(first []Box, now time.Time) {
+func (l *lender) choose(first []Box, now time.Time) {
 	var target []uint64
 	for _, b := range first {
 		if len(target) < AllocatorsPerZone && !l.silent(b, now) {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (l *lending) peer(b Box) *lendingPeer {
+func (l *lender) peer(b Box) *lendingPeer {
 	p := l.peers[b.Key]
 	if p == nil {
 		p = &lendingPeer{}
@@ -93,7 +93,7 @@
 }
 
 // silent reports whether the box does not answer.
-func (l *lending) silent(b Box, now time.Time) bool {
+func (l *lender) silent(b Box, now time.Time) bool {
 	p := l.peers[b.Key]
 	if p == nil || b.Key == l.self.Key {
 		return false
@@ -107,7 +107,7 @@
 // lent are the allocators that may have some of the box's part, now or until what
 // they were lent has ended. Customers are divided among all of them, so that each
 // has only those that no other may have.
-func (l *lending) lent(now time.Time) []uint64 {
+func (l *lender) lent(now time.Time) []uint64 {
 	var list []uint64
 	for key, p := range l.peers {
 		if slices.Contains(l.target, key) || now.Sub(p.told) < leaseTime {
@@ -120,10 +120,10 @@
 
 // lends reports whether an allocator gets the box's part yet: all that others were
 // lent before has ended.
-func (l *lending) lends(p *lendingPeer, now time.Time) bool { return now.Sub(p.chosen) >= leaseTime }
+func (l *lender) lends(p *lendingPeer, now time.Time) bool { return now.Sub(p.chosen) >= leaseTime }
 
 // heard notes an answer.
-func (l *lending) heard(from uint64, stamp Stamp) {
+func (l *lender) heard(from uint64, stamp Stamp) {
 	if p := l.peers[from]; p != nil {
 		p.asked = time.Time{}
 		p.silentUntil = time.Time{}
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -57,7 +57,7 @@
 	accounts  map[ID]*account
 	// dirty are the accounts that a report may have to tell of.
 	dirty     map[ID]*account
-	lending   *lending
+	lending   *lender
 	allocator *allocator
 	view      View
 	ticks     int
