--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -46,7 +46,7 @@
 	silentUntil time.Time
 }
 
-func newLending(self Box) *lender {
+func newLender(self Box) *lender {
 	return &lender{self: self, peers: map[uint64]*lendingPeer{}}
 }
 
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -76,7 +76,7 @@
 	l.retired = map[ID]counts{}
 	l.customers = map[ID]division{}
 	l.servers = map[ID]division{}
-	l.lending = newLending(l.Self)
+	l.lending = newLender(l.Self)
 	l.allocator = newAllocator(l.Self.Key, l.Incarnation, l.Now(), l.divide, l.send)
 }
 
