--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -57,7 +57,7 @@
 	accounts  map[ID]*account
 	// dirty are the accounts that a report may have to tell of.
 	dirty     map[ID]*account
-	lending   *lender
+	lender    *lender
 	allocator *allocator
 	view      View
 	ticks     int
@@ -76,7 +76,7 @@
 	l.retired = map[ID]counts{}
 	l.customers = map[ID]division{}
 	l.servers = map[ID]division{}
-	l.lending = newLender(l.Self)
+	l.lender = newLender(l.Self)
 	l.allocator = newAllocator(l.Self.Key, l.Incarnation, l.Now(), l.divide, l.send)
 }
 
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -18,7 +18,7 @@
 	l.allocator.advance(now)
 	l.view = v
 	l.allocator.loans.zones = v.Zones
-	l.lending.choose(v.First, now)
+	l.lender.choose(v.First, now)
 	l.ticks++
 	cleanUp := l.ticks%cleanUpTicks == 0
 	if cleanUp {
@@ -31,7 +31,7 @@
 // cleanUp gives unused tokens back and drops accounts of customers that send nothing.
 func (l *Limiter) cleanUp(now time.Time) {
 	for _, a := range l.accounts {
-		if a.returnIdle(owner(a.id, l.lending.target), now) {
+		if a.returnIdle(owner(a.id, l.lender.target), now) {
 			l.touch(a)
 		}
 		if !a.changed && a.waiting == 0 && now.Sub(a.usedAt) > forgetAfter {
@@ -77,9 +77,9 @@
 	if m.Incarnation != l.Incarnation {
 		return
 	}
-	p := l.lending.peers[from.Key]
-	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lending.target, from.Key)
-	l.lending.heard(from.Key, m.Stamp)
+	p := l.lender.peers[from.Key]
+	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lender.target, from.Key)
+	l.lender.heard(from.Key, m.Stamp)
 	now := l.Now()
 	for _, c := range m.Ceilings {
 		if a := l.accounts[c.ID]; a != nil {
@@ -107,7 +107,7 @@
 func (l *Limiter) reportNow(a *account) {
 	now := l.Now()
 	l.allocator.advance(now)
-	p := l.lending.peers[owner(a.id, l.lending.target)]
+	p := l.lender.peers[owner(a.id, l.lender.target)]
 	if p == nil {
 		// Before the first tick nobody is known yet.
 		return
@@ -129,11 +129,11 @@
 			continue
 		}
 		a.changed, a.reportedAt = false, now
-		key := owner(id, l.lending.target)
+		key := owner(id, l.lender.target)
 		changed[key] = append(changed[key], a.usage(key, now))
 	}
-	for _, key := range l.lending.target {
-		if p := l.lending.peers[key]; bare || len(changed[key]) > 0 {
+	for _, key := range l.lender.target {
+		if p := l.lender.peers[key]; bare || len(changed[key]) > 0 {
 			l.reportTo(p, changed[key], now)
 		}
 	}
@@ -147,10 +147,10 @@
 	}
 	for first := true; first || len(usage) > 0; first = false {
 		n := min(len(usage), maxEntries)
-		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
-		if l.lending.lends(p, now) {
+		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lender.lent(now), Usage: usage[:n]}
+		if l.lender.lends(p, now) {
 			r.Weight = l.view.Weight
-			l.lending.hasLent = l.lending.hasLent || r.Weight > 0
+			l.lender.hasLent = l.lender.hasLent || r.Weight > 0
 		}
 		if p.box.Key == l.Self.Key {
 			r.Echo = l.allocator.stamp()
