--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -23,7 +23,7 @@
 type lender struct {
 	self Box
 	// peers are those that the box has reported to, by their keys.
-	peers map[uint64]*lendingPeer
+	peers map[uint64]*allocatorPeer
 	// target are the allocators now, by their keys.
 	target []uint64
 	// hasLent: the box has lent its part, so that it must wait before it turns to
@@ -31,8 +31,8 @@
 	hasLent bool
 }
 
-// lendingPeer is an allocator as the box knows it.
-type lendingPeer struct {
+// allocatorPeer is an allocator as the box knows it.
+type allocatorPeer struct {
 	box Box
 	// chosen is when it became an allocator, and told when the box last reported to it.
 	chosen time.Time
@@ -47,7 +47,7 @@
 }
 
 func newLender(self Box) *lender {
-	return &lender{self: self, peers: map[uint64]*lendingPeer{}}
+	return &lender{self: self, peers: map[uint64]*allocatorPeer{}}
 }
 
 // choose takes the first boxes of the zone as allocators, but for those that do not
@@ -82,10 +82,10 @@
 	}
 }
 
-func (l *lender) peer(b Box) *lendingPeer {
+func (l *lender) peer(b Box) *allocatorPeer {
 	p := l.peers[b.Key]
 	if p == nil {
-		p = &lendingPeer{}
+		p = &allocatorPeer{}
 		l.peers[b.Key] = p
 	}
 	p.box = b
@@ -120,7 +120,7 @@
 
 // lends reports whether an allocator gets the box's part yet: all that others were
 // lent before has ended.
-func (l *lender) lends(p *lendingPeer, now time.Time) bool { return now.Sub(p.chosen) >= leaseTime }
+func (l *lender) lends(p *allocatorPeer, now time.Time) bool { return now.Sub(p.chosen) >= leaseTime }
 
 // heard notes an answer.
 func (l *lender) heard(from uint64, stamp Stamp) {
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -140,7 +140,7 @@
 }
 
 // reportTo sends a report, in as many messages as it needs.
-func (l *Limiter) reportTo(p *lendingPeer, usage []Usage, now time.Time) {
+func (l *Limiter) reportTo(p *allocatorPeer, usage []Usage, now time.Time) {
 	p.told = now
 	if p.asked.IsZero() {
 		p.asked = now
