--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -34,9 +34,9 @@
 // allocatorPeer is an allocator as the box knows it.
 type allocatorPeer struct {
 	box Box
-	// chosen is when it became an allocator, and told when the box last reported to it.
-	chosen time.Time
-	told   time.Time
+	// chosenAt is when it became an allocator, and told when the box last reported to it.
+	chosenAt time.Time
+	told     time.Time
 	// asked is when it was first reported to since it last answered, zero if it has
 	// answered; heard when it last did.
 	asked time.Time
@@ -67,9 +67,9 @@
 	for _, key := range target {
 		p := l.peers[key]
 		if !slices.Contains(l.target, key) {
-			p.chosen, p.asked = now, time.Time{}
+			p.chosenAt, p.asked = now, time.Time{}
 			if !l.hasLent {
-				p.chosen = now.Add(-leaseTime)
+				p.chosenAt = now.Add(-leaseTime)
 			}
 		}
 		p.told = now
@@ -120,7 +120,7 @@
 
 // lends reports whether an allocator gets the box's part yet: all that others were
 // lent before has ended.
-func (l *lender) lends(p *allocatorPeer, now time.Time) bool { return now.Sub(p.chosen) >= leaseTime }
+func (l *lender) lends(p *allocatorPeer, now time.Time) bool { return now.Sub(p.chosenAt) >= leaseTime }
 
 // heard notes an answer.
 func (l *lender) heard(from uint64, stamp Stamp) {
