--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -35,8 +35,8 @@
 type allocatorPeer struct {
 	box Box
 	// chosenAt is when it became an allocator, and told when the box last reported to it.
-	chosenAt time.Time
-	told     time.Time
+	chosenAt   time.Time
+	reportedAt time.Time
 	// asked is when it was first reported to since it last answered, zero if it has
 	// answered; heard when it last did.
 	asked time.Time
@@ -72,11 +72,11 @@
 				p.chosenAt = now.Add(-leaseTime)
 			}
 		}
-		p.told = now
+		p.reportedAt = now
 	}
 	l.target = target
 	for key, p := range l.peers {
-		if now.Sub(p.told) > leaseTime+silentFor {
+		if now.Sub(p.reportedAt) > leaseTime+silentFor {
 			delete(l.peers, key)
 		}
 	}
@@ -110,7 +110,7 @@
 func (l *lender) lent(now time.Time) []uint64 {
 	var list []uint64
 	for key, p := range l.peers {
-		if slices.Contains(l.target, key) || now.Sub(p.told) < leaseTime {
+		if slices.Contains(l.target, key) || now.Sub(p.reportedAt) < leaseTime {
 			list = append(list, key)
 		}
 	}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -141,7 +141,7 @@
 
 // reportTo sends a report, in as many messages as it needs.
 func (l *Limiter) reportTo(p *allocatorPeer, usage []Usage, now time.Time) {
-	p.told = now
+	p.reportedAt = now
 	if p.asked.IsZero() {
 		p.asked = now
 	}
