--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -37,9 +37,9 @@
 	// chosenAt is when it became an allocator, and told when the box last reported to it.
 	chosenAt   time.Time
 	reportedAt time.Time
-	// asked is when it was first reported to since it last answered, zero if it has
+	// unansweredSince is when it was first reported to since it last answered, zero if it has
 	// answered; heard when it last did.
-	asked time.Time
+	unansweredSince time.Time
 	// echo is its last stamp.
 	echo Stamp
 	// silentUntil is until when it is passed over.
@@ -67,7 +67,7 @@
 	for _, key := range target {
 		p := l.peers[key]
 		if !slices.Contains(l.target, key) {
-			p.chosenAt, p.asked = now, time.Time{}
+			p.chosenAt, p.unansweredSince = now, time.Time{}
 			if !l.hasLent {
 				p.chosenAt = now.Add(-leaseTime)
 			}
@@ -98,8 +98,8 @@
 	if p == nil || b.Key == l.self.Key {
 		return false
 	}
-	if !p.asked.IsZero() && now.Sub(p.asked) > silentAfter {
-		p.silentUntil, p.asked = now.Add(silentFor), time.Time{}
+	if !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > silentAfter {
+		p.silentUntil, p.unansweredSince = now.Add(silentFor), time.Time{}
 	}
 	return now.Before(p.silentUntil)
 }
@@ -125,7 +125,7 @@
 // heard notes an answer.
 func (l *lender) heard(from uint64, stamp Stamp) {
 	if p := l.peers[from]; p != nil {
-		p.asked = time.Time{}
+		p.unansweredSince = time.Time{}
 		p.silentUntil = time.Time{}
 		p.echo = stamp
 	}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -142,8 +142,8 @@
 // reportTo sends a report, in as many messages as it needs.
 func (l *Limiter) reportTo(p *allocatorPeer, usage []Usage, now time.Time) {
 	p.reportedAt = now
-	if p.asked.IsZero() {
-		p.asked = now
+	if p.unansweredSince.IsZero() {
+		p.unansweredSince = now
 	}
 	for first := true; first || len(usage) > 0; first = false {
 		n := min(len(usage), maxEntries)
