--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -122,8 +122,8 @@
 // lent before has ended.
 func (l *lender) lends(p *allocatorPeer, now time.Time) bool { return now.Sub(p.chosenAt) >= leaseTime }
 
-// heard notes an answer.
-func (l *lender) heard(from uint64, stamp Stamp) {
+// answered notes an answer.
+func (l *lender) answered(from uint64, stamp Stamp) {
 	if p := l.peers[from]; p != nil {
 		p.unansweredSince = time.Time{}
 		p.silentUntil = time.Time{}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -79,7 +79,7 @@
 	}
 	p := l.lender.peers[from.Key]
 	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lender.target, from.Key)
-	l.lender.heard(from.Key, m.Stamp)
+	l.lender.answered(from.Key, m.Stamp)
 	now := l.Now()
 	for _, c := range m.Ceilings {
 		if a := l.accounts[c.ID]; a != nil {
