--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -24,8 +24,8 @@
 	self Box
 	// peers are those that the box has reported to, by their keys.
 	peers map[uint64]*allocatorPeer
-	// target are the allocators now, by their keys.
-	target []uint64
+	// allocators are the allocators now, by their keys.
+	allocators []uint64
 	// hasLent: the box has lent its part, so that it must wait before it turns to
 	// another allocator.
 	hasLent bool
@@ -66,7 +66,7 @@
 	}
 	for _, key := range target {
 		p := l.peers[key]
-		if !slices.Contains(l.target, key) {
+		if !slices.Contains(l.allocators, key) {
 			p.chosenAt, p.unansweredSince = now, time.Time{}
 			if !l.hasLent {
 				p.chosenAt = now.Add(-leaseTime)
@@ -74,7 +74,7 @@
 		}
 		p.reportedAt = now
 	}
-	l.target = target
+	l.allocators = target
 	for key, p := range l.peers {
 		if now.Sub(p.reportedAt) > leaseTime+silentFor {
 			delete(l.peers, key)
@@ -110,7 +110,7 @@
 func (l *lender) lent(now time.Time) []uint64 {
 	var list []uint64
 	for key, p := range l.peers {
-		if slices.Contains(l.target, key) || now.Sub(p.reportedAt) < leaseTime {
+		if slices.Contains(l.allocators, key) || now.Sub(p.reportedAt) < leaseTime {
 			list = append(list, key)
 		}
 	}
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -31,7 +31,7 @@
 // cleanUp gives unused tokens back and drops accounts of customers that send nothing.
 func (l *Limiter) cleanUp(now time.Time) {
 	for _, a := range l.accounts {
-		if a.returnIdle(owner(a.id, l.lender.target), now) {
+		if a.returnIdle(owner(a.id, l.lender.allocators), now) {
 			l.touch(a)
 		}
 		if !a.changed && a.waiting == 0 && now.Sub(a.usedAt) > forgetAfter {
@@ -78,7 +78,7 @@
 		return
 	}
 	p := l.lender.peers[from.Key]
-	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lender.target, from.Key)
+	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lender.allocators, from.Key)
 	l.lender.answered(from.Key, m.Stamp)
 	now := l.Now()
 	for _, c := range m.Ceilings {
@@ -107,7 +107,7 @@
 func (l *Limiter) reportNow(a *account) {
 	now := l.Now()
 	l.allocator.advance(now)
-	p := l.lender.peers[owner(a.id, l.lender.target)]
+	p := l.lender.peers[owner(a.id, l.lender.allocators)]
 	if p == nil {
 		// Before the first tick nobody is known yet.
 		return
@@ -129,10 +129,10 @@
 			continue
 		}
 		a.changed, a.reportedAt = false, now
-		key := owner(id, l.lender.target)
+		key := owner(id, l.lender.allocators)
 		changed[key] = append(changed[key], a.usage(key, now))
 	}
-	for _, key := range l.lender.target {
+	for _, key := range l.lender.allocators {
 		if p := l.lender.peers[key]; bare || len(changed[key]) > 0 {
 			l.reportTo(p, changed[key], now)
 		}
