--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -53,18 +53,18 @@
 // choose takes the first boxes of the zone as allocators, but for those that do not
 // answer. A box that reaches none is its own.
 func (l *lender) choose(first []Box, now time.Time) {
-	var target []uint64
+	var allocators []uint64
 	for _, b := range first {
-		if len(target) < AllocatorsPerZone && !l.silent(b, now) {
-			target = append(target, b.Key)
+		if len(allocators) < AllocatorsPerZone && !l.silent(b, now) {
+			allocators = append(allocators, b.Key)
 			l.peer(b)
 		}
 	}
-	if len(target) == 0 {
-		target = []uint64{l.self.Key}
+	if len(allocators) == 0 {
+		allocators = []uint64{l.self.Key}
 		l.peer(l.self)
 	}
-	for _, key := range target {
+	for _, key := range allocators {
 		p := l.peers[key]
 		if !slices.Contains(l.allocators, key) {
 			p.chosenAt, p.unansweredSince = now, time.Time{}
@@ -74,7 +74,7 @@
 		}
 		p.reportedAt = now
 	}
-	l.allocators = target
+	l.allocators = allocators
 	for key, p := range l.peers {
 		if now.Sub(p.reportedAt) > leaseTime+silentFor {
 			delete(l.peers, key)
