--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -104,10 +104,10 @@
 	return now.Before(p.silentUntil)
 }
 
-// lent are the allocators that may have some of the box's part, now or until what
-// they were lent has ended. Customers are divided among all of them, so that each
+// leaseHolders are the allocators that may have some of the box's part, now or until what
+// they were leaseHolders has ended. Customers are divided among all of them, so that each
 // has only those that no other may have.
-func (l *lender) lent(now time.Time) []uint64 {
+func (l *lender) leaseHolders(now time.Time) []uint64 {
 	var list []uint64
 	for key, p := range l.peers {
 		if slices.Contains(l.allocators, key) || now.Sub(p.reportedAt) < leaseTime {
