--- a/pkg/quota/lending.go
+++ b/pkg/quota/lending.go
@@ -118,9 +118,11 @@
 	return list
 }
 
-// lends reports whether an allocator gets the box's part yet: all that others were
+// mayLend reports whether an allocator gets the box's part yet: all that others were
 // lent before has ended.
-func (l *lender) lends(p *allocatorPeer, now time.Time) bool { return now.Sub(p.chosenAt) >= leaseTime }
+func (l *lender) mayLend(p *allocatorPeer, now time.Time) bool {
+	return now.Sub(p.chosenAt) >= leaseTime
+}
 
 // answered notes an answer.
 func (l *lender) answered(from uint64, stamp Stamp) {
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -148,7 +148,7 @@
 	for first := true; first || len(usage) > 0; first = false {
 		n := min(len(usage), maxEntries)
 		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lender.leaseHolders(now), Usage: usage[:n]}
-		if l.lender.lends(p, now) {
+		if l.lender.mayLend(p, now) {
 			r.Weight = l.view.Weight
 			l.lender.hasLent = l.lender.hasLent || r.Weight > 0
 		}
