--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -16,9 +16,9 @@
 	borrowEvery = 10 * time.Millisecond
 	// loanTime bounds how long an ask may take; what comes later is not used.
 	loanTime = 300 * time.Millisecond
-	// overAsk is by how much more it asks than it needs: what others spare is known as
+	// overRequest is by how much more it asks than it needs: what others spare is known as
 	// it was a moment ago.
-	overAsk = 1.5
+	overRequest = 1.5
 	// leftUnit is how many units of Tokens.Left make a token.
 	leftUnit = 10
 	// mostAsked bounds one ask.
@@ -120,7 +120,7 @@
 		return
 	}
 	b.loans.askedAt = a.now
-	wanted := max(1, min(math.Ceil(overAsk*need), math.Floor(most)))
+	wanted := max(1, min(math.Ceil(overRequest*need), math.Floor(most)))
 	for _, zone := range a.richest(b) {
 		n := min(wanted, math.Floor(a.spareOf(b, zone)), mostAsked)
 		if wanted <= 0 || n < 1 {
