--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -19,8 +19,8 @@
 	// overRequest is by how much more it asks than it needs: what others spare is known as
 	// it was a moment ago.
 	overRequest = 1.5
-	// leftUnit is how many units of Tokens.Left make a token.
-	leftUnit = 10
+	// leftPerToken is how many units of Tokens.Left make a token.
+	leftPerToken = 10
 	// mostAsked bounds one ask.
 	mostAsked = 10_000
 )
@@ -172,7 +172,7 @@
 			b.tokens -= float64(n)
 			left -= float64(n)
 		}
-		loan.Tokens = append(loan.Tokens, Tokens{ID: t.ID, Count: uint16(n), Left: uint16(min(left*leftUnit, math.MaxUint16))})
+		loan.Tokens = append(loan.Tokens, Tokens{ID: t.ID, Count: uint16(n), Left: uint16(min(left*leftPerToken, math.MaxUint16))})
 	}
 	a.send(from, Message{Loan: loan})
 }
@@ -193,7 +193,7 @@
 	for _, t := range m.Tokens {
 		if t.ID == p.wanted.ID {
 			b.tokens += float64(min(t.Count, p.wanted.Count))
-			b.loans.spare[p.zone] = spare{left: float64(t.Left) / leftUnit, at: a.now}
+			b.loans.spare[p.zone] = spare{left: float64(t.Left) / leftPerToken, at: a.now}
 		}
 	}
 	a.serveShort(b)
