--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -21,8 +21,8 @@
 	overRequest = 1.5
 	// leftPerToken is how many units of Tokens.Left make a token.
 	leftPerToken = 10
-	// mostAsked bounds one ask.
-	mostAsked = 10_000
+	// maxRequested bounds one ask.
+	maxRequested = 10_000
 )
 
 // loans are an allocator's asks to other zones.
@@ -122,7 +122,7 @@
 	b.loans.askedAt = a.now
 	wanted := max(1, min(math.Ceil(overRequest*need), math.Floor(most)))
 	for _, zone := range a.richest(b) {
-		n := min(wanted, math.Floor(a.spareOf(b, zone)), mostAsked)
+		n := min(wanted, math.Floor(a.spareOf(b, zone)), maxRequested)
 		if wanted <= 0 || n < 1 {
 			return
 		}
