--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -14,8 +14,8 @@
 	borrowTime = 200 * time.Millisecond
 	// borrowEvery is how often it asks other zones for a customer's tokens.
 	borrowEvery = 10 * time.Millisecond
-	// loanTime bounds how long an ask may take; what comes later is not used.
-	loanTime = 300 * time.Millisecond
+	// loanTimeout bounds how long an ask may take; what comes later is not used.
+	loanTimeout = 300 * time.Millisecond
 	// overRequest is by how much more it asks than it needs: what others spare is known as
 	// it was a moment ago.
 	overRequest = 1.5
@@ -207,7 +207,7 @@
 // like one that has nothing.
 func (a *allocator) expireLoans() {
 	for number, p := range a.loans.pending {
-		if a.now.Sub(p.at) <= loanTime {
+		if a.now.Sub(p.at) <= loanTimeout {
 			continue
 		}
 		delete(a.loans.pending, number)
