--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -127,7 +127,7 @@
 			return
 		}
 		wanted -= n
-		a.ask(b, zone, uint16(n))
+		a.requestLoan(b, zone, uint16(n))
 	}
 }
 
@@ -140,7 +140,7 @@
 	return zones
 }
 
-func (a *allocator) ask(b *bucket, zone string, count uint16) {
+func (a *allocator) requestLoan(b *bucket, zone string, count uint16) {
 	boxes := a.loans.zones[zone]
 	keys := make([]uint64, len(boxes))
 	for i := range boxes {
