--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -177,9 +177,9 @@
 	a.send(from, Message{Loan: loan})
 }
 
-// borrowed takes in what another zone lent. An answer counts once, and only within
+// receiveLoan takes in what another zone lent. An answer counts once, and only within
 // loanTime: a token that was long on its way belongs to an earlier window.
-func (a *allocator) borrowed(from Box, m *Loan) {
+func (a *allocator) receiveLoan(from Box, m *Loan) {
 	p := a.loans.pending[m.Number]
 	if p == nil || p.from != from.Key {
 		return
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -65,7 +65,7 @@
 	case m.Ask != nil:
 		l.allocator.lend(from, m.Ask)
 	case m.Loan != nil:
-		l.allocator.borrowed(from, m.Loan)
+		l.allocator.receiveLoan(from, m.Loan)
 	case m.Grant != nil:
 		l.granted(m.Grant, from)
 	}
