--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -121,7 +121,7 @@
 	}
 	b.loans.askedAt = a.now
 	wanted := max(1, min(math.Ceil(overRequest*need), math.Floor(most)))
-	for _, zone := range a.richest(b) {
+	for _, zone := range a.zonesBySpare(b) {
 		n := min(wanted, math.Floor(a.spareOf(b, zone)), maxRequested)
 		if wanted <= 0 || n < 1 {
 			return
@@ -131,8 +131,8 @@
 	}
 }
 
-// richest lists the other zones, those first that may have most to spare.
-func (a *allocator) richest(b *bucket) []string {
+// zonesBySpare lists the other zones, those first that may have most to spare.
+func (a *allocator) zonesBySpare(b *bucket) []string {
 	zones := slices.Sorted(maps.Keys(a.loans.zones))
 	slices.SortStableFunc(zones, func(x, y string) int {
 		return cmp.Compare(a.spareOf(b, y), a.spareOf(b, x))
