--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -43,7 +43,7 @@
 
 // bucketLoans is what is under way for one customer.
 type bucketLoans struct {
-	askedAt time.Time
+	requestedAt time.Time
 	// expected are the tokens that were asked for.
 	expected int
 	// spare is what other zones last told that they could spare.
@@ -111,7 +111,7 @@
 // borrow asks other zones for what the zone lacks, the richest first. What it could
 // not save is not asked for: it would be lost.
 func (a *allocator) borrow(b *bucket) {
-	if a.now.Sub(b.loans.askedAt) < borrowEvery || !b.isLow() {
+	if a.now.Sub(b.loans.requestedAt) < borrowEvery || !b.isLow() {
 		return
 	}
 	missing := b.missing()
@@ -119,7 +119,7 @@
 	if need < 1 && (missing == 0 || b.loans.expected > 0) {
 		return
 	}
-	b.loans.askedAt = a.now
+	b.loans.requestedAt = a.now
 	wanted := max(1, min(math.Ceil(overRequest*need), math.Floor(most)))
 	for _, zone := range a.zonesBySpare(b) {
 		n := min(wanted, math.Floor(a.spareOf(b, zone)), maxRequested)
