--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -100,9 +100,9 @@
 }
 
 const (
-	// leastServerRate is how many requests a second a server gets that takes fewer: one in a
+	// minServerRate is how many requests a second a server gets that takes fewer: one in a
 	// window of 4 s, or nobody would hear when it takes more.
-	leastServerRate = 0.25
+	minServerRate = 0.25
 	// mostServerRate bounds what a server may name, so that counts of tokens hold it.
 	mostServerRate = 1e6
 )
@@ -113,7 +113,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	perSecond = min(perSecond, mostServerRate)
-	rate := max(perSecond, leastServerRate)
+	rate := max(perSecond, minServerRate)
 	allowance := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
 	l.servers[id] = divide(id, rate, allowance, l.Zone, zones)
 	l.bind(id)
