--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -103,8 +103,8 @@
 	// minServerRate is how many requests a second a server gets that takes fewer: one in a
 	// window of 4 s, or nobody would hear when it takes more.
 	minServerRate = 0.25
-	// mostServerRate bounds what a server may name, so that counts of tokens hold it.
-	mostServerRate = 1e6
+	// maxServerRate bounds what a server may name, so that counts of tokens hold it.
+	maxServerRate = 1e6
 )
 
 // SetServer puts the limit that a backend server names in force, in requests a second, divided
@@ -112,7 +112,7 @@
 func (l *Limiter) SetServer(id ID, perSecond float64, zones []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	perSecond = min(perSecond, mostServerRate)
+	perSecond = min(perSecond, maxServerRate)
 	rate := max(perSecond, minServerRate)
 	allowance := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
 	l.servers[id] = divide(id, rate, allowance, l.Zone, zones)
