--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -91,11 +91,11 @@
 			id := IDOf(c.Name)
 			allowance := l.Tolerance.allowance(Limit{Rate: c.Rate, Burst: c.Burst})
 			l.customers[id] = divide(id, c.Rate, allowance, l.Zone, l.Zones)
-			l.bind(id)
+			l.applyLimit(id)
 		}
 	}
 	for id := range before {
-		l.bind(id)
+		l.applyLimit(id)
 	}
 }
 
@@ -116,7 +116,7 @@
 	rate := max(perSecond, minServerRate)
 	allowance := l.ServerTolerance.allowance(Limit{Rate: perSecond}) - (rate-perSecond)*l.ServerTolerance.Window.Seconds()
 	l.servers[id] = divide(id, rate, allowance, l.Zone, zones)
-	l.bind(id)
+	l.applyLimit(id)
 }
 
 // DropServer ends the limit of a backend server.
@@ -128,7 +128,7 @@
 
 func (l *Limiter) dropServer(id ID) {
 	delete(l.servers, id)
-	l.bind(id)
+	l.applyLimit(id)
 }
 
 // ForgetServer is DropServer for a life of a backend server that has ended, and is named no
@@ -140,8 +140,8 @@
 	delete(l.retired, id)
 }
 
-// bind has a changed limit hold for what this box has of it.
-func (l *Limiter) bind(id ID) {
+// applyLimit has a changed limit hold for what this box has of it.
+func (l *Limiter) applyLimit(id ID) {
 	a := l.accounts[id]
 	if a == nil {
 		return
