--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -170,10 +170,10 @@
 func (l *Limiter) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.isLimited()
+	return l.hasLimits()
 }
 
-func (l *Limiter) isLimited() bool { return len(l.customers)+len(l.servers) > 0 }
+func (l *Limiter) hasLimits() bool { return len(l.customers)+len(l.servers) > 0 }
 
 // Granted reports whether this box has been granted anything yet.
 func (l *Limiter) Granted() bool {
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -59,7 +59,7 @@
 func (l *Limiter) receive(m *Message, from Box) {
 	l.allocator.advance(l.Now())
 	switch {
-	case m.Report != nil && l.isLimited():
+	case m.Report != nil && l.hasLimits():
 		// One that knows no limits yet says nothing, so that others are asked.
 		l.allocator.report(from, m.Report)
 	case m.Ask != nil:
