--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -61,7 +61,7 @@
 	allocator *allocator
 	view      View
 	ticks     int
-	out       []Envelope
+	outgoing  []Envelope
 	// retired are the counts of accounts that were dropped: they go on from there,
 	// since allocators may remember them.
 	retired map[ID]counts
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -44,8 +44,8 @@
 func (l *Limiter) TakeMessages() []Envelope {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := l.out
-	l.out = nil
+	out := l.outgoing
+	l.outgoing = nil
 	return out
 }
 
@@ -98,7 +98,7 @@
 		l.receive(&m, l.Self)
 		return
 	}
-	l.out = append(l.out, Envelope{To: to, Message: m})
+	l.outgoing = append(l.outgoing, Envelope{To: to, Message: m})
 }
 
 // reportNow tells of one account at once, since a request waits. What has changed of
