--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -67,13 +67,13 @@
 	case m.Loan != nil:
 		l.allocator.receiveLoan(from, m.Loan)
 	case m.Grant != nil:
-		l.granted(m.Grant, from)
+		l.receiveGrant(m.Grant, from)
 	}
 }
 
-// granted takes in what this box was granted. A first answer is reported at once: only
+// receiveGrant takes in what this box was receiveGrant. A first answer is reported at once: only
 // then does what this box lends count.
-func (l *Limiter) granted(m *Grant, from Box) {
+func (l *Limiter) receiveGrant(m *Grant, from Box) {
 	if m.Incarnation != l.Incarnation {
 		return
 	}
