--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -118,7 +118,7 @@
 
 // report tells each allocator what has changed of its customers, and where bare is
 // set also those of whom nothing has.
-func (l *Limiter) report(bare bool) {
+func (l *Limiter) report(evenEmpty bool) {
 	now := l.Now()
 	changed := map[uint64][]Usage{}
 	for id, a := range l.dirty {
@@ -133,7 +133,7 @@
 		changed[key] = append(changed[key], a.usage(key, now))
 	}
 	for _, key := range l.lender.allocators {
-		if p := l.lender.peers[key]; bare || len(changed[key]) > 0 {
+		if p := l.lender.peers[key]; evenEmpty || len(changed[key]) > 0 {
 			l.reportTo(p, changed[key], now)
 		}
 	}
