--- a/pkg/backend/backend.go
+++ b/pkg/backend/backend.go
@@ -25,25 +25,25 @@
 	// Slots is how many requests it works on at once.
 	Slots    int  `json:"slots"`
 	Draining bool `json:"draining,omitempty"`
-	// Cold is for how much longer it stays cold, counted from when it was told.
-	Cold time.Duration `json:"cold,omitempty"`
-	// Born is when it started, in milliseconds since 1970 by its own clock; 0 if it does not
+	// ColdFor is for how much longer it stays cold, counted from when it was told.
+	ColdFor time.Duration `json:"cold,omitempty"`
+	// StartedAtMs is when it started, in milliseconds since 1970 by its own clock; 0 if it does not
 	// say. It tells its lives apart.
-	Born int64 `json:"born,omitempty"`
+	StartedAtMs int64 `json:"born,omitempty"`
 	// Version is that of its software.
 	Version string `json:"version,omitempty"`
 }
 
-// Life names one life of the server, from its start to its end.
-func (v *Server) Life() string {
-	if v.Born == 0 {
+// Incarnation names one life of the server, from its start to its end.
+func (v *Server) Incarnation() string {
+	if v.StartedAtMs == 0 {
 		return v.ID
 	}
-	return v.ID + lifeMark + strconv.FormatInt(v.Born, 10)
+	return v.ID + incarnationSeparator + strconv.FormatInt(v.StartedAtMs, 10)
 }
 
-// lifeMark stands between the ID and the start in the name of a life.
-const lifeMark = "@"
+// incarnationSeparator stands between the ID and the start in the name of a life.
+const incarnationSeparator = "@"
 
 // Load is what a server said of itself in an answer.
 type Load struct {
@@ -54,8 +54,8 @@
 
 // RateLimit is what an answer of a server says of how many requests it takes.
 type RateLimit struct {
-	// Named: the answer names a limit.
-	Named bool
+	// Present: the answer names a limit.
+	Present bool
 	// PerSecond is how many requests a second the server takes from all boxes together.
 	PerSecond float64
 	// Malformed: it names something that cannot be read, which ends no limit of before.
@@ -80,8 +80,8 @@
 	Refused
 	// Broken: the exchange failed after something was sent.
 	Broken
-	// Late: no answer came in time.
-	Late
+	// TimedOut: no answer came in time.
+	TimedOut
 	// Stale: another server has the address now.
 	Stale
 	// Abandoned: the client left; this says nothing of the server.
@@ -112,13 +112,13 @@
 	Full Reason = "full"
 	// Limited: those that may take it have named limits, which leave no room now.
 	Limited Reason = "limited"
-	// Resting: those that may take it have asked this box for rest.
-	Resting Reason = "resting"
+	// BackingOff: those that may take it have asked this box for rest.
+	BackingOff Reason = "resting"
 	// Failing: those that may take it have failed a moment ago, and rest.
 	Failing Reason = "failing"
-	// Undecided: whether the limit of the server that it prefers leaves room is to be asked
+	// AdmissionPending: whether the limit of the server that it prefers leaves room is to be asked
 	// first; see Request.Asked.
-	Undecided Reason = "undecided"
+	AdmissionPending Reason = "undecided"
 )
 
 // ChoiceError is a request for which no server was found.
@@ -130,9 +130,9 @@
 	// is known to have the key. Both are set where Reason is Full.
 	HomeFill  float64
 	FreeSlots int
-	// RoomIn is after what time the home is expected to have worked off what it has too
+	// RetryAfter is after what time the home is expected to have worked off what it has too
 	// much, a limit to leave room again, or a time of rest to end, 0 if that is not known.
-	RoomIn time.Duration
+	RetryAfter time.Duration
 	// Server is the one whose limit is to be asked for, where Reason is Undecided.
 	Server Server
 }
@@ -148,17 +148,17 @@
 	Key uint64
 	// Priority is the rank of the request, 0 the most urgent.
 	Priority int
-	// Heavy requests carry large bodies; they are kept near where that costs
+	// LargeBody requests carry large bodies; they are kept near where that costs
 	// nothing else.
-	Heavy bool
+	LargeBody bool
 	// RegionAllowed reports whether the request may run in a region.
 	RegionAllowed func(region string) bool
 	// Tried lists the servers that the request was already sent to.
 	Tried []string
-	// Asked: it has been asked whether a server's limit leaves room for the request, and Granted
+	// AdmissionAsked: it has been asked whether a server's limit leaves room for the request, and Granted
 	// is the life of the one that has, empty for none. It is not asked twice.
-	Asked   bool
-	Granted string
+	AdmissionAsked bool
+	GrantedBy      string
 }
 
 // Admission is whether a server's limit leaves room for one more request.
@@ -172,8 +172,8 @@
 	Granted
 	// Denied: it leaves none.
 	Denied
-	// Open: that is not known here.
-	Open
+	// AdmissionUnknown: that is not known here.
+	AdmissionUnknown
 )
 
 // Hash is the one hash of affinity keys: equal on all boxes.
--- a/pkg/findings/findings_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -1,4 +1,4 @@
-package findings
+package failurereport
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	is := is.New(t)
-	m := &Message{Box: "edge-1", Findings: []backend.Finding{{Server: "i-1", Stale: true}, {Server: "i-2"}}}
+	m := &Message{Box: "edge-1", Reports: []backend.FailureReport{{Server: "i-1", Stale: true}, {Server: "i-2"}}}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
 	back, err := Wire.Decode(datagram)
@@ -41,22 +41,22 @@
 	o := &Outbox{Box: "edge-1", Now: func() time.Time { return now }}
 	for range 2 {
 		for i := range 60 {
-			o.Add(backend.Finding{Server: fmt.Sprintf("i-%010d", i)})
+			o.Add(backend.FailureReport{Server: fmt.Sprintf("i-%010d", i)})
 		}
 	}
 	messages := o.Take()
 	is.Equal(len(messages), 2)
-	is.Equal(len(messages[0].Findings)+len(messages[1].Findings), 60)
+	is.Equal(len(messages[0].Reports)+len(messages[1].Reports), 60)
 	for i := range messages {
 		datagram, err := Wire.Encode(&messages[i])
 		is.NoErr(err)
 		is.True(len(datagram) < 1400)
 	}
 	is.Equal(len(o.Take()), 0)
-	o.Add(backend.Finding{Server: "i-0000000000"})
+	o.Add(backend.FailureReport{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 0)
 	now = now.Add(again)
 	is.Equal(len(o.Take()), 0)
-	o.Add(backend.Finding{Server: "i-0000000000"})
+	o.Add(backend.FailureReport{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 1)
 }
--- a/pkg/gossip/growth_test.go
+++ b/pkg/gossip/growth_test.go
@@ -18,7 +18,7 @@
 	record := func(i int) Record {
 		return Record{
 			Box: fmt.Sprint("box-", i), Zone: fmt.Sprint("zone-", i%zones), Clients: fmt.Sprint("10.0.0.", i, ":1"), Peers: fmt.Sprint("10.0.0.", i, ":2"),
-			Started: int64(i + 1), Beat: 1, Capacity: 320,
+			Started: int64(i + 1), Sequence: 1, Capacity: 320,
 		}
 	}
 	t := NewTable(record(0), func() time.Time { return now }, random.IntN)
@@ -26,9 +26,9 @@
 	for i := 1; i < boxes; i++ {
 		r := record(i)
 		t.Receive(&Message{From: r})
-		if i > zones && len(m.Seen) < seenTogether {
-			m.Seen = append(m.Seen, r.sighting())
-			m.Seen[len(m.Seen)-1].ID = r.id()
+		if i > zones && len(m.Liveness) < maxLivenessRecords {
+			m.Liveness = append(m.Liveness, r.livenessRecord())
+			m.Liveness[len(m.Liveness)-1].ID = r.id()
 		}
 	}
 	for range 20 {
@@ -81,9 +81,9 @@
 		t, m := newCrowd(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
-				m.From.Beat++
-				for i := range m.Seen {
-					m.Seen[i].Beat++
+				m.From.Sequence++
+				for i := range m.Liveness {
+					m.Liveness[i].Sequence++
 				}
 				t.Receive(m)
 			}
@@ -97,9 +97,9 @@
 		t, _ := newCrowd(boxes, 9)
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			for range b.N {
-				t.Zone(time.Second)
-				t.AnyHealthy()
-				t.Zone(time.Second)
+				t.StoreContacts(time.Second)
+				t.AnyStoreHealthy()
+				t.StoreContacts(time.Second)
 			}
 		})
 	}
--- a/pkg/gossip/operators.go
+++ b/pkg/gossip/operators.go
@@ -55,15 +55,15 @@
 	var list []ZoneOverview
 	for name, z := range t.zones {
 		o := ZoneOverview{Zone: name, Asking: []string{}, Silent: []string{}}
-		oldest := t.self.Versions[kind].At
+		oldest := t.self.Versions[kind].Revision
 		if z == t.own {
 			o.count(&t.self, true)
 		}
 		for _, e := range z.members {
 			live := t.live(e, now)
 			o.count(&e.Record, live)
-			at := e.Versions[kind].At
-			if !live || at == 0 || at >= t.self.Versions[kind].At {
+			at := e.Versions[kind].Revision
+			if !live || at == 0 || at >= t.self.Versions[kind].Revision {
 				continue
 			}
 			o.Behind++
@@ -90,12 +90,12 @@
 	for _, f := range []struct {
 		set   bool
 		count *int
-	}{{r.Ready, &o.Ready}, {r.Leaving, &o.Leaving}, {r.Serving, &o.Serving}, {r.Trying, &o.Unanswered}} {
+	}{{r.Ready, &o.Ready}, {r.Leaving, &o.Leaving}, {r.Serving, &o.Serving}, {r.StoreUnanswered, &o.Unanswered}} {
 		if f.set {
 			*f.count++
 		}
 	}
-	if (r.StoreHealthy || r.Trying) && len(o.Asking) < mostNamed {
+	if (r.StoreHealthy || r.StoreUnanswered) && len(o.Asking) < mostNamed {
 		o.Asking = append(o.Asking, r.Box)
 	}
 }
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -12,16 +12,16 @@
 // wireVersion is the first byte of a heartbeat. It changes with the fields of Message.
 const wireVersion = 5
 
-// sightingSize is the size of a sighting on the wire, in bytes.
-const sightingSize = 9
+// livenessRecordSize is the size of a sighting on the wire, in bytes.
+const livenessRecordSize = 9
 
 // Message is one heartbeat.
 type Message struct {
 	From Record `json:"from"`
 	// Others are whole records, for a box that does not know them.
 	Others []Record `json:"others,omitempty"`
-	// Seen is what the sender heard of other boxes.
-	Seen Sightings `json:"seen,omitempty"`
+	// Liveness is what the sender heard of other boxes.
+	Liveness LivenessRecords `json:"seen,omitempty"`
 	// Ask names sightings whose records the sender lacks.
 	Ask []uint32 `json:"ask,omitempty"`
 	// Probe: the sender has not heard the receiver for a while and asks for an
@@ -29,15 +29,15 @@
 	Probe bool `json:"probe,omitempty"`
 }
 
-// Sightings are packed on the wire.
-type Sightings []Sighting
+// LivenessRecords are packed on the wire.
+type LivenessRecords []LivenessRecord
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (s Sightings) EncodeMsgpack(e *msgpack.Encoder) error {
-	packed := make([]byte, 0, len(s)*sightingSize)
+func (s LivenessRecords) EncodeMsgpack(e *msgpack.Encoder) error {
+	packed := make([]byte, 0, len(s)*livenessRecordSize)
 	for _, one := range s {
 		packed = binary.BigEndian.AppendUint32(packed, one.ID)
-		packed = binary.BigEndian.AppendUint32(packed, one.Beat)
+		packed = binary.BigEndian.AppendUint32(packed, one.Sequence)
 		packed = append(packed, byte(one.Flags))
 	}
 	return e.EncodeBytes(packed)
@@ -45,18 +45,18 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder. The error is a *packet.Error
 // or the library's.
-func (s *Sightings) DecodeMsgpack(d *msgpack.Decoder) error {
+func (s *LivenessRecords) DecodeMsgpack(d *msgpack.Decoder) error {
 	packed, err := d.DecodeBytes()
 	if err != nil {
 		return err
 	}
-	if len(packed)%sightingSize != 0 {
+	if len(packed)%livenessRecordSize != 0 {
 		return &packet.Error{Kind: Wire.Kind, Problem: fmt.Sprintf("sightings of %d bytes", len(packed))}
 	}
 	*s = nil
-	for ; len(packed) > 0; packed = packed[sightingSize:] {
-		*s = append(*s, Sighting{
-			ID: binary.BigEndian.Uint32(packed), Beat: binary.BigEndian.Uint32(packed[4:]), Flags: Flags(packed[8]),
+	for ; len(packed) > 0; packed = packed[livenessRecordSize:] {
+		*s = append(*s, LivenessRecord{
+			ID: binary.BigEndian.Uint32(packed), Sequence: binary.BigEndian.Uint32(packed[4:]), Flags: Flags(packed[8]),
 		})
 	}
 	return nil
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -70,11 +70,11 @@
 // room, but that is not known here, it is asked for once.
 func (c *call) choose() (*backend.Lease, *outcome.Failure) {
 	r := &backend.Request{
-		Service: c.service, Key: c.placement(), Priority: c.priority(), Heavy: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
+		Service: c.service, Key: c.placement(), Priority: c.priority(), LargeBody: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
 	}
 	lease, err := c.server.Set.Choose(r)
 	var choice *backend.ChoiceError
-	if errors.As(err, &choice) && choice.Reason == backend.Undecided {
+	if errors.As(err, &choice) && choice.Reason == backend.AdmissionPending {
 		lease, err = c.chooseAsking(r, &choice.Server)
 	}
 	if err == nil {
@@ -86,12 +86,12 @@
 // chooseAsking asks for room by a server's limit and chooses anew: that server, if it has room,
 // or another one.
 func (c *call) chooseAsking(r *backend.Request, server *backend.Server) (*backend.Lease, error) {
-	r.Asked = true
+	r.AdmissionAsked = true
 	if c.server.AwaitRoom(c.ctx, server) {
-		r.Granted = server.Life()
+		r.GrantedBy = server.Incarnation()
 	}
 	lease, err := c.server.Set.Choose(r)
-	if r.Granted != "" && (lease == nil || lease.Life() != r.Granted) {
+	if r.GrantedBy != "" && (lease == nil || lease.Incarnation() != r.GrantedBy) {
 		// Something has changed while it was asked for.
 		c.server.ReleaseRoom(server)
 	}
@@ -105,13 +105,13 @@
 	switch choice.Reason {
 	case backend.Full:
 		c.full = choice
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
 	case backend.Limited:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RoomIn))
-	case backend.Resting:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
+	case backend.BackingOff:
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	case backend.Failing:
-		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RoomIn))
+		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	}
 	if c.server.Starting() > 0 {
 		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.comeBackStarted())
@@ -235,7 +235,7 @@
 	case !sent:
 		c.finish(lease, backend.Unreachable, nil, start, err)
 	case late:
-		c.finish(lease, backend.Late, nil, start, err)
+		c.finish(lease, backend.TimedOut, nil, start, err)
 	default:
 		c.finish(lease, c.lost(lease, err), nil, start, err)
 	}
@@ -291,7 +291,7 @@
 		c.server.Dialect.WriteCustomer(h, c.customer.Name)
 	}
 	x := &exchange.Request{Header: h, Body: c.body.whole, MaxIdle: idleOnce, Once: !c.route.Idempotent()}
-	x.Wanted = func() bool { return lease.Wanted() && c.outOfTime() == nil }
+	x.Wanted = func() bool { return lease.MaySend() && c.outOfTime() == nil }
 	x.Match = func(h *fasthttp.ResponseHeader) bool { return c.server.Dialect.Belongs(h, &c.meta) }
 	if c.route.Idempotent() {
 		x.MaxIdle = idleRepeatable
--- a/pkg/steering/steering.go
+++ b/pkg/node/node.go
@@ -1,7 +1,7 @@
 // Package steering wires one box together: it follows the platform's store,
 // exchanges heartbeats with other boxes, keeps the configuration and the
 // backend servers in force, and opens the ports. It decides nothing itself.
-package steering
+package node
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 	"github.com/stoneworks/stoneworks/pkg/directory"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/ingress"
 	"github.com/stoneworks/stoneworks/pkg/logging"
@@ -99,31 +99,31 @@
 	seeds   atomic.Pointer[[]string]
 	policy  atomic.Pointer[policy.Policy]
 
-	// packed are whole copies as they are handed over, and told is what this box last
+	// compressed are whole copies as they are handed over, and told is what this box last
 	// announced of itself.
-	packed packedMirrors
-	told   told
+	compressed compressedMirrors
+	announced  announcedState
 	// findings are what other boxes are to know of backend servers, and
 	// lastRequest when a client last sent one, in nanoseconds since the start.
-	findings *findings.Outbox
+	findings *failurereport.Outbox
 	crashes  crashChecks
-	// tellsCrashes: others are about to be told of a crash.
-	tellsCrashes atomic.Bool
-	lastRequest  atomic.Int64
+	// crashSendPending: others are about to be told of a crash.
+	crashSendPending atomic.Bool
+	lastRequest      atomic.Int64
 	// readySince is when the box last became ready, in nanoseconds since the start.
 	readySince atomic.Int64
 
-	neighbourhood neighbourhood
+	quotaCache quotaViewCache
 	// peerList is what choices know of other boxes; see peers.
 	peerList peerList
 	// unread are words of the platform that nothing here reads.
-	unknown unknownWords
+	unreadNames unreadNames
 	// listedLines bounds the log lines of servers that are listed, or cold.
 	listedLines lineBudget
 	// malformedHeaders bounds the log lines of headers that cannot be read.
-	malformedHeaders logGate
+	malformedHeaders logLimiter
 	// configurationFields bounds how often configurations are looked at for unread fields.
-	configurationFields logGate
+	configurationFields logLimiter
 	// membersChanged: a box has come, gone or come back since limits last looked.
 	membersChanged atomic.Bool
 	// statusChanged: what a backend server says has changed since boxes were last told.
@@ -169,18 +169,18 @@
 		refused:  map[string]bool{},
 	}
 	n.Timers.Now = c.Now
-	n.noteSuspensions()
-	n.findings = &findings.Outbox{Box: s.Box, Now: n.Clock.Now}
+	n.watchSuspensions()
+	n.findings = &failurereport.Outbox{Box: s.Box, Now: n.Clock.Now}
 	n.background = conc.NewWaitGroup()
 	n.context, n.stop = context.WithCancel(context.Background())
 	n.seeds.Store(&s.Seeds)
-	n.learnIdle(logging.For(logger, "connections"))
+	n.logIdleLimits(logging.For(logger, "connections"))
 	n.newMembers(logging.For(logger, "members"))
 	n.newSet(logging.For(logger, "backend"))
 	n.setPolicy(s.Policy)
 	n.Budget = retry.NewBudget(retry.Terms{
 		Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack, Window: s.Bounds.RetryWindow,
-	}, n.boxes, n.Clock.Now)
+	}, n.boxCount, n.Clock.Now)
 	n.Directory = &directory.Directory{
 		TTL: min(preferredTTL, s.LookupTTL), RegionOf: n.Topology.RegionOf,
 		Self: n.Members.Self, EachLive: n.Members.EachLive, RegionAllowed: n.hostAllowed,
@@ -198,13 +198,13 @@
 	// where the settings allow as much: long enough to ask seldom, short
 	// enough to leave a stopping box in time.
 	preferredTTL = 3 * time.Second
-	// newsTime is how long it may take until a change in the store is known to a box:
+	// propagationTime is how long it may take until a change in the store is known to a box:
 	// it is gathered with others for 0.6 s, told to the zone within 0.1 s, and taken
 	// over.
-	newsTime = time.Second
-	// entryReturn is within what the entry of a server that lives is back in
+	propagationTime = time.Second
+	// relistTime is within what the entry of a server that lives is back in
 	// the store, once that answers again.
-	entryReturn = 2 * time.Second
+	relistTime = 2 * time.Second
 	// settleTime is how long a box that has started, or stood still for so long that it has
 	// forgotten others, listens before it trusts its count of them.
 	settleTime = 4 * gossip.Interval
@@ -214,12 +214,12 @@
 // could not be trusted, given the time in which servers drain. With the news of it
 // that ends within that time: the server may have left in truth.
 func forgetAfter(drain time.Duration) time.Duration {
-	return max(0, min(entryReturn, drain-newsTime))
+	return max(0, min(relistTime, drain-propagationTime))
 }
 
-// boxes returns among how many boxes shared bounds are divided.
-func (n *Node) boxes() int {
-	if n.age()-time.Duration(n.resumed.Load()) < settleTime {
+// boxCount returns among how many boxCount shared bounds are divided.
+func (n *Node) boxCount() int {
+	if n.uptime()-time.Duration(n.resumed.Load()) < settleTime {
 		return 0
 	}
 	return n.Members.Count()
@@ -263,13 +263,13 @@
 	}
 	own := n.Members.Self()
 	p.self = add(&own, true)
-	n.Members.EachOther(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
+	n.Members.EachPossibleSender(func(r *gossip.Record, live bool) { p.list = append(p.list, add(r, live)) })
 	isNamed := func(capacity float64, zone string) bool {
 		return capacity >= 0 && directory.IsLarge(capacity, most[zone])
 	}
-	p.self.Named = isNamed(capacities[0], p.self.Zone)
+	p.self.Advertised = isNamed(capacities[0], p.self.Zone)
 	for i := range p.list {
-		p.list[i].Named = isNamed(capacities[i+1], p.list[i].Zone)
+		p.list[i].Advertised = isNamed(capacities[i+1], p.list[i].Zone)
 	}
 }
 
@@ -281,27 +281,27 @@
 	}
 	n.Members = gossip.NewTable(self, n.Clock.Now, rand.IntN)
 	n.Members.Seeds = func() []string { return *n.seeds.Load() }
-	n.Members.Changed = func(r gossip.Record, what string) {
+	n.Members.OnChange = func(r gossip.Record, what string) {
 		n.membersChanged.Store(true)
-		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Beat})
+		log.Info("box "+what, map[string]any{"box": r.Box, "zone": r.Zone, "beat": r.Sequence})
 	}
 }
 
 func (n *Node) newSet(log *logging.Part) {
 	b := n.Settings.Bounds
-	n.Set = backend.NewSet(backend.Terms{
+	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
-		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, Forget: forgetAfter(b.Drain),
-	}, n.Settings.Zone, n.Topology.RegionOf, n.boxes, n.Clock.Now)
+		MaxShift: b.MaxShift, ShiftWindow: b.ShiftWindow, MissingTTL: forgetAfter(b.Drain),
+	}, n.Settings.Zone, n.Topology.RegionOf, n.boxCount, n.Clock.Now)
 	n.Set.Peers = n.peers
 	n.Set.Trusted = func() bool { return n.Replica.TrustsList() }
-	n.Set.Found = n.findings.Add
-	n.Set.Changed = func(v backend.Server, what string) {
-		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.pass(n.age()) {
+	n.Set.ReportFailure = n.findings.Add
+	n.Set.OnChange = func(v backend.Server, what string) {
+		if (what == backend.Listed || what == backend.Cold) && !n.listedLines.allow(n.uptime()) {
 			return
 		}
 		log.Info("server "+what, map[string]any{
-			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.Cold.Milliseconds(),
+			"server": v.ID, "service": v.Service, "address": v.Address, "zone": v.Zone, "cold_ms": v.ColdFor.Milliseconds(),
 		})
 	}
 }
@@ -325,7 +325,7 @@
 		Set:       n.Set,
 		Budget:    n.Budget,
 		Admit:     n.admit,
-		KeysHold:  n.keysHold,
+		KeysHold:  n.keysTrusted,
 		GiveBack:  func(c *customer.Customer) { n.Quota.GiveBack(quota.IDOf(c.Name)) },
 		AwaitRoom: n.awaitRoom, ReleaseRoom: n.releaseRoom,
 		Settle:     func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
@@ -334,9 +334,9 @@
 		Crashed:    n.noteCrash,
 		Released:   n.removeHold,
 		Quarantine: n.Quarantine,
-		Heard:      n.heardOf,
+		Heard:      n.noteAnswer,
 		Attempted:  n.noteAttempt,
-		Unread:     n.unreadHeader,
+		Unread:     n.logUnreadHeader,
 		Background: n.background.Go,
 		Now:        n.Clock.Now,
 		SyncClock:  n.Clock.Sync,
@@ -349,17 +349,17 @@
 	}
 }
 
-// age returns how long this life of the box has lasted.
-func (n *Node) age() time.Duration { return n.Clock.Since(n.started) }
+// uptime returns how long this life of the box has lasted.
+func (n *Node) uptime() time.Duration { return n.Clock.Since(n.started) }
 
 // revokeMargin is by how much sooner than the bound a box stops to trust its keys: a
 // confirmation may have been on its way for as long.
 const revokeMargin = 500 * time.Millisecond
 
-// keysHold reports whether a key that the configuration has still counts: one that was
+// keysTrusted reports whether a key that the configuration has still counts: one that was
 // taken away counts no longer than the bound, where the settings ask for that, and
 // else for as long as the box does not hear of it.
-func (n *Node) keysHold() bool {
+func (n *Node) keysTrusted() bool {
 	b := n.Settings.Bounds
 	if !b.EnforceRevocation {
 		return true
@@ -388,7 +388,7 @@
 	if n.readySince.Load() != 0 {
 		return 0
 	}
-	return n.age()
+	return n.uptime()
 }
 
 // Ready reports whether the box can serve requests.
@@ -399,7 +399,7 @@
 func (n *Node) checkReady() {
 	ready := n.table.Load() != nil && n.Set.HasServers() && n.Replica.Mirror(n.adapter.Kinds.Evacuations).Synced()
 	if ready != n.ready.Swap(ready) {
-		n.readySince.Store(int64(n.age()))
+		n.readySince.Store(int64(n.uptime()))
 		n.log.Info("readiness changed", map[string]any{"ready": ready})
 	}
 }
--- a/pkg/steering/steering_crash.go
+++ b/pkg/node/node_crash.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"github.com/stoneworks/stoneworks/pkg/backend"
 )
 
-// crashCheckTime bounds how long a box tries to reach a backend server that has closed a
+// crashCheckTimeout bounds how long a box tries to reach a backend server that has closed a
 // connection without an answer: two ways between regions and back. The port of one that
 // has ended refuses at once.
-const crashCheckTime = 250 * time.Millisecond
+const crashCheckTimeout = 250 * time.Millisecond
 
 // crashChecks are the checks that run, by server. All requests that a server took with it
 // wait for the same one.
@@ -54,18 +54,18 @@
 // hasCrashed reports whether the server's port refuses connections. One that leaves as
 // planned has not crashed, and one that cannot be reached may be cut off.
 func (n *Node) hasCrashed(v *backend.Server) bool {
-	check, first := n.crashes.begin(v.Life())
+	check, first := n.crashes.begin(v.Incarnation())
 	if !first {
 		<-check.done
 		return check.crashed
 	}
-	ctx, cancel := context.WithTimeout(n.context, crashCheckTime)
+	ctx, cancel := context.WithTimeout(n.context, crashCheckTimeout)
 	defer cancel()
 	err := n.pool(v).Probe(ctx)
 	crashed := errors.Is(err, syscall.ECONNREFUSED)
 	if crashed {
 		n.log.Info("server crashed", map[string]any{"server": v.ID, "service": v.Service, "address": v.Address})
 	}
-	n.crashes.end(v.Life(), check, crashed)
+	n.crashes.end(v.Incarnation(), check, crashed)
 	return crashed
 }
--- a/pkg/steering/steering_dial.go
+++ b/pkg/node/node_dial.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -19,35 +19,35 @@
 // ================================================================
 
 const (
-	// dialTime bounds the opening of a connection to a backend server.
-	dialTime = 600 * time.Millisecond
-	// unackedTime bounds how long sent bytes may stay unacknowledged: a
+	// dialTimeout bounds the opening of a connection to a backend server.
+	dialTimeout = 600 * time.Millisecond
+	// unackedTimeout bounds how long sent bytes may stay unacknowledged: a
 	// machine without power says nothing.
-	unackedTime = 1500 * time.Millisecond
+	unackedTimeout = 1500 * time.Millisecond
 	// probeIdle, probeEvery and probes are the keep-alive probes on a connection that
 	// rests: one whose other end has gone silent for good is found within three
 	// seconds. A watch of the store that waits sends nothing by itself, so without
 	// them it would hear nothing more for as long as it may wait.
 	probeIdle  = 2 * time.Second
 	probeEvery = time.Second
-	probes     = 3
+	probeCount = 3
 	// tcpUserTimeout is Linux's socket option TCP_USER_TIMEOUT, see tcp(7).
 	tcpUserTimeout = 18
-	// idleConnections bounds the idle connections kept to one backend server.
-	idleConnections = 16
+	// maxIdleConnections bounds the idle connections kept to one backend server.
+	maxIdleConnections = 16
 )
 
 // dialer opens connections that notice a machine without power.
 func (n *Node) dialer() *net.Dialer {
 	return &net.Dialer{
-		Timeout:   dialTime,
+		Timeout:   dialTimeout,
 		LocalAddr: n.localAddress(),
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probes,
+			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTime.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -63,9 +63,9 @@
 	return &net.TCPAddr{IP: address.Addr().AsSlice()}
 }
 
-// learnIdle logs for how long connections may rest where backend servers have
+// logIdleLimits logs for how long connections may rest where backend servers have
 // closed some while they were idle.
-func (n *Node) learnIdle(log *logging.Part) {
+func (n *Node) logIdleLimits(log *logging.Part) {
 	n.idle.Learnt = func(limit, rested time.Duration) {
 		log.Info("a server closed an idle connection", map[string]any{
 			"rested_ms": rested.Milliseconds(), "may_rest_ms": limit.Milliseconds(),
@@ -84,19 +84,19 @@
 
 // poolKey tells the connections to servers apart.
 type poolKey struct {
-	life    string
-	address string
+	incarnation string
+	address     string
 }
 
 // pool returns the connections to a backend server. Each life of a server has
 // its own, so that no connection to an earlier one at the address is used.
 func (n *Node) pool(v *backend.Server) *exchange.Pool {
-	key := poolKey{v.Life(), v.Address}
+	key := poolKey{v.Incarnation(), v.Address}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.pools[key]
 	if p == nil {
-		p = exchange.NewPool(v.Address, idleConnections, n.dialServer)
+		p = exchange.NewPool(v.Address, maxIdleConnections, n.dialServer)
 		p.Now = n.Clock.Now
 		p.Idle = n.idle
 		n.pools[key] = p
@@ -109,7 +109,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for key, p := range n.pools {
-		if !n.Set.ListsAt(key.life, key.address) {
+		if !n.Set.IsListedAt(key.incarnation, key.address) {
 			p.Close()
 			delete(n.pools, key)
 		}
--- a/pkg/steering/steering_mirrors_test.go
+++ b/pkg/node/node_mirrors_test.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"bytes"
@@ -31,7 +31,7 @@
 func TestPackedMirrorFollowsTheMirror(t *testing.T) {
 	is := is.New(t)
 	m := newMirror(100)
-	var p packedMirrors
+	var p compressedMirrors
 	first, err := p.of(m)
 	is.NoErr(err)
 	again, err := p.of(m)
@@ -45,7 +45,7 @@
 	var body replica.Handover
 	is.NoErr(json.NewDecoder(r).Decode(&body))
 	is.Equal(len(body.Items), 101)
-	is.Equal(body.At, uint64(101))
+	is.Equal(body.CompleteTo, uint64(101))
 }
 
 // BenchmarkWholeMirror: a whole list of 1,617 servers for a box that starts,
@@ -54,14 +54,14 @@
 	m := newMirror(1617)
 	b.Run("anew", func(b *testing.B) {
 		for range b.N {
-			var p packedMirrors
+			var p compressedMirrors
 			if _, err := p.of(m); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 	b.Run("kept", func(b *testing.B) {
-		var p packedMirrors
+		var p compressedMirrors
 		for range b.N {
 			if _, err := p.of(m); err != nil {
 				b.Fatal(err)
--- a/pkg/steering/steering_quota.go
+++ b/pkg/node/node_quota.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"context"
@@ -71,28 +71,28 @@
 	n.sendQuota()
 }
 
-// neighbourhood is what this box knows of others for limits, kept for a while: worked
+// quotaViewCache is what this box knows of others for limits, kept for a while: worked
 // out for each tick, 74 boxes took a fifth more processor time on a calm day.
-type neighbourhood struct {
+type quotaViewCache struct {
 	mu       sync.Mutex
 	at       time.Time
-	standing gossip.Standing
+	standing gossip.Position
 	first    []quota.Box
 	zones    map[string][]quota.Box
 }
 
-// neighbourhoodHolds is for how long it is kept, unless a box has come, gone or
+// quotaCacheTime is for how long it is kept, unless a box has come, gone or
 // changed, or this one has just started.
-const neighbourhoodHolds = gossip.Interval
+const quotaCacheTime = gossip.Interval
 
 // quotaView is what this box knows of others.
 func (n *Node) quotaView() quota.View {
-	h := &n.neighbourhood
+	h := &n.quotaCache
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= neighbourhoodHolds || n.age() < 2*meetTime {
+	if n.membersChanged.Swap(false) || n.Clock.Since(h.at) >= quotaCacheTime || n.uptime() < 2*meetTime {
 		h.at = n.Clock.Now()
-		h.standing = n.Members.Standing(firstBoxes, quota.AllocatorsPerZone)
+		h.standing = n.Members.Position(firstBoxes, quota.AllocatorsPerZone)
 		h.zones = map[string][]quota.Box{}
 		for zone, list := range h.standing.First {
 			if zone == n.Settings.Zone {
@@ -108,17 +108,17 @@
 // quotaWeight is this box's part of its zone's part of limits: none until it knows its
 // zone. A box that has started while it is cut off knows nobody and holds nothing; one
 // that has nobody to know holds all of its zone's part.
-func (n *Node) quotaWeight(s *gossip.Standing) float64 {
-	settled := n.age() - time.Duration(n.readySince.Load())
+func (n *Node) quotaWeight(s *gossip.Position) float64 {
+	settled := n.uptime() - time.Duration(n.readySince.Load())
 	switch {
 	case !n.ready.Load() || settled < zoneSettles:
 		return 0
 	case s.Neighbours > 0:
-		return s.Part
+		return s.CapacityShare
 	case settled < aloneSettles || s.Others == 0 && n.hasOtherSeeds():
 		return 0
 	}
-	return s.Part
+	return s.CapacityShare
 }
 
 // hasOtherSeeds reports whether the settings name other boxes.
@@ -147,7 +147,7 @@
 func (n *Node) receiveQuota(datagram []byte, from *net.UDPAddr) {
 	m, err := quota.Decode(datagram)
 	if err != nil {
-		n.unread(from, err)
+		n.noteUnreadDatagram(from, err)
 		return
 	}
 	n.Quota.Receive(m, from.String())
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -35,7 +35,7 @@
 	} else {
 		s.items[name] = o
 	}
-	s.events = append(s.events, Event{Object: o, Gone: gone})
+	s.events = append(s.events, Event{Object: o, Deleted: gone})
 }
 
 func (s *storeModel) list() []Object {
@@ -63,7 +63,7 @@
 		s := &storeModel{items: map[string]Object{}}
 		m := NewMirror("things")
 		seen := map[string]uint64{}
-		m.Changed = func(o Object, gone bool) {
+		m.OnChange = func(o Object, gone bool) {
 			if o.Revision < seen[o.Name] {
 				t.Fatalf("%s went back from %d to %d", o.Name, seen[o.Name], o.Revision)
 			}
@@ -81,7 +81,7 @@
 				lists = append(lists, oldList{s.list(), s.at})
 			case 1:
 				if m.Synced() {
-					m.Apply(s.since(m.Version().At), Exactly(s.at))
+					m.Apply(s.since(m.Version().Revision), Exactly(s.at))
 				}
 			case 2:
 				if len(lists) > 0 {
@@ -193,8 +193,8 @@
 func TestFollowerReadsAllPagesAndResumes(t *testing.T) {
 	is := is.New(t)
 	pages := []Page{
-		{Items: []Object{object("a", 1)}, More: true, At: 5},
-		{Items: []Object{object("b", 2)}, At: 9},
+		{Items: []Object{object("a", 1)}, More: true, Revision: 5},
+		{Items: []Object{object("b", 2)}, Revision: 9},
 	}
 	s := &script{}
 	s.list = func() (Page, error) {
@@ -226,9 +226,9 @@
 		defer s.mu.Unlock()
 		lists++
 		if lists == 1 {
-			return Page{Items: []Object{object("a", 1)}, At: 1}, nil
+			return Page{Items: []Object{object("a", 1)}, Revision: 1}, nil
 		}
-		return Page{Items: []Object{object("b", 9)}, At: 9}, nil
+		return Page{Items: []Object{object("b", 9)}, Revision: 9}, nil
 	}
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		if since == 1 {
@@ -245,7 +245,7 @@
 func TestFollowerLeavesAWatchThatIsSilent(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
 	watches := 0
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) {
 		s.mu.Lock()
@@ -267,7 +267,7 @@
 func TestRestartedFollowerAsksAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
 	watches := 0
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		s.mu.Lock()
@@ -288,7 +288,7 @@
 	})
 	start := time.Now()
 	f.Restart()
-	f.Hurry()
+	f.RetryNow()
 	eventually(is, has(f, "news"))
 	is.True(time.Since(start) < time.Second)
 }
@@ -298,7 +298,7 @@
 func TestFollowerThatIsNotAllowedAsksNothing(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		if since == 7 {
 			return []Event{{Object: object("news", 8)}}, 8, nil
@@ -318,7 +318,7 @@
 	is.Equal(len(s.calls), 1)
 	s.mu.Unlock()
 	allowed.Store(true)
-	f.Hurry()
+	f.RetryNow()
 	eventually(is, has(f, "news"))
 }
 
@@ -334,7 +334,7 @@
 			failures++
 			return Page{}, &UnavailableError{Status: 503}
 		}
-		return Page{Items: []Object{object("news", 2)}, At: 2}, nil
+		return Page{Items: []Object{object("news", 2)}, Revision: 2}, nil
 	}
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) { return blocked(ctx) }
 	f, stop := follow(s, time.Hour)
@@ -349,7 +349,7 @@
 	s.mu.Unlock()
 	// The pause is one of half a second at least now.
 	time.Sleep(50 * time.Millisecond)
-	f.Hurry()
+	f.RetryNow()
 	start := time.Now()
 	eventually(is, has(f, "news"))
 	is.True(time.Since(start) < 300*time.Millisecond)
@@ -367,12 +367,12 @@
 				s.change(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Bool().Draw(t, "gone"))
 			case 1:
 				if source.Synced() {
-					source.Apply(s.since(source.Version().At), Exactly(s.at))
+					source.Apply(s.since(source.Version().Revision), Exactly(s.at))
 				}
 			case 2:
 				source.Load(s.list(), Exactly(s.at))
 			case 3:
-				events, held, ok := source.EventsSince(follower.Version().At)
+				events, held, ok := source.EventsSince(follower.Version().Revision)
 				if ok && follower.Synced() {
 					follower.Apply(events, held)
 				} else if source.Synced() {
@@ -413,7 +413,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		pages++
-		return Page{Items: []Object{object(fmt.Sprint("server-", pages), 1)}, More: pages < 5, At: 1}, nil
+		return Page{Items: []Object{object(fmt.Sprint("server-", pages), 1)}, More: pages < 5, Revision: 1}, nil
 	}
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) { return blocked(ctx) }
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
@@ -435,7 +435,7 @@
 func TestLongListIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
-	s.list = func() (Page, error) { return Page{Items: []Object{object("a", 1)}, More: true, At: 1}, nil }
+	s.list = func() (Page, error) { return Page{Items: []Object{object("a", 1)}, More: true, Revision: 1}, nil }
 	s.watch = func(ctx context.Context, since uint64) ([]Event, uint64, error) {
 		if since == 7 {
 			return []Event{{Object: object("news", 8)}}, 8, nil
@@ -443,7 +443,7 @@
 		return blocked(ctx)
 	}
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
-	f.ReadsOn = func() bool { return false }
+	f.ContinuesList = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
@@ -464,7 +464,7 @@
 	s.list = func() (Page, error) { return Page{}, &UnavailableError{Status: 503} }
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
 	f.Allowed = func() bool { return false }
-	f.ReadsOn = func() bool { return false }
+	f.ContinuesList = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -27,11 +27,11 @@
 
 // shortWatch is how long a watch of a kind waits whose answers are needed.
 func (r *Replica) shortWatch(kind string) time.Duration {
-	wait := time.Duration(watchShare * float64(r.Contact))
+	wait := time.Duration(watchShare * float64(r.ContactWindow))
 	if kind == r.Kinds.Evacuations || kind == r.Kinds.Rollouts {
 		return wait
 	}
-	return min(wait, time.Duration(drainWatchShare*float64(r.Drain)))
+	return min(wait, time.Duration(drainWatchShare*float64(r.DrainTime)))
 }
 
 func (r *Replica) newFollower(kind string) *objects.Follower {
@@ -39,26 +39,26 @@
 	f := objects.NewFollower(r.Client, r.mirrors[kind], wait, rand.Float64)
 	f.Now = r.Now
 	f.Allowed = r.watching.Load
-	f.ReadsOn = r.readsOn
+	f.ContinuesList = r.readsOn
 	tell := r.tellsCalls(kind)
-	f.Ended = func(c objects.Call) {
+	f.OnCall = func(c objects.Call) {
 		r.revisions.take(c)
 		tell(c)
 	}
-	f.Succeeded = func() {
+	f.OnSuccess = func() {
 		r.contact.noteAnswer()
 		r.storeSpoke(f, r.contact.setFailing(kind, false))
-		r.Answered()
+		r.OnAnswer()
 	}
-	f.Confirmed = func(a objects.Answer) { r.confirmed(kind, a) }
+	f.OnConfirmed = func(a objects.Answer) { r.confirmed(kind, a) }
 	if kind != r.Kinds.Servers {
-		f.WaitNow = func() time.Duration { return r.waitNow(kind, wait) }
+		f.NextWait = func() time.Duration { return r.waitNow(kind, wait) }
 	}
-	f.Failed = func(error) {
+	f.OnFailure = func(error) {
 		if !r.watching.Load() {
 			return
 		}
-		r.contact.noteFailure(f.Began())
+		r.contact.noteFailure(f.CallStart())
 		r.contact.setFailing(kind, true)
 	}
 	return f
@@ -73,10 +73,10 @@
 			continue
 		}
 		if failedBefore {
-			f.RestartBefore(answered.Began())
+			f.RestartBefore(answered.CallStart())
 		}
 		if r.contact.isFailing(kind) {
-			f.Hurry()
+			f.RetryNow()
 		}
 	}
 }
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -19,10 +19,10 @@
 	// pullAfter is for how many heartbeats another box's mirror must be
 	// newer before it is asked for; the store's own change notification is usually quicker.
 	pullAfter = 2
-	// PullTime is how long nothing may come of a pull until it is given up, and LongestPull bounds it
+	// PullIdleTimeout is how long nothing may come of a pull until it is given up, and LongestPull bounds it
 	// as a whole: how long a list takes to come follows its length and the box's share of a processor.
-	PullTime    = time.Second
-	LongestPull = 30 * time.Second
+	PullIdleTimeout = time.Second
+	PullTimeout     = 30 * time.Second
 )
 
 // learnsFrom reports whether this box takes a newer mirror of another one as
@@ -140,15 +140,15 @@
 			return
 		}
 		isNear := one.Zone == r.Zone
-		if isNear && !near || isNear == near && v.At >= best {
-			best, source, near = v.At, one.Peers, isNear
+		if isNear && !near || isNear == near && v.Revision >= best {
+			best, source, near = v.Revision, one.Peers, isNear
 		}
 	})
 	return source, near
 }
 
 func (r *Replica) pull(source string, m *objects.Mirror) {
-	ctx, cancel := context.WithTimeout(r.Context, LongestPull)
+	ctx, cancel := context.WithTimeout(r.Context, PullTimeout)
 	defer cancel()
 	body, err := r.Fetch(ctx, source, m)
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 	r.settleClaims(m.Kind)
 	r.BoxLog.Info("caught up through another box", map[string]any{
-		"from": source, "kind": m.Kind, "revision": body.At, "whole": body.Whole, "changes": len(body.Events),
+		"from": source, "kind": m.Kind, "revision": body.CompleteTo, "whole": body.Whole, "changes": len(body.Events),
 	})
-	r.Answered()
+	r.OnAnswer()
 }
--- a/pkg/watcher/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -1,4 +1,4 @@
-package watcher
+package storepoller
 
 import (
 	"fmt"
@@ -136,7 +136,7 @@
 
 // read asks the store for a page if the box may.
 func (f *modelFleet) read(b *modelBox) {
-	if b.pages >= atOnce && !b.role.ReadsOn(f.now) {
+	if b.pages >= atOnce && !b.role.ReadsAllPages(f.now) {
 		return
 	}
 	b.calls++
@@ -154,12 +154,12 @@
 }
 
 func (f *modelFleet) decide(b *modelBox) {
-	z := b.table.Zone(silence)
+	z := b.table.StoreContacts(silence)
 	answered := b.watches && b.synced && !f.refused(b)
 	answers := answered
 	b.table.EachLive(func(r *gossip.Record) { answers = answers || r.StoreHealthy })
-	watches := b.role.Watches(View{
-		HealthyBefore: z.HealthyBefore, TryingBefore: z.TryingBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
+	watches := b.role.ShouldPoll(View{
+		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: b.synced, Answered: answered, StoreAnswers: answers,
 	}, f.now)
 	if watches != b.watches {
@@ -169,9 +169,9 @@
 	now := [2]bool{watches && b.synced && !f.refused(b), watches}
 	b.table.Update(func(self *gossip.Record) {
 		if b.synced {
-			self.Versions = map[string]objects.Version{"servers": {At: 1}}
+			self.Versions = map[string]objects.Version{"servers": {Revision: 1}}
 		}
-		self.StoreHealthy, self.Trying = now[0], now[1] && !now[0]
+		self.StoreHealthy, self.StoreUnanswered = now[0], now[1] && !now[0]
 	})
 	if now != b.told {
 		b.told = now
--- a/pkg/watcher/watcher.go
+++ b/pkg/storepoller/storepoller.go
@@ -7,7 +7,7 @@
 // the first pages; within MeetTime they have heard of each other, the first two in
 // the order of the zone read on, and once one of them holds the whole list the
 // others take it from there.
-package watcher
+package storepoller
 
 import (
 	"math"
@@ -39,9 +39,9 @@
 	// HealthyBefore, TryingBefore and IdleBefore are the live boxes of the zone
 	// that come before this one: those that the store answers, those that ask
 	// it in vain, and those that do not ask it.
-	HealthyBefore int
-	TryingBefore  int
-	IdleBefore    int
+	HealthyBefore    int
+	UnansweredBefore int
+	IdleBefore       int
 	// ZoneHealthy are all live boxes of the zone that the store answers.
 	ZoneHealthy int
 	// Synced: this box has copies of all that the store holds.
@@ -77,9 +77,9 @@
 	return &Role{PerZone: perZone, Contact: contact, started: now, answered: now, patience: patience}
 }
 
-// Watches reports whether the box is to ask the store from now on. A box that is
+// ShouldPoll reports whether the box is to ask the store from now on. A box that is
 // to take the role up does so only when those before it have had time to.
-func (r *Role) Watches(v View, now time.Time) bool {
+func (r *Role) ShouldPoll(v View, now time.Time) bool {
 	if v.StoreAnswers {
 		r.answered = now
 	}
@@ -106,11 +106,11 @@
 	}
 	without := now.Sub(r.answered)
 	mayTry := fewTrying + int(math.Log2(1+without.Seconds()/r.Contact.Seconds()))
-	return v.HealthyBefore < r.PerZone() && (v.Answered || v.TryingBefore < mayTry)
+	return v.HealthyBefore < r.PerZone() && (v.Answered || v.UnansweredBefore < mayTry)
 }
 
-// ReadsOn reports whether a box that has no list yet reads one of many pages: when
+// ReadsAllPages reports whether a box that has no list yet reads one of many pages: when
 // it is to ask the store, or when nobody has handed it the list for long.
-func (r *Role) ReadsOn(now time.Time) bool {
+func (r *Role) ReadsAllPages(now time.Time) bool {
 	return r.watching || now.Sub(r.started) >= r.patience
 }
