--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -156,7 +156,7 @@
 		a.loans.pending[a.loans.number] = &pendingLoan{zone: zone, from: key, at: a.now, wanted: wanted}
 		b.loans.expected += int(count)
 		b.loans.spare[zone] = spare{left: max(0, a.spareOf(b, zone)-float64(count)), at: a.now}
-		a.send(to, Message{Ask: &LoanRequest{Number: a.loans.number, Wanted: []Tokens{wanted}}})
+		a.send(to, Message{LoanRequest: &LoanRequest{Number: a.loans.number, Wanted: []Tokens{wanted}}})
 	}
 }
 
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -16,11 +16,11 @@
 // Message is what boxes tell each other of limits. One field but From is set.
 type Message struct {
 	// From is the sender.
-	From   uint64
-	Report *Report
-	Grant  *Grant
-	Ask    *LoanRequest
-	Loan   *Loan
+	From        uint64
+	Report      *Report
+	Grant       *Grant
+	LoanRequest *LoanRequest
+	Loan        *Loan
 }
 
 // Report is what a box tells an allocator of its zone. It lends its part with it.
@@ -137,11 +137,11 @@
 		w.u8(byte(kindGrant))
 		w.u64(m.From)
 		w.grant(m.Grant)
-	case m.Ask != nil:
+	case m.LoanRequest != nil:
 		w.u8(byte(kindLoanRequest))
 		w.u64(m.From)
-		w.u32(m.Ask.Number)
-		w.tokens(m.Ask.Wanted)
+		w.u32(m.LoanRequest.Number)
+		w.tokens(m.LoanRequest.Wanted)
 	case m.Loan != nil:
 		w.u8(byte(kindLoan))
 		w.u64(m.From)
@@ -165,7 +165,7 @@
 	case kindGrant:
 		m.Grant = r.grant()
 	case kindLoanRequest:
-		m.Ask = &LoanRequest{Number: r.u32(), Wanted: r.tokens()}
+		m.LoanRequest = &LoanRequest{Number: r.u32(), Wanted: r.tokens()}
 	case kindLoan:
 		m.Loan = &Loan{Number: r.u32(), Tokens: r.tokens()}
 	default:
--- a/pkg/quota/message_test.go
+++ b/pkg/quota/message_test.go
@@ -14,7 +14,7 @@
 		Usage: []Usage{{ID: 3, Arrived: 10, Used: 8, Ceiling: 9, Want: 2, Waiting: 1}, {ID: 4}},
 	}},
 	{From: 7, Grant: &Grant{Incarnation: 5, Stamp: Stamp{Incarnation: 1 << 60, ElapsedMs: 17}, Ceilings: []Ceiling{{ID: 3, Ceiling: 12, Exhausted: true}, {ID: 1<<64 - 1, Ceiling: 1<<32 - 1}}}},
-	{From: 7, Ask: &LoanRequest{Number: 4, Wanted: []Tokens{{ID: 3, Count: 6}}}},
+	{From: 7, LoanRequest: &LoanRequest{Number: 4, Wanted: []Tokens{{ID: 3, Count: 6}}}},
 	{From: 7, Loan: &Loan{Number: 4, Tokens: []Tokens{{ID: 3, Count: 6, Left: 65535}}}},
 }
 
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -62,8 +62,8 @@
 	case m.Report != nil && l.hasLimits():
 		// One that knows no limits yet says nothing, so that others are asked.
 		l.allocator.report(from, m.Report)
-	case m.Ask != nil:
-		l.allocator.lend(from, m.Ask)
+	case m.LoanRequest != nil:
+		l.allocator.lend(from, m.LoanRequest)
 	case m.Loan != nil:
 		l.allocator.receiveLoan(from, m.Loan)
 	case m.Grant != nil:
