--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -72,7 +72,7 @@
 // not agree, such as in the moment in which some start.
 const (
 	savedShare = 0.7
-	heldPart   = 0.2
+	heldShare  = 0.2
 )
 
 // minSaved is how many tokens a zone must be able to save to have a part of a
@@ -108,7 +108,7 @@
 	shares := float64(len(holders))
 	d := division{holders: holders, holderRate: rate / shares, holderMaxSaved: savedShare * allowance / shares}
 	if slices.Contains(holders, zone) {
-		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderMaxSaved, heldPart*allowance/shares
+		d.rate, d.maxSaved, d.maxHeld = d.holderRate, d.holderMaxSaved, heldShare*allowance/shares
 	}
 	return d
 }
