--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -10,7 +10,7 @@
 	// One that asks less than leastStock times in that is granted its tokens one by one,
 	// as its requests come. A larger leastStock has more requests wait for their tokens.
 	prefetchTime = 200 * time.Millisecond
-	leastStock   = 0.05
+	minPrefetch  = 0.05
 	// idleReturnAfter is after what time without a request a box gives unused tokens back.
 	idleReturnAfter = 4 * time.Second
 	// exhaustedFor is for how long a box refuses without asking again after it was told
@@ -87,7 +87,7 @@
 // want is how many unused tokens to hold.
 func (a *account) want(now time.Time) int {
 	expected := a.arrivals.now(now) * prefetchTime.Seconds()
-	if expected < leastStock {
+	if expected < minPrefetch {
 		return 0
 	}
 	return int(math.Ceil(expected))
