--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -49,16 +49,16 @@
 
 // simBox is one box of the model.
 type simBox struct {
-	f        *fleet
-	name     string
-	zone     string
-	region   int
-	capacity float64
-	life     int64
-	limiter  simLimiter
-	up       bool
-	frozen   bool
-	since    time.Time
+	f           *fleet
+	name        string
+	zone        string
+	region      int
+	capacity    float64
+	incarnation int64
+	limiter     simLimiter
+	up          bool
+	frozen      bool
+	since       time.Time
 	// lost is when another box was last out of reach, by its index.
 	lost  map[int]time.Time
 	index int
@@ -136,7 +136,7 @@
 	}
 	f.limiter = func(b *simBox) simLimiter {
 		l := &Limiter{
-			Tolerance: f.terms, ServerTolerance: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.life,
+			Tolerance: f.terms, ServerTolerance: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.incarnation,
 			Now: func() time.Time { return f.now }, Random: f.random.Float64,
 		}
 		l.Start()
@@ -172,13 +172,13 @@
 // start makes a box begin a life after a time.
 func (b *simBox) start(d time.Duration) {
 	b.f.after(d, func() {
-		b.life++
+		b.incarnation++
 		b.up, b.frozen = true, false
 		b.since = b.f.now
 		b.limiter = b.f.limiter(b)
 		b.limiter.SetCustomers(b.f.list)
 		b.hearOfServers()
-		b.tick(b.life)
+		b.tick(b.incarnation)
 	})
 }
 
@@ -188,7 +188,7 @@
 }
 
 func (b *simBox) tick(life int64) {
-	if !b.up || b.life != life {
+	if !b.up || b.incarnation != life {
 		return
 	}
 	if !b.frozen {
@@ -269,9 +269,9 @@
 	if f.cut(from, to) || f.random.Float64() < f.loss {
 		return
 	}
-	life := to.life
+	life := to.incarnation
 	f.after(delay+time.Duration(f.random.Intn(200))*time.Microsecond, func() {
-		if !to.up || to.frozen || to.life != life || f.cut(from, to) {
+		if !to.up || to.frozen || to.incarnation != life || f.cut(from, to) {
 			return
 		}
 		m, err := Decode(datagram)
@@ -300,7 +300,7 @@
 	}
 	d := b.limiter.Arrive(c.id)
 	b.flush()
-	f.decided(b, name, d, within, f.now, b.life)
+	f.decided(b, name, d, within, f.now, b.incarnation)
 }
 
 func (f *fleet) decided(b *simBox, name string, d Decision, within bool, start time.Time, life int64) {
@@ -316,7 +316,7 @@
 		}
 	case Waiting:
 		f.after(3*time.Millisecond, func() {
-			if !b.up || b.life != life {
+			if !b.up || b.incarnation != life {
 				return
 			}
 			if !b.frozen {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -145,9 +145,9 @@
 		for _, b := range some(part / 2) {
 			if b.up && !b.frozen {
 				b.frozen = true
-				life := b.life
+				life := b.incarnation
 				f.after(time.Duration(200+f.random.Intn(3000))*time.Millisecond, func() {
-					if b.life == life {
+					if b.incarnation == life {
 						b.frozen = false
 					}
 				})
--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -24,13 +24,13 @@
 	f.servers = append(f.servers, s)
 	f.customers[s.name] = &simCustomer{id: ServerIDOf(s.name), limit: Limit{Rate: s.rate}, bucketAt: f.now}
 	for _, b := range f.boxes {
-		b.hear(s, b.life)
+		b.hear(s, b.incarnation)
 	}
 }
 
 // hear puts a server's limit in force at a box.
 func (b *simBox) hear(s simServer, life int64) {
-	if l, ok := b.limiter.(*Limiter); ok && b.up && b.life == life {
+	if l, ok := b.limiter.(*Limiter); ok && b.up && b.incarnation == life {
 		var zones []string
 		for i, z := range b.f.zones {
 			if i/2 == s.region {
@@ -45,7 +45,7 @@
 // token, and counts all the same.
 func (b *simBox) hearOfServers() {
 	for _, s := range b.f.servers {
-		life := b.life
+		life := b.incarnation
 		b.f.after(time.Duration(b.f.random.Int63n(int64(simHears))), func() { b.hear(s, life) })
 	}
 }
