--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -187,15 +187,15 @@
 	b.limiter = nil
 }
 
-func (b *simBox) tick(life int64) {
-	if !b.up || b.incarnation != life {
+func (b *simBox) tick(incarnation int64) {
+	if !b.up || b.incarnation != incarnation {
 		return
 	}
 	if !b.frozen {
 		b.limiter.Tick(b.view())
 		b.flush()
 	}
-	b.f.after(ReportEvery, func() { b.tick(life) })
+	b.f.after(ReportEvery, func() { b.tick(incarnation) })
 }
 
 // settle is how long a box of the model waits before it holds its part, and silence
