--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -269,9 +269,9 @@
 	if f.cut(from, to) || f.random.Float64() < f.loss {
 		return
 	}
-	life := to.incarnation
+	incarnation := to.incarnation
 	f.after(delay+time.Duration(f.random.Intn(200))*time.Microsecond, func() {
-		if !to.up || to.frozen || to.incarnation != life || f.cut(from, to) {
+		if !to.up || to.frozen || to.incarnation != incarnation || f.cut(from, to) {
 			return
 		}
 		m, err := Decode(datagram)
