--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -303,7 +303,7 @@
 	f.decided(b, name, d, within, f.now, b.incarnation)
 }
 
-func (f *fleet) decided(b *simBox, name string, d Decision, within bool, start time.Time, life int64) {
+func (f *fleet) decided(b *simBox, name string, d Decision, within bool, start time.Time, incarnation int64) {
 	c := f.customers[name]
 	switch d.Verdict {
 	case Admitted:
@@ -316,14 +316,14 @@
 		}
 	case Waiting:
 		f.after(3*time.Millisecond, func() {
-			if !b.up || b.incarnation != life {
+			if !b.up || b.incarnation != incarnation {
 				return
 			}
 			if !b.frozen {
 				d = b.limiter.Recheck(c.id, f.now.Sub(start) >= 150*time.Millisecond)
 				b.flush()
 			}
-			f.decided(b, name, d, within, start, life)
+			f.decided(b, name, d, within, start, incarnation)
 		})
 	}
 }
