--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -58,7 +58,7 @@
 	limiter     simLimiter
 	up          bool
 	frozen      bool
-	since       time.Time
+	startedAt   time.Time
 	// lost is when another box was last out of reach, by its index.
 	lost  map[int]time.Time
 	index int
@@ -174,7 +174,7 @@
 	b.f.after(d, func() {
 		b.incarnation++
 		b.up, b.frozen = true, false
-		b.since = b.f.now
+		b.startedAt = b.f.now
 		b.limiter = b.f.limiter(b)
 		b.limiter.SetCustomers(b.f.list)
 		b.hearOfServers()
@@ -215,7 +215,7 @@
 	if o.up && !o.frozen && !b.f.cut(b, o) {
 		b.lost[o.index] = b.f.now
 	}
-	return b.f.now.Sub(b.lost[o.index]) < simSilence && b.lost[o.index].After(b.since.Add(-simSilence))
+	return b.f.now.Sub(b.lost[o.index]) < simSilence && b.lost[o.index].After(b.startedAt.Add(-simSilence))
 }
 
 func (b *simBox) view() View {
@@ -241,7 +241,7 @@
 			v.Zones[o.zone] = append(v.Zones[o.zone], Box{Key: KeyOf(o.name), Address: o.name})
 		}
 	}
-	if b.f.now.Sub(b.since) > simSettle && own < simHolders {
+	if b.f.now.Sub(b.startedAt) > simSettle && own < simHolders {
 		v.Weight = b.capacity / total
 	}
 	return v
