--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -59,9 +59,9 @@
 	up          bool
 	frozen      bool
 	startedAt   time.Time
-	// lost is when another box was last out of reach, by its index.
-	lost  map[int]time.Time
-	index int
+	// reachedAt is when another box was last out of reach, by its index.
+	reachedAt map[int]time.Time
+	index     int
 }
 
 // simCustomer is one customer of the model.
@@ -124,7 +124,7 @@
 			if i >= large {
 				capacity = 125
 			}
-			b := &simBox{f: f, name: fmt.Sprintf("%s-%d", zone, i), zone: zone, region: z / 2, capacity: capacity, index: len(f.boxes), lost: map[int]time.Time{}}
+			b := &simBox{f: f, name: fmt.Sprintf("%s-%d", zone, i), zone: zone, region: z / 2, capacity: capacity, index: len(f.boxes), reachedAt: map[int]time.Time{}}
 			f.boxes = append(f.boxes, b)
 			f.byName[b.name] = b
 		}
@@ -213,9 +213,9 @@
 		return true
 	}
 	if o.up && !o.frozen && !b.f.cut(b, o) {
-		b.lost[o.index] = b.f.now
+		b.reachedAt[o.index] = b.f.now
 	}
-	return b.f.now.Sub(b.lost[o.index]) < simSilence && b.lost[o.index].After(b.startedAt.Add(-simSilence))
+	return b.f.now.Sub(b.reachedAt[o.index]) < simSilence && b.reachedAt[o.index].After(b.startedAt.Add(-simSilence))
 }
 
 func (b *simBox) view() View {
