--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -255,17 +255,17 @@
 
 func (f *fleet) deliver(from *simBox, e Envelope) {
 	to := f.byName[e.To.Address]
-	way := "zone"
+	link := "zone"
 	delay := time.Millisecond / 2
 	switch {
 	case from.region != to.region:
-		way, delay = "region", 35*time.Millisecond
+		link, delay = "region", 35*time.Millisecond
 	case from.zone != to.zone:
-		way, delay = "near", time.Millisecond
+		link, delay = "near", time.Millisecond
 	}
 	datagram := Encode(&e.Message)
-	f.bytes[way] += len(datagram) + 28
-	f.messages[way]++
+	f.bytes[link] += len(datagram) + 28
+	f.messages[link]++
 	if f.cut(from, to) || f.random.Float64() < f.loss {
 		return
 	}
