--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -71,12 +71,12 @@
 	admitted []time.Time
 	sent     int
 	refused  int
-	// falsely are the refusals of requests that one token bucket of the whole limit
+	// falseRefusals are the refusals of requests that one token bucket of the whole limit
 	// would have let pass.
-	falsely  int
-	bucket   float64
-	bucketAt time.Time
-	waited   time.Duration
+	falseRefusals int
+	bucket        float64
+	bucketAt      time.Time
+	waited        time.Duration
 }
 
 type event struct {
@@ -312,7 +312,7 @@
 	case Refused:
 		c.refused++
 		if within {
-			c.falsely++
+			c.falseRefusals++
 		}
 	case Waiting:
 		f.after(3*time.Millisecond, func() {
@@ -379,7 +379,7 @@
 	var total time.Duration
 	for _, c := range f.customers {
 		sent += c.sent
-		falsely += c.falsely
+		falsely += c.falseRefusals
 		total += c.waited
 	}
 	return float64(falsely) / float64(max(1, sent)), total / time.Duration(max(1, sent))
