--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -372,9 +372,9 @@
 	return name, part
 }
 
-// falsely returns the part of requests that were refused although the limit left
+// falseRefusals returns the part of requests that were refused although the limit left
 // room, and for how long requests waited on average.
-func (f *fleet) falsely() (part float64, waited time.Duration) {
+func (f *fleet) falseRefusals() (part float64, waited time.Duration) {
 	sent, falsely := 0, 0
 	var total time.Duration
 	for _, c := range f.customers {
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -103,7 +103,7 @@
 		for i, p := range places[:3] {
 			f := newWayFleet(w.part, list)
 			f.drive(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
-			falsely[i], _ = f.falsely()
+			falsely[i], _ = f.falseRefusals()
 		}
 		hot := []customer.Customer{{Name: "hot", Rate: 60, Burst: 60}}
 		f := newWayFleet(w.part, hot)
