--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -375,12 +375,12 @@
 // falseRefusals returns the part of requests that were refused although the limit left
 // room, and for how long requests waited on average.
 func (f *fleet) falseRefusals() (part float64, waited time.Duration) {
-	sent, falsely := 0, 0
+	sent, falseRefusals := 0, 0
 	var total time.Duration
 	for _, c := range f.customers {
 		sent += c.sent
-		falsely += c.falseRefusals
+		falseRefusals += c.falseRefusals
 		total += c.waited
 	}
-	return float64(falsely) / float64(max(1, sent)), total / time.Duration(max(1, sent))
+	return float64(falseRefusals) / float64(max(1, sent)), total / time.Duration(max(1, sent))
 }
