--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -90,13 +90,13 @@
 				f.start()
 				f.drive(usual, 27*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 				who, part := f.worst()
-				falsely, waited := f.falseRefusals()
+				falseRefusals, waited := f.falseRefusals()
 				span := 33 * float64(len(f.boxes))
 				t.Logf("%d boxes, clients %s: %.2f%% falsely refused, waited %v a request, at most %.2f of the bound; bytes a box and second: %.0f in the zone, %.0f to others",
-					len(f.boxes), p.name, 100*falsely, waited.Round(time.Microsecond), part,
+					len(f.boxes), p.name, 100*falseRefusals, waited.Round(time.Microsecond), part,
 					float64(f.bytes["zone"])/span, float64(f.bytes["near"]+f.bytes["region"])/span)
-				if falsely > 0.01 {
-					t.Errorf("%.4f falsely refused", falsely)
+				if falseRefusals > 0.01 {
+					t.Errorf("%.4f falsely refused", falseRefusals)
 				}
 				if part > 1 {
 					t.Errorf("%s is over its limit: %.3f", who, part)
