--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -99,11 +99,11 @@
 func TestWaysCompared(t *testing.T) {
 	for _, w := range ways {
 		list, usual := customersOf(40, 800)
-		var falsely [3]float64
+		var falseRefusals [3]float64
 		for i, p := range places[:3] {
 			f := newWayFleet(w.part, list)
 			f.drive(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
-			falsely[i], _ = f.falseRefusals()
+			falseRefusals[i], _ = f.falseRefusals()
 		}
 		hot := []customer.Customer{{Name: "hot", Rate: 60, Burst: 60}}
 		f := newWayFleet(w.part, hot)
@@ -112,10 +112,10 @@
 		f.run(13 * time.Second)
 		_, part := f.worst()
 		t.Logf("%s: falsely refused %.2f%% everywhere, %.2f%% each in one zone, %.2f%% moving; regions cut off from each other: %.2f of the bound",
-			w.name, 100*falsely[0], 100*falsely[1], 100*falsely[2], part)
+			w.name, 100*falseRefusals[0], 100*falseRefusals[1], 100*falseRefusals[2], part)
 		ours := w.part == nil
-		if good := falsely[1] <= 0.01 && falsely[2] <= 0.01 && part <= 1; good != ours {
-			t.Errorf("%s: %v, %.2f", w.name, falsely, part)
+		if good := falseRefusals[1] <= 0.01 && falseRefusals[2] <= 0.01 && part <= 1; good != ours {
+			t.Errorf("%s: %v, %.2f", w.name, falseRefusals, part)
 		}
 	}
 }
