--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -202,9 +202,9 @@
 // after what time one that is out of reach is taken for silent.
 const (
 	simSettle = 400 * time.Millisecond
-	// simHolders is how many first boxes of a zone hold a part.
-	simHolders = 4
-	simSilence = 2500 * time.Millisecond
+	// simShareHolders is how many first boxes of a zone hold a part.
+	simShareHolders = 4
+	simSilence      = 2500 * time.Millisecond
 )
 
 // reaches reports whether the box has lately heard of the other one.
@@ -227,7 +227,7 @@
 			if o == b {
 				own = place
 			}
-			if place < simHolders {
+			if place < simShareHolders {
 				total += o.capacity
 			}
 			place++
@@ -241,7 +241,7 @@
 			v.Zones[o.zone] = append(v.Zones[o.zone], Box{Key: KeyOf(o.name), Address: o.name})
 		}
 	}
-	if b.f.now.Sub(b.startedAt) > simSettle && own < simHolders {
+	if b.f.now.Sub(b.startedAt) > simSettle && own < simShareHolders {
 		v.Weight = b.capacity / total
 	}
 	return v
