--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -201,7 +201,7 @@
 // settle is how long a box of the model waits before it holds its part, and silence
 // after what time one that is out of reach is taken for silent.
 const (
-	simSettle = 400 * time.Millisecond
+	simShareDelay = 400 * time.Millisecond
 	// simShareHolders is how many first boxes of a zone hold a part.
 	simShareHolders = 4
 	simSilence      = 2500 * time.Millisecond
@@ -241,7 +241,7 @@
 			v.Zones[o.zone] = append(v.Zones[o.zone], Box{Key: KeyOf(o.name), Address: o.name})
 		}
 	}
-	if b.f.now.Sub(b.startedAt) > simSettle && own < simShareHolders {
+	if b.f.now.Sub(b.startedAt) > simShareDelay && own < simShareHolders {
 		v.Weight = b.capacity / total
 	}
 	return v
