--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -16,8 +16,8 @@
 	rate   float64
 }
 
-// simHears is within what time of its start a box hears of limits from others.
-const simHears = 600 * time.Millisecond
+// simLimitDelay is within what time of its start a box hears of limits from others.
+const simLimitDelay = 600 * time.Millisecond
 
 // nameLimit has a server name a limit, of which all boxes hear.
 func (f *fleet) nameLimit(s simServer) {
@@ -46,7 +46,7 @@
 func (b *simBox) hearOfServers() {
 	for _, s := range b.f.servers {
 		life := b.incarnation
-		b.f.after(time.Duration(b.f.random.Int63n(int64(simHears))), func() { b.hear(s, life) })
+		b.f.after(time.Duration(b.f.random.Int63n(int64(simLimitDelay))), func() { b.hear(s, life) })
 	}
 }
 
