--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -24,12 +24,12 @@
 	f.servers = append(f.servers, s)
 	f.customers[s.name] = &simCustomer{id: ServerIDOf(s.name), limit: Limit{Rate: s.rate}, bucketAt: f.now}
 	for _, b := range f.boxes {
-		b.hear(s, b.incarnation)
+		b.applyServerLimit(s, b.incarnation)
 	}
 }
 
-// hear puts a server's limit in force at a box.
-func (b *simBox) hear(s simServer, life int64) {
+// applyServerLimit puts a server's limit in force at a box.
+func (b *simBox) applyServerLimit(s simServer, life int64) {
 	if l, ok := b.limiter.(*Limiter); ok && b.up && b.incarnation == life {
 		var zones []string
 		for i, z := range b.f.zones {
@@ -46,7 +46,7 @@
 func (b *simBox) hearOfServers() {
 	for _, s := range b.f.servers {
 		life := b.incarnation
-		b.f.after(time.Duration(b.f.random.Int63n(int64(simLimitDelay))), func() { b.hear(s, life) })
+		b.f.after(time.Duration(b.f.random.Int63n(int64(simLimitDelay))), func() { b.applyServerLimit(s, life) })
 	}
 }
 
