--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -177,7 +177,7 @@
 		b.startedAt = b.f.now
 		b.limiter = b.f.limiter(b)
 		b.limiter.SetCustomers(b.f.list)
-		b.hearOfServers()
+		b.applyServerLimitsLater()
 		b.tick(b.incarnation)
 	})
 }
--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// hearOfServers has a box that starts hear of limits after a while. What it sends until then takes no
+// applyServerLimitsLater has a box that starts hear of limits after a while. What it sends until then takes no
 // token, and counts all the same.
-func (b *simBox) hearOfServers() {
+func (b *simBox) applyServerLimitsLater() {
 	for _, s := range b.f.servers {
 		life := b.incarnation
 		b.f.after(time.Duration(b.f.random.Int63n(int64(simLimitDelay))), func() { b.applyServerLimit(s, life) })
