--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -29,8 +29,8 @@
 }
 
 // applyServerLimit puts a server's limit in force at a box.
-func (b *simBox) applyServerLimit(s simServer, life int64) {
-	if l, ok := b.limiter.(*Limiter); ok && b.up && b.incarnation == life {
+func (b *simBox) applyServerLimit(s simServer, incarnation int64) {
+	if l, ok := b.limiter.(*Limiter); ok && b.up && b.incarnation == incarnation {
 		var zones []string
 		for i, z := range b.f.zones {
 			if i/2 == s.region {
