--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -45,8 +45,8 @@
 // token, and counts all the same.
 func (b *simBox) applyServerLimitsLater() {
 	for _, s := range b.f.servers {
-		life := b.incarnation
-		b.f.after(time.Duration(b.f.random.Int63n(int64(simLimitDelay))), func() { b.applyServerLimit(s, life) })
+		incarnation := b.incarnation
+		b.f.after(time.Duration(b.f.random.Int63n(int64(simLimitDelay))), func() { b.applyServerLimit(s, incarnation) })
 	}
 }
 
