--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -24,8 +24,8 @@
 	return list, usual
 }
 
-// wave is demand that swings over the day, up to 0.97 of the limit.
-func wave(usual float64) func(t time.Duration) float64 {
+// dailyDemand is demand that swings over the day, up to 0.97 of the limit.
+func dailyDemand(usual float64) func(t time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		return usual * (1 + 0.55*math.Sin(2*math.Pi*t.Seconds()/36))
 	}
@@ -56,7 +56,7 @@
 // drive lets all customers send their usual requests.
 func (f *fleet) drive(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
 	for i, c := range f.list {
-		f.load(c.Name, wave(usual[i]), func(t time.Duration) *simBox { return f.serving(zoneOf(i, t)) }, d)
+		f.load(c.Name, dailyDemand(usual[i]), func(t time.Duration) *simBox { return f.serving(zoneOf(i, t)) }, d)
 	}
 	f.run(d + time.Second)
 }
