--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -61,8 +61,8 @@
 	f.run(d + time.Second)
 }
 
-// places say to which zone a customer's next request comes.
-var places = []struct {
+// clientPlacements say to which zone a customer's next request comes.
+var clientPlacements = []struct {
 	name   string
 	zoneOf func(f *fleet, c int, t time.Duration) string
 }{
@@ -83,7 +83,7 @@
 		places              int
 	}{{1, 1, 0, 1}, {6, 2, 0, 2}, {6, 2, 10, 4}, {9, 3, 8, 2}} {
 		list, usual := customersOf(79, 2000)
-		for _, p := range places[:size.places] {
+		for _, p := range clientPlacements[:size.places] {
 			t.Run(fmt.Sprintf("%d zones, %s", size.zones, p.name), func(t *testing.T) {
 				t.Parallel()
 				f := newSimFleet(1, size.zones, size.large, size.small, list)
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -100,7 +100,7 @@
 	for _, w := range ways {
 		list, usual := customersOf(40, 800)
 		var falseRefusals [3]float64
-		for i, p := range places[:3] {
+		for i, p := range clientPlacements[:3] {
 			f := newWayFleet(w.part, list)
 			f.drive(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 			falseRefusals[i], _ = f.falseRefusals()
