--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// serving returns a large box of the zone that is up, or else any box.
-func (f *fleet) serving(zone string) *simBox {
+// pickBox returns a large box of the zone that is up, or else any box.
+func (f *fleet) pickBox(zone string) *simBox {
 	var large, near, any []*simBox
 	for _, b := range f.boxes {
 		switch {
@@ -56,7 +56,7 @@
 // drive lets all customers send their usual requests.
 func (f *fleet) drive(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
 	for i, c := range f.list {
-		f.load(c.Name, dailyDemand(usual[i]), func(t time.Duration) *simBox { return f.serving(zoneOf(i, t)) }, d)
+		f.load(c.Name, dailyDemand(usual[i]), func(t time.Duration) *simBox { return f.pickBox(zoneOf(i, t)) }, d)
 	}
 	f.run(d + time.Second)
 }
@@ -219,7 +219,7 @@
 			if everywhere {
 				zone = f.anyZone()
 			}
-			return f.serving(zone)
+			return f.pickBox(zone)
 		}, 22*time.Second)
 	}
 	f.run(25 * time.Second)
--- a/pkg/quota/small_test.go
+++ b/pkg/quota/small_test.go
@@ -21,7 +21,7 @@
 	for _, zone := range f.zones {
 		before := len(f.customers["small"].admitted)
 		sent := f.customers["small"].sent
-		f.load("small", func(time.Duration) float64 { return 2 }, func(time.Duration) *simBox { return f.serving(zone) }, 15*time.Second)
+		f.load("small", func(time.Duration) float64 { return 2 }, func(time.Duration) *simBox { return f.pickBox(zone) }, 15*time.Second)
 		f.run(16 * time.Second)
 		admitted, sent := len(f.customers["small"].admitted)-before, f.customers["small"].sent-sent
 		t.Logf("%s: %d of %d admitted at two thirds of the limit", zone, admitted, sent)
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -108,7 +108,7 @@
 		hot := []customer.Customer{{Name: "hot", Rate: 60, Burst: 60}}
 		f := newWayFleet(w.part, hot)
 		f.cut = func(a, b *simBox) bool { return a.region != b.region }
-		f.load("hot", func(time.Duration) float64 { return 600 }, func(time.Duration) *simBox { return f.serving(f.anyZone()) }, 12*time.Second)
+		f.load("hot", func(time.Duration) float64 { return 600 }, func(time.Duration) *simBox { return f.pickBox(f.anyZone()) }, 12*time.Second)
 		f.run(13 * time.Second)
 		_, part := f.worst()
 		t.Logf("%s: falsely refused %.2f%% everywhere, %.2f%% each in one zone, %.2f%% moving; regions cut off from each other: %.2f of the bound",
