--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -53,8 +53,8 @@
 	return f.boxes[0]
 }
 
-// drive lets all customers send their usual requests.
-func (f *fleet) drive(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
+// sendUsual lets all customers send their usual requests.
+func (f *fleet) sendUsual(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
 	for i, c := range f.list {
 		f.load(c.Name, dailyDemand(usual[i]), func(t time.Duration) *simBox { return f.pickBox(zoneOf(i, t)) }, d)
 	}
@@ -88,7 +88,7 @@
 				t.Parallel()
 				f := newSimFleet(1, size.zones, size.large, size.small, list)
 				f.start()
-				f.drive(usual, 27*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
+				f.sendUsual(usual, 27*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 				who, part := f.worst()
 				falseRefusals, waited := f.falseRefusals()
 				span := 33 * float64(len(f.boxes))
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -102,7 +102,7 @@
 		var falseRefusals [3]float64
 		for i, p := range clientPlacements[:3] {
 			f := newWayFleet(w.part, list)
-			f.drive(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
+			f.sendUsual(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 			falseRefusals[i], _ = f.falseRefusals()
 		}
 		hot := []customer.Customer{{Name: "hot", Rate: 60, Burst: 60}}
