--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// trouble strikes the fleet at random for a time.
-func (f *fleet) trouble(d time.Duration) {
+// injectFaults strikes the fleet at random for a time.
+func (f *fleet) injectFaults(d time.Duration) {
 	f.loss = []float64{0, 0, 0.03, 0.2}[f.random.Intn(4)]
 	end := f.now.Add(d)
 	var strike func()
@@ -210,7 +210,7 @@
 	}
 	f := newSimFleet(seed, 6, 2, 10, list)
 	f.start()
-	f.trouble(20 * time.Second)
+	f.injectFaults(20 * time.Second)
 	for i, c := range list {
 		zone := f.anyZone()
 		everywhere := i == 0 || f.random.Intn(2) == 0
--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -110,7 +110,7 @@
 			for i, rate := range []float64{0, 0.5, 2.7, 2.8, 10, 60} {
 				f.nameLimit(simServer{name: fmt.Sprint("i-", i), region: i % 3, rate: rate})
 			}
-			f.trouble(20 * time.Second)
+			f.injectFaults(20 * time.Second)
 			for _, s := range f.servers {
 				f.sendTo(s, max(2, 5*s.rate), 25*time.Second)
 			}
