--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -115,14 +115,14 @@
 		if f.now.After(end) {
 			return
 		}
-		f.strike()
+		f.injectFault()
 		f.after(time.Duration(300+f.random.Intn(2500))*time.Millisecond, strike)
 	}
 	f.after(time.Duration(f.random.Intn(1000))*time.Millisecond, strike)
 }
 
-// strike does one thing to the fleet.
-func (f *fleet) strike() {
+// injectFault does one thing to the fleet.
+func (f *fleet) injectFault() {
 	some := func(part float64) []*simBox {
 		var list []*simBox
 		for _, b := range f.boxes {
