--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -110,15 +110,15 @@
 func (f *fleet) injectFaults(d time.Duration) {
 	f.loss = []float64{0, 0, 0.03, 0.2}[f.random.Intn(4)]
 	end := f.now.Add(d)
-	var strike func()
-	strike = func() {
+	var next func()
+	next = func() {
 		if f.now.After(end) {
 			return
 		}
 		f.injectFault()
-		f.after(time.Duration(300+f.random.Intn(2500))*time.Millisecond, strike)
+		f.after(time.Duration(300+f.random.Intn(2500))*time.Millisecond, next)
 	}
-	f.after(time.Duration(f.random.Intn(1000))*time.Millisecond, strike)
+	f.after(time.Duration(f.random.Intn(1000))*time.Millisecond, next)
 }
 
 // injectFault does one thing to the fleet.
