--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -193,7 +193,7 @@
 	for seed := range 10 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			if who, part := playTrouble(int64(seed)); part > 1 {
+			if who, part := runWithFaults(int64(seed)); part > 1 {
 				t.Errorf("%s is over its limit: %.3f of the bound", who, part)
 			} else {
 				t.Logf("at most %.3f of the bound", part)
@@ -202,8 +202,8 @@
 	}
 }
 
-// playTrouble returns the customer that came nearest to its bound, as a part of it.
-func playTrouble(seed int64) (who string, part float64) {
+// runWithFaults returns the customer that came nearest to its bound, as a part of it.
+func runWithFaults(seed int64) (who string, part float64) {
 	list := []customer.Customer{
 		{Name: "large", Rate: 300, Burst: 300}, {Name: "usual", Rate: 40, Burst: 40}, {Name: "small", Rate: 5, Burst: 5},
 		{Name: "no-burst", Rate: 60}, {Name: "all-burst", Rate: 4, Burst: 100},
