--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -145,9 +145,9 @@
 		for _, b := range some(part / 2) {
 			if b.up && !b.frozen {
 				b.frozen = true
-				life := b.incarnation
+				incarnation := b.incarnation
 				f.after(time.Duration(200+f.random.Intn(3000))*time.Millisecond, func() {
-					if b.incarnation == life {
+					if b.incarnation == incarnation {
 						b.frozen = false
 					}
 				})
