--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -11,11 +11,11 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// world is three boxes of one zone, which can see each other or not, with the
+// zoneModel is three boxes of one zone, which can see each other or not, with the
 // messages that are on their way between them. A test plays steps on it and looks
 // after each whether a part of the limit is with two allocators at a time, or more
 // tokens are used than were made.
-type world struct {
+type zoneModel struct {
 	now   time.Time
 	boxes [3]*Limiter
 	// alone: the box sees no other one.
@@ -39,8 +39,8 @@
 	worldRate     = 40
 )
 
-func newWorld(endless bool) *world {
-	w := &world{now: simStart, endless: endless}
+func newWorld(endless bool) *zoneModel {
+	w := &zoneModel{now: simStart, endless: endless}
 	for i := range w.boxes {
 		w.begin(i)
 	}
@@ -53,7 +53,7 @@
 
 func worldBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
 
-func (w *world) begin(i int) {
+func (w *zoneModel) begin(i int) {
 	w.lives[i]++
 	l := &Limiter{
 		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Incarnation: w.lives[i],
@@ -64,9 +64,9 @@
 	w.boxes[i] = l
 }
 
-func (w *world) up(i int) bool { return w.boxes[i] != nil }
+func (w *zoneModel) up(i int) bool { return w.boxes[i] != nil }
 
-func (w *world) view(i int) View {
+func (w *zoneModel) view(i int) View {
 	v := View{Weight: 1.0 / 3}
 	for j := range w.boxes {
 		if j == i || !w.alone[i] && !w.alone[j] && w.up(j) {
@@ -77,7 +77,7 @@
 }
 
 // collect takes what a box has to send.
-func (w *world) collect(i int) {
+func (w *zoneModel) collect(i int) {
 	for _, e := range w.boxes[i].TakeMessages() {
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
@@ -87,7 +87,7 @@
 }
 
 // tick lets time pass, and each box do what is due.
-func (w *world) tick(d time.Duration) {
+func (w *zoneModel) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for i := range w.boxes {
 		if !w.up(i) && w.now.Sub(w.down[i]) >= minRestartTime {
@@ -100,14 +100,14 @@
 	}
 }
 
-func (w *world) deliver(m mail) {
+func (w *zoneModel) deliver(m mail) {
 	if w.up(m.to) {
 		w.boxes[m.to].Receive(&m.message, fmt.Sprint(m.from))
 		w.collect(m.to)
 	}
 }
 
-func (w *world) deliverAll() {
+func (w *zoneModel) deliverAll() {
 	for len(w.mail) > 0 {
 		m := w.mail[0]
 		w.mail = w.mail[1:]
@@ -115,7 +115,7 @@
 	}
 }
 
-func (w *world) kill(i int) {
+func (w *zoneModel) kill(i int) {
 	if !w.up(i) {
 		return
 	}
@@ -125,13 +125,13 @@
 	w.down[i] = w.now
 }
 
-func (w *world) madeBy(i int) float64 {
+func (w *zoneModel) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
 	return a.leases.weightSecondsOf(IDOf(worldCustomer)) * worldRate
 }
 
-func (w *world) usedBy(i int) float64 {
+func (w *zoneModel) usedBy(i int) float64 {
 	if a := w.boxes[i].accounts[IDOf(worldCustomer)]; a != nil {
 		return float64(a.ceiling)
 	}
@@ -141,42 +141,42 @@
 // steps are what may happen.
 var steps = []struct {
 	name string
-	run  func(w *world)
+	run  func(w *zoneModel)
 }{
-	{"request 0", func(w *world) { w.request(0) }},
-	{"request 1", func(w *world) { w.request(1) }},
-	{"request 2", func(w *world) { w.request(2) }},
-	{"tick", func(w *world) { w.tick(100 * time.Millisecond) }},
-	{"long tick", func(w *world) { w.tick(400 * time.Millisecond) }},
-	{"stand still", func(w *world) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
-	{"deliver all", func(w *world) { w.deliverAll() }},
-	{"deliver first", func(w *world) {
+	{"request 0", func(w *zoneModel) { w.request(0) }},
+	{"request 1", func(w *zoneModel) { w.request(1) }},
+	{"request 2", func(w *zoneModel) { w.request(2) }},
+	{"tick", func(w *zoneModel) { w.tick(100 * time.Millisecond) }},
+	{"long tick", func(w *zoneModel) { w.tick(400 * time.Millisecond) }},
+	{"stand still", func(w *zoneModel) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
+	{"deliver all", func(w *zoneModel) { w.deliverAll() }},
+	{"deliver first", func(w *zoneModel) {
 		if len(w.mail) > 0 {
 			m := w.mail[0]
 			w.mail = w.mail[1:]
 			w.deliver(m)
 		}
 	}},
-	{"deliver last", func(w *world) {
+	{"deliver last", func(w *zoneModel) {
 		if n := len(w.mail); n > 0 {
 			m := w.mail[n-1]
 			w.mail = w.mail[:n-1]
 			w.deliver(m)
 		}
 	}},
-	{"deliver twice", func(w *world) {
+	{"deliver twice", func(w *zoneModel) {
 		if len(w.mail) > 0 {
 			w.deliver(w.mail[0])
 		}
 	}},
-	{"lose all", func(w *world) { w.mail = nil }},
-	{"kill 0", func(w *world) { w.kill(0) }},
-	{"kill 1", func(w *world) { w.kill(1) }},
-	{"0 alone", func(w *world) { w.alone[0] = !w.alone[0] }},
-	{"1 alone", func(w *world) { w.alone[1] = !w.alone[1] }},
+	{"lose all", func(w *zoneModel) { w.mail = nil }},
+	{"kill 0", func(w *zoneModel) { w.kill(0) }},
+	{"kill 1", func(w *zoneModel) { w.kill(1) }},
+	{"0 alone", func(w *zoneModel) { w.alone[0] = !w.alone[0] }},
+	{"1 alone", func(w *zoneModel) { w.alone[1] = !w.alone[1] }},
 }
 
-func (w *world) request(i int) {
+func (w *zoneModel) request(i int) {
 	if w.up(i) {
 		w.boxes[i].Arrive(IDOf(worldCustomer))
 		w.collect(i)
@@ -184,7 +184,7 @@
 }
 
 // problem says what is wrong, or nothing.
-func (w *world) problem() string {
+func (w *zoneModel) problem() string {
 	id := IDOf(worldCustomer)
 	for lender := range w.boxes {
 		var with []string
@@ -259,7 +259,7 @@
 }
 
 // keepLends lets nothing end where the world is one without ends.
-func (w *world) keepLends() {
+func (w *zoneModel) keepLends() {
 	for _, l := range w.boxes {
 		if l == nil || !w.endless {
 			continue
