--- a/pkg/quota/message_test.go
+++ b/pkg/quota/message_test.go
@@ -59,7 +59,7 @@
 		if got := Encode(m); string(got) != string(datagram) && m.Grant == nil {
 			t.Fatalf("%x came back as %x", datagram, got)
 		}
-		w := newWorld(false)
+		w := newZoneModel(false)
 		w.boxes[0].Receive(m, "9")
 		if w.problem() != "" {
 			t.Fatal(w.problem())
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -39,7 +39,7 @@
 	worldRate     = 40
 )
 
-func newWorld(endless bool) *zoneModel {
+func newZoneModel(endless bool) *zoneModel {
 	w := &zoneModel{now: simStart, endless: endless}
 	for i := range w.boxes {
 		w.begin(i)
@@ -222,7 +222,7 @@
 	plays := 0
 	var play func(path []int)
 	play = func(path []int) {
-		w := newWorld(false)
+		w := newZoneModel(false)
 		for _, s := range path {
 			steps[s].run(w)
 		}
@@ -272,7 +272,7 @@
 
 func draw(seed int64, length int, endless bool) (path []int, problem string) {
 	random := rand.New(rand.NewSource(seed))
-	w := newWorld(endless)
+	w := newZoneModel(endless)
 	for range length {
 		s := random.Intn(len(steps))
 		path = append(path, s)
