--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -35,7 +35,7 @@
 }
 
 const (
-	worldCustomer = "studio"
+	modelCustomer = "studio"
 	worldRate     = 40
 )
 
@@ -60,7 +60,7 @@
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
-	l.SetCustomers([]customer.Customer{{Name: worldCustomer, Rate: worldRate, Burst: worldRate}})
+	l.SetCustomers([]customer.Customer{{Name: modelCustomer, Rate: worldRate, Burst: worldRate}})
 	w.boxes[i] = l
 }
 
@@ -128,11 +128,11 @@
 func (w *zoneModel) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
-	return a.leases.weightSecondsOf(IDOf(worldCustomer)) * worldRate
+	return a.leases.weightSecondsOf(IDOf(modelCustomer)) * worldRate
 }
 
 func (w *zoneModel) usedBy(i int) float64 {
-	if a := w.boxes[i].accounts[IDOf(worldCustomer)]; a != nil {
+	if a := w.boxes[i].accounts[IDOf(modelCustomer)]; a != nil {
 		return float64(a.ceiling)
 	}
 	return 0
@@ -178,14 +178,14 @@
 
 func (w *zoneModel) request(i int) {
 	if w.up(i) {
-		w.boxes[i].Arrive(IDOf(worldCustomer))
+		w.boxes[i].Arrive(IDOf(modelCustomer))
 		w.collect(i)
 	}
 }
 
 // problem says what is wrong, or nothing.
 func (w *zoneModel) problem() string {
-	id := IDOf(worldCustomer)
+	id := IDOf(modelCustomer)
 	for lender := range w.boxes {
 		var with []string
 		for i, l := range w.boxes {
