--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -36,7 +36,7 @@
 
 const (
 	modelCustomer = "studio"
-	worldRate     = 40
+	modelRate     = 40
 )
 
 func newZoneModel(endless bool) *zoneModel {
@@ -60,7 +60,7 @@
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
-	l.SetCustomers([]customer.Customer{{Name: modelCustomer, Rate: worldRate, Burst: worldRate}})
+	l.SetCustomers([]customer.Customer{{Name: modelCustomer, Rate: modelRate, Burst: modelRate}})
 	w.boxes[i] = l
 }
 
@@ -128,7 +128,7 @@
 func (w *zoneModel) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
-	return a.leases.weightSecondsOf(IDOf(modelCustomer)) * worldRate
+	return a.leases.weightSecondsOf(IDOf(modelCustomer)) * modelRate
 }
 
 func (w *zoneModel) usedBy(i int) float64 {
