--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -51,12 +51,12 @@
 	return w
 }
 
-func worldBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
+func modelBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
 
 func (w *zoneModel) begin(i int) {
 	w.lives[i]++
 	l := &Limiter{
-		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Incarnation: w.lives[i],
+		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.lives[i],
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
@@ -70,7 +70,7 @@
 	v := View{Weight: 1.0 / 3}
 	for j := range w.boxes {
 		if j == i || !w.alone[i] && !w.alone[j] && w.up(j) {
-			v.First = append(v.First, worldBox(j))
+			v.First = append(v.First, modelBox(j))
 		}
 	}
 	return v
@@ -81,7 +81,7 @@
 	for _, e := range w.boxes[i].TakeMessages() {
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
-		m.From = worldBox(i).Key
+		m.From = modelBox(i).Key
 		w.mail = append(w.mail, mail{from: i, to: to, message: m})
 	}
 }
@@ -192,7 +192,7 @@
 			if l == nil {
 				continue
 			}
-			b := l.allocator.leases.boxes[worldBox(lender).Key]
+			b := l.allocator.leases.boxes[modelBox(lender).Key]
 			if b == nil || b.weight == 0 || !w.now.Before(b.until) || owner(id, b.set.allocators) != l.Self.Key {
 				continue
 			}
