--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -22,14 +22,14 @@
 	alone [3]bool
 	down  [3]time.Time
 	lives [3]int64
-	mail  []mail
+	mail  []queuedMessage
 	// made and used are the tokens of lives that have ended.
 	made, used float64
 	// endless: what was lent does not end by itself.
 	endless bool
 }
 
-type mail struct {
+type queuedMessage struct {
 	from, to int
 	message  Message
 }
@@ -82,7 +82,7 @@
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
 		m.From = modelBox(i).Key
-		w.mail = append(w.mail, mail{from: i, to: to, message: m})
+		w.mail = append(w.mail, queuedMessage{from: i, to: to, message: m})
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-func (w *zoneModel) deliver(m mail) {
+func (w *zoneModel) deliver(m queuedMessage) {
 	if w.up(m.to) {
 		w.boxes[m.to].Receive(&m.message, fmt.Sprint(m.from))
 		w.collect(m.to)
