--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -22,7 +22,7 @@
 	alone [3]bool
 	down  [3]time.Time
 	lives [3]int64
-	mail  []queuedMessage
+	queue []queuedMessage
 	// made and used are the tokens of lives that have ended.
 	made, used float64
 	// endless: what was lent does not end by itself.
@@ -82,7 +82,7 @@
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
 		m.From = modelBox(i).Key
-		w.mail = append(w.mail, queuedMessage{from: i, to: to, message: m})
+		w.queue = append(w.queue, queuedMessage{from: i, to: to, message: m})
 	}
 }
 
@@ -108,9 +108,9 @@
 }
 
 func (w *zoneModel) deliverAll() {
-	for len(w.mail) > 0 {
-		m := w.mail[0]
-		w.mail = w.mail[1:]
+	for len(w.queue) > 0 {
+		m := w.queue[0]
+		w.queue = w.queue[1:]
 		w.deliver(m)
 	}
 }
@@ -151,25 +151,25 @@
 	{"stand still", func(w *zoneModel) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
 	{"deliver all", func(w *zoneModel) { w.deliverAll() }},
 	{"deliver first", func(w *zoneModel) {
-		if len(w.mail) > 0 {
-			m := w.mail[0]
-			w.mail = w.mail[1:]
+		if len(w.queue) > 0 {
+			m := w.queue[0]
+			w.queue = w.queue[1:]
 			w.deliver(m)
 		}
 	}},
 	{"deliver last", func(w *zoneModel) {
-		if n := len(w.mail); n > 0 {
-			m := w.mail[n-1]
-			w.mail = w.mail[:n-1]
+		if n := len(w.queue); n > 0 {
+			m := w.queue[n-1]
+			w.queue = w.queue[:n-1]
 			w.deliver(m)
 		}
 	}},
 	{"deliver twice", func(w *zoneModel) {
-		if len(w.mail) > 0 {
-			w.deliver(w.mail[0])
+		if len(w.queue) > 0 {
+			w.deliver(w.queue[0])
 		}
 	}},
-	{"lose all", func(w *zoneModel) { w.mail = nil }},
+	{"lose all", func(w *zoneModel) { w.queue = nil }},
 	{"kill 0", func(w *zoneModel) { w.kill(0) }},
 	{"kill 1", func(w *zoneModel) { w.kill(1) }},
 	{"0 alone", func(w *zoneModel) { w.alone[0] = !w.alone[0] }},
