--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -19,10 +19,10 @@
 	now   time.Time
 	boxes [3]*Limiter
 	// alone: the box sees no other one.
-	alone [3]bool
-	down  [3]time.Time
-	lives [3]int64
-	queue []queuedMessage
+	alone        [3]bool
+	down         [3]time.Time
+	incarnations [3]int64
+	queue        []queuedMessage
 	// made and used are the tokens of lives that have ended.
 	made, used float64
 	// endless: what was lent does not end by itself.
@@ -54,9 +54,9 @@
 func modelBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
 
 func (w *zoneModel) begin(i int) {
-	w.lives[i]++
+	w.incarnations[i]++
 	l := &Limiter{
-		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.lives[i],
+		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.incarnations[i],
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
