--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -42,7 +42,7 @@
 func newZoneModel(endless bool) *zoneModel {
 	w := &zoneModel{now: simStart, endless: endless}
 	for i := range w.boxes {
-		w.begin(i)
+		w.start(i)
 	}
 	for range 12 {
 		w.tick(100 * time.Millisecond)
@@ -53,7 +53,7 @@
 
 func modelBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
 
-func (w *zoneModel) begin(i int) {
+func (w *zoneModel) start(i int) {
 	w.incarnations[i]++
 	l := &Limiter{
 		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.incarnations[i],
@@ -91,7 +91,7 @@
 	w.now = w.now.Add(d)
 	for i := range w.boxes {
 		if !w.up(i) && w.now.Sub(w.down[i]) >= minRestartTime {
-			w.begin(i)
+			w.start(i)
 		}
 		if w.up(i) {
 			w.boxes[i].Tick(w.view(i))
