--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -25,8 +25,8 @@
 	queue        []queuedMessage
 	// made and used are the tokens of lives that have ended.
 	made, used float64
-	// endless: what was lent does not end by itself.
-	endless bool
+	// noExpiry: what was lent does not end by itself.
+	noExpiry bool
 }
 
 type queuedMessage struct {
@@ -40,7 +40,7 @@
 )
 
 func newZoneModel(endless bool) *zoneModel {
-	w := &zoneModel{now: simStart, endless: endless}
+	w := &zoneModel{now: simStart, noExpiry: endless}
 	for i := range w.boxes {
 		w.start(i)
 	}
@@ -261,7 +261,7 @@
 // keepLends lets nothing end where the world is one without ends.
 func (w *zoneModel) keepLends() {
 	for _, l := range w.boxes {
-		if l == nil || !w.endless {
+		if l == nil || !w.noExpiry {
 			continue
 		}
 		for _, b := range l.allocator.leases.boxes {
