--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -39,8 +39,8 @@
 	modelRate     = 40
 )
 
-func newZoneModel(endless bool) *zoneModel {
-	w := &zoneModel{now: simStart, noExpiry: endless}
+func newZoneModel(noExpiry bool) *zoneModel {
+	w := &zoneModel{now: simStart, noExpiry: noExpiry}
 	for i := range w.boxes {
 		w.start(i)
 	}
