--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -270,9 +270,9 @@
 	}
 }
 
-func draw(seed int64, length int, endless bool) (path []int, problem string) {
+func draw(seed int64, length int, noExpiry bool) (path []int, problem string) {
 	random := rand.New(rand.NewSource(seed))
-	w := newZoneModel(endless)
+	w := newZoneModel(noExpiry)
 	for range length {
 		s := random.Intn(len(steps))
 		path = append(path, s)
