--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -258,8 +258,8 @@
 	t.Fatal("the check finds nothing where nothing ends")
 }
 
-// keepLends lets nothing end where the world is one without ends.
-func (w *zoneModel) keepLends() {
+// extendLeases lets nothing end where the world is one without ends.
+func (w *zoneModel) extendLeases() {
 	for _, l := range w.boxes {
 		if l == nil || !w.noExpiry {
 			continue
@@ -277,7 +277,7 @@
 		s := random.Intn(len(steps))
 		path = append(path, s)
 		steps[s].run(w)
-		w.keepLends()
+		w.extendLeases()
 		if p := w.problem(); p != "" {
 			return path, p
 		}
