--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -187,7 +187,7 @@
 func (w *zoneModel) problem() string {
 	id := IDOf(modelCustomer)
 	for lender := range w.boxes {
-		var with []string
+		var holders []string
 		for i, l := range w.boxes {
 			if l == nil {
 				continue
@@ -196,10 +196,10 @@
 			if b == nil || b.weight == 0 || !w.now.Before(b.until) || owner(id, b.set.allocators) != l.Self.Key {
 				continue
 			}
-			with = append(with, fmt.Sprint(i))
+			holders = append(holders, fmt.Sprint(i))
 		}
-		if len(with) > 1 {
-			return fmt.Sprintf("the part of box %d is with the allocators %s", lender, strings.Join(with, ", "))
+		if len(holders) > 1 {
+			return fmt.Sprintf("the part of box %d is with the allocators %s", lender, strings.Join(holders, ", "))
 		}
 	}
 	made, used := w.made, w.used
