--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -239,7 +239,7 @@
 	}
 	play(nil)
 	for seed := range 1500 {
-		if path, p := draw(int64(seed), 60, false); p != "" {
+		if path, p := playRandom(int64(seed), 60, false); p != "" {
 			t.Fatalf("seed %d, after %s: %s", seed, pathNames(path), p)
 		}
 	}
@@ -250,7 +250,7 @@
 // check above would find a part with two allocators.
 func TestWithoutEndAPartIsLentTwice(t *testing.T) {
 	for seed := range 200 {
-		if _, p := draw(int64(seed), 60, true); strings.Contains(p, "is with the allocators") {
+		if _, p := playRandom(int64(seed), 60, true); strings.Contains(p, "is with the allocators") {
 			t.Log(p)
 			return
 		}
@@ -270,7 +270,7 @@
 	}
 }
 
-func draw(seed int64, length int, noExpiry bool) (path []int, problem string) {
+func playRandom(seed int64, length int, noExpiry bool) (path []int, problem string) {
 	random := rand.New(rand.NewSource(seed))
 	w := newZoneModel(noExpiry)
 	for range length {
