--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -246,9 +246,9 @@
 	t.Logf("%d sequences of up to %d steps, and 1500 of 60", plays, depth)
 }
 
-// TestWithoutEndAPartIsLentTwice is the control: if what was lent did not end, the
+// TestWithoutExpiryAPartIsLentTwice is the control: if what was lent did not end, the
 // check above would find a part with two allocators.
-func TestWithoutEndAPartIsLentTwice(t *testing.T) {
+func TestWithoutExpiryAPartIsLentTwice(t *testing.T) {
 	for seed := range 200 {
 		if _, p := playRandom(int64(seed), 60, true); strings.Contains(p, "is with the allocators") {
 			t.Log(p)
