--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -11,8 +11,8 @@
 // that serve clients, and parts that follow the demand that boxes tell each other (as
 // in Raghavan and others, Cloud Control with Distributed Rate Limiting, SIGCOMM 2007).
 
-// partLimiter is a bucket of a box's own for each customer.
-type partLimiter struct {
+// shareLimiter is a bucket of a box's own for each customer.
+type shareLimiter struct {
 	box     *simBox
 	buckets map[ID]*partBucket
 	// part returns the box's part of the customer's limit.
@@ -26,13 +26,13 @@
 	arrived rate
 }
 
-func (l *partLimiter) SetCustomers(list []customer.Customer) {
+func (l *shareLimiter) SetCustomers(list []customer.Customer) {
 	for _, c := range list {
 		l.buckets[IDOf(c.Name)] = &partBucket{limit: Limit{Rate: c.Rate, Burst: c.Burst}, at: l.box.f.now, arrived: newRate(demandSpan, l.box.f.now)}
 	}
 }
 
-func (l *partLimiter) Arrive(id ID) Decision {
+func (l *shareLimiter) Arrive(id ID) Decision {
 	b, now := l.buckets[id], l.box.f.now
 	b.arrived.add(1, now)
 	part := l.part(l.box, id)
@@ -45,10 +45,10 @@
 	return Decision{Verdict: Admitted}
 }
 
-func (l *partLimiter) Recheck(ID, bool) Decision { return Decision{Verdict: Refused} }
-func (l *partLimiter) Tick(View)                 {}
-func (l *partLimiter) TakeMessages() []Envelope  { return nil }
-func (l *partLimiter) Receive(*Message, string)  {}
+func (l *shareLimiter) Recheck(ID, bool) Decision { return Decision{Verdict: Refused} }
+func (l *shareLimiter) Tick(View)                 {}
+func (l *shareLimiter) TakeMessages() []Envelope  { return nil }
+func (l *shareLimiter) Receive(*Message, string)  {}
 
 // equalPart is one of as many as there are large boxes, which serve clients.
 func equalPart(b *simBox, _ ID) float64 {
@@ -64,11 +64,11 @@
 // demandPart follows the demand of the boxes that this one reaches. What they tell is
 // as new as if it took no time.
 func demandPart(b *simBox, id ID) float64 {
-	own := b.limiter.(*partLimiter).buckets[id].arrived.now(b.f.now)
+	own := b.limiter.(*shareLimiter).buckets[id].arrived.now(b.f.now)
 	sum, n := 0.0, 0.0
 	for _, o := range b.f.boxes {
 		if o.capacity > 1000 && o.up && (o == b || !b.f.cut(b, o)) {
-			sum += o.limiter.(*partLimiter).buckets[id].arrived.now(b.f.now)
+			sum += o.limiter.(*shareLimiter).buckets[id].arrived.now(b.f.now)
 			n++
 		}
 	}
@@ -86,7 +86,7 @@
 	f := newSimFleet(1, 6, 2, 10, list)
 	if part != nil {
 		f.limiter = func(b *simBox) simLimiter {
-			return &partLimiter{box: b, buckets: map[ID]*partBucket{}, part: part}
+			return &shareLimiter{box: b, buckets: map[ID]*partBucket{}, part: part}
 		}
 	}
 	f.start()
