--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -14,12 +14,12 @@
 // shareLimiter is a bucket of a box's own for each customer.
 type shareLimiter struct {
 	box     *simBox
-	buckets map[ID]*partBucket
+	buckets map[ID]*shareBucket
 	// part returns the box's part of the customer's limit.
 	part func(b *simBox, id ID) float64
 }
 
-type partBucket struct {
+type shareBucket struct {
 	limit   Limit
 	tokens  float64
 	at      time.Time
@@ -28,7 +28,7 @@
 
 func (l *shareLimiter) SetCustomers(list []customer.Customer) {
 	for _, c := range list {
-		l.buckets[IDOf(c.Name)] = &partBucket{limit: Limit{Rate: c.Rate, Burst: c.Burst}, at: l.box.f.now, arrived: newRate(demandSpan, l.box.f.now)}
+		l.buckets[IDOf(c.Name)] = &shareBucket{limit: Limit{Rate: c.Rate, Burst: c.Burst}, at: l.box.f.now, arrived: newRate(demandSpan, l.box.f.now)}
 	}
 }
 
@@ -86,7 +86,7 @@
 	f := newSimFleet(1, 6, 2, 10, list)
 	if part != nil {
 		f.limiter = func(b *simBox) simLimiter {
-			return &shareLimiter{box: b, buckets: map[ID]*partBucket{}, part: part}
+			return &shareLimiter{box: b, buckets: map[ID]*shareBucket{}, part: part}
 		}
 	}
 	f.start()
