--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -50,8 +50,8 @@
 func (l *shareLimiter) TakeMessages() []Envelope  { return nil }
 func (l *shareLimiter) Receive(*Message, string)  {}
 
-// equalPart is one of as many as there are large boxes, which serve clients.
-func equalPart(b *simBox, _ ID) float64 {
+// equalShare is one of as many as there are large boxes, which serve clients.
+func equalShare(b *simBox, _ ID) float64 {
 	n := 0.0
 	for _, o := range b.f.boxes {
 		if o.capacity > 1000 {
@@ -80,7 +80,7 @@
 var ways = []struct {
 	name string
 	part func(b *simBox, id ID) float64
-}{{"equal parts", equalPart}, {"parts by demand", demandPart}, {"this package", nil}}
+}{{"equal parts", equalShare}, {"parts by demand", demandPart}, {"this package", nil}}
 
 func newWayFleet(part func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
 	f := newSimFleet(1, 6, 2, 10, list)
