--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -61,9 +61,9 @@
 	return 1 / n
 }
 
-// demandPart follows the demand of the boxes that this one reaches. What they tell is
+// demandShare follows the demand of the boxes that this one reaches. What they tell is
 // as new as if it took no time.
-func demandPart(b *simBox, id ID) float64 {
+func demandShare(b *simBox, id ID) float64 {
 	own := b.limiter.(*shareLimiter).buckets[id].arrived.now(b.f.now)
 	sum, n := 0.0, 0.0
 	for _, o := range b.f.boxes {
@@ -80,7 +80,7 @@
 var ways = []struct {
 	name string
 	part func(b *simBox, id ID) float64
-}{{"equal parts", equalShare}, {"parts by demand", demandPart}, {"this package", nil}}
+}{{"equal parts", equalShare}, {"parts by demand", demandShare}, {"this package", nil}}
 
 func newWayFleet(part func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
 	f := newSimFleet(1, 6, 2, 10, list)
