--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -35,8 +35,8 @@
 func (l *shareLimiter) Arrive(id ID) Decision {
 	b, now := l.buckets[id], l.box.f.now
 	b.arrived.add(1, now)
-	part := l.part(l.box, id)
-	b.tokens = min(b.tokens+now.Sub(b.at).Seconds()*part*b.limit.Rate, max(1, part*b.limit.Burst))
+	share := l.part(l.box, id)
+	b.tokens = min(b.tokens+now.Sub(b.at).Seconds()*share*b.limit.Rate, max(1, share*b.limit.Burst))
 	b.at = now
 	if b.tokens < 1 {
 		return Decision{Verdict: Refused}
