--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -15,8 +15,8 @@
 type shareLimiter struct {
 	box     *simBox
 	buckets map[ID]*shareBucket
-	// part returns the box's part of the customer's limit.
-	part func(b *simBox, id ID) float64
+	// share returns the box's share of the customer's limit.
+	share func(b *simBox, id ID) float64
 }
 
 type shareBucket struct {
@@ -35,7 +35,7 @@
 func (l *shareLimiter) Arrive(id ID) Decision {
 	b, now := l.buckets[id], l.box.f.now
 	b.arrived.add(1, now)
-	share := l.part(l.box, id)
+	share := l.share(l.box, id)
 	b.tokens = min(b.tokens+now.Sub(b.at).Seconds()*share*b.limit.Rate, max(1, share*b.limit.Burst))
 	b.at = now
 	if b.tokens < 1 {
@@ -86,7 +86,7 @@
 	f := newSimFleet(1, 6, 2, 10, list)
 	if part != nil {
 		f.limiter = func(b *simBox) simLimiter {
-			return &shareLimiter{box: b, buckets: map[ID]*shareBucket{}, part: part}
+			return &shareLimiter{box: b, buckets: map[ID]*shareBucket{}, share: part}
 		}
 	}
 	f.start()
