--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -82,11 +82,11 @@
 	part func(b *simBox, id ID) float64
 }{{"equal parts", equalShare}, {"parts by demand", demandShare}, {"this package", nil}}
 
-func newWayFleet(part func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
+func newWayFleet(share func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
 	f := newSimFleet(1, 6, 2, 10, list)
-	if part != nil {
+	if share != nil {
 		f.limiter = func(b *simBox) simLimiter {
-			return &shareLimiter{box: b, buckets: map[ID]*shareBucket{}, share: part}
+			return &shareLimiter{box: b, buckets: map[ID]*shareBucket{}, share: share}
 		}
 	}
 	f.start()
