--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -78,8 +78,8 @@
 
 // ways are all that are compared.
 var ways = []struct {
-	name string
-	part func(b *simBox, id ID) float64
+	name  string
+	share func(b *simBox, id ID) float64
 }{{"equal parts", equalShare}, {"parts by demand", demandShare}, {"this package", nil}}
 
 func newWayFleet(share func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
@@ -101,19 +101,19 @@
 		list, usual := customersOf(40, 800)
 		var falseRefusals [3]float64
 		for i, p := range clientPlacements[:3] {
-			f := newWayFleet(w.part, list)
+			f := newWayFleet(w.share, list)
 			f.sendUsual(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 			falseRefusals[i], _ = f.falseRefusals()
 		}
 		hot := []customer.Customer{{Name: "hot", Rate: 60, Burst: 60}}
-		f := newWayFleet(w.part, hot)
+		f := newWayFleet(w.share, hot)
 		f.cut = func(a, b *simBox) bool { return a.region != b.region }
 		f.load("hot", func(time.Duration) float64 { return 600 }, func(time.Duration) *simBox { return f.pickBox(f.anyZone()) }, 12*time.Second)
 		f.run(13 * time.Second)
 		_, part := f.worst()
 		t.Logf("%s: falsely refused %.2f%% everywhere, %.2f%% each in one zone, %.2f%% moving; regions cut off from each other: %.2f of the bound",
 			w.name, 100*falseRefusals[0], 100*falseRefusals[1], 100*falseRefusals[2], part)
-		ours := w.part == nil
+		ours := w.share == nil
 		if good := falseRefusals[1] <= 0.01 && falseRefusals[2] <= 0.01 && part <= 1; good != ours {
 			t.Errorf("%s: %v, %.2f", w.name, falseRefusals, part)
 		}
