--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -82,7 +82,7 @@
 	share func(b *simBox, id ID) float64
 }{{"equal parts", equalShare}, {"parts by demand", demandShare}, {"this package", nil}}
 
-func newWayFleet(share func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
+func newAlgorithmFleet(share func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
 	f := newSimFleet(1, 6, 2, 10, list)
 	if share != nil {
 		f.limiter = func(b *simBox) simLimiter {
@@ -101,12 +101,12 @@
 		list, usual := customersOf(40, 800)
 		var falseRefusals [3]float64
 		for i, p := range clientPlacements[:3] {
-			f := newWayFleet(w.share, list)
+			f := newAlgorithmFleet(w.share, list)
 			f.sendUsual(usual, 15*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 			falseRefusals[i], _ = f.falseRefusals()
 		}
 		hot := []customer.Customer{{Name: "hot", Rate: 60, Burst: 60}}
-		f := newWayFleet(w.share, hot)
+		f := newAlgorithmFleet(w.share, hot)
 		f.cut = func(a, b *simBox) bool { return a.region != b.region }
 		f.load("hot", func(time.Duration) float64 { return 600 }, func(time.Duration) *simBox { return f.pickBox(f.anyZone()) }, 12*time.Second)
 		f.run(13 * time.Second)
