--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -76,8 +76,8 @@
 	return (own + floor) / (sum + n*floor)
 }
 
-// ways are all that are compared.
-var ways = []struct {
+// algorithms are all that are compared.
+var algorithms = []struct {
 	name  string
 	share func(b *simBox, id ID) float64
 }{{"equal parts", equalShare}, {"parts by demand", demandShare}, {"this package", nil}}
@@ -97,7 +97,7 @@
 // limit; where the fleet is cut in three, parts by demand let three times the limit
 // pass. This package's way does neither.
 func TestWaysCompared(t *testing.T) {
-	for _, w := range ways {
+	for _, w := range algorithms {
 		list, usual := customersOf(40, 800)
 		var falseRefusals [3]float64
 		for i, p := range clientPlacements[:3] {
