--- a/pkg/quota/message_test.go
+++ b/pkg/quota/message_test.go
@@ -18,7 +18,7 @@
 	{From: 7, Loan: &Loan{Number: 4, Tokens: []Tokens{{ID: 3, Count: 6, Left: 65535}}}},
 }
 
-func TestMessagesComeAsTheyWereSent(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for i := range messages {
 		got, err := Decode(Encode(&messages[i]))
