--- a/pkg/quota/bench_test.go
+++ b/pkg/quota/bench_test.go
@@ -15,7 +15,7 @@
 		now := simStart
 		self := Box{Key: KeyOf("box"), Address: "box"}
 		l := &Limiter{
-			Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: self, Incarnation: 1,
+			Tolerance: simTolerance, Zone: "a", Zones: []string{"a"}, Self: self, Incarnation: 1,
 			Now: func() time.Time { return now }, Random: func() float64 { return 0.5 },
 		}
 		l.Start()
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -105,13 +105,13 @@
 
 var simStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-var simTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+var simTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 // newSimFleet makes a fleet of large and small boxes in each of the zones, two zones a
 // region.
 func newSimFleet(seed int64, zones, large, small int, list []customer.Customer) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewSource(seed)), now: simStart, terms: simTerms, list: list,
+		random: rand.New(rand.NewSource(seed)), now: simStart, terms: simTolerance, list: list,
 		cut: func(*simBox, *simBox) bool { return false }, customers: map[string]*simCustomer{},
 		bytes: map[string]int{}, byName: map[string]*simBox{}, messages: map[string]int{},
 	}
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -56,7 +56,7 @@
 func (w *zoneModel) start(i int) {
 	w.incarnations[i]++
 	l := &Limiter{
-		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.incarnations[i],
+		Tolerance: simTolerance, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.incarnations[i],
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
