--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -136,7 +136,7 @@
 	}
 	f.limiter = func(b *simBox) simLimiter {
 		l := &Limiter{
-			Tolerance: f.terms, ServerTolerance: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.incarnation,
+			Tolerance: f.terms, ServerTolerance: simServerTolerance, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.incarnation,
 			Now: func() time.Time { return f.now }, Random: f.random.Float64,
 		}
 		l.Start()
--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// simServerTerms are what is promised of the limits that backend servers name.
-var simServerTerms = Tolerance{Window: 4 * time.Second, Overage: 0.5, Slack: 5}
+// simServerTolerance are what is promised of the limits that backend servers name.
+var simServerTolerance = Tolerance{Window: 4 * time.Second, Overage: 0.5, Slack: 5}
 
 // simServer is a backend server of the model that names a limit.
 type simServer struct {
@@ -82,7 +82,7 @@
 				f.sendTo(s, max(1, 4*limit), 20*time.Second)
 				f.run(20 * time.Second)
 				c := f.customers[s.name]
-				most, allowed := c.most(simServerTerms)
+				most, allowed := c.most(simServerTolerance)
 				got := float64(len(c.admitted)) / 20
 				t.Logf("%.2f a second, at most %d in a window, %.0f allowed, waited %v", got, most, allowed, (c.waited / time.Duration(max(1, len(c.admitted)))).Round(time.Microsecond))
 				if float64(most) > allowed {
@@ -117,7 +117,7 @@
 			f.run(25 * time.Second)
 			for _, s := range f.servers {
 				c := f.customers[s.name]
-				most, allowed := c.most(simServerTerms)
+				most, allowed := c.most(simServerTolerance)
 				if float64(most) > allowed {
 					t.Errorf("%s, %g a second: %d in a window, %.0f allowed", s.name, s.rate, most, allowed)
 				}
--- a/pkg/quota/small_test.go
+++ b/pkg/quota/small_test.go
@@ -16,7 +16,7 @@
 func TestZonesWithoutAPartBorrow(t *testing.T) {
 	list := []customer.Customer{{Name: "small", Rate: 3}}
 	f := newSimFleet(1, 6, 2, 2, list)
-	f.terms = simServerTerms
+	f.terms = simServerTolerance
 	f.start()
 	for _, zone := range f.zones {
 		before := len(f.customers["small"].admitted)
