--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -14,15 +14,15 @@
 // fleet is a model of boxes with a network between them, in simulated time. Messages
 // are encoded and decoded as on the wire.
 type fleet struct {
-	random *rand.Rand
-	now    time.Time
-	events eventHeap
-	order  int
-	terms  Tolerance
-	zones  []string
-	boxes  []*simBox
-	byName map[string]*simBox
-	list   []customer.Customer
+	random    *rand.Rand
+	now       time.Time
+	events    eventHeap
+	order     int
+	tolerance Tolerance
+	zones     []string
+	boxes     []*simBox
+	byName    map[string]*simBox
+	list      []customer.Customer
 	// loss is the part of messages that are lost, and cut reports whether two boxes
 	// cannot reach each other.
 	loss float64
@@ -111,7 +111,7 @@
 // region.
 func newSimFleet(seed int64, zones, large, small int, list []customer.Customer) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewSource(seed)), now: simStart, terms: simTolerance, list: list,
+		random: rand.New(rand.NewSource(seed)), now: simStart, tolerance: simTolerance, list: list,
 		cut: func(*simBox, *simBox) bool { return false }, customers: map[string]*simCustomer{},
 		bytes: map[string]int{}, byName: map[string]*simBox{}, messages: map[string]int{},
 	}
@@ -136,7 +136,7 @@
 	}
 	f.limiter = func(b *simBox) simLimiter {
 		l := &Limiter{
-			Tolerance: f.terms, ServerTolerance: simServerTolerance, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.incarnation,
+			Tolerance: f.tolerance, ServerTolerance: simServerTolerance, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.incarnation,
 			Now: func() time.Time { return f.now }, Random: f.random.Float64,
 		}
 		l.Start()
@@ -365,7 +365,7 @@
 // worst returns the customer that comes nearest to its bound, as a part of it.
 func (f *fleet) worst() (name string, part float64) {
 	for n, c := range f.customers {
-		if most, allowed := c.most(f.terms); float64(most)/allowed > part {
+		if most, allowed := c.most(f.tolerance); float64(most)/allowed > part {
 			name, part = n, float64(most)/allowed
 		}
 	}
--- a/pkg/quota/small_test.go
+++ b/pkg/quota/small_test.go
@@ -16,7 +16,7 @@
 func TestZonesWithoutAPartBorrow(t *testing.T) {
 	list := []customer.Customer{{Name: "small", Rate: 3}}
 	f := newSimFleet(1, 6, 2, 2, list)
-	f.terms = simServerTolerance
+	f.tolerance = simServerTolerance
 	f.start()
 	for _, zone := range f.zones {
 		before := len(f.customers["small"].admitted)
@@ -29,7 +29,7 @@
 			t.Errorf("%s: %d of %d admitted at two thirds of the limit", zone, admitted, sent)
 		}
 	}
-	if most, allowed := f.customers["small"].most(f.terms); float64(most) > allowed {
+	if most, allowed := f.customers["small"].most(f.tolerance); float64(most) > allowed {
 		t.Errorf("%d requests in a window, %.0f allowed", most, allowed)
 	}
 }
