--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -19,8 +19,8 @@
 // simLimitDelay is within what time of its start a box hears of limits from others.
 const simLimitDelay = 600 * time.Millisecond
 
-// nameLimit has a server name a limit, of which all boxes hear.
-func (f *fleet) nameLimit(s simServer) {
+// declareLimit has a server name a limit, of which all boxes hear.
+func (f *fleet) declareLimit(s simServer) {
 	f.servers = append(f.servers, s)
 	f.customers[s.name] = &simCustomer{id: ServerIDOf(s.name), limit: Limit{Rate: s.rate}, bucketAt: f.now}
 	for _, b := range f.boxes {
@@ -77,7 +77,7 @@
 				f := newSimFleet(1, size.zones, size.large, size.small, nil)
 				f.start()
 				s := simServer{name: "i-1", rate: limit}
-				f.nameLimit(s)
+				f.declareLimit(s)
 				f.run(time.Second)
 				f.sendTo(s, max(1, 4*limit), 20*time.Second)
 				f.run(20 * time.Second)
@@ -108,7 +108,7 @@
 			f := newSimFleet(int64(seed), 6, 2, 10, nil)
 			f.start()
 			for i, rate := range []float64{0, 0.5, 2.7, 2.8, 10, 60} {
-				f.nameLimit(simServer{name: fmt.Sprint("i-", i), region: i % 3, rate: rate})
+				f.declareLimit(simServer{name: fmt.Sprint("i-", i), region: i % 3, rate: rate})
 			}
 			f.injectFaults(20 * time.Second)
 			for _, s := range f.servers {
