--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -6,61 +6,64 @@
 )
 
 const (
-	// prefetchTime is for how long ahead a box wants tokens of a customer: two reports.
-	// One that asks less than leastStock times in that is granted its tokens one by one,
-	// as its requests come. A larger leastStock has more requests wait for their tokens.
+	// prefetchTime is how far ahead a box requests tokens of a customer: two report intervals.
+	// A box that expects fewer than minPrefetch requests in that time is granted tokens one by
+	// one, as its requests arrive. With a larger minPrefetch, more requests wait for their
+	// tokens.
 	prefetchTime = 200 * time.Millisecond
 	minPrefetch  = 0.05
-	// idleReturnAfter is after what time without a request a box gives unused tokens back.
+	// idleReturnAfter is how long after the last request a box returns unused tokens.
 	idleReturnAfter = 4 * time.Second
-	// exhaustedFor is for how long a box refuses without asking again after it was told
-	// that there are no tokens: until its next report is answered.
+	// exhaustedFor is how long a box refuses requests without asking again after an allocator
+	// has answered that there are no tokens: until its next report is answered.
 	exhaustedFor = 100 * time.Millisecond
-	// changeReportDelay is after what time an account is told of that needs nothing.
+	// changeReportDelay is the time after the last report until an account that needs no
+	// tokens is reported again.
 	changeReportDelay = 400 * time.Millisecond
-	// minRetryAfter and latestReturn bound when a refused client is asked to come
-	// back.
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused client is asked to
+	// retry.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// counts are those of Usage, and the requests that were refused.
+// counts are the counts of Usage and the number of refused requests.
 type counts struct {
 	arrived uint32
 	used    uint32
 	refused uint32
 }
 
-// account is what a box holds of one limit.
+// account is the state of one limit at a box.
 type account struct {
 	id ID
 	counts
 	ceiling uint32
 	waiting int
-	// arrivals, grants and refusals are averages.
+	// arrivals, grants and refusals are moving averages.
 	arrivals       rate
 	grants         rate
 	refusals       rate
 	usedAt         time.Time
 	exhaustedUntil time.Time
-	// denied: the last answer brought nothing.
+	// denied is set when the last answer granted nothing.
 	denied bool
-	// returned are the tokens given back to each allocator, by its key.
+	// returned is the number of tokens returned to each allocator, by its key.
 	returned map[uint64]uint32
-	// changed: a report is to tell of it; toldAt is when the last one did.
+	// changed is set when a report has to include the account; reportedAt is when the last one
+	// did.
 	changed    bool
 	reportedAt time.Time
 	// answered is closed when the allocator has answered.
 	answered chan struct{}
 }
 
-// newAccount makes an account that holds nothing and counts on.
+// newAccount returns an account that holds no tokens and continues from the given counts.
 func newAccount(id ID, c counts, now time.Time) *account {
 	r := newRate(demandSpan, now)
 	return &account{id: id, counts: c, ceiling: c.used, arrivals: r, grants: r, refusals: r, usedAt: now, answered: make(chan struct{})}
 }
 
-// held is how many unused tokens there are.
+// held returns the number of unused tokens.
 func (a *account) held() int { return int(int32(a.ceiling - a.used)) }
 
 // arrive counts a request.
@@ -70,7 +73,7 @@
 	a.usedAt = now
 }
 
-// take uses a token if there is one.
+// take uses a token and reports whether there was one.
 func (a *account) take() bool {
 	if a.held() <= 0 {
 		return false
@@ -79,12 +82,12 @@
 	return true
 }
 
-// giveBack returns the token of a request that has not run.
+// giveBack returns the token of a request that did not run.
 func (a *account) giveBack() {
 	a.used--
 }
 
-// want is how many unused tokens to hold.
+// want returns how many unused tokens the box wants to hold.
 func (a *account) want(now time.Time) int {
 	expected := a.arrivals.now(now) * prefetchTime.Seconds()
 	if expected < minPrefetch {
@@ -93,8 +96,8 @@
 	return int(math.Ceil(expected))
 }
 
-// applyCeiling takes in an allocator's word and reports whether it brought something. What
-// is applyCeiling twice by two allocators counts once.
+// applyCeiling applies an allocator's ceiling and reports whether it granted any tokens. What
+// two allocators grant twice counts once.
 func (a *account) applyCeiling(c Ceiling, now time.Time) bool {
 	more := int32(c.Ceiling - a.ceiling)
 	if more > 0 {
@@ -110,7 +113,7 @@
 	return more > 0
 }
 
-// returnIdle gives tokens that were not used for long back to an allocator, and reports
+// returnIdle returns tokens that have been unused for long to an allocator, and reports
 // whether there were any.
 func (a *account) returnIdle(allocator uint64, now time.Time) bool {
 	held := a.held()
@@ -125,9 +128,9 @@
 	return true
 }
 
-// retryAfter is when a refused client finds a token: as many as were refused lately
-// come back, spread over as long as their tokens take. The number chance is from 0
-// to 1.
+// retryAfter returns the delay after which a refused client finds a token: as many clients as
+// were refused recently are expected to retry, spread over the time in which their tokens are
+// granted. chance is a number from 0 to 1.
 func (a *account) retryAfter(chance float64, now time.Time) time.Duration {
 	supply := a.grants.now(now)
 	queue := 1 + a.refusals.now(now)*demandSpan.Seconds()
@@ -138,8 +141,8 @@
 	return max(minRetryAfter, min(maxRetryAfter, time.Duration(seconds*float64(time.Second))))
 }
 
-// due reports whether a report is to tell of the account now: if it needs tokens, or
-// has changed a while ago. A word of each request would be most of what is sent.
+// due reports whether the account has to be reported now: if it needs tokens, or changed a
+// while ago. A report of each request would be most of the traffic.
 func (a *account) due(now time.Time) bool {
 	switch {
 	case a.waiting > 0 || !a.denied && 2*a.held() < a.want(now):
@@ -148,13 +151,12 @@
 	return (a.changed || a.denied) && now.Sub(a.reportedAt) >= changeReportDelay
 }
 
-// mayBeDue reports whether a later report may have to tell of the account although
-// nothing more happens to it.
+// mayBeDue reports whether the account may become due without any further change.
 func (a *account) mayBeDue(now time.Time) bool {
 	return a.changed || a.denied || a.waiting > 0 || 2*a.held() < a.want(now)
 }
 
-// usage is the account in a report to an allocator.
+// usage returns the account as an entry of a report to an allocator.
 func (a *account) usage(allocator uint64, now time.Time) Usage {
 	return Usage{
 		ID: a.id, Arrived: a.arrived, Used: a.used, Ceiling: a.ceiling, Returned: a.returned[allocator],
