--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// demandSpan is over how long an allocator averages what its zone asks, and
-	// latelySpan over how long where clients may have come or gone: the greater of
-	// both is borrowed for, and the lesser kept from other zones.
+	// demandSpan is the span over which an allocator averages its zone's demand, and
+	// recentSpan a shorter one, for when clients have just come or gone. The allocator borrows
+	// for the greater of the two averages, and keeps tokens for the lesser when it lends.
 	demandSpan = time.Second
 	recentSpan = 200 * time.Millisecond
-	// reserveTime is for how long an allocator keeps tokens for its own zone before
-	// it lends any.
+	// reserveTime is for how long an allocator keeps tokens for the demand of its own zone
+	// before it lends any.
 	reserveTime = 300 * time.Millisecond
-	// forgetAfter is after what time a box that reports nothing is forgotten.
+	// forgetAfter is how long after its last report a box is forgotten.
 	forgetAfter = 10 * time.Second
 )
 
-// allocator grants the tokens of a zone's customers to its boxes.
+// allocator grants the tokens of a zone's customers to the zone's boxes.
 type allocator struct {
 	self        uint64
 	incarnation int64
@@ -30,14 +30,14 @@
 	low   map[ID]*bucket
 	boxes map[uint64]*boxState
 	loans loans
-	// divide returns the zone's part of a customer's limit; ok is false where the
-	// customer is not known or has no limit.
+	// divide returns the zone's share of a customer's limit; ok is false if the customer is
+	// unknown or has no limit.
 	divide func(id ID) (d division, ok bool)
-	// send takes what is to be sent.
+	// send sends a message to a box.
 	send func(to Box, m Message)
 }
 
-// boxState is a box that reports to this allocator.
+// boxState is the state of a box that reports to this allocator.
 type boxState struct {
 	box         Box
 	incarnation int64
@@ -45,24 +45,24 @@
 	heard       time.Time
 }
 
-// boxUsage is what is known of one customer's tokens at a box.
+// boxUsage is what the allocator knows of one customer's tokens at a box.
 type boxUsage struct {
 	arrived uint32
 	used    uint32
 	ceiling uint32
-	// returned are the tokens that came back.
+	// returned is the number of tokens that the box has returned.
 	returned uint32
 	want     int
 	waiting  int
 }
 
-// held is how many unused tokens the box has.
+// held returns how many unused tokens the box has.
 func (l *boxUsage) held() int { return int(int32(l.ceiling - l.used)) }
 
-// needed is how many more tokens its waiting requests need.
+// needed returns how many more tokens the box's waiting requests need.
 func (l *boxUsage) needed() int { return max(0, l.waiting-l.held()) }
 
-// missing is how many more tokens the box would like to have.
+// missing returns how many more tokens the box wants.
 func (l *boxUsage) missing() int { return max(0, l.want+l.waiting-l.held()) }
 
 // bucket holds a customer's tokens.
@@ -70,14 +70,14 @@
 	id ID
 	division
 	tokens float64
-	// weightSeconds is what the lends had weightSeconds when tokens were last added.
+	// weightSeconds is the value of leases.weightSecondsOf when tokens were last added.
 	weightSeconds float64
-	// heldByBoxes are the unused tokens at boxes.
+	// heldByBoxes is the number of unused tokens at boxes.
 	heldByBoxes int
-	// demand is what the zone asks, and lately what it asked a moment ago.
+	// demand is the zone's demand averaged over demandSpan, and recent over recentSpan.
 	demand rate
 	recent rate
-	// short are the boxes that want more than they got.
+	// short are the boxes, by their keys, that want more tokens than they got.
 	short map[uint64]*boxUsage
 	loans bucketLoans
 }
@@ -88,7 +88,7 @@
 	b.recent.add(requests, now)
 }
 
-// rate is a moving average of events a second over a span.
+// rate is a moving average of events per second over a span.
 type rate struct {
 	perSecond float64
 	span      float64
@@ -106,7 +106,7 @@
 	r.perSecond += events / r.span
 }
 
-// now returns the average.
+// now returns the average at the given time.
 func (r *rate) now(now time.Time) float64 {
 	r.add(0, now)
 	return r.perSecond
@@ -119,24 +119,25 @@
 	}
 }
 
-// advance moves the allocator's time on.
+// advance sets the allocator's time.
 func (a *allocator) advance(now time.Time) {
 	a.now = now
 	a.leases.advance(now)
 }
 
-// stamp is the time of the allocator's clock as it is told to boxes.
+// stamp returns the time of the allocator's clock as it is sent to boxes.
 func (a *allocator) stamp() Stamp {
 	return Stamp{Incarnation: a.incarnation, ElapsedMs: uint32(a.now.Sub(a.started).Milliseconds())}
 }
 
-// timeOf is the time of a stamp; ok is false for one of another life.
+// timeOf returns the time of a stamp; ok is false if the stamp is from another incarnation or
+// later than now.
 func (a *allocator) timeOf(s Stamp) (at time.Time, ok bool) {
 	return a.started.Add(time.Duration(s.ElapsedMs) * time.Millisecond), s.Incarnation == a.incarnation && s.ElapsedMs <= a.stamp().ElapsedMs
 }
 
-// bucket returns the customer's bucket with the tokens of now, or nil if the customer
-// is not known or has no limit.
+// bucket returns the customer's bucket, filled up to the current time, or nil if the customer
+// is unknown or has no limit.
 func (a *allocator) bucket(id ID) *bucket {
 	d, ok := a.divide(id)
 	if !ok {
@@ -158,7 +159,7 @@
 // Boxes of the zone
 // ----------------------------------------------------------------
 
-// report takes in a box's report and answers it.
+// report handles a box's report and answers it.
 func (a *allocator) report(from Box, m *Report) {
 	if at, ok := a.timeOf(m.Echo); ok {
 		a.leases.renew(from.Key, m.Incarnation, m.Weight, m.Allocators, at.Add(leaseTime))
@@ -185,7 +186,7 @@
 	a.send(from, Message{Grant: answer})
 }
 
-// boxState returns what is known of a box; nil for a life of it that has ended.
+// boxState returns the state of a box, or nil if the given incarnation has ended.
 func (a *allocator) boxState(from Box, incarnation int64) *boxState {
 	g := a.boxes[from.Key]
 	if g != nil && incarnation < g.incarnation {
@@ -202,7 +203,7 @@
 	return g
 }
 
-// forget drops what is known of a box. What it held is gone.
+// forget drops the state of a box. The tokens that the box held are lost.
 func (a *allocator) forget(key uint64, g *boxState) {
 	for id, l := range g.usage {
 		if b := a.buckets[id]; b != nil {
@@ -213,8 +214,8 @@
 	delete(a.boxes, key)
 }
 
-// applyUsage notes what a box has used. What this allocator has granted and the box has
-// not heard of counts as held.
+// applyUsage records what a box has used. Tokens that this allocator has granted and the box
+// has not heard of yet count as held.
 func (a *allocator) applyUsage(b *bucket, g *boxState, u *Usage) *boxUsage {
 	l := g.usage[u.ID]
 	if l == nil {
@@ -243,8 +244,8 @@
 	return l
 }
 
-// grant gives a box what it wants, as far as there are tokens. What its requests wait
-// for is used at once; what it will hold is bounded.
+// grant grants a box the tokens that it wants, as far as there are any. Tokens for waiting
+// requests are used at once; the number that the box holds beyond these is bounded.
 func (a *allocator) grant(b *bucket, key uint64, l *boxUsage) {
 	room := max(l.needed(), int(b.maxHeld)-b.heldByBoxes)
 	n := max(0, min(l.missing(), room, int(b.tokens)))
@@ -261,13 +262,13 @@
 	delete(b.short, key)
 }
 
-// ceiling is what the box is told of the customer.
+// ceiling returns the customer's ceiling to send to the box.
 func (a *allocator) ceiling(b *bucket, key uint64, l *boxUsage) Ceiling {
 	return Ceiling{ID: b.id, Ceiling: l.ceiling, Exhausted: b.short[key] != nil && !a.mayBorrow(b)}
 }
 
-// serveShort gives boxes that got less than they wanted what has come meanwhile, and
-// tells them where nothing is to come.
+// serveShort grants new tokens to the boxes that got fewer than they wanted, and informs those
+// for which none are expected.
 func (a *allocator) serveShort(b *bucket) {
 	for key, l := range b.short {
 		g := a.boxes[key]
@@ -284,11 +285,11 @@
 	}
 }
 
-// isLow reports whether the zone is to borrow.
+// isLow reports whether the zone should borrow tokens.
 func (b *bucket) isLow() bool { return len(b.short) > 0 || b.tokens < b.maxSaved/2 }
 
-// tick borrows what is short; with tidy set it also forgets what has not been used for a
-// while.
+// tick borrows tokens for the buckets that are low; with cleanUp set it also drops state that
+// has not been used for a while.
 func (a *allocator) tick(cleanUp bool) {
 	a.expireLoans()
 	for id, b := range a.low {
@@ -303,7 +304,7 @@
 	}
 }
 
-// cleanUp forgets buckets that are full and boxes that have ended.
+// cleanUp drops buckets that are full and boxes that have stopped.
 func (a *allocator) cleanUp() {
 	for id, b := range a.buckets {
 		a.bucket(id)
@@ -325,20 +326,20 @@
 	}
 }
 
-// dropUsage forgets what boxes have of a limit that has ended. Where it holds again, they count on
-// from where they were.
+// dropUsage drops the boxes' usage of a limit that has ended. If the limit applies again, the
+// boxes continue from their counts.
 func (a *allocator) dropUsage(id ID) {
 	for _, g := range a.boxes {
 		delete(g.usage, id)
 	}
 }
 
-// maxSets is how many sets of allocators are kept: those of today and some that
-// boxes saw before.
+// maxSets is how many sets of allocators are kept: the current ones and some that boxes saw
+// before.
 const maxSets = 8
 
-// pruneSets drops the sets that no box sees any more, without a change of what is in
-// the buckets.
+// pruneSets drops the sets that no box sees any more, without changing the tokens in the
+// buckets.
 func (a *allocator) pruneSets() {
 	for id := range a.buckets {
 		a.bucket(id)
