--- a/pkg/quota/decision.go
+++ b/pkg/quota/decision.go
@@ -3,33 +3,33 @@
 import "time"
 
 // ================================================================
-// What becomes of the requests of this box's clients.
+// Decisions on the requests of this box's clients
 // ================================================================
 
-// Verdict is what becomes of a request.
+// Verdict is the outcome of a decision on a request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Admitted: it is within the limit.
+	// Admitted: the request is within the limit.
 	Admitted Verdict = iota
-	// Refused: it is not.
+	// Refused: the request is over the limit.
 	Refused
-	// Waiting: its allocator has been asked.
+	// Waiting: the box holds no token and asks the allocator for one.
 	Waiting
 )
 
 // Decision is the verdict on one request.
 type Decision struct {
 	Verdict Verdict
-	// RetryAfter is when to come back, where it is refused.
+	// RetryAfter is the delay after which the client may retry, if the request is refused.
 	RetryAfter time.Duration
-	// Answered is closed when the allocator has answered, where it is waiting; the
-	// request is then to be decided again.
+	// Answered is closed when the allocator has answered, if the request is waiting; the
+	// caller then calls Recheck.
 	Answered <-chan struct{}
 }
 
-// Arrive decides on a request of a customer, or to a backend server, which has just come.
+// Arrive decides on a request of a customer, or to a backend server, that has just arrived.
 func (l *Limiter) Arrive(id ID) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,7 +47,8 @@
 	return d
 }
 
-// Recheck decides on a request that has waited. With last set it waits no longer.
+// Recheck decides again on a request that has waited. With last set, the request is refused
+// instead of waiting longer.
 func (l *Limiter) Recheck(id ID, last bool) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,19 +66,20 @@
 	return d
 }
 
-// Stats is what has become of the requests under a limit at this box since it started.
-// Counts begin anew after 4,294,967,295.
+// Stats are the counts of the requests under a limit at this box since it started. They wrap
+// around after 4,294,967,295.
 type Stats struct {
 	Arrived  uint32
 	Admitted uint32
 	Refused  uint32
-	// PerSecond is how many came lately.
+	// PerSecond is the recent rate of arrivals.
 	PerSecond float64
-	// Held is how many unused tokens the box holds.
+	// Held is the number of unused tokens at the box.
 	Held int
 }
 
-// Stats returns what is known of a limit here; all zero where there is none.
+// Stats returns the counts of a limit at this box; they are all zero if nothing is known of
+// it.
 func (l *Limiter) Stats(id ID) Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// GiveBack returns the token of a request that was admitted and has not run.
+// GiveBack returns the token of a request that was admitted but did not run.
 func (l *Limiter) GiveBack(id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,13 +104,13 @@
 	}
 }
 
-// touch notes that something has happened to an account.
+// touch marks an account as changed.
 func (l *Limiter) touch(a *account) {
 	a.changed = true
 	l.dirty[a.id] = a
 }
 
-// account returns the account of a limit, or nil if there is none.
+// account returns the account of a limit, or nil if there is no such limit.
 func (l *Limiter) account(id ID) *account {
 	if _, limited := l.divide(id); !limited {
 		return nil
@@ -122,7 +124,7 @@
 	return a
 }
 
-// retire drops an account. What it held is given up.
+// retire drops an account. The tokens that it holds are lost.
 func (l *Limiter) retire(a *account) {
 	l.retired[a.id] = counts{arrived: a.arrived, used: a.ceiling, refused: a.refused}
 	delete(l.accounts, a.id)
