--- a/pkg/quota/lender.go
+++ b/pkg/quota/lender.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// AllocatorsPerZone is how many boxes of a zone are allocators: with two, half of
-// the customers have their allocator still when one ends.
+// AllocatorsPerZone is how many boxes of a zone are allocators: with two, half of the
+// customers keep their allocator when one stops.
 const AllocatorsPerZone = 2
 
 const (
-	// silentAfter is after what time without an answer an allocator is taken to have
-	// ended, and silentFor for how long another one takes its place: a box that
-	// starts again is soon back.
+	// silentAfter is how long an allocator may leave reports unanswered until it is assumed to
+	// have stopped, and silentFor how long another one then replaces it: a box that restarts
+	// is soon back.
 	silentAfter = 450 * time.Millisecond
 	silentFor   = 2 * time.Second
 )
 
-// lender decides to which allocators a box lends its part, so that no two have it at
-// a time. What one was lent for a customer ends lendFor after the last report that
-// lent it; until then no other gets it.
+// lender decides to which allocators a box leases its share, so that no two have it at a time.
+// An allocator's lease for a customer expires leaseTime after the last report that renewed it;
+// until then no other allocator gets it.
 type lender struct {
 	self Box
-	// peers are those that the box has reported to, by their keys.
+	// peers are the allocators that the box has reported to, by their keys.
 	peers map[uint64]*allocatorPeer
-	// allocators are the allocators now, by their keys.
+	// allocators are the keys of the current allocators.
 	allocators []uint64
-	// hasLent: the box has lent its part, so that it must wait before it turns to
-	// another allocator.
+	// hasLent is set once the box has leased its share, so that it must wait before it turns
+	// to another allocator.
 	hasLent bool
 }
 
-// allocatorPeer is an allocator as the box knows it.
+// allocatorPeer is what the box knows of an allocator.
 type allocatorPeer struct {
 	box Box
-	// chosenAt is when it became an allocator, and told when the box last reported to it.
+	// chosenAt is when it became an allocator, and reportedAt when the box last reported to
+	// it.
 	chosenAt   time.Time
 	reportedAt time.Time
-	// unansweredSince is when it was first reported to since it last answered, zero if it has
-	// answered; heard when it last did.
+	// unansweredSince is the time of the first report since its last answer, zero if it has
+	// answered.
 	unansweredSince time.Time
-	// echo is its last stamp.
+	// echo is the last stamp received from it.
 	echo Stamp
-	// silentUntil is until when it is passed over.
+	// silentUntil is the time until which it is passed over.
 	silentUntil time.Time
 }
 
@@ -50,8 +51,8 @@
 	return &lender{self: self, peers: map[uint64]*allocatorPeer{}}
 }
 
-// choose takes the first boxes of the zone as allocators, but for those that do not
-// answer. A box that reaches none is its own.
+// choose takes the first boxes of the zone as allocators, except those that do not answer. A
+// box that reaches none is its own allocator.
 func (l *lender) choose(first []Box, now time.Time) {
 	var allocators []uint64
 	for _, b := range first {
@@ -104,9 +105,9 @@
 	return now.Before(p.silentUntil)
 }
 
-// leaseHolders are the allocators that may have some of the box's part, now or until what
-// they were leaseHolders has ended. Customers are divided among all of them, so that each
-// has only those that no other may have.
+// leaseHolders returns the allocators that may have some of the box's share, now or until
+// their leases expire. Customers are divided among all of them, so that each has only those
+// that no other may have.
 func (l *lender) leaseHolders(now time.Time) []uint64 {
 	var list []uint64
 	for key, p := range l.peers {
@@ -118,13 +119,13 @@
 	return list
 }
 
-// mayLend reports whether an allocator gets the box's part yet: all that others were
-// lent before has ended.
+// mayLend reports whether an allocator may get the box's share yet: all earlier leases to
+// others have expired.
 func (l *lender) mayLend(p *allocatorPeer, now time.Time) bool {
 	return now.Sub(p.chosenAt) >= leaseTime
 }
 
-// answered notes an answer.
+// answered records an allocator's answer.
 func (l *lender) answered(from uint64, stamp Stamp) {
 	if p := l.peers[from]; p != nil {
 		p.unansweredSince = time.Time{}
