--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -8,68 +8,70 @@
 )
 
 const (
-	// ReportEvery is how often a box whose clients send requests reports, and the
-	// interval of Tick. One that has nothing to tell reports every idleReports times.
+	// ReportEvery is the interval of Tick, at which a box whose clients send requests reports.
+	// A box that has nothing to report sends an empty report every idleTicks ticks.
 	ReportEvery = 100 * time.Millisecond
 	idleTicks   = 2
-	// cleanUpTicks is how many ticks pass between two in which everything is looked at,
-	// also what nothing has happened to. That takes too long for each tick where there are many customers.
+	// cleanUpTicks is the number of ticks between two that also look at accounts and buckets
+	// to which nothing has happened. With many customers that takes too long for each tick.
 	cleanUpTicks = 10
 )
 
-// View is what a box knows of others.
+// View is what a box knows of other boxes.
 type View struct {
-	// Weight is the box's part of its zone's part, 0 while it does not know its zone.
+	// Weight is the part of its zone's share that the box has, 0 while the box does not know
+	// its zone.
 	Weight float64
-	// First are the first live boxes of the zone, this one included, in the order in
-	// which they take on the zone's work.
+	// First are the first live boxes of the zone, including this one, in the order in which
+	// they become allocators.
 	First []Box
-	// Zones are the first live boxes of each other zone.
+	// Zones are the first live boxes of each other zone, by zone.
 	Zones map[string][]Box
 }
 
-// Envelope is a message and where it goes to.
+// Envelope is a message and its recipient.
 type Envelope struct {
 	To      Box
 	Message Message
 }
 
-// Limiter keeps customers and backend servers within their limits: it decides for this box's
-// clients, and is the allocator of its zone where it is one of the first boxes.
+// Limiter keeps customers and backend servers within their limits: it decides on requests of
+// this box's clients, and is an allocator of its zone if the box is one of the first.
 type Limiter struct {
-	// Tolerance are what is promised of customers' limits, ServerTerms of backend servers'.
+	// Tolerance is how far customers' limits may be exceeded, ServerTolerance how far those of
+	// backend servers may be.
 	Tolerance       Tolerance
 	ServerTolerance Tolerance
 	Zone            string
 	Zones           []string
 	Self            Box
-	// Incarnation tells the lives of this box apart, and rises from one to the next.
+	// Incarnation identifies the incarnation of this box; it increases from one to the next.
 	Incarnation int64
-	// Now is the clock; it must be monotonic.
+	// Now returns the current time of a monotonic clock.
 	Now func() time.Time
 	// Random returns a number in [0, 1).
 	Random func() float64
 
 	mu sync.Mutex
-	// customers and servers are how their limits are divided.
+	// customers and servers are the divisions of their limits.
 	customers map[ID]division
 	servers   map[ID]division
 	accounts  map[ID]*account
-	// dirty are the accounts that a report may have to tell of.
+	// dirty are the accounts that a report may have to include.
 	dirty     map[ID]*account
 	lender    *lender
 	allocator *allocator
 	view      View
 	ticks     int
 	outgoing  []Envelope
-	// retired are the counts of accounts that were dropped: they go on from there,
-	// since allocators may remember them.
+	// retired are the counts of dropped accounts. A new account continues from them, since
+	// allocators may remember them.
 	retired map[ID]counts
-	// isGranted: the box has been granted something.
+	// isGranted is set once the box has been granted a token.
 	isGranted bool
 }
 
-// Start prepares the limiter. All exported fields must be set before.
+// Start initializes the limiter. All exported fields must be set before.
 func (l *Limiter) Start() {
 	l.accounts = map[ID]*account{}
 	l.dirty = map[ID]*account{}
@@ -80,7 +82,7 @@
 	l.allocator = newAllocator(l.Self.Key, l.Incarnation, l.Now(), l.divide, l.send)
 }
 
-// SetCustomers puts the limits of a configuration in force.
+// SetCustomers applies the customers' limits of a configuration.
 func (l *Limiter) SetCustomers(list []customer.Customer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,14 +102,16 @@
 }
 
 const (
-	// minServerRate is how many requests a second a server gets that takes fewer: one in a
-	// window of 4 s, or nobody would hear when it takes more.
+	// minServerRate is the rate, in requests per second, of a server that declares a lower
+	// limit: one request in a window of 4 s, since otherwise no box would learn when it
+	// accepts more.
 	minServerRate = 0.25
-	// maxServerRate bounds what a server may name, so that counts of tokens hold it.
+	// maxServerRate bounds the limit that a server may declare, so that it fits into counts of
+	// tokens.
 	maxServerRate = 1e6
 )
 
-// SetServer puts the limit that a backend server names in force, in requests a second, divided
+// SetServer applies the limit that a backend server declares, in requests per second, divided
 // between the given zones.
 func (l *Limiter) SetServer(id ID, perSecond float64, zones []string) {
 	l.mu.Lock()
@@ -119,7 +123,7 @@
 	l.applyLimit(id)
 }
 
-// DropServer ends the limit of a backend server.
+// DropServer removes the limit of a backend server.
 func (l *Limiter) DropServer(id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,8 +135,8 @@
 	l.applyLimit(id)
 }
 
-// ForgetServer is DropServer for a life of a backend server that has ended, and is named no
-// more: what boxes count on from is dropped too.
+// ForgetServer is DropServer for an incarnation of a backend server that has ended and will
+// not be named again: it also drops the counts from which a new account would continue.
 func (l *Limiter) ForgetServer(id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +144,7 @@
 	delete(l.retired, id)
 }
 
-// applyLimit has a changed limit hold for what this box has of it.
+// applyLimit applies a changed limit to this box's account.
 func (l *Limiter) applyLimit(id ID) {
 	a := l.accounts[id]
 	if a == nil {
@@ -152,7 +156,7 @@
 		return
 	}
 	if surplus := a.held() - int(d.maxHeld); surplus > 0 {
-		// A lower limit binds what is already held.
+		// A lower limit also applies to the tokens already held.
 		a.used += uint32(surplus)
 		l.touch(a)
 	}
@@ -166,7 +170,7 @@
 	return d, ok
 }
 
-// HasLimits reports whether anything has a limit.
+// HasLimits reports whether there is any limit.
 func (l *Limiter) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,7 +179,7 @@
 
 func (l *Limiter) hasLimits() bool { return len(l.customers)+len(l.servers) > 0 }
 
-// Granted reports whether this box has been granted anything yet.
+// Granted reports whether this box has been granted any token yet.
 func (l *Limiter) Granted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
