--- a/pkg/quota/loans.go
+++ b/pkg/quota/loans.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// borrowTime is for how long ahead an allocator borrows: a way between regions
-	// and back, and the time between two asks.
+	// borrowTime is how far ahead an allocator borrows: a round trip between regions and the
+	// time between two requests for a loan.
 	borrowTime = 200 * time.Millisecond
-	// borrowEvery is how often it asks other zones for a customer's tokens.
+	// borrowEvery is the interval at which it requests a customer's tokens from other zones.
 	borrowEvery = 10 * time.Millisecond
-	// loanTimeout bounds how long an ask may take; what comes later is not used.
+	// loanTimeout is how long a loan request may take; a later answer is not used.
 	loanTimeout = 300 * time.Millisecond
-	// overRequest is by how much more it asks than it needs: what others spare is known as
-	// it was a moment ago.
+	// overRequest is the factor by which it requests more than it needs, since what others can
+	// spare is known only as of a moment ago.
 	overRequest = 1.5
-	// leftPerToken is how many units of Tokens.Left make a token.
+	// leftPerToken is how many units of Tokens.Left make one token.
 	leftPerToken = 10
-	// maxRequested bounds one ask.
+	// maxRequested bounds the tokens of one loan request.
 	maxRequested = 10_000
 )
 
-// loans are an allocator's asks to other zones.
+// loans are an allocator's loan requests to other zones.
 type loans struct {
 	// zones are the allocators of other zones, by zone.
 	zones   map[string][]Box
@@ -33,7 +33,7 @@
 	number  uint32
 }
 
-// pendingLoan is an ask that has not been answered.
+// pendingLoan is a loan request that has not been answered.
 type pendingLoan struct {
 	zone   string
 	from   uint64
@@ -41,16 +41,16 @@
 	wanted Tokens
 }
 
-// bucketLoans is what is under way for one customer.
+// bucketLoans is the state of the loans of one customer.
 type bucketLoans struct {
 	requestedAt time.Time
-	// expected are the tokens that were asked for.
+	// expected is the number of tokens in pending requests.
 	expected int
-	// spare is what other zones last told that they could spare.
+	// spare is what other zones last reported that they could spare, by zone.
 	spare map[string]spare
 }
 
-// spare is a zone's last word.
+// spare is how many tokens a zone could spare at a time.
 type spare struct {
 	left float64
 	at   time.Time
@@ -60,8 +60,8 @@
 
 func newBucketLoans() bucketLoans { return bucketLoans{spare: map[string]spare{}} }
 
-// spareOf is how many tokens the zone may be able to spare: as many as it told, and
-// those that it has got since.
+// spareOf returns how many tokens the zone may be able to spare: as many as it last reported
+// and those that it has gained since.
 func (a *allocator) spareOf(b *bucket, zone string) float64 {
 	if len(a.loans.zones[zone]) == 0 || !slices.Contains(b.holders, zone) {
 		return 0
@@ -86,8 +86,9 @@
 	return false
 }
 
-// need is how many tokens the zone lacks: what its boxes want now, and what its
-// clients will ask within borrowTime, as far as that can be saved.
+// need returns how many tokens the zone lacks: what its boxes want now, and what its clients
+// are expected to request within borrowTime, as far as that can be saved. most is how many it
+// has room for.
 func (a *allocator) need(b *bucket, missing float64) (need, most float64) {
 	ahead := max(b.demand.now(a.now), b.recent.now(a.now)) * borrowTime.Seconds()
 	got := b.tokens + float64(b.loans.expected)
@@ -95,9 +96,10 @@
 	return need, missing + b.maxSaved - got
 }
 
-// missing is what the boxes that are short would be granted now: what their requests wait for,
-// and what they want to hold, as far as the zone's boxes may hold that. When all that they want
-// was borrowed, a zone without a part lost each second token that it got.
+// missing returns how many tokens the boxes that are short would be granted now: those that
+// their requests wait for, and those that they want to hold, as far as the zone's boxes may
+// hold them. Borrowing all that they want would lose every second token in a zone without a
+// share.
 func (b *bucket) missing() float64 {
 	needed, stock := 0, 0
 	for _, l := range b.short {
@@ -108,8 +110,8 @@
 	return float64(needed + max(0, min(stock, int(b.maxHeld)-b.heldByBoxes)))
 }
 
-// borrow asks other zones for what the zone lacks, the richest first. What it could
-// not save is not asked for: it would be lost.
+// borrow requests what the zone lacks from other zones, first from those that can spare most.
+// It does not request what the zone could not save, since that would be lost.
 func (a *allocator) borrow(b *bucket) {
 	if a.now.Sub(b.loans.requestedAt) < borrowEvery || !b.isLow() {
 		return
@@ -131,7 +133,8 @@
 	}
 }
 
-// zonesBySpare lists the other zones, those first that may have most to spare.
+// zonesBySpare returns the other zones, sorted by how much they may be able to spare, most
+// first.
 func (a *allocator) zonesBySpare(b *bucket) []string {
 	zones := slices.Sorted(maps.Keys(a.loans.zones))
 	slices.SortStableFunc(zones, func(x, y string) int {
@@ -160,7 +163,7 @@
 	}
 }
 
-// lend answers another zone's ask with what this zone does not need itself.
+// lend answers another zone's loan request with tokens that this zone does not need itself.
 func (a *allocator) lend(from Box, m *LoanRequest) {
 	loan := &Loan{Number: m.Number}
 	for _, t := range m.Wanted {
@@ -177,8 +180,8 @@
 	a.send(from, Message{Loan: loan})
 }
 
-// receiveLoan takes in what another zone lent. An answer counts once, and only within
-// loanTime: a token that was long on its way belongs to an earlier window.
+// receiveLoan handles an answer to a loan request. An answer counts once, and only within
+// loanTimeout: a token that was long in transit belongs to an earlier window.
 func (a *allocator) receiveLoan(from Box, m *Loan) {
 	p := a.loans.pending[m.Number]
 	if p == nil || p.from != from.Key {
@@ -203,8 +206,8 @@
 	}
 }
 
-// expireLoans gives up asks that were not answered. A zone that does not answer is
-// like one that has nothing.
+// expireLoans gives up loan requests that were not answered. A zone that does not answer is
+// treated as having nothing to spare.
 func (a *allocator) expireLoans() {
 	for number, p := range a.loans.pending {
 		if a.now.Sub(p.at) <= loanTimeout {
