--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -6,16 +6,16 @@
 	"math"
 )
 
-// wireVersion is the first byte of a message; heartbeats and findings, which come to
-// the same port, begin with others. It changes with the layout of messages.
+// wireVersion is the first byte of a message; heartbeats and failure reports, which come to
+// the same port, begin with other bytes. It changes with the layout of messages.
 const wireVersion = 0xe1
 
-// maxEntries bounds the entries of one message, so that it fits one packet.
+// maxEntries bounds the entries of one message, so that it fits into one packet.
 const maxEntries = 48
 
-// Message is what boxes tell each other of limits. One field but From is set.
+// Message is a message between boxes about limits. One field besides From is set.
 type Message struct {
-	// From is the sender.
+	// From is the key of the sender.
 	From        uint64
 	Report      *Report
 	Grant       *Grant
@@ -23,79 +23,78 @@
 	Loan        *Loan
 }
 
-// Report is what a box tells an allocator of its zone. It lends its part with it.
+// Report is what a box sends to an allocator of its zone. It also leases the box's share.
 type Report struct {
-	// Incarnation tells the lives of a box apart.
+	// Incarnation identifies the incarnation of the box.
 	Incarnation int64
-	// Echo is the newest Stamp of the allocator that the box has seen, zero for none:
-	// what the box lends counts from when that was made, however long the report is
-	// on its way.
+	// Echo is the newest Stamp of the allocator that the box has seen, zero for none. The
+	// lease starts at the time of the stamp, however long the report is in transit.
 	Echo Stamp
-	// Weight is the box's part of its zone's part, from 0 to 1.
+	// Weight is the part of its zone's share that the box has, from 0 to 1.
 	Weight float64
-	// Allocators are those among which the box divides the customers, by their
-	// keys: the receiver has the box's part of those customers that are its own
-	// among them.
+	// Allocators are the keys of the allocators among which the box divides the customers: the
+	// receiver gets the box's share for the customers that it owns among them.
 	Allocators []uint64
 	Usage      []Usage
 }
 
-// Usage is what a box has used of a customer's limit. All are counted since the box
-// started, so that a report that is lost or comes twice changes nothing.
+// Usage is a box's use of a customer's limit. The counts are cumulative since the box started,
+// so that a lost or duplicated report changes nothing.
 type Usage struct {
 	ID ID
-	// Arrived are the requests that came, Used the tokens that were used up.
+	// Arrived is the number of requests that arrived, Used the number of tokens that were
+	// used.
 	Arrived uint32
 	Used    uint32
-	// Ceiling is up to which count of Used the box may go.
+	// Ceiling is the count up to which Used may rise.
 	Ceiling uint32
-	// Returned are the tokens that the box gave back to this allocator; they count as
-	// used.
+	// Returned is the number of tokens that the box has returned to this allocator; they count
+	// as used.
 	Returned uint32
-	// Want is how many unused tokens the box would like to hold, and Waiting how many
-	// requests wait for one.
+	// Want is how many unused tokens the box wants to hold, and Waiting how many requests wait
+	// for one.
 	Want    uint16
 	Waiting uint16
 }
 
-// Grant is an allocator's answer: up to where boxes may go.
+// Grant is an allocator's answer: the ceilings of a box.
 type Grant struct {
-	// Incarnation is that of the box.
+	// Incarnation is the incarnation of the box.
 	Incarnation int64
 	// Stamp is the time of the allocator's clock.
 	Stamp    Stamp
 	Ceilings []Ceiling
 }
 
-// Stamp is a time of an allocator's clock: in milliseconds since the start of one of
-// its lives.
+// Stamp is a time of an allocator's clock, in milliseconds since the start of one of its
+// incarnations.
 type Stamp struct {
 	Incarnation int64
 	ElapsedMs   uint32
 }
 
-// Ceiling is up to which count of used tokens a box may go.
+// Ceiling is the count up to which a box's used tokens may rise.
 type Ceiling struct {
 	ID      ID
 	Ceiling uint32
-	// Exhausted: there are no more tokens, nor are any expected from other zones.
+	// Exhausted is set when there are no more tokens, and none are expected from other zones.
 	Exhausted bool
 }
 
-// LoanRequest asks another zone's allocator for tokens, Loan hands them over.
+// LoanRequest asks another zone's allocator for tokens.
 type LoanRequest struct {
-	// Number tells the asks of a box apart.
+	// Number distinguishes the requests of a box.
 	Number uint32
 	Wanted []Tokens
 }
 
-// Loan answers an Ask.
+// Loan hands over the tokens that answer a LoanRequest.
 type Loan struct {
 	Number uint32
 	Tokens []Tokens
 }
 
-// Tokens are some of a customer's tokens.
+// Tokens is a number of a customer's tokens.
 type Tokens struct {
 	ID    ID
 	Count uint16
@@ -103,7 +102,7 @@
 	Left uint16
 }
 
-// WireError says that a datagram is not a message of this version.
+// WireError reports that a datagram is not a message of this version.
 type WireError struct {
 	Problem string
 }
@@ -151,11 +150,11 @@
 	return w.b
 }
 
-// Decode reads a datagram. The error is a *WireError.
+// Decode decodes a datagram. The error is a *WireError.
 func Decode(datagram []byte) (*Message, error) {
 	r := &reader{b: datagram}
 	if v := r.u8(); v != wireVersion {
-		return nil, &WireError{Problem: fmt.Sprintf("version %d", v)}
+		return nil, &WireError{Problem: fmt.Sprintf("unknown message version %d", v)}
 	}
 	k := kind(r.u8())
 	m := &Message{From: r.u64()}
@@ -169,19 +168,19 @@
 	case kindLoan:
 		m.Loan = &Loan{Number: r.u32(), Tokens: r.tokens()}
 	default:
-		return nil, &WireError{Problem: fmt.Sprintf("kind %d", k)}
+		return nil, &WireError{Problem: fmt.Sprintf("unknown message kind %d", k)}
 	}
 	if r.invalid || len(r.b) > 0 {
-		return nil, &WireError{Problem: fmt.Sprintf("%d bytes do not make a message", len(datagram))}
+		return nil, &WireError{Problem: fmt.Sprintf("malformed message of %d bytes", len(datagram))}
 	}
 	return m, nil
 }
 
 // ----------------------------------------------------------------
-// Writing
+// Encoding
 // ----------------------------------------------------------------
 
-// writer appends numbers, the highest byte first.
+// writer appends numbers in big-endian order.
 type writer struct{ b []byte }
 
 func (w *writer) u8(v byte)    { w.b = append(w.b, v) }
@@ -239,16 +238,17 @@
 }
 
 // ----------------------------------------------------------------
-// Reading
+// Decoding
 // ----------------------------------------------------------------
 
-// reader takes numbers from a datagram; short is set when it ends too early.
+// reader reads numbers from a datagram; invalid is set when it ends too early or a value is
+// out of range.
 type reader struct {
 	b       []byte
 	invalid bool
 }
 
-// number returns the number in the next bytes.
+// number reads a number of the given size in bytes.
 func (r *reader) number(size int) uint64 {
 	if len(r.b) < size {
 		r.invalid, r.b = true, nil
