--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -6,11 +6,10 @@
 )
 
 // ================================================================
-// What a box tells allocators and hears from them.
+// Reports to allocators and their answers
 // ================================================================
 
-// Tick does what is due: call it every ReportEvery, with what is known of other
-// boxes.
+// Tick does the periodic work. Call it every ReportEvery with what is known of other boxes.
 func (l *Limiter) Tick(v View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,7 +27,7 @@
 	l.allocator.tick(cleanUp)
 }
 
-// cleanUp gives unused tokens back and drops accounts of customers that send nothing.
+// cleanUp returns unused tokens and drops accounts of customers that send nothing.
 func (l *Limiter) cleanUp(now time.Time) {
 	for _, a := range l.accounts {
 		if a.returnIdle(owner(a.id, l.lender.allocators), now) {
@@ -40,7 +39,7 @@
 	}
 }
 
-// TakeMessages returns what is to be sent now.
+// TakeMessages removes and returns the messages to be sent.
 func (l *Limiter) TakeMessages() []Envelope {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +48,7 @@
 	return out
 }
 
-// Receive takes in a message; address is where it came from.
+// Receive handles a message; address is where it came from.
 func (l *Limiter) Receive(m *Message, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +59,7 @@
 	l.allocator.advance(l.Now())
 	switch {
 	case m.Report != nil && l.hasLimits():
-		// One that knows no limits yet says nothing, so that others are asked.
+		// A box that knows no limits yet does not answer, so that others are asked.
 		l.allocator.report(from, m.Report)
 	case m.LoanRequest != nil:
 		l.allocator.lend(from, m.LoanRequest)
@@ -71,8 +70,8 @@
 	}
 }
 
-// receiveGrant takes in what this box was receiveGrant. A first answer is reported at once: only
-// then does what this box lends count.
+// receiveGrant handles a grant. The first answer of an allocator is followed by a report at
+// once: only a report that echoes the allocator's stamp makes the box's lease count.
 func (l *Limiter) receiveGrant(m *Grant, from Box) {
 	if m.Incarnation != l.Incarnation {
 		return
@@ -91,7 +90,7 @@
 	}
 }
 
-// send hands a message over; one to this box itself is taken in at once.
+// send queues a message; one to this box itself is handled at once.
 func (l *Limiter) send(to Box, m Message) {
 	m.From = l.Self.Key
 	if to.Key == l.Self.Key {
@@ -101,23 +100,23 @@
 	l.outgoing = append(l.outgoing, Envelope{To: to, Message: m})
 }
 
-// reportNow tells of one account at once, since a request waits. What has changed of
-// others is told with the next tick: looking at all for each request that waits would
-// take time with the number of customers.
+// reportNow reports one account at once, since a request waits. Changes of other accounts are
+// reported with the next tick: looking at all of them for each waiting request would take time
+// in proportion to the number of customers.
 func (l *Limiter) reportNow(a *account) {
 	now := l.Now()
 	l.allocator.advance(now)
 	p := l.lender.peers[owner(a.id, l.lender.allocators)]
 	if p == nil {
-		// Before the first tick nobody is known yet.
+		// No allocator is known before the first tick.
 		return
 	}
 	a.changed, a.reportedAt = false, now
 	l.reportTo(p, []Usage{a.usage(p.box.Key, now)}, now)
 }
 
-// report tells each allocator what has changed of its customers, and where bare is
-// set also those of whom nothing has.
+// report reports to each allocator the accounts of its customers that are due. With evenEmpty
+// set, it also reports to allocators without any.
 func (l *Limiter) report(evenEmpty bool) {
 	now := l.Now()
 	changed := map[uint64][]Usage{}
