--- a/pkg/quota/bench_test.go
+++ b/pkg/quota/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// BenchmarkArrive tells the time of a decision on a request by a box that is its own
+// BenchmarkArrive measures the time of a decision on a request at a box that is its own
 // allocator, by the number of customers.
 func BenchmarkArrive(b *testing.B) {
 	for _, customers := range []int{79, 100_000} {
