--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// fleet is a model of boxes with a network between them, in simulated time. Messages
-// are encoded and decoded as on the wire.
+// fleet simulates boxes and the network between them in simulated time. Messages are encoded
+// and decoded as on the wire.
 type fleet struct {
 	random    *rand.Rand
 	now       time.Time
@@ -23,21 +23,21 @@
 	boxes     []*simBox
 	byName    map[string]*simBox
 	list      []customer.Customer
-	// loss is the part of messages that are lost, and cut reports whether two boxes
-	// cannot reach each other.
+	// loss is the fraction of messages that are lost, and cut reports whether two boxes cannot
+	// reach each other.
 	loss float64
 	cut  func(a, b *simBox) bool
-	// customers are what happened to each customer's requests.
+	// customers are the results of the customers' requests, by name.
 	customers map[string]*simCustomer
 	bytes     map[string]int
 	messages  map[string]int
-	// servers are backend servers that name limits; see server_test.go.
+	// servers are backend servers that declare limits; see server_test.go.
 	servers []simServer
-	// limiter makes a box's limiter; other ways than this package's are compared.
+	// limiter returns a box's limiter; a test may replace it by another algorithm.
 	limiter func(b *simBox) simLimiter
 }
 
-// simLimiter is what the model needs of a limiter.
+// simLimiter is what the simulation needs of a limiter.
 type simLimiter interface {
 	Arrive(id ID) Decision
 	Recheck(id ID, last bool) Decision
@@ -47,7 +47,7 @@
 	SetCustomers(list []customer.Customer)
 }
 
-// simBox is one box of the model.
+// simBox is one box of the simulation.
 type simBox struct {
 	f           *fleet
 	name        string
@@ -59,20 +59,20 @@
 	up          bool
 	frozen      bool
 	startedAt   time.Time
-	// reachedAt is when another box was last out of reach, by its index.
+	// reachedAt is when another box was last reached, by its index.
 	reachedAt map[int]time.Time
 	index     int
 }
 
-// simCustomer is one customer of the model.
+// simCustomer is one customer of the simulation.
 type simCustomer struct {
 	id       ID
 	limit    Limit
 	admitted []time.Time
 	sent     int
 	refused  int
-	// falseRefusals are the refusals of requests that one token bucket of the whole limit
-	// would have let pass.
+	// falseRefusals counts the refusals of requests that a single token bucket for the whole
+	// limit would have admitted.
 	falseRefusals int
 	bucket        float64
 	bucketAt      time.Time
@@ -107,8 +107,8 @@
 
 var simTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// newSimFleet makes a fleet of large and small boxes in each of the zones, two zones a
-// region.
+// newSimFleet returns a fleet with the given numbers of large and small boxes in each zone,
+// two zones per region.
 func newSimFleet(seed int64, zones, large, small int, list []customer.Customer) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewSource(seed)), now: simStart, tolerance: simTolerance, list: list,
@@ -145,7 +145,7 @@
 	return f
 }
 
-// start starts all boxes within some milliseconds, and lets them run for a while.
+// start starts all boxes within 300 ms and runs the simulation for 6 s.
 func (f *fleet) start() {
 	for _, b := range f.boxes {
 		b.start(time.Duration(f.random.Intn(300)) * time.Millisecond)
@@ -158,7 +158,7 @@
 	heap.Push(&f.events, event{at: f.now.Add(d), order: f.order, run: run})
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
@@ -169,7 +169,7 @@
 	f.now = end
 }
 
-// start makes a box begin a life after a time.
+// start starts an incarnation of a box after a delay.
 func (b *simBox) start(d time.Duration) {
 	b.f.after(d, func() {
 		b.incarnation++
@@ -198,16 +198,16 @@
 	b.f.after(ReportEvery, func() { b.tick(incarnation) })
 }
 
-// settle is how long a box of the model waits before it holds its part, and silence
-// after what time one that is out of reach is taken for silent.
+// simShareDelay is how long a box of the simulation waits before it holds its share, and
+// simSilence how long a box may be unreachable until it is taken for silent.
 const (
 	simShareDelay = 400 * time.Millisecond
-	// simShareHolders is how many first boxes of a zone hold a part.
+	// simShareHolders is how many of the first boxes of a zone hold a share.
 	simShareHolders = 4
 	simSilence      = 2500 * time.Millisecond
 )
 
-// reaches reports whether the box has lately heard of the other one.
+// reaches reports whether the box has recently reached the other one.
 func (b *simBox) reaches(o *simBox) bool {
 	if o == b {
 		return true
@@ -283,8 +283,8 @@
 	})
 }
 
-// request sends a request of a customer to a box, which may hold it until its
-// allocator has answered, but no longer than 100 ms.
+// request sends a customer's request to a box, which may hold it until its allocator has
+// answered, but no longer than about 150 ms.
 func (f *fleet) request(b *simBox, name string) {
 	c := f.customers[name]
 	c.sent++
@@ -328,8 +328,8 @@
 	}
 }
 
-// load sends a customer's requests at a rate that may change, to boxes that are
-// picked for each, until an end.
+// load sends a customer's requests for the given time, at a rate that may change, each to the
+// box that pick returns.
 func (f *fleet) load(name string, perSecond func(t time.Duration) float64, pick func(t time.Duration) *simBox, d time.Duration) {
 	begin := f.now
 	var next func()
@@ -348,7 +348,8 @@
 	f.after(time.Duration(f.random.ExpFloat64()/max(0.1, perSecond(0))*float64(time.Second)), next)
 }
 
-// most returns the most requests that were admitted in any window, and how many may be.
+// most returns the largest number of requests that were admitted in any window, and how many
+// are allowed.
 func (c *simCustomer) most(t Tolerance) (most int, allowed float64) {
 	times := c.admitted
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
@@ -362,7 +363,8 @@
 	return most, math.Floor((c.limit.Rate*t.Window.Seconds()+c.limit.Burst)*(1+t.Overage) + t.Slack)
 }
 
-// worst returns the customer that comes nearest to its bound, as a part of it.
+// worst returns the customer that comes nearest to its bound, and the part of the bound that
+// it uses.
 func (f *fleet) worst() (name string, part float64) {
 	for n, c := range f.customers {
 		if most, allowed := c.most(f.tolerance); float64(most)/allowed > part {
@@ -372,8 +374,8 @@
 	return name, part
 }
 
-// falseRefusals returns the part of requests that were refused although the limit left
-// room, and for how long requests waited on average.
+// falseRefusals returns the fraction of requests that were refused although the limit left
+// room, and how long requests waited on average.
 func (f *fleet) falseRefusals() (part float64, waited time.Duration) {
 	sent, falseRefusals := 0, 0
 	var total time.Duration
