--- a/pkg/quota/message_test.go
+++ b/pkg/quota/message_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// messages are one of each kind.
+// messages contains one message of each kind.
 var messages = []Message{
 	{From: 7, Report: &Report{
 		Incarnation: -5, Echo: Stamp{Incarnation: 9, ElapsedMs: 1000}, Weight: 0.25, Allocators: []uint64{1, 2},
@@ -43,8 +43,8 @@
 	is.True(err != nil)
 }
 
-// FuzzDecode: whatever comes is read or refused, and what is read is written as it
-// was; an allocator that takes it in does not fail.
+// FuzzDecode checks that every datagram is decoded or rejected, that a decoded message is
+// encoded as it was, and that a box handles it without a problem.
 func FuzzDecode(f *testing.F) {
 	for i := range messages {
 		f.Add(Encode(&messages[i]))
@@ -57,7 +57,7 @@
 			return
 		}
 		if got := Encode(m); string(got) != string(datagram) && m.Grant == nil {
-			t.Fatalf("%x came back as %x", datagram, got)
+			t.Fatalf("%x was decoded and encoded as %x", datagram, got)
 		}
 		w := newZoneModel(false)
 		w.boxes[0].Receive(m, "9")
