--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// customersOf makes customers whose limits are 1.6 times what they usually send; the
-// first are the large ones.
+// customersOf returns customers whose limits are 1.6 times their usual rates, and these rates.
+// The first customers are the large ones.
 func customersOf(count int, total float64) (list []customer.Customer, usual []float64) {
 	sum := 0.0
 	for i := range count {
@@ -24,7 +24,7 @@
 	return list, usual
 }
 
-// dailyDemand is demand that swings over the day, up to 0.97 of the limit.
+// dailyDemand returns demand that varies over a simulated day, up to 0.97 of the limit.
 func dailyDemand(usual float64) func(t time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		return usual * (1 + 0.55*math.Sin(2*math.Pi*t.Seconds()/36))
@@ -53,7 +53,7 @@
 	return f.boxes[0]
 }
 
-// sendUsual lets all customers send their usual requests.
+// sendUsual sends the usual requests of all customers.
 func (f *fleet) sendUsual(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
 	for i, c := range f.list {
 		f.load(c.Name, dailyDemand(usual[i]), func(t time.Duration) *simBox { return f.pickBox(zoneOf(i, t)) }, d)
@@ -61,7 +61,7 @@
 	f.run(d + time.Second)
 }
 
-// clientPlacements say to which zone a customer's next request comes.
+// clientPlacements determine the zone of a customer's next request.
 var clientPlacements = []struct {
 	name   string
 	zoneOf func(f *fleet, c int, t time.Duration) string
@@ -74,9 +74,9 @@
 
 func (f *fleet) anyZone() string { return f.zones[f.random.Intn(len(f.zones))] }
 
-// TestCustomersBelowTheirLimitsAreServed: wherever their clients are, and however
-// they move, fewer than one in a hundred requests are refused that one bucket for all
-// boxes would have let pass, while demand goes up to 0.97 of each limit.
+// TestCustomersBelowTheirLimitsAreServed checks that, wherever clients are and however they
+// move, at most one in a hundred requests is refused that a single bucket for all boxes would
+// have admitted, while demand goes up to 0.97 of each limit.
 func TestCustomersBelowTheirLimitsAreServed(t *testing.T) {
 	for _, size := range []struct {
 		zones, large, small int
@@ -92,21 +92,21 @@
 				who, part := f.worst()
 				falseRefusals, waited := f.falseRefusals()
 				span := 33 * float64(len(f.boxes))
-				t.Logf("%d boxes, clients %s: %.2f%% falsely refused, waited %v a request, at most %.2f of the bound; bytes a box and second: %.0f in the zone, %.0f to others",
+				t.Logf("%d boxes, clients %s: %.2f%% falsely refused, waited %v per request, at most %.2f of the bound; bytes per box and second: %.0f in the zone, %.0f to others",
 					len(f.boxes), p.name, 100*falseRefusals, waited.Round(time.Microsecond), part,
 					float64(f.bytes["zone"])/span, float64(f.bytes["near"]+f.bytes["region"])/span)
 				if falseRefusals > 0.01 {
-					t.Errorf("%.4f falsely refused", falseRefusals)
+					t.Errorf("%.4f of the requests were falsely refused", falseRefusals)
 				}
 				if part > 1 {
-					t.Errorf("%s is over its limit: %.3f", who, part)
+					t.Errorf("%s exceeded its limit: %.3f of the bound", who, part)
 				}
 			})
 		}
 	}
 }
 
-// injectFaults strikes the fleet at random for a time.
+// injectFaults injects random faults for the given time.
 func (f *fleet) injectFaults(d time.Duration) {
 	f.loss = []float64{0, 0, 0.03, 0.2}[f.random.Intn(4)]
 	end := f.now.Add(d)
@@ -121,7 +121,7 @@
 	f.after(time.Duration(f.random.Intn(1000))*time.Millisecond, next)
 }
 
-// injectFault does one thing to the fleet.
+// injectFault injects one random fault.
 func (f *fleet) injectFault() {
 	some := func(part float64) []*simBox {
 		var list []*simBox
@@ -158,7 +158,7 @@
 	}
 }
 
-// cutOff cuts zones, regions or single boxes off from each other for a while, one way
+// cutOff cuts zones, regions or single boxes off from each other for a while, in one direction
 // or both.
 func (f *fleet) cutOff() {
 	group := map[*simBox]int{}
@@ -186,15 +186,15 @@
 	f.after(time.Duration(500+f.random.Intn(6000))*time.Millisecond, func() { f.cut = func(*simBox, *simBox) bool { return false } })
 }
 
-// TestLimitsHoldUnderTrouble: customers that send up to 10 times their limits, some
-// from one zone, some from everywhere, stay within the bound in every window, while
-// boxes are killed, frozen and cut off and messages are lost.
+// TestLimitsHoldUnderTrouble checks that customers that send up to 10 times their limits, some
+// from one zone, some from everywhere, stay within the bound in every window, while boxes are
+// killed, frozen and cut off and messages are lost.
 func TestLimitsHoldUnderTrouble(t *testing.T) {
 	for seed := range 10 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			if who, part := runWithFaults(int64(seed)); part > 1 {
-				t.Errorf("%s is over its limit: %.3f of the bound", who, part)
+				t.Errorf("%s exceeded its limit: %.3f of the bound", who, part)
 			} else {
 				t.Logf("at most %.3f of the bound", part)
 			}
@@ -202,7 +202,8 @@
 	}
 }
 
-// runWithFaults returns the customer that came nearest to its bound, as a part of it.
+// runWithFaults returns the customer that came nearest to its bound, and the part of the bound
+// that it used.
 func runWithFaults(seed int64) (who string, part float64) {
 	list := []customer.Customer{
 		{Name: "large", Rate: 300, Burst: 300}, {Name: "usual", Rate: 40, Burst: 40}, {Name: "small", Rate: 5, Burst: 5},
