--- a/pkg/quota/server_test.go
+++ b/pkg/quota/server_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// simServerTolerance are what is promised of the limits that backend servers name.
+// simServerTolerance is how far the limits that backend servers declare may be exceeded.
 var simServerTolerance = Tolerance{Window: 4 * time.Second, Overage: 0.5, Slack: 5}
 
-// simServer is a backend server of the model that names a limit.
+// simServer is a backend server of the simulation that declares a limit.
 type simServer struct {
 	name   string
 	region int
 	rate   float64
 }
 
-// simLimitDelay is within what time of its start a box hears of limits from others.
+// simLimitDelay is the time from its start within which a box learns limits from others.
 const simLimitDelay = 600 * time.Millisecond
 
-// declareLimit has a server name a limit, of which all boxes hear.
+// declareLimit makes a server declare a limit, which all boxes learn.
 func (f *fleet) declareLimit(s simServer) {
 	f.servers = append(f.servers, s)
 	f.customers[s.name] = &simCustomer{id: ServerIDOf(s.name), limit: Limit{Rate: s.rate}, bucketAt: f.now}
@@ -28,7 +28,7 @@
 	}
 }
 
-// applyServerLimit puts a server's limit in force at a box.
+// applyServerLimit applies a server's limit at a box.
 func (b *simBox) applyServerLimit(s simServer, incarnation int64) {
 	if l, ok := b.limiter.(*Limiter); ok && b.up && b.incarnation == incarnation {
 		var zones []string
@@ -41,8 +41,8 @@
 	}
 }
 
-// applyServerLimitsLater has a box that starts hear of limits after a while. What it sends until then takes no
-// token, and counts all the same.
+// applyServerLimitsLater makes a box that starts learn the limits after a delay. Requests that
+// it sends until then take no token, but they count.
 func (b *simBox) applyServerLimitsLater() {
 	for _, s := range b.f.servers {
 		incarnation := b.incarnation
@@ -50,8 +50,8 @@
 	}
 }
 
-// sendTo sends requests to a server at a rate, from boxes of its region; one in ten comes from
-// another region.
+// sendTo sends requests to a server at the given rate, from boxes of its region; one in ten
+// comes from a box of any region.
 func (f *fleet) sendTo(s simServer, perSecond float64, d time.Duration) {
 	f.load(s.name, func(time.Duration) float64 { return perSecond }, func(time.Duration) *simBox {
 		region := s.region
@@ -67,8 +67,9 @@
 	}, d)
 }
 
-// TestServersGetWhatTheirLimitsAllow: in fleets of 2 to 288 boxes a server that names a limit gets
-// most of it where more is asked, and never more than is promised, whatever the limit.
+// TestServersGetWhatTheirLimitsAllow checks in fleets of 2 to 288 boxes that a server that
+// declares a limit gets most of it when more is requested, and never more than is allowed,
+// whatever the limit.
 func TestServersGetWhatTheirLimitsAllow(t *testing.T) {
 	for _, size := range []struct{ zones, large, small int }{{2, 1, 0}, {6, 2, 0}, {6, 2, 10}, {18, 2, 14}} {
 		for _, limit := range []float64{0, 0.5, 2.7, 20, 300} {
@@ -84,23 +85,23 @@
 				c := f.customers[s.name]
 				most, allowed := c.most(simServerTolerance)
 				got := float64(len(c.admitted)) / 20
-				t.Logf("%.2f a second, at most %d in a window, %.0f allowed, waited %v", got, most, allowed, (c.waited / time.Duration(max(1, len(c.admitted)))).Round(time.Microsecond))
+				t.Logf("admitted %.2f a second, at most %d in a window, %.0f allowed, waited %v", got, most, allowed, (c.waited / time.Duration(max(1, len(c.admitted)))).Round(time.Microsecond))
 				if float64(most) > allowed {
-					t.Errorf("%d in a window, %.0f allowed", most, allowed)
+					t.Errorf("admitted %d in a window, %.0f allowed", most, allowed)
 				}
 				if got < 0.9*limit {
-					t.Errorf("%.2f a second of %.2f", got, limit)
+					t.Errorf("admitted %.2f a second, limit %.2f", got, limit)
 				}
 				if len(c.admitted) < 2 {
-					t.Errorf("%d in 20 s: nobody hears when the server takes more", len(c.admitted))
+					t.Errorf("%d admitted in 20 s: no box would learn when the server accepts more", len(c.admitted))
 				}
 			})
 		}
 	}
 }
 
-// TestServersLimitsHoldUnderTrouble: the same fleets of boxes as customers' limits are tested on,
-// struck in the same ways.
+// TestServersLimitsHoldUnderTrouble checks servers' limits in the same fleet, and with the
+// same faults, as TestLimitsHoldUnderTrouble does customers'.
 func TestServersLimitsHoldUnderTrouble(t *testing.T) {
 	for seed := range 20 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -119,9 +120,9 @@
 				c := f.customers[s.name]
 				most, allowed := c.most(simServerTolerance)
 				if float64(most) > allowed {
-					t.Errorf("%s, %g a second: %d in a window, %.0f allowed", s.name, s.rate, most, allowed)
+					t.Errorf("%s, limit %g a second: admitted %d in a window, %.0f allowed", s.name, s.rate, most, allowed)
 				}
-				t.Logf("%g a second: got %.2f, at most %d, %.0f allowed", s.rate, float64(len(c.admitted))/25, most, allowed)
+				t.Logf("limit %g a second: admitted %.2f a second, at most %d in a window, %.0f allowed", s.rate, float64(len(c.admitted))/25, most, allowed)
 			}
 		})
 	}
