--- a/pkg/quota/small_test.go
+++ b/pkg/quota/small_test.go
@@ -7,12 +7,13 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// TestZonesWithoutAPartBorrow. The story: a limit so small that only some zones hold a part of it
-// was refused to all clients of the others, whatever those that held it had to spare. Two causes:
-// what another zone may have saved was taken to be what the own zone may, which is nothing; and
-// a zone asked for all that its boxes would like to hold, which none of them may, and lost it. The
-// evidence: not one of 93 requests got through in zones without a part and all in those with one;
-// with the first cause mended half did, and each second token borrowed was never granted.
+// TestZonesWithoutAPartBorrow guards against a limit so small that only some zones have a
+// share of it being refused to all clients of the other zones, whatever the zones with a share
+// have to spare. Two faults cause it: a zone takes what it may save itself, which is nothing,
+// for what another zone may have saved; and a zone borrows all that its boxes want to hold,
+// which none of them may, and loses it. With both, none of 93 requests is admitted in zones
+// without a share and all are in those with one; with the second alone, half are, and every
+// second borrowed token is never granted.
 func TestZonesWithoutAPartBorrow(t *testing.T) {
 	list := []customer.Customer{{Name: "small", Rate: 3}}
 	f := newSimFleet(1, 6, 2, 2, list)
