--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -11,21 +11,21 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// zoneModel is three boxes of one zone, which can see each other or not, with the
-// messages that are on their way between them. A test plays steps on it and looks
-// after each whether a part of the limit is with two allocators at a time, or more
-// tokens are used than were made.
+// zoneModel is a model of three boxes of one zone, which may or may not see each other, and of
+// the messages in transit between them. A test runs steps on it and checks after each that no
+// share of the limit is leased to two allocators at a time and that no more tokens are used
+// than were made.
 type zoneModel struct {
 	now   time.Time
 	boxes [3]*Limiter
-	// alone: the box sees no other one.
+	// alone is set for a box that sees no other one.
 	alone        [3]bool
 	down         [3]time.Time
 	incarnations [3]int64
 	queue        []queuedMessage
-	// made and used are the tokens of lives that have ended.
+	// made and used are the tokens of incarnations that have ended.
 	made, used float64
-	// noExpiry: what was lent does not end by itself.
+	// noExpiry keeps leases from expiring.
 	noExpiry bool
 }
 
@@ -76,7 +76,7 @@
 	return v
 }
 
-// collect takes what a box has to send.
+// collect queues the messages that a box has to send.
 func (w *zoneModel) collect(i int) {
 	for _, e := range w.boxes[i].TakeMessages() {
 		to := int(e.To.Address[0] - '0')
@@ -86,7 +86,7 @@
 	}
 }
 
-// tick lets time pass, and each box do what is due.
+// tick advances the time and runs the periodic work of each box.
 func (w *zoneModel) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for i := range w.boxes {
@@ -138,7 +138,7 @@
 	return 0
 }
 
-// steps are what may happen.
+// steps are the possible steps.
 var steps = []struct {
 	name string
 	run  func(w *zoneModel)
@@ -183,7 +183,7 @@
 	}
 }
 
-// problem says what is wrong, or nothing.
+// problem describes what is wrong; it is empty if nothing is.
 func (w *zoneModel) problem() string {
 	id := IDOf(modelCustomer)
 	for lender := range w.boxes {
@@ -199,7 +199,7 @@
 			holders = append(holders, fmt.Sprint(i))
 		}
 		if len(holders) > 1 {
-			return fmt.Sprintf("the part of box %d is with the allocators %s", lender, strings.Join(holders, ", "))
+			return fmt.Sprintf("the share of box %d is leased to the allocators %s", lender, strings.Join(holders, ", "))
 		}
 	}
 	made, used := w.made, w.used
@@ -210,13 +210,12 @@
 		}
 	}
 	if used > made+1e-6 {
-		return fmt.Sprintf("%.0f tokens are used of %.2f", used, made)
+		return fmt.Sprintf("%.0f tokens were used of %.2f made", used, made)
 	}
 	return ""
 }
 
-// TestNoPartIsLentTwice plays every sequence of steps up to a depth, and many long
-// ones that are drawn.
+// TestNoPartIsLentTwice runs every sequence of steps up to a depth, and many long random ones.
 func TestNoPartIsLentTwice(t *testing.T) {
 	const depth = 3
 	plays := 0
@@ -246,19 +245,19 @@
 	t.Logf("%d sequences of up to %d steps, and 1500 of 60", plays, depth)
 }
 
-// TestWithoutExpiryAPartIsLentTwice is the control: if what was lent did not end, the
-// check above would find a part with two allocators.
+// TestWithoutExpiryAPartIsLentTwice is the control: if leases did not expire, the check of
+// TestNoPartIsLentTwice would find a share that is leased to two allocators.
 func TestWithoutExpiryAPartIsLentTwice(t *testing.T) {
 	for seed := range 200 {
-		if _, p := playRandom(int64(seed), 60, true); strings.Contains(p, "is with the allocators") {
+		if _, p := playRandom(int64(seed), 60, true); strings.Contains(p, "is leased to the allocators") {
 			t.Log(p)
 			return
 		}
 	}
-	t.Fatal("the check finds nothing where nothing ends")
+	t.Fatal("the check finds no problem although no lease expires")
 }
 
-// extendLeases lets nothing end where the world is one without ends.
+// extendLeases keeps all leases from expiring if noExpiry is set.
 func (w *zoneModel) extendLeases() {
 	for _, l := range w.boxes {
 		if l == nil || !w.noExpiry {
