--- a/pkg/quota/compare_test.go
+++ b/pkg/quota/compare_test.go
@@ -7,11 +7,11 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// Other ways to keep a limit over all boxes, for comparison: equal parts of the boxes
-// that serve clients, and parts that follow the demand that boxes tell each other (as
-// in Raghavan and others, Cloud Control with Distributed Rate Limiting, SIGCOMM 2007).
+// Other algorithms to keep a limit over all boxes, for comparison: equal shares of the boxes
+// that serve clients, and shares that follow the demand that boxes report to each other (as in
+// Raghavan and others, Cloud Control with Distributed Rate Limiting, SIGCOMM 2007).
 
-// shareLimiter is a bucket of a box's own for each customer.
+// shareLimiter has a token bucket of the box's own for each customer.
 type shareLimiter struct {
 	box     *simBox
 	buckets map[ID]*shareBucket
@@ -50,7 +50,7 @@
 func (l *shareLimiter) TakeMessages() []Envelope  { return nil }
 func (l *shareLimiter) Receive(*Message, string)  {}
 
-// equalShare is one of as many as there are large boxes, which serve clients.
+// equalShare is the same share for each large box; only large boxes serve clients.
 func equalShare(b *simBox, _ ID) float64 {
 	n := 0.0
 	for _, o := range b.f.boxes {
@@ -61,8 +61,8 @@
 	return 1 / n
 }
 
-// demandShare follows the demand of the boxes that this one reaches. What they tell is
-// as new as if it took no time.
+// demandShare follows the demand of the boxes that this one reaches, as if their reports took
+// no time.
 func demandShare(b *simBox, id ID) float64 {
 	own := b.limiter.(*shareLimiter).buckets[id].arrived.now(b.f.now)
 	sum, n := 0.0, 0.0
@@ -80,7 +80,7 @@
 var algorithms = []struct {
 	name  string
 	share func(b *simBox, id ID) float64
-}{{"equal parts", equalShare}, {"parts by demand", demandShare}, {"this package", nil}}
+}{{"equal shares", equalShare}, {"shares by demand", demandShare}, {"this package", nil}}
 
 func newAlgorithmFleet(share func(b *simBox, id ID) float64, list []customer.Customer) *fleet {
 	f := newSimFleet(1, 6, 2, 10, list)
@@ -93,9 +93,9 @@
 	return f
 }
 
-// TestWaysCompared: where clients move, equal parts refuse much that is below the
-// limit; where the fleet is cut in three, parts by demand let three times the limit
-// pass. This package's way does neither.
+// TestWaysCompared checks that equal shares refuse many requests below the limit where clients
+// move, and that shares by demand admit three times the limit where the fleet is cut in three.
+// This package's algorithm does neither.
 func TestWaysCompared(t *testing.T) {
 	for _, w := range algorithms {
 		list, usual := customersOf(40, 800)
