--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -220,11 +220,11 @@
 	for _, c := range m.Ceilings {
 		w.u64(uint64(c.ID))
 		w.u32(c.Ceiling)
-		dry := byte(0)
+		exhausted := byte(0)
 		if c.Exhausted {
-			dry = 1
+			exhausted = 1
 		}
-		w.u8(dry)
+		w.u8(exhausted)
 	}
 }
 
