--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -222,8 +222,8 @@
 		if r.Service != service || now.Sub(r.at) > reportHolds {
 			continue
 		}
-		for i := range r.Pairs {
-			add(&r.Pairs[i])
+		for i := range r.Comparisons {
+			add(&r.Comparisons[i])
 		}
 	}
 	for _, p := range routes {
@@ -246,7 +246,7 @@
 	Box     string
 	Service string
 	Version string
-	Pairs   []Comparison
+	Comparisons   []Comparison
 }
 
 // Wire packs reports.
@@ -266,7 +266,7 @@
 		s.now(now)
 		r := Report{Box: t.Box, Service: service, Version: a.Version}
 		for _, p := range s.pairs {
-			r.Pairs = append(r.Pairs, *p)
+			r.Comparisons = append(r.Comparisons, *p)
 		}
 		list = append(list, r)
 	}
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -142,7 +142,7 @@
 		table.Observe(Outcome{Service: "shop", Route: fmt.Sprintf("route-%010d", i), Version: "v2", Took: time.Second})
 	}
 	reports := table.Reports()
-	is.Equal(len(reports[0].Pairs), mostRoutes)
+	is.Equal(len(reports[0].Comparisons), mostRoutes)
 	datagram, err := Wire.Encode(&reports[0])
 	is.NoErr(err)
 	is.True(len(datagram) < 2000)
