--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// span is that of all tallies, which fade: a version may turn bad at any time, and what it did well
+	// decayTime is that of all tallies, which fade: a version may turn bad at any time, and what it did well
 	// before must not hide that.
-	span = 4 * time.Second
+	decayTime = 4 * time.Second
 	// reportHolds is for how long another box's report counts.
 	reportHolds = 2 * time.Second
 
@@ -132,7 +132,7 @@
 
 // now fades the tallies.
 func (s *scores) now(now time.Time) {
-	by := float32(math.Exp(-now.Sub(s.at).Seconds() / span.Seconds()))
+	by := float32(math.Exp(-now.Sub(s.at).Seconds() / decayTime.Seconds()))
 	s.at = now
 	for _, p := range s.pairs {
 		p.New.fade(by)
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -125,7 +125,7 @@
 	is := is.New(t)
 	table, c := newTestTable()
 	note(table, "v2", 20, leastBad, time.Millisecond)
-	c.at = c.at.Add(4 * span)
+	c.at = c.at.Add(4 * decayTime)
 	is.Equal(table.Changes()[0].State, Running)
 	note(table, "v2", 20, leastBad, time.Millisecond)
 	table.Set(Order{Service: "shop", Version: "v3", Duration: 20 * time.Second})
