--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -11,8 +11,8 @@
 	// decayTime is that of all tallies, which fade: a version may turn bad at any time, and what it did well
 	// before must not hide that.
 	decayTime = 4 * time.Second
-	// reportHolds is for how long another box's report counts.
-	reportHolds = 2 * time.Second
+	// reportMaxAge is for how long another box's report counts.
+	reportMaxAge = 2 * time.Second
 
 	// leastBad is how many bad answers must have come of a version that is to be rolled back, and
 	// badFactor and badMargin by how much the share of these must exceed that of other servers.
@@ -219,7 +219,7 @@
 		}
 	}
 	for _, r := range t.reports {
-		if r.Service != service || now.Sub(r.at) > reportHolds {
+		if r.Service != service || now.Sub(r.at) > reportMaxAge {
 			continue
 		}
 		for i := range r.Comparisons {
