--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -14,9 +14,9 @@
 	// reportMaxAge is for how long another box's report counts.
 	reportMaxAge = 2 * time.Second
 
-	// leastBad is how many bad answers must have come of a version that is to be rolled back, and
+	// minBad is how many bad answers must have come of a version that is to be rolled back, and
 	// badFactor and badMargin by how much the share of these must exceed that of other servers.
-	leastBad  = 6
+	minBad  = 6
 	badFactor = 3
 	badMargin = 0.05
 	// leastTimed is how many answers make a typical time, and slowFactor how many times longer than other
@@ -53,9 +53,9 @@
 // and first uses are compared each with their like: on a route with little time all first uses may be late.
 func (t *Timing) worseLate(others Timing) bool {
 	if others.Count < leastTimed {
-		return t.Late >= 2*leastBad && t.Late > lateShare*t.Count
+		return t.Late >= 2*minBad && t.Late > lateShare*t.Count
 	}
-	return t.Late >= leastBad && t.Late/t.Count > badFactor*others.Late/others.Count+badMargin
+	return t.Late >= minBad && t.Late/t.Count > badFactor*others.Late/others.Count+badMargin
 }
 
 // Tally is how servers fared lately.
@@ -111,7 +111,7 @@
 func (p *Comparison) verdict() Verdict {
 	share, old := p.New.badShare(), p.Old.badShare()
 	slower := max(slowerBy(p.New.Known, p.Old.Known), slowerBy(p.New.First, p.Old.First))
-	isBad := p.New.Bad >= leastBad && share > badFactor*old+badMargin || slower > slowFactor ||
+	isBad := p.New.Bad >= minBad && share > badFactor*old+badMargin || slower > slowFactor ||
 		p.New.Known.worseLate(p.Old.Known) || p.New.First.worseLate(p.Old.First)
 	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slowdown: float64(slower)}
 }
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -60,11 +60,11 @@
 		elsewhere, result bool
 	}{
 		{name: "well", newTook: 100 * time.Millisecond},
-		{name: "few failures", newBad: leastBad - 1, newTook: 100 * time.Millisecond},
-		{name: "failures", newBad: leastBad, newTook: 100 * time.Millisecond, result: true},
+		{name: "few failures", newBad: minBad - 1, newTook: 100 * time.Millisecond},
+		{name: "failures", newBad: minBad, newTook: 100 * time.Millisecond, result: true},
 		{name: "all fail alike", oldBad: 60, newBad: 20, newTook: 100 * time.Millisecond},
 		{name: "slow", newTook: 300 * time.Millisecond, result: true},
-		{name: "failures that another box has seen", newBad: leastBad, newTook: 100 * time.Millisecond, elsewhere: true, result: true},
+		{name: "failures that another box has seen", newBad: minBad, newTook: 100 * time.Millisecond, elsewhere: true, result: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -124,10 +124,10 @@
 func TestWhatIsOverIsForgotten(t *testing.T) {
 	is := is.New(t)
 	table, c := newTestTable()
-	note(table, "v2", 20, leastBad, time.Millisecond)
+	note(table, "v2", 20, minBad, time.Millisecond)
 	c.at = c.at.Add(4 * decayTime)
 	is.Equal(table.Changes()[0].State, Running)
-	note(table, "v2", 20, leastBad, time.Millisecond)
+	note(table, "v2", 20, minBad, time.Millisecond)
 	table.Set(Order{Service: "shop", Version: "v3", Duration: 20 * time.Second})
 	is.Equal(table.Changes()[0].State, Running)
 	table.Remove("shop")
