--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -19,9 +19,9 @@
 	minBad  = 6
 	badFactor = 3
 	badMargin = 0.05
-	// leastTimed is how many answers make a typical time, and slowFactor how many times longer than other
+	// minTimed is how many answers make a typical time, and slowFactor how many times longer than other
 	// servers a bad version takes.
-	leastTimed = 6
+	minTimed = 6
 	slowFactor = 2.2
 	// lateShare is the share of first uses without an answer in time from which on a version is bad where others had
 	// too few first uses to compare with.
@@ -52,7 +52,7 @@
 // worseLate reports whether so many more of these are late than of the others that it is no chance. Known keys
 // and first uses are compared each with their like: on a route with little time all first uses may be late.
 func (t *Timing) worseLate(others Timing) bool {
-	if others.Count < leastTimed {
+	if others.Count < minTimed {
 		return t.Late >= 2*minBad && t.Late > lateShare*t.Count
 	}
 	return t.Late >= minBad && t.Late/t.Count > badFactor*others.Late/others.Count+badMargin
@@ -118,7 +118,7 @@
 
 // slowerBy is how many times longer the new ones took, 0 if that is not known.
 func slowerBy(fresh, old Timing) float32 {
-	if fresh.Count < leastTimed || old.Count < leastTimed || old.Seconds <= 0 {
+	if fresh.Count < minTimed || old.Count < minTimed || old.Seconds <= 0 {
 		return 0
 	}
 	return (fresh.Seconds / fresh.Count) / (old.Seconds / old.Count)
