--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -26,8 +26,8 @@
 	// lateShare is the share of first uses without an answer in time from which on a version is bad where others had
 	// too few first uses to compare with.
 	lateShare = 0.5
-	// mostRoutes bounds the routes of a service that are counted by themselves.
-	mostRoutes = 16
+	// maxRoutes bounds the routes of a service that are counted by themselves.
+	maxRoutes = 16
 )
 
 // Timing adds up times of answers, and of requests without one in time, which are Late.
@@ -170,7 +170,7 @@
 	s.now(now)
 	p := s.pairs[o.Route]
 	if p == nil {
-		if len(s.pairs) >= mostRoutes {
+		if len(s.pairs) >= maxRoutes {
 			return
 		}
 		p = &Comparison{Route: o.Route}
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -138,11 +138,11 @@
 func TestReportsFitAPacket(t *testing.T) {
 	is := is.New(t)
 	table, _ := newTestTable()
-	for i := range 2 * mostRoutes {
+	for i := range 2 * maxRoutes {
 		table.Observe(Outcome{Service: "shop", Route: fmt.Sprintf("route-%010d", i), Version: "v2", Took: time.Second})
 	}
 	reports := table.Reports()
-	is.Equal(len(reports[0].Comparisons), mostRoutes)
+	is.Equal(len(reports[0].Comparisons), maxRoutes)
 	datagram, err := Wire.Encode(&reports[0])
 	is.NoErr(err)
 	is.True(len(datagram) < 2000)
