--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -43,7 +43,7 @@
 	t.Seconds += o.Seconds
 }
 
-func (t *Timing) fade(by float32) {
+func (t *Timing) decay(by float32) {
 	t.Count *= by
 	t.Late *= by
 	t.Seconds *= by
@@ -79,8 +79,8 @@
 func (t *Tally) fade(by float32) {
 	t.Answers *= by
 	t.Bad *= by
-	t.Known.fade(by)
-	t.First.fade(by)
+	t.Known.decay(by)
+	t.First.decay(by)
 }
 
 func (t *Tally) badShare() float32 { return t.Bad / max(1, t.Answers) }
