--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -76,7 +76,7 @@
 	t.First.add(o.First)
 }
 
-func (t *Tally) fade(by float32) {
+func (t *Tally) decay(by float32) {
 	t.Answers *= by
 	t.Bad *= by
 	t.Known.decay(by)
@@ -135,8 +135,8 @@
 	by := float32(math.Exp(-now.Sub(s.at).Seconds() / decayTime.Seconds()))
 	s.at = now
 	for _, p := range s.pairs {
-		p.New.fade(by)
-		p.Old.fade(by)
+		p.New.decay(by)
+		p.Old.decay(by)
 	}
 }
 
