--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -130,8 +130,8 @@
 	at    time.Time
 }
 
-// now fades the tallies.
-func (s *scores) now(now time.Time) {
+// decay fades the tallies.
+func (s *scores) decay(now time.Time) {
 	by := float32(math.Exp(-now.Sub(s.at).Seconds() / decayTime.Seconds()))
 	s.at = now
 	for _, p := range s.pairs {
@@ -167,7 +167,7 @@
 		s = &scores{pairs: map[string]*Comparison{}, at: now}
 		t.own[o.Service] = s
 	}
-	s.now(now)
+	s.decay(now)
 	p := s.pairs[o.Route]
 	if p == nil {
 		if len(s.pairs) >= maxRoutes {
@@ -213,7 +213,7 @@
 		routes[p.Route].add(p)
 	}
 	if s := t.own[service]; s != nil {
-		s.now(now)
+		s.decay(now)
 		for _, p := range s.pairs {
 			add(p)
 		}
@@ -263,7 +263,7 @@
 		if a == nil || a.State == Complete || a.State == RolledBack {
 			continue
 		}
-		s.now(now)
+		s.decay(now)
 		r := Report{Box: t.Box, Service: service, Version: a.Version}
 		for _, p := range s.pairs {
 			r.Comparisons = append(r.Comparisons, *p)
