--- a/pkg/backend/rest_test.go
+++ b/pkg/backend/backoff_test.go
@@ -20,17 +20,17 @@
 	waiting, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(waiting.ID, home.ID)
-	is.True(s.Rest(home.Life(), 3*time.Second))
-	is.True(!s.Rest(home.Life(), time.Second)) // the longer one holds
+	is.True(s.BackOff(home.Incarnation(), 3*time.Second))
+	is.True(!s.BackOff(home.Incarnation(), time.Second)) // the longer one holds
 	home.Done(Shed, nil)
-	is.True(!waiting.Wanted())
+	is.True(!waiting.MaySend())
 	is.True(waiting.Usable()) // it does not leave
 	waiting.Done(Withdrawn, nil)
 	for range 29 {
 		l, err := choose(s, 7)
 		is.NoErr(err)
 		is.True(l.ID != home.ID)
-		is.Equal(l.Resting, 1)
+		is.Equal(l.BackedOff, 1)
 		l.Done(Answered, nil)
 		c.advance(100 * time.Millisecond)
 	}
@@ -38,7 +38,7 @@
 	trial, err := choose(s, 7)
 	is.NoErr(err)
 	is.Equal(trial.ID, home.ID)
-	is.True(trial.Wanted())
+	is.True(trial.MaySend())
 	other, err := choose(s, 7)
 	is.NoErr(err)
 	is.True(other.ID != home.ID) // one at a time
@@ -59,7 +59,7 @@
 	s.Replace(servers("east-a", 1, 4), true)
 	before, err := choose(s, 1)
 	is.NoErr(err)
-	s.Rest("east-a-0", time.Second)
+	s.BackOff("east-a-0", time.Second)
 	c.advance(time.Second)
 	before.Done(Answered, nil)
 	for _, result := range []Result{Shed, Broken, Abandoned, Withdrawn} {
@@ -86,14 +86,14 @@
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
 	for i, id := range []string{"east-a-0", "east-a-1", "east-a-2"} {
-		s.Rest(id, time.Duration(2+i)*time.Second)
+		s.BackOff(id, time.Duration(2+i)*time.Second)
 	}
 	c.advance(500 * time.Millisecond)
 	_, err := choose(s, 1)
 	var choice *ChoiceError
 	is.True(errors.As(err, &choice))
-	is.Equal(choice.Reason, Resting)
-	is.Equal(choice.RoomIn, 1500*time.Millisecond)
+	is.Equal(choice.Reason, BackingOff)
+	is.Equal(choice.RetryAfter, 1500*time.Millisecond)
 	s.Replace(append(servers("east-a", 3, 4), servers("west-a", 3, 4)...), true)
 	moved := 0
 	for key := range 400 {
@@ -104,7 +104,7 @@
 		}
 		c.advance(time.Millisecond)
 	}
-	is.True(moved > 0 && float64(moved) <= s.Policy.SpillShare*s.Terms.MaxShift*400+1)
+	is.True(moved > 0 && float64(moved) <= s.Policy.SpillShare*s.Bounds.MaxShift*400+1)
 }
 
 // TestRestOfAnotherLife: what one life asked for is nothing to the next.
@@ -112,15 +112,15 @@
 	is := is.New(t)
 	s, _ := newTestSet(1)
 	list := servers("east-a", 1, 4)
-	list[0].Born = 7
+	list[0].StartedAtMs = 7
 	s.Replace(list, true)
-	is.True(!s.Rest("east-a-0@6", time.Minute))
-	is.True(s.Rest("east-a-0@7", time.Minute))
+	is.True(!s.BackOff("east-a-0@6", time.Minute))
+	is.True(s.BackOff("east-a-0@7", time.Minute))
 	list[0].Slots = 5
 	s.Put(list[0])
 	_, err := choose(s, 1)
 	is.True(err != nil) // the list knows nothing of rest
-	list[0].Born = 8
+	list[0].StartedAtMs = 8
 	s.Put(list[0])
 	_, err = choose(s, 1)
 	is.NoErr(err)
@@ -148,12 +148,12 @@
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "lease")
 			l := open[i]
 			open = append(open[:i], open[i+1:]...)
-			if l.Wanted() == c.at.Before(ends[l.ID]) {
-				t.Fatalf("%s: wanted %t", l.ID, l.Wanted())
+			if l.MaySend() == c.at.Before(ends[l.ID]) {
+				t.Fatalf("%s: wanted %t", l.ID, l.MaySend())
 			}
 			if rapid.Bool().Draw(t, "rests") {
 				d := time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
-				s.Rest(l.Life(), d)
+				s.BackOff(l.Incarnation(), d)
 				if end := c.at.Add(d); end.After(ends[l.ID]) {
 					ends[l.ID] = end
 				}
--- a/pkg/backend/choose.go
+++ b/pkg/backend/choose.go
@@ -15,35 +15,35 @@
 	// busy is set for those that may be picked; see weigh.
 	busy float64
 	cold bool
-	// failing: it has failed a moment ago, and rests by this box's own judgement.
-	failing bool
+	// ejected: it has failed a moment ago, and rests by this box's own judgement.
+	ejected bool
 	// slow: the request would find out whether the server has recovered.
 	slow bool
 	// tried: the request was already sent to it. It keeps its place, so that
 	// what a busy home refuses does not go to a server that is no home.
 	tried bool
-	// passed: its limit leaves no room. It keeps its place too.
-	passed bool
+	// skipped: its limit leaves no room. It keeps its place too.
+	skipped bool
 }
 
-// weigh works out how busy the server is. Of a thousand servers that may get a
+// estimateLoad works out how busy the server is. Of a thousand servers that may get a
 // request a handful comes to be weighed, since weighing takes longer than ordering.
-func (c *candidate) weigh(p *policy.Policy, now time.Time) {
+func (c *candidate) estimateLoad(p *policy.Policy, now time.Time) {
 	c.busy = c.load.busy(p, c.Slots, c.health.latency, now)
-	if c.failing {
+	if c.ejected {
 		c.busy += float64(c.Slots) * p.FullFill
 	}
 }
 
-// last reports whether the server comes after all others: it is cold, or has failed.
-func (c *candidate) last() bool { return c.cold || c.failing }
+// lastResort reports whether the server comes after all others: it is cold, or has failed.
+func (c *candidate) lastResort() bool { return c.cold || c.ejected }
 
 // fill is how much of its slots the server has taken.
 func (c *candidate) fill() float64 { return c.busy / float64(max(1, c.Slots)) }
 
-// roomIn is after what time the server has worked off what makes it full and one more
+// retryAfter is after what time the server has worked off what makes it full and one more
 // request, given how long a typical server takes.
-func (c *candidate) roomIn(limit float64, typical time.Duration) time.Duration {
+func (c *candidate) retryAfter(limit float64, typical time.Duration) time.Duration {
 	latency := c.health.latency
 	if latency == 0 {
 		latency = typical
@@ -62,57 +62,57 @@
 		return nil, &ChoiceError{Reason: NoServer, Service: r.Service}
 	}
 	near, far := s.candidatesOfVersion(g, r, now)
-	if !r.Asked {
-		s.spill.request(&s.Terms, now)
+	if !r.AdmissionAsked {
+		s.spill.request(&s.Bounds, now)
 	}
 	var denied denials
 	for {
-		best, place, limit := s.pick(near, far, r, denied.count > 0 || s.resting.near > 0, now)
+		best, place, limit := s.pick(near, far, r, denied.count > 0 || s.skippedBackoffs.near > 0, now)
 		if best == nil {
 			break
 		}
-		if best.failing {
-			return nil, s.allFail(r.Service, now, near, far)
+		if best.ejected {
+			return nil, s.allEjected(r.Service, now, near, far)
 		}
 		if best.fill() >= limit {
-			best.order.met(&s.Policy, r.Priority, best.fill(), now)
-			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RoomIn: best.roomIn(limit, g.typicalLatency(now))}
+			best.order.record(&s.Policy, r.Priority, best.fill(), now)
+			return nil, &ChoiceError{Reason: Full, Service: r.Service, HomeFill: best.fill(), FreeSlots: s.freeSlots(g, r, now), RetryAfter: best.retryAfter(limit, g.typicalLatency(now))}
 		}
 		admission, roomIn := s.admit(best, r, now)
-		if admission == Open {
-			return nil, &ChoiceError{Reason: Undecided, Service: r.Service, Server: best.Server}
+		if admission == AdmissionUnknown {
+			return nil, &ChoiceError{Reason: AdmissionPending, Service: r.Service, Server: best.Server}
 		}
 		if admission == Denied {
-			best.order.met(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
-			best.passed = true
+			best.order.record(&s.Policy, r.Priority, max(best.fill(), s.Policy.ShortFill), now)
+			best.skipped = true
 			denied.add(roomIn)
-			if denied.count == mostDenied {
-				s.passLimited(near, r, now)
-				s.passLimited(far, r, now)
+			if denied.count == maxDenied {
+				s.skipLimited(near, r, now)
+				s.skipLimited(far, r, now)
 			}
 			continue
 		}
-		best.order.met(&s.Policy, r.Priority, best.fill(), now)
+		best.order.record(&s.Policy, r.Priority, best.fill(), now)
 		l := s.lease(best, place, r.Key, now)
-		l.Metered, l.Denied, l.Resting = admission == Granted, denied.count, s.resting.count
+		l.Metered, l.Denied, l.BackedOff = admission == Granted, denied.count, s.skippedBackoffs.count
 		return l, nil
 	}
 	return nil, s.noServer(&denied, r.Service, now)
 }
 
-// allFail says when the first server is tried again, all of which have failed a moment ago or are passed
+// allEjected says when the first server is tried again, all of which have failed a moment ago or are passed
 // over: of the region in which the key has its home, if it has any. Clients that are asked back sooner
 // are refused again.
-func (s *Set) allFail(service string, now time.Time, near, far []candidate) *ChoiceError {
-	e := &ChoiceError{Reason: Failing, Service: service, RoomIn: s.resting.roomIn(now)}
+func (s *Set) allEjected(service string, now time.Time, near, far []candidate) *ChoiceError {
+	e := &ChoiceError{Reason: Failing, Service: service, RetryAfter: s.skippedBackoffs.roomIn(now)}
 	list := near
 	if len(list) == 0 {
 		list = far
 	}
 	for i := range list {
 		c := &list[i]
-		if in := c.health.restUntil.Sub(now); c.failing && !c.tried && (e.RoomIn == 0 || in < e.RoomIn) {
-			e.RoomIn = in
+		if in := c.health.ejectedUntil.Sub(now); c.ejected && !c.tried && (e.RetryAfter == 0 || in < e.RetryAfter) {
+			e.RetryAfter = in
 		}
 	}
 	return e
@@ -123,7 +123,7 @@
 func (s *Set) candidatesOfVersion(g *group, r *Request, now time.Time) (near, far []candidate) {
 	version := s.versionOf(g, r, now)
 	near, far = s.candidates(g, r, version, now)
-	if len(near)+len(far) > 0 || s.resting.count > 0 {
+	if len(near)+len(far) > 0 || s.skippedBackoffs.count > 0 {
 		return near, far
 	}
 	if other, ok := version.other(); ok {
@@ -138,19 +138,19 @@
 // is good until the next call.
 func (s *Set) candidates(g *group, r *Request, version versionChoice, now time.Time) (near, far []candidate) {
 	share := s.localShareOf(g, r, now)
-	stays := fraction(mix(r.Key+1)) < g.shareOfKind(share, r.Heavy)
+	stays := fraction(mix(r.Key+1)) < g.shareOfKind(share, r.LargeBody)
 	g.compareSpeeds(&s.Policy, now)
-	s.resting = resting{}
+	s.skippedBackoffs = skippedBackoffs{}
 	near, far, ok := s.shortCandidates(g, r, version, stays, now)
-	front := s.frontOf(r)
+	front := s.frontSize(r)
 	if !ok {
 		near, far = s.allCandidates(g, r, version, stays, now)
 		bestFirst(near, front)
 		bestFirst(far, front)
 	}
-	s.weigh(near, front, now)
-	s.weigh(far, front, now)
-	if r.Heavy {
+	s.estimateLoads(near, front, now)
+	s.estimateLoads(far, front, now)
+	if r.LargeBody {
 		s.zoneFirst(near, now)
 	}
 	return near, far
@@ -161,8 +161,8 @@
 	near, far = s.near[:0], s.far[:0]
 	for _, v := range g.servers {
 		isNear := (v.region == s.Region) == stays
-		if v.rest.refuses(now) && s.mayTake(v, r, version, now) {
-			s.resting.add(v, isNear)
+		if v.backoff.blocks(now) && s.mayTake(v, r, version, now) {
+			s.skippedBackoffs.add(v, isNear)
 			continue
 		}
 		c, isCandidate := s.consider(v, g, r, version, now)
@@ -185,19 +185,19 @@
 
 // consider returns the server as a candidate, if it may get the request now.
 func (s *Set) consider(v *server, g *group, r *Request, version versionChoice, now time.Time) (c candidate, ok bool) {
-	if !s.mayTake(v, r, version, now) || v.rest.refuses(now) {
+	if !s.mayTake(v, r, version, now) || v.backoff.blocks(now) {
 		return c, false
 	}
 	c = candidate{
 		server: v, score: weightedScore(mix(r.Key^v.hash), v.speed.weight()), slow: v.health.slow(&s.Policy, g.typicalLatency(now)),
-		cold: now.Before(v.coldUntil) || s.mayHaveStartedAgain(v, now), tried: slices.Contains(r.Tried, v.ID),
+		cold: now.Before(v.coldUntil) || s.mayHaveRestarted(v, now), tried: slices.Contains(r.Tried, v.ID),
 	}
-	if c.cold && !s.mayWarm(v, now) {
+	if c.cold && !s.maySendToCold(v, now) {
 		return c, false
 	}
 	switch {
-	case v.health.resting(now):
-		c.failing = true
+	case v.health.ejected(now):
+		c.ejected = true
 		c.score = math.Inf(-1)
 	case c.cold:
 		// Below all others, in the key's order.
@@ -206,10 +206,10 @@
 	return c, true
 }
 
-// weigh works out how busy the first servers of the list are.
-func (s *Set) weigh(list []candidate, count int, now time.Time) {
+// estimateLoads works out how busy the first servers of the list are.
+func (s *Set) estimateLoads(list []candidate, count int, now time.Time) {
 	for i := range min(count, len(list)) {
-		list[i].weigh(&s.Policy, now)
+		list[i].estimateLoad(&s.Policy, now)
 	}
 }
 
@@ -240,7 +240,7 @@
 	if at < 0 {
 		return
 	}
-	list[at].weigh(&s.Policy, now)
+	list[at].estimateLoad(&s.Policy, now)
 	if list[at].fill() >= 1 && list[0].fill() < list[at].fill() {
 		return
 	}
@@ -262,7 +262,7 @@
 	best, place = s.home(near, r.Key)
 	if best != nil {
 		limit = best.order.limit(&s.Policy, r.Priority, now)
-		if best.fill() < limit && !best.last() {
+		if best.fill() < limit && !best.lastResort() {
 			return best, place, limit
 		}
 	}
@@ -273,7 +273,7 @@
 		}
 		return other, otherPlace, limit
 	}
-	if other != nil && !other.last() && other.fill() < s.Policy.IdleFill && s.spill.allow(s.Policy.SpillShare*s.Terms.MaxShift, &s.Terms, now) {
+	if other != nil && !other.lastResort() && other.fill() < s.Policy.IdleFill && s.spill.allow(s.Policy.SpillShare*s.Bounds.MaxShift, &s.Bounds, now) {
 		return other, otherPlace, s.Policy.FullFill
 	}
 	return best, place, limit
@@ -297,7 +297,7 @@
 // sent to and that has room by its limit, and its place.
 func firstUntried(list []candidate) (best *candidate, place int) {
 	for i := range list {
-		if !list[i].tried && !list[i].passed {
+		if !list[i].tried && !list[i].skipped {
 			return &list[i], i
 		}
 	}
@@ -330,11 +330,11 @@
 func (s *Set) freeSlots(g *group, r *Request, now time.Time) int {
 	free := 0.0
 	for _, v := range g.servers {
-		if !s.usable(v) || !r.RegionAllowed(v.region) || now.Before(v.coldUntil) || v.health.resting(now) {
+		if !s.usable(v) || !r.RegionAllowed(v.region) || now.Before(v.coldUntil) || v.health.ejected(now) {
 			continue
 		}
 		c := candidate{server: v}
-		c.weigh(&s.Policy, now)
+		c.estimateLoad(&s.Policy, now)
 		free += max(0, float64(c.Slots)-c.busy)
 	}
 	return int(free)
--- a/pkg/backend/born_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	s, c := newTestSet(1)
 	first := servers("east-a", 1, 4)[0]
-	first.Born = 1000
+	first.StartedAtMs = 1000
 	s.Put(first)
 	old, err := choose(s, 7)
 	is.NoErr(err)
@@ -21,28 +21,28 @@
 	is.NoErr(err)
 	again.Done(Answered, &Load{Running: 4, Waiting: 8, Slots: 4})
 	lose(s, first.ID, Unreachable)
-	s.Learn("box-2", Finding{Server: first.Life(), Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
 	_, err = choose(s, 7)
 	is.True(err != nil)
 
 	second := first
-	second.Born = 2000
+	second.StartedAtMs = 2000
 	s.Put(second)
 	is.True(!old.Usable()) // what was chosen for the earlier life is chosen anew
 	lease, err := choose(s, 7)
 	is.NoErr(err)
-	is.Equal(lease.Born, int64(2000))
-	is.True(!lease.Known)
-	is.Equal(lease.Busy, 0.0) // it holds nothing
-	old.Done(Broken, nil)     // the end of the earlier life
+	is.Equal(lease.StartedAtMs, int64(2000))
+	is.True(!lease.KeyKnown)
+	is.Equal(lease.InFlight, 0.0) // it holds nothing
+	old.Done(Broken, nil)         // the end of the earlier life
 	old = nil
 	is.Equal(s.servers[first.ID].load.own, 1)
 	is.Equal(s.servers[first.ID].health.failures, 0)
 
 	// What is told of the earlier life does not concern the later one.
-	s.Learn("box-2", Finding{Server: first.Life(), Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: first.Incarnation(), Stale: true})
 	is.True(!s.servers[first.ID].stale)
-	s.Learn("box-2", Finding{Server: second.Life(), Stale: true})
+	s.ApplyFailureReport("box-2", FailureReport{Server: second.Incarnation(), Stale: true})
 	is.True(s.servers[first.ID].stale)
 
 	// One that left and starts again is ready.
@@ -50,16 +50,16 @@
 	third.Draining = true
 	s.Put(third)
 	s.Remove(first.ID, false)
-	third.Draining, third.Born = false, 3000
+	third.Draining, third.StartedAtMs = false, 3000
 	s.Put(third)
 	_, err = choose(s, 7)
 	is.NoErr(err)
 
 	// Each life is cold from its own start.
-	third.Born, third.Cold = 4000, 2*time.Second
+	third.StartedAtMs, third.ColdFor = 4000, 2*time.Second
 	s.Put(third)
 	c.advance(1900 * time.Millisecond)
-	third.Born = 5000
+	third.StartedAtMs = 5000
 	s.Put(third)
 	c.advance(1900 * time.Millisecond)
 	is.True(c.at.Before(s.servers[first.ID].coldUntil))
@@ -73,7 +73,7 @@
 	for _, result := range []Result{Refused, Crashed} {
 		s, c := newTestSet(4)
 		v := servers("east-a", 1, 4)[0]
-		v.Born = 1000
+		v.StartedAtMs = 1000
 		sent := func(span time.Duration) (n int) {
 			for end := c.at.Add(span); c.at.Before(end); c.advance(10 * time.Millisecond) {
 				if lease, err := choose(s, 7); err == nil {
@@ -89,14 +89,14 @@
 		s.Put(v)                   // and its entry as it was
 		is.True(sent(time.Second) <= 5)
 		renewed := v
-		renewed.Born = 2000
+		renewed.StartedAtMs = 2000
 		s.Put(renewed)
 		is.Equal(sent(time.Second), 100)
 		lose(s, v.ID, result)
-		c.advance(startedAgainTime)
+		c.advance(restartWindow)
 		is.Equal(sent(time.Second), 100) // it was the same one
 		// Without word of its starts each has an id of its own.
-		v.Born = 0
+		v.StartedAtMs = 0
 		s.Put(v)
 		lose(s, v.ID, result)
 		c.advance(3 * time.Second)
@@ -112,16 +112,16 @@
 	s, c := newTestSet(4)
 	s.Trusted = func() bool { return false }
 	v := servers("east-a", 1, 4)[0]
-	v.Born = 1000
+	v.StartedAtMs = 1000
 	s.Put(v)
 	lose(s, v.ID, Refused)
-	c.advance(startedAgainTime)
+	c.advance(restartWindow)
 	first, err := choose(s, 7)
 	is.NoErr(err)
 	_, err = choose(s, 8)
 	is.True(err != nil) // one at a time
 	first.Done(Refused, nil)
-	c.advance(startedAgainTime)
+	c.advance(restartWindow)
 	again, err := choose(s, 7)
 	is.NoErr(err)
 	again.Done(Answered, nil)
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -21,13 +21,13 @@
 	for i := range list {
 		list[i].Draining = r.Float64() < 0.1
 		if r.Float64() < trouble {
-			list[i].Cold = time.Second
+			list[i].ColdFor = time.Second
 		}
 	}
 	s.Replace(list, true)
 	for _, v := range s.services["shop"].servers {
 		if r.Float64() < trouble {
-			v.health.restUntil = c.at.Add(time.Second)
+			v.health.ejectedUntil = c.at.Add(time.Second)
 		}
 		if r.Float64() < 0.2 {
 			v.speed.part = 0.5 + r.Float64()
@@ -43,7 +43,7 @@
 	var ids []string
 	for _, c := range list[:min(front, len(list))] {
 		id := c.ID
-		if c.failing {
+		if c.ejected {
 			id = "failing"
 		}
 		ids = append(ids, id)
@@ -60,26 +60,26 @@
 	for range 3000 {
 		s, c := drawSet(r)
 		g := s.services["shop"]
-		request := &Request{Service: "shop", Key: r.Uint64(), Heavy: r.IntN(3) == 0, RegionAllowed: anyRegion}
+		request := &Request{Service: "shop", Key: r.Uint64(), LargeBody: r.IntN(3) == 0, RegionAllowed: anyRegion}
 		for range r.IntN(3) {
 			request.Tried = append(request.Tried, g.servers[r.IntN(len(g.servers))].ID)
 		}
-		stays, front := r.IntN(4) > 0, s.frontOf(request)
+		stays, front := r.IntN(4) > 0, s.frontSize(request)
 		near, far, ok := s.shortCandidates(g, request, versionChoice{}, stays, c.at)
 		if !ok {
 			continue
 		}
 		short++
-		if request.Heavy {
-			s.weigh(near, front, c.at)
+		if request.LargeBody {
+			s.estimateLoads(near, front, c.at)
 			s.zoneFirst(near, c.at)
 		}
 		gotNear, gotFar := firstOf(near, front), firstOf(far, front)
 		near, far = s.allCandidates(g, request, versionChoice{}, stays, c.at)
 		bestFirst(near, front)
 		bestFirst(far, front)
-		if request.Heavy {
-			s.weigh(near, front, c.at)
+		if request.LargeBody {
+			s.estimateLoads(near, front, c.at)
 			s.zoneFirst(near, c.at)
 		}
 		is.Equal(gotNear, firstOf(near, front))
@@ -102,7 +102,7 @@
 			is.NoErr(err)
 			lease.Done(Answered, nil)
 		}
-		is.True(asked <= 50*(2*shortest+4)) // and the regions themselves
+		is.True(asked <= 50*(2*shortListSize+4)) // and the regions themselves
 	}
 }
 
@@ -132,9 +132,9 @@
 	s.Remove("east-a-1", true)
 	is.Equal(got(), []string{"east-a-2"})
 	again := servers("east-a", 3, 4)[2]
-	again.Born = 9
+	again.StartedAtMs = 9
 	s.Put(again)
 	is.Equal(got(), []string{"east-a-2"})
 	is.Equal(len(s.services["shop"].index), 1)
-	is.Equal(fmt.Sprint(s.services["shop"].index[0].server.Born), "9")
+	is.Equal(fmt.Sprint(s.services["shop"].index[0].server.StartedAtMs), "9")
 }
--- a/pkg/backend/lease.go
+++ b/pkg/backend/lease.go
@@ -9,11 +9,11 @@
 	Remote bool
 	// Cold is true if the server was cold.
 	Cold bool
-	// Home is the server's place in the order in which the key prefers
+	// Rank is the server's place in the order in which the key prefers
 	// servers, from 0, its home.
-	Home int
-	// Busy is how many requests the server held, as far as was known.
-	Busy float64
+	Rank int
+	// InFlight is how many requests the server held, as far as was known.
+	InFlight float64
 	// LoadAge is how old the server's last word on its load was; 0 if it has
 	// said none.
 	LoadAge time.Duration
@@ -21,10 +21,10 @@
 	// and Denied is how many servers were passed over whose limits leave no room.
 	Metered bool
 	Denied  int
-	// Resting is how many servers were passed over that have asked for rest.
-	Resting int
-	// Known is true if the server has lately answered this box for the key.
-	Known bool
+	// BackedOff is how many servers were passed over that have asked for rest.
+	BackedOff int
+	// KeyKnown is true if the server has lately answered this box for the key.
+	KeyKnown bool
 	// Expected is how long the server was expected to take, from its typical
 	// time and its queue; 0 before its first answer.
 	Expected time.Duration
@@ -50,15 +50,15 @@
 	}
 	if c.slow {
 		// It gets one request after each rest, to see whether it has recovered.
-		v.health.restUntil = now.Add(s.Policy.SlowRest)
-		s.suspect(v, "slow")
+		v.health.ejectedUntil = now.Add(s.Policy.SlowRest)
+		s.markSuspected(v, "slow")
 	}
 	l := &Lease{
-		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Home: place, Busy: c.busy,
-		Known: v.keys.has(key), set: s, server: v, key: key, start: now,
+		Server: v.Server, Remote: v.region != s.Region, Cold: c.cold, Rank: place, InFlight: c.busy,
+		KeyKnown: v.keys.has(key), set: s, server: v, key: key, start: now,
 	}
-	if v.rest.returning {
-		v.rest.trial, l.trial = true, true
+	if v.backoff.unproven {
+		v.backoff.trial, l.trial = true, true
 	}
 	if !v.load.at.IsZero() {
 		l.LoadAge = now.Sub(v.load.at)
@@ -85,32 +85,32 @@
 	defer s.mu.Unlock()
 	now := s.Now()
 	if load != nil {
-		v.load.told(*load, now)
-		s.toldFill(l, load, now)
+		v.load.update(*load, now)
+		s.updateFill(l, load, now)
 	}
 	v.load.own--
 	if l.Metered && result.unsent() {
 		s.Release(&l.Server)
 	}
 	if l.trial {
-		v.rest.trial = false
+		v.backoff.trial = false
 	}
 	rests := false
 	switch result {
 	case Answered:
-		v.rest.returning = v.rest.returning && !l.trial
-		s.answersAgain(v, now)
-		v.health.heard = now
+		v.backoff.unproven = v.backoff.unproven && !l.trial
+		s.answeredAfterRefusal(v, now)
+		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
 		v.health.succeeded(&s.Policy, l.workTime(now))
-		if l.Known && l.Busy < float64(l.Slots) {
+		if l.KeyKnown && l.InFlight < float64(l.Slots) {
 			v.speed.took(&s.Policy, now.Sub(l.start))
 		}
 		v.keys.answered(l.key)
-		s.clear(v, now)
+		s.clearSuspicion(v, now)
 	case Shed:
-		s.answersAgain(v, now)
-		v.health.heard = now
+		s.answeredAfterRefusal(v, now)
+		v.health.answeredAt = now
 		s.zoneHeard[l.Zone] = now
 		if !load.HasRoom() {
 			// It is full, whatever was believed before.
@@ -129,53 +129,53 @@
 		rests = v.health.failed(&s.Policy, now, 1)
 	case Abandoned:
 		v.health.unfinished(&s.Policy, l.workTime(now))
-	case Late:
+	case TimedOut:
 		v.health.unfinished(&s.Policy, l.workTime(now))
-		if now.Sub(v.health.heard) > s.Policy.Silence {
+		if now.Sub(v.health.answeredAt) > s.Policy.Silence {
 			rests = v.health.failed(&s.Policy, now, 1)
 		}
 	case Withdrawn:
 	case Stale:
-		s.dropStale(v)
+		s.markStale(v)
 	}
-	s.found(l, result, now)
+	s.reportFailure(l, result, now)
 	if rests {
-		s.suspect(v, "resting")
+		s.markSuspected(v, "resting")
 	}
 }
 
-// toldFill takes in a server's load for the average of its group.
-func (s *Set) toldFill(l *Lease, load *Load, now time.Time) {
+// updateFill takes in a server's load for the average of its group.
+func (s *Set) updateFill(l *Lease, load *Load, now time.Time) {
 	g := l.server.group
 	switch {
 	case g == nil || l.Cold:
 	case l.Remote:
-		g.fills.far.told(load, now)
+		g.fills.far.add(load, now)
 	default:
-		g.fills.near.told(load, now)
+		g.fills.near.add(load, now)
 	}
 }
 
-// suspect tells that a server rests from now on.
-func (s *Set) suspect(v *server, what string) {
+// markSuspected tells that a server rests from now on.
+func (s *Set) markSuspected(v *server, what string) {
 	v.health.suspected = true
-	s.Changed(v.Server, what)
+	s.OnChange(v.Server, what)
 }
 
-// clear ends the rest of a server that has answered and is as good as others
+// clearSuspicion ends the rest of a server that has answered and is as good as others
 // again, and tells of it.
-func (s *Set) clear(v *server, now time.Time) {
+func (s *Set) clearSuspicion(v *server, now time.Time) {
 	if !v.health.suspected || v.group == nil || v.health.slow(&s.Policy, v.group.typicalLatency(now)) {
 		return
 	}
 	v.health.suspected = false
-	v.health.restUntil = time.Time{}
-	s.Changed(v.Server, "recovered")
+	v.health.ejectedUntil = time.Time{}
+	s.OnChange(v.Server, "recovered")
 }
 
 // workTime is how long the server took, without the time for which the
 // request must have waited for a slot.
 func (l *Lease) workTime(now time.Time) time.Duration {
-	fill := l.Busy / float64(max(1, l.Slots))
+	fill := l.InFlight / float64(max(1, l.Slots))
 	return time.Duration(float64(now.Sub(l.start)) / max(1, fill))
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -42,12 +42,12 @@
 	// ForgetAfter is how long a silent box counts among those that may still
 	// be sending requests.
 	ForgetAfter = time.Minute
-	// tellSilent is for how many heartbeats a box tells that another one of its
+	// silentRepeats is for how many heartbeats a box tells that another one of its
 	// zone is silent, and tellLive for how many that one has come or come back;
 	// passSilent is for how many boxes of other zones pass a silence on.
-	tellSilent = 12
-	tellLive   = 8
-	passSilent = 6
+	silentRepeats  = 12
+	liveRepeats    = 8
+	silentForwards = 6
 )
 
 // Member is another box as this one sees it.
@@ -69,8 +69,8 @@
 	Now func() time.Time
 	// Random returns a number in [0, n).
 	Random func(n int) int
-	// Changed is told when a box is first heard, comes back or falls silent.
-	Changed func(r Record, what string)
+	// OnChange is told when a box is first heard, comes back or falls silent.
+	OnChange func(r Record, what string)
 
 	mu   sync.Mutex
 	self Record
@@ -95,9 +95,9 @@
 	turn int
 	// queue are the boxes of other zones whose turn is still to come.
 	queue []*entry
-	// heardLately are those that were heard since the last heartbeat, and newsOf those of which there
+	// recent are those that were heard since the last heartbeat, and updates those of which there
 	// is still something to tell. A heartbeat must not look at all boxes of the fleet for these.
-	heardLately, newsOf []*entry
+	recent, updates []*entry
 }
 
 // zone is what is known of an availability zone.
@@ -128,26 +128,26 @@
 	served time.Time
 	// silent: it was taken for silent, by this box or by its zone.
 	silent bool
-	// risen: its beat has risen since this box's last heartbeat.
-	risen bool
-	// tell is for how many heartbeats it is still news; see setTell.
-	tell int
-	// inNews: it stands in the table's list of those that are.
-	inNews bool
+	// inRecent: its beat has inRecent since this box's last heartbeat.
+	inRecent bool
+	// updatesLeft is for how many heartbeats it is still news; see setTell.
+	updatesLeft int
+	// inUpdates: it stands in the table's list of those that are.
+	inUpdates bool
 }
 
-// setTell makes a box news for so many heartbeats.
-func (t *Table) setTell(e *entry, beats int) {
-	e.tell = beats
-	if beats > 0 && !e.inNews {
-		e.inNews = true
-		t.newsOf = append(t.newsOf, e)
+// setUpdatesLeft makes a box news for so many heartbeats.
+func (t *Table) setUpdatesLeft(e *entry, beats int) {
+	e.updatesLeft = beats
+	if beats > 0 && !e.inUpdates {
+		e.inUpdates = true
+		t.updates = append(t.updates, e)
 	}
 }
 
-// told is the box as it is told to others.
-func (e *entry) told() Sighting {
-	s := e.sighting()
+// currentLiveness is the box as it is currentLiveness to others.
+func (e *entry) currentLiveness() LivenessRecord {
+	s := e.livenessRecord()
 	s.ID = e.ID
 	if e.silent {
 		s.Flags = FlagSilent
@@ -158,7 +158,7 @@
 // NewTable makes a table that knows only this box.
 func NewTable(self Record, now func() time.Time, random func(n int) int) *Table {
 	t := &Table{
-		Seeds: func() []string { return nil }, Now: now, Random: random, Changed: func(Record, string) {},
+		Seeds: func() []string { return nil }, Now: now, Random: random, OnChange: func(Record, string) {},
 		self: self, members: map[string]*entry{}, ids: map[uint32]*entry{},
 		zones: map[string]*zone{}, asked: map[uint32]time.Time{},
 	}
@@ -221,9 +221,9 @@
 	return len(t.members) == 0
 }
 
-// AnyHealthy reports whether the store answers any other live box without fail. Boxes of the own zone are
+// AnyStoreHealthy reports whether the store answers any other live box without fail. Boxes of the own zone are
 // looked at first: one of them is, on most days.
-func (t *Table) AnyHealthy() bool {
+func (t *Table) AnyStoreHealthy() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
@@ -234,13 +234,13 @@
 // Count returns how many boxes may be sending requests, this one included.
 func (t *Table) Count() int {
 	count := 1
-	t.EachOther(func(*Record, bool) { count++ })
+	t.EachPossibleSender(func(*Record, bool) { count++ })
 	return count
 }
 
-// EachOther calls f for each of the other boxes that may be sending requests, and tells whether it is live.
+// EachPossibleSender calls f for each of the other boxes that may be sending requests, and tells whether it is live.
 // It must not call the table.
-func (t *Table) EachOther(f func(r *Record, live bool)) {
+func (t *Table) EachPossibleSender(f func(r *Record, live bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
@@ -251,23 +251,23 @@
 	}
 }
 
-// Zone is what the boxes of this box's own zone say of the store. "Before" are
+// StoreContacts is what the boxes of this box's own zone say of the store. "Before" are
 // those that come before this box in the order of the zone's work.
-type Zone struct {
+type StoreContacts struct {
 	// Healthy are those that the store answers.
 	Healthy       int
 	HealthyBefore int
-	// TryingBefore ask the store without an answer, IdleBefore do not ask it.
-	TryingBefore int
-	IdleBefore   int
+	// UnansweredBefore ask the store without an answer, IdleBefore do not ask it.
+	UnansweredBefore int
+	IdleBefore       int
 }
 
-// Zone counts the boxes of this box's zone that have been heard within the time
+// StoreContacts counts the boxes of this box's zone that have been heard within the time
 // and do not leave.
-func (t *Table) Zone(within time.Duration) Zone {
+func (t *Table) StoreContacts(within time.Duration) StoreContacts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var z Zone
+	var z StoreContacts
 	now := t.Now()
 	for _, e := range t.own.members {
 		if e.Leaving || now.Sub(e.heard) > within {
@@ -280,8 +280,8 @@
 			z.Healthy++
 		case e.StoreHealthy:
 			z.Healthy++
-		case e.Trying && before:
-			z.TryingBefore++
+		case e.StoreUnanswered && before:
+			z.UnansweredBefore++
 		case before:
 			z.IdleBefore++
 		}
@@ -313,7 +313,7 @@
 		}
 		t.silence(e)
 		if hears && e.Zone == t.self.Zone {
-			t.setTell(e, tellSilent)
+			t.setUpdatesLeft(e, silentRepeats)
 		}
 	}
 	for id, at := range t.asked {
@@ -326,7 +326,7 @@
 // silence takes a box for silent.
 func (t *Table) silence(e *entry) {
 	e.silent = true
-	t.Changed(e.Record, "silent")
+	t.OnChange(e.Record, "silent")
 }
 
 // add puts a box that was not known into the table.
--- a/pkg/gossip/wire_test.go
+++ b/pkg/gossip/wire_test.go
@@ -16,7 +16,7 @@
 func fullRecord(box string) Record {
 	return Record{
 		Box: box, Zone: "brum-digbeth", Clients: "10.1.0.34:8548", Peers: "10.1.0.34:8544",
-		Started: 1775555009001108062, Capacity: 640, Beat: 117, Ready: true, StoreHealthy: true, Serving: true,
+		Started: 1775555009001108062, Capacity: 640, Sequence: 117, Ready: true, StoreHealthy: true, Serving: true,
 		ConfirmedAgo: 2400, ListConfirmedAgo: 1250,
 		Versions: map[string]objects.Version{
 			"config": {Revision: 227, Digest: 4012345678}, "servers": {Revision: 231, Digest: 312345678}, "evacuations": {Revision: 227},
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	m := &Message{
 		From: fullRecord("edge-1"), Others: []Record{fullRecord("edge-2"), {Box: "edge-3", Leaving: true}},
-		Seen: Sightings{{ID: 1 << 31, Beat: 117, Flags: FlagReady | FlagSilent}, {ID: 3}}, Ask: []uint32{7, 1 << 30}, Probe: true,
+		Liveness: LivenessRecords{{ID: 1 << 31, Sequence: 117, Flags: FlagReady | FlagSilent}, {ID: 3}}, Ask: []uint32{7, 1 << 30}, Probe: true,
 	}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
@@ -57,10 +57,10 @@
 	is := is.New(t)
 	alone, err := Wire.Encode(&Message{From: fullRecord("edge-1")})
 	is.NoErr(err)
-	m := &Message{From: fullRecord("edge-1"), Seen: make(Sightings, seenTogether)}
+	m := &Message{From: fullRecord("edge-1"), Liveness: make(LivenessRecords, maxLivenessRecords)}
 	datagram, err := Wire.Encode(m)
 	is.NoErr(err)
-	is.True(len(datagram)-len(alone) <= seenTogether*sightingSize+2)
+	is.True(len(datagram)-len(alone) <= maxLivenessRecords*livenessRecordSize+2)
 }
 
 func TestOtherDatagramsAreRefused(t *testing.T) {
--- a/pkg/steering/steering_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -1,4 +1,4 @@
-package steering
+package node
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/stoneworks/stoneworks/pkg/findings"
+	"github.com/stoneworks/stoneworks/pkg/failurereport"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/packet"
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
@@ -26,27 +26,27 @@
 // maxDatagram bounds a heartbeat, in bytes.
 const maxDatagram = 16 << 10
 
-// beat sends the next heartbeat.
-func (n *Node) beat() {
+// heartbeat sends the next heartbeat.
+func (n *Node) heartbeat() {
 	n.Members.Expire()
 	n.Set.Expire()
-	if more := n.listedLines.take(); more > 0 {
+	if more := n.listedLines.takeOmitted(); more > 0 {
 		n.log.Info("servers listed or cold, not told one by one", map[string]any{"lines": more})
 	}
 	n.checkReady()
 	n.refreshSelf()
-	n.sendBeat()
+	n.sendHeartbeats()
 	n.Replica.PullOverdue()
 }
 
-func (n *Node) sendBeat() {
+func (n *Node) sendHeartbeats() {
 	for _, e := range n.Members.Beat() {
 		n.send(e)
 	}
 }
 
-// told is what this box last announced of itself.
-type told struct {
+// announcedState is what this box last announced of itself.
+type announcedState struct {
 	ready        bool
 	storeHealthy bool
 	trying       bool
@@ -59,15 +59,15 @@
 func (n *Node) announce() {
 	if n.Members.Alone() {
 		// The seeds may have started after this box.
-		n.sendBeat()
+		n.sendHeartbeats()
 	}
 	n.Replica.Tick()
 	changed := n.Replica.TakeUnannounced()
 	n.refreshSelf()
 	self := n.Members.Self()
-	now := told{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.Trying, serving: self.Serving}
-	if changed || now != n.told {
-		n.told = now
+	now := announcedState{ready: self.Ready, storeHealthy: self.StoreHealthy, trying: self.StoreUnanswered, serving: self.Serving}
+	if changed || now != n.announced {
+		n.announced = now
 		n.send(n.Members.Announce())
 	}
 }
@@ -106,15 +106,15 @@
 	return all, serving
 }
 
-// someOf returns so many of the addresses, drawn at random. It changes their order.
-func someOf(addresses []string, count int) []string {
+// randomSubset returns so many of the addresses, drawn at random. It changes their order.
+func randomSubset(addresses []string, count int) []string {
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(count, len(addresses))]
 }
 
-// tellBoxes sends messages to boxes, and counts under the metric the entries that were told, once for
+// sendMessages sends messages to boxes, and counts under the metric the entries that were told, once for
 // each box.
-func tellBoxes[T any](n *Node, wire packet.Codec[T], metric string, to []string, messages []T, count func(m *T) int) {
+func sendMessages[T any](n *Node, wire packet.Codec[T], metric string, to []string, messages []T, count func(m *T) int) {
 	for i := range messages {
 		datagram, err := wire.Encode(&messages[i])
 		if err != nil {
@@ -152,12 +152,12 @@
 			continue
 		}
 		n.Clock.Sync()
-		if findings.Wire.Is(buffer[:size]) {
+		if failurereport.Wire.Is(buffer[:size]) {
 			n.receiveFindings(buffer[:size], from)
 			continue
 		}
 		if quarantine.Wire.Is(buffer[:size]) {
-			n.receiveRecords(buffer[:size], from)
+			n.receiveQuarantine(buffer[:size], from)
 			continue
 		}
 		if serverstatus.Wire.Is(buffer[:size]) {
@@ -168,21 +168,21 @@
 			n.receiveReport(buffer[:size], from)
 			continue
 		}
-		if quota.Is(buffer[:size]) {
+		if quota.IsMessage(buffer[:size]) {
 			n.receiveQuota(buffer[:size], from)
 			continue
 		}
 		m, err := gossip.Wire.Decode(buffer[:size])
 		if err != nil {
-			n.unread(from, err)
+			n.noteUnreadDatagram(from, err)
 			continue
 		}
 		n.receive(m, from)
 	}
 }
 
-// unread notes a datagram that is no message of this version.
-func (n *Node) unread(from *net.UDPAddr, err error) {
+// noteUnreadDatagram notes a datagram that is no message of this version.
+func (n *Node) noteUnreadDatagram(from *net.UDPAddr, err error) {
 	metrics.GetOrRegisterCounter("heartbeats.unread", n.Metrics).Inc(1)
 	n.log.Debug("datagram not understood", map[string]any{"from": from.String(), "error": err.Error()})
 }
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -18,7 +18,7 @@
 	now    time.Time
 	events eventHeap
 	order  int
-	terms  Terms
+	terms  Tolerance
 	zones  []string
 	boxes  []*simBox
 	byName map[string]*simBox
@@ -40,9 +40,9 @@
 // simLimiter is what the model needs of a limiter.
 type simLimiter interface {
 	Arrive(id ID) Decision
-	Again(id ID, last bool) Decision
+	Recheck(id ID, last bool) Decision
 	Tick(v View)
-	Take() []Envelope
+	TakeMessages() []Envelope
 	Receive(m *Message, address string)
 	SetCustomers(list []customer.Customer)
 }
@@ -105,7 +105,7 @@
 
 var simStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-var simTerms = Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+var simTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
 // newSimFleet makes a fleet of large and small boxes in each of the zones, two zones a
 // region.
@@ -136,7 +136,7 @@
 	}
 	f.limiter = func(b *simBox) simLimiter {
 		l := &Limiter{
-			Terms: f.terms, ServerTerms: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Life: b.life,
+			Tolerance: f.terms, ServerTolerance: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.life,
 			Now: func() time.Time { return f.now }, Random: f.random.Float64,
 		}
 		l.Start()
@@ -237,7 +237,7 @@
 		}
 		if o.zone == b.zone {
 			v.First = append(v.First, Box{Key: KeyOf(o.name), Address: o.name})
-		} else if len(v.Zones[o.zone]) < Allocators {
+		} else if len(v.Zones[o.zone]) < AllocatorsPerZone {
 			v.Zones[o.zone] = append(v.Zones[o.zone], Box{Key: KeyOf(o.name), Address: o.name})
 		}
 	}
@@ -248,7 +248,7 @@
 }
 
 func (b *simBox) flush() {
-	for _, e := range b.limiter.Take() {
+	for _, e := range b.limiter.TakeMessages() {
 		b.f.deliver(b, e)
 	}
 }
@@ -320,7 +320,7 @@
 				return
 			}
 			if !b.frozen {
-				d = b.limiter.Again(c.id, f.now.Sub(start) >= 150*time.Millisecond)
+				d = b.limiter.Recheck(c.id, f.now.Sub(start) >= 150*time.Millisecond)
 				b.flush()
 			}
 			f.decided(b, name, d, within, start, life)
@@ -349,7 +349,7 @@
 }
 
 // most returns the most requests that were admitted in any window, and how many may be.
-func (c *simCustomer) most(t Terms) (most int, allowed float64) {
+func (c *simCustomer) most(t Tolerance) (most int, allowed float64) {
 	times := c.admitted
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
 	begin := 0
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -20,18 +20,18 @@
 	l.allocator.loans.zones = v.Zones
 	l.lending.choose(v.First, now)
 	l.ticks++
-	tidy := l.ticks%tidyReports == 0
-	if tidy {
-		l.tidy(now)
+	cleanUp := l.ticks%cleanUpTicks == 0
+	if cleanUp {
+		l.cleanUp(now)
 	}
-	l.report(v.Weight > 0 && l.ticks%idleReports == 0)
-	l.allocator.tick(tidy)
+	l.report(v.Weight > 0 && l.ticks%idleTicks == 0)
+	l.allocator.tick(cleanUp)
 }
 
-// tidy gives unused tokens back and drops accounts of customers that send nothing.
-func (l *Limiter) tidy(now time.Time) {
+// cleanUp gives unused tokens back and drops accounts of customers that send nothing.
+func (l *Limiter) cleanUp(now time.Time) {
 	for _, a := range l.accounts {
-		if a.lapse(owner(a.id, l.lending.target), now) {
+		if a.returnIdle(owner(a.id, l.lending.target), now) {
 			l.touch(a)
 		}
 		if !a.changed && a.waiting == 0 && now.Sub(a.usedAt) > forgetAfter {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Take returns what is to be sent now.
-func (l *Limiter) Take() []Envelope {
+// TakeMessages returns what is to be sent now.
+func (l *Limiter) TakeMessages() []Envelope {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.out
@@ -74,16 +74,16 @@
 // granted takes in what this box was granted. A first answer is reported at once: only
 // then does what this box lends count.
 func (l *Limiter) granted(m *Grant, from Box) {
-	if m.Life != l.Life {
+	if m.Incarnation != l.Incarnation {
 		return
 	}
 	p := l.lending.peers[from.Key]
-	first := p != nil && p.echo.Life != m.Stamp.Life && slices.Contains(l.lending.target, from.Key)
+	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lending.target, from.Key)
 	l.lending.heard(from.Key, m.Stamp)
 	now := l.Now()
 	for _, c := range m.Ceilings {
 		if a := l.accounts[c.ID]; a != nil {
-			l.isGranted = a.granted(c, now) || l.isGranted
+			l.isGranted = a.applyCeiling(c, now) || l.isGranted
 		}
 	}
 	if first {
@@ -112,7 +112,7 @@
 		// Before the first tick nobody is known yet.
 		return
 	}
-	a.changed, a.toldAt = false, now
+	a.changed, a.reportedAt = false, now
 	l.reportTo(p, []Usage{a.usage(p.box.Key, now)}, now)
 }
 
@@ -128,7 +128,7 @@
 			}
 			continue
 		}
-		a.changed, a.toldAt = false, now
+		a.changed, a.reportedAt = false, now
 		key := owner(id, l.lending.target)
 		changed[key] = append(changed[key], a.usage(key, now))
 	}
@@ -146,8 +146,8 @@
 		p.asked = now
 	}
 	for first := true; first || len(usage) > 0; first = false {
-		n := min(len(usage), entriesTogether)
-		r := &Report{Life: l.Life, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
+		n := min(len(usage), maxEntries)
+		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
 		if l.lending.lends(p, now) {
 			r.Weight = l.view.Weight
 			l.lending.hasLent = l.lending.hasLent || r.Weight > 0
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -56,7 +56,7 @@
 func (w *world) begin(i int) {
 	w.lives[i]++
 	l := &Limiter{
-		Terms: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Life: w.lives[i],
+		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Incarnation: w.lives[i],
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
@@ -78,7 +78,7 @@
 
 // collect takes what a box has to send.
 func (w *world) collect(i int) {
-	for _, e := range w.boxes[i].Take() {
+	for _, e := range w.boxes[i].TakeMessages() {
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
 		m.From = worldBox(i).Key
@@ -128,7 +128,7 @@
 func (w *world) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
-	return a.lends.of(IDOf(worldCustomer)) * worldRate
+	return a.leases.weightSecondsOf(IDOf(worldCustomer)) * worldRate
 }
 
 func (w *world) usedBy(i int) float64 {
@@ -148,7 +148,7 @@
 	{"request 2", func(w *world) { w.request(2) }},
 	{"tick", func(w *world) { w.tick(100 * time.Millisecond) }},
 	{"long tick", func(w *world) { w.tick(400 * time.Millisecond) }},
-	{"stand still", func(w *world) { w.now = w.now.Add(lendFor + 100*time.Millisecond) }},
+	{"stand still", func(w *world) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
 	{"deliver all", func(w *world) { w.deliverAll() }},
 	{"deliver first", func(w *world) {
 		if len(w.mail) > 0 {
@@ -192,7 +192,7 @@
 			if l == nil {
 				continue
 			}
-			b := l.allocator.lends.boxes[worldBox(lender).Key]
+			b := l.allocator.leases.boxes[worldBox(lender).Key]
 			if b == nil || b.weight == 0 || !w.now.Before(b.until) || owner(id, b.set.allocators) != l.Self.Key {
 				continue
 			}
@@ -264,7 +264,7 @@
 		if l == nil || !w.endless {
 			continue
 		}
-		for _, b := range l.allocator.lends.boxes {
+		for _, b := range l.allocator.leases.boxes {
 			b.until = w.now.Add(time.Hour)
 		}
 	}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -24,7 +24,7 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/objects"
-	"github.com/stoneworks/stoneworks/pkg/watcher"
+	"github.com/stoneworks/stoneworks/pkg/storepoller"
 )
 
 // Kinds are the names of the kinds of objects in the store.
@@ -61,8 +61,8 @@
 	// ContactWindow is the time within which a calm box is in touch with the store, and DrainTime
 	// how long after it was listed as leaving a server may still get requests.
 	ContactWindow, DrainTime time.Duration
-	Client         *objects.Client
-	Members        *gossip.Table
+	Client                   *objects.Client
+	Members                  *gossip.Table
 	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
 	// for PullTime.
 	Fetch func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error)
@@ -94,7 +94,7 @@
 	changed  atomic.Bool
 	// roleMu keeps two decisions on the role apart.
 	roleMu sync.Mutex
-	role   *watcher.Role
+	role   *storepoller.Role
 
 	pulls  *pulls
 	claims claims
@@ -107,7 +107,7 @@
 	r := &Replica{
 		Options: o, mirrors: map[string]*objects.Mirror{}, followers: map[string]*objects.Follower{},
 		contact: newContact(o.Now, o.ContactWindow), revisions: newRevisions(), pulls: newPulls(),
-		role: watcher.New(o.WatchersPerZone, o.ContactWindow, now, rand.Float64()),
+		role: storepoller.New(o.WatchersPerZone, o.ContactWindow, now, rand.Float64()),
 	}
 	for _, kind := range o.Kinds.all() {
 		r.mirrors[kind] = objects.NewMirror(kind)
@@ -171,7 +171,7 @@
 	self.ConfirmedAgo = r.contact.configuration.told(watching)
 	self.ListConfirmedAgo = r.contact.list.told(watching)
 	self.StoreHealthy = watching && r.synced() && r.contact.healthy()
-	self.Trying = watching && !self.StoreHealthy
+	self.StoreUnanswered = watching && !self.StoreHealthy
 }
 
 // ----------------------------------------------------------------
@@ -203,7 +203,7 @@
 }
 
 // anyHealthy reports whether the store has answered any other live box without fail.
-func (r *Replica) anyHealthy() bool { return r.Members.AnyHealthy() }
+func (r *Replica) anyHealthy() bool { return r.Members.AnyStoreHealthy() }
 
 // synced reports whether this box has copies of all that the store holds.
 func (r *Replica) synced() bool {
@@ -229,7 +229,7 @@
 func (r *Replica) chooseRole() {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	watching := r.role.Watches(r.view(), r.Now())
+	watching := r.role.ShouldPoll(r.view(), r.Now())
 	if watching == r.watching.Swap(watching) {
 		return
 	}
@@ -245,11 +245,11 @@
 }
 
 // view is what this box's role follows from.
-func (r *Replica) view() watcher.View {
-	z := r.Members.Zone(watcherSilence)
+func (r *Replica) view() storepoller.View {
+	z := r.Members.StoreContacts(watcherSilence)
 	healthy := r.contact.healthy()
-	return watcher.View{
-		HealthyBefore: z.HealthyBefore, TryingBefore: z.TryingBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
+	return storepoller.View{
+		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
 		Synced: r.synced(), Answered: r.watching.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
 	}
 }
@@ -258,5 +258,5 @@
 func (r *Replica) readsOn() bool {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	return r.role.ReadsOn(r.Now())
+	return r.role.ReadsAllPages(r.Now())
 }
