--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// decayTime is that of all tallies, which fade: a version may turn bad at any time, and what it did well
-	// before must not hide that.
+	// decayTime is the time constant with which all tallies decay exponentially: a version may
+	// turn bad at any time, and its good results from before must not hide that.
 	decayTime = 4 * time.Second
-	// reportMaxAge is for how long another box's report counts.
+	// reportMaxAge is how long another box's report counts.
 	reportMaxAge = 2 * time.Second
 
-	// minBad is how many bad answers must have come of a version that is to be rolled back, and
-	// badFactor and badMargin by how much the share of these must exceed that of other servers.
-	minBad  = 6
+	// minBad is the least number of bad answers for which a version is rolled back. badFactor
+	// and badMargin are how far their share must exceed the share of other servers.
+	minBad    = 6
 	badFactor = 3
 	badMargin = 0.05
-	// minTimed is how many answers make a typical time, and slowFactor how many times longer than other
-	// servers a bad version takes.
-	minTimed = 6
+	// minTimed is the least number of answers for a typical time; slowFactor is how many times
+	// longer than other servers a bad version takes.
+	minTimed   = 6
 	slowFactor = 2.2
-	// lateShare is the share of first uses without an answer in time from which on a version is bad where others had
-	// too few first uses to compare with.
+	// lateShare is the share of first uses without an answer in time above which a version is
+	// bad if other servers had too few first uses to compare with.
 	lateShare = 0.5
-	// maxRoutes bounds the routes of a service that are counted by themselves.
+	// maxRoutes bounds the number of routes of a service that are counted separately.
 	maxRoutes = 16
 )
 
-// Timing adds up times of answers, and of requests without one in time, which are Late.
+// Timing sums the durations of answers and of requests without an answer in time, which are
+// counted in Late.
 type Timing struct {
 	Count   float32
 	Late    float32
@@ -49,8 +50,9 @@
 	t.Seconds *= by
 }
 
-// worseLate reports whether so many more of these are late than of the others that it is no chance. Known keys
-// and first uses are compared each with their like: on a route with little time all first uses may be late.
+// isLater reports whether significantly more of these requests are late than of the others.
+// Known keys and first uses are compared separately: on a route with a short timeout all first
+// uses may be late.
 func (t *Timing) worseLate(others Timing) bool {
 	if others.Count < minTimed {
 		return t.Late >= 2*minBad && t.Late > lateShare*t.Count
@@ -58,13 +60,13 @@
 	return t.Late >= minBad && t.Late/t.Count > badFactor*others.Late/others.Count+badMargin
 }
 
-// Tally is how servers fared lately.
+// Tally counts the recent results of servers.
 type Tally struct {
 	Answers float32
-	// Bad are failures.
+	// Bad is the number of failures.
 	Bad float32
-	// Known are the times for keys that the server knew, First those for all others: these take
-	// longer by themselves, and a new version begins with them.
+	// Known holds the times for keys that the server already knew, First those for all other
+	// keys. First uses take longer, and a new version starts with them.
 	Known Timing
 	First Timing
 }
@@ -85,7 +87,7 @@
 
 func (t *Tally) badShare() float32 { return t.Bad / max(1, t.Answers) }
 
-// Comparison is how the new version fared, and all others.
+// Comparison holds the tallies of the new version and of all other servers on a route.
 type Comparison struct {
 	Route string
 	New   Tally
@@ -97,11 +99,11 @@
 	p.Old.add(o.Old)
 }
 
-// Verdict is what is found of a version.
+// Verdict is the result of comparing a version with other servers.
 type Verdict struct {
 	Bad bool
-	// Route is where, empty for all routes together, and Share and Slower are the share of bad answers and how
-	// many times longer it takes.
+	// Route is the route that was compared, or empty for all routes together. BadShare is the
+	// share of bad answers; Slowdown is how many times longer the version takes.
 	Route    string
 	BadShare float64
 	Slowdown float64
@@ -116,7 +118,7 @@
 	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slowdown: float64(slower)}
 }
 
-// slowerBy is how many times longer the new ones took, 0 if that is not known.
+// slowdown returns how many times longer the new version took, or 0 if that is not known.
 func slowerBy(fresh, old Timing) float32 {
 	if fresh.Count < minTimed || old.Count < minTimed || old.Seconds <= 0 {
 		return 0
@@ -124,13 +126,13 @@
 	return (fresh.Seconds / fresh.Count) / (old.Seconds / old.Count)
 }
 
-// scores are a box's tallies of a service by route.
+// routeTallies holds a box's tallies of a service by route.
 type scores struct {
 	pairs map[string]*Comparison
 	at    time.Time
 }
 
-// decay fades the tallies.
+// decay reduces the tallies according to the time since the last call.
 func (s *scores) decay(now time.Time) {
 	by := float32(math.Exp(-now.Sub(s.at).Seconds() / decayTime.Seconds()))
 	s.at = now
@@ -140,20 +142,21 @@
 	}
 }
 
-// Outcome is how a server has dealt with a request.
+// Outcome is the result of a request at a server.
 type Outcome struct {
 	Service string
 	Route   string
 	Version string
-	// Failed: the server failed it, or broke its answer off; Late: it gave none in time.
+	// Failed means that the server failed the request or broke off its answer; Late means that
+	// it did not answer in time.
 	Failed bool
 	Late   bool
-	// Known: the server was known to know the key.
+	// Known means that the server already knew the key.
 	Known bool
 	Took  time.Duration
 }
 
-// Observe counts how a server has dealt with a request, if its service is being moved.
+// Observe counts the result of a request if its service is being moved.
 func (t *Table) Observe(o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,8 +203,8 @@
 	timing.add(one)
 }
 
-// judge finds whether the version of a service's order is bad, on all routes together or on one. The
-// caller holds the lock.
+// evaluate returns whether the version of a service's order is bad, on all routes together or
+// on a single one. The caller holds the lock.
 func (t *Table) judge(service string, now time.Time) Verdict {
 	all := Comparison{}
 	routes := map[string]*Comparison{}
@@ -235,24 +238,25 @@
 }
 
 // ----------------------------------------------------------------
-// What boxes tell each other
+// Reports between boxes
 // ----------------------------------------------------------------
 
-// wireVersion is the first byte of a report; other messages to the same port begin with others.
+// wireVersion is the first byte of a report; other messages to the same port start with other
+// bytes.
 const wireVersion = 0xf6
 
-// Report is what a box has counted of a service that is being moved.
+// Report is what a box has counted for a service that is being moved.
 type Report struct {
-	Box     string
-	Service string
-	Version string
-	Comparisons   []Comparison
+	Box         string
+	Service     string
+	Version     string
+	Comparisons []Comparison
 }
 
-// Wire packs reports.
+// Wire encodes and decodes reports.
 var Wire = packet.Codec[Report]{Kind: "rollout reports", First: wireVersion}
 
-// Reports returns what those that judge are to know.
+// Reports returns this box's reports for the boxes that evaluate versions.
 func (t *Table) Reports() []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,7 +277,8 @@
 	return list
 }
 
-// AddReport takes in another box's report. One of another order is left out.
+// AddReport stores another box's report, unless it is about a version other than that of the
+// current order.
 func (t *Table) AddReport(r *Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -1,10 +1,11 @@
 // Package rollout moves a service's requests to a new version of its backend servers step by
-// step, and back if that version is bad. It has no input or output.
+// step, and moves them back if that version is bad. It does no input or output.
 //
-// Example: an operator orders that a service moves to version v2 within 20 s. For the first 12 s
-// one request in twenty goes to servers of v2; boxes count how these and the others fare. If v2 fails
-// more often, or is several times slower, the order is rolled back; else v2 gets more and more requests,
-// and the order is complete before its time is over.
+// Example: an operator orders that a service moves to version v2 within 20 s. For the first 12
+// s one request in twenty goes to servers of v2; boxes count how these servers and the others
+// perform. If v2 fails more often, or is several times slower, the order is rolled back;
+// otherwise v2 gets more and more requests, and the order is complete before the 20 s are
+// over.
 package rollout
 
 import (
@@ -12,44 +13,46 @@
 	"time"
 )
 
-// State is how far an order has come.
+// State is the progress of an order.
 type State string
 
-// The states.
+// The states of an order.
 const (
 	Running    State = "running"
 	Complete   State = "complete"
 	RolledBack State = "rolled_back"
 )
 
-// Order is an operator's wish to move a service to a version.
+// Order is an operator's order to move a service to a version.
 type Order struct {
 	Service string
 	Version string
-	// Duration is within what time of the order it is to be complete.
+	// Duration is the time, from when the order is given, within which it is to be complete.
 	Duration time.Duration
-	// Revision is that of the object's last change, for a conditional update.
+	// Revision is the revision of the object's last change, used for a conditional update.
 	Revision uint64
-	// State is what the store holds of it, empty if nobody has noted anything of this version.
+	// State is the state in the store; it is empty if none has been written for this version.
 	State State
 }
 
-// step is the share of requests that go to the new version from a part of the duration on.
+// step is the share of requests that the new version gets once the given fraction of the
+// duration has passed.
 type step struct {
 	from  float64
 	share float64
 }
 
-// steps begin with a long trial of few requests: a version may turn bad later, or under load, and by then
-// must not have had a tenth of the requests. The rest moves in steps, since servers of the new
-// version know no keys and would all be asked for first uses at once.
+// steps begin with a long trial of few requests: a version may turn bad later, or under load,
+// and by then must not have had a tenth of the requests. The rest moves in steps because
+// servers of the new version know no keys and would otherwise get first uses of all keys at
+// once.
 var steps = []step{{0, 0.05}, {0.6, 0.1}, {0.7, 0.2}, {0.78, 0.4}, {0.86, 0.7}}
 
-// completeAt is the part of the duration after which an order that has gone well is complete: what is left
-// is for the store and for the news of it.
+// completeAt is the fraction of the duration after which an order that has gone well is
+// complete. The rest is for writing to the store and for other boxes to learn of it.
 const completeAt = 0.92
 
-// shareAt returns the share of requests that go to the new version after a time.
+// shareAt returns the share of requests that the new version gets after the elapsed time.
 func shareAt(elapsed, duration time.Duration) float64 {
 	part := elapsed.Seconds() / max(duration.Seconds(), 0.001)
 	share := 0.0
@@ -61,24 +64,26 @@
 	return share
 }
 
-// Rule is what holds for choices of a service's servers.
+// Rule says how a service's requests are divided between the versions of its servers.
 type Rule struct {
 	Version string
-	// Share is the share of requests that go to servers of the version; the others go to other servers.
+	// Share is the share of requests that go to servers of the version; all others go to other
+	// servers.
 	Share float64
-	// Excluded: the version gets nothing, whatever else there is.
+	// Excluded means that the version gets no requests, even if no other servers are left.
 	Excluded bool
 }
 
-// active is an order with what this box knows of it.
+// active is an order and what this box knows about it.
 type active struct {
 	Order
 	seen time.Time
-	// isBad: this box found the version to be bad, before the store has word of it.
+	// isBad is true once this box has found the version to be bad, which may be before the
+	// store records it.
 	isBad bool
 }
 
-// Table holds the orders that are known, and how the versions fare.
+// Table holds the known orders and the tallies of their versions.
 type Table struct {
 	// Box is this box's name.
 	Box string
@@ -87,23 +92,24 @@
 
 	mu     sync.Mutex
 	orders map[string]*active
-	// own are this box's tallies by service, and reports the last ones of others by box.
+	// own holds this box's tallies by service; reports holds the last report of each other box
+	// about each service.
 	own     map[string]*scores
 	reports map[string]received
 }
 
-// received is a report and when it came.
+// received is a report and the time when it arrived.
 type received struct {
 	Report
 	at time.Time
 }
 
-// NewTable makes a table without orders.
+// NewTable returns a table without orders.
 func NewTable(box string, now func() time.Time) *Table {
 	return &Table{Box: box, Now: now, orders: map[string]*active{}, own: map[string]*scores{}, reports: map[string]received{}}
 }
 
-// Set takes in an order, in place of an earlier one for its service.
+// Set adds an order, replacing an earlier one for the same service.
 func (t *Table) Set(o Order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,7 +122,7 @@
 	t.forget(o.Service)
 }
 
-// Remove drops the order for a service.
+// Remove deletes the order for a service.
 func (t *Table) Remove(service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,7 +130,7 @@
 	t.forget(service)
 }
 
-// forget drops what was counted of a service.
+// forget deletes all tallies and reports of a service. The caller holds the lock.
 func (t *Table) forget(service string) {
 	delete(t.own, service)
 	for box, r := range t.reports {
@@ -134,7 +140,7 @@
 	}
 }
 
-// Rules returns what holds now, by service.
+// Rules returns the current rules by service.
 func (t *Table) Rules() map[string]Rule {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,11 +161,11 @@
 	return Rule{Version: a.Version, Share: shareAt(now.Sub(a.seen), a.Duration)}
 }
 
-// Change is a state that an order has come to and the store has no word of.
+// Change is a state that an order has reached and that the store does not record yet.
 type Change struct {
 	Order Order
 	State State
-	// Verdict is what was found, for the log.
+	// Verdict is the comparison behind the change, for the log.
 	Verdict Verdict
 }
 
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -19,15 +19,16 @@
 	return t, c
 }
 
-// note has a version answer so many requests, a part of which it fails.
+// note records answers of a version, the first of which are failures.
 func note(t *Table, version string, answers, failures int, took time.Duration) {
 	for i := range answers {
 		t.Observe(Outcome{Service: "shop", Route: "read", Version: version, Failed: i < failures, Known: true, Took: took})
 	}
 }
 
-// TestBadVersionGetsFewRequests: whenever the version turns bad in the first seven tenths of the time, what it
-// got until two seconds later is within a tenth of all requests of that time.
+// TestBadVersionGetsFewRequests: if the version turns bad at any time in the first seven
+// tenths of the duration, the requests it gets until two seconds later are at most a tenth of
+// all requests in the duration.
 func TestBadVersionGetsFewRequests(t *testing.T) {
 	duration := 20 * time.Second
 	got := 0.0
@@ -51,7 +52,8 @@
 	is.Equal(len(table.Changes()), 0)
 }
 
-// TestVerdicts: few failures say nothing, nor do such that all servers have alike; those of other boxes count.
+// TestVerdicts: a few failures do not make a version bad, nor do failures that all servers
+// have alike. Failures reported by other boxes count.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -92,16 +94,17 @@
 	}
 }
 
-// noteLate has a version leave so many first uses without an answer in time, of so many.
+// noteLate records first uses of keys, the first of which get no answer in time.
 func noteLate(t *Table, version string, answers, late int) {
 	for i := range answers {
 		t.Observe(Outcome{Service: "shop", Route: "read", Version: version, Late: i < late, Took: 2 * time.Second})
 	}
 }
 
-// TestLateFirstUsesAreComparedWithTheirLike. The story: a good version was rolled back since first uses took longer
-// than one route allows, of it and of all others; the others had mostly keys that they knew. A version that
-// never answers is found all the same.
+// TestLateFirstUsesAreComparedWithTheirLike guards against rolling back a good version because
+// first uses take longer than a route's timeout, both at the new servers and at the others,
+// while the others mostly get keys that they know. A version that never answers is still found
+// to be bad.
 func TestLateFirstUsesAreComparedWithTheirLike(t *testing.T) {
 	for _, c := range []struct {
 		oldFirst, oldLate, newLate int
@@ -120,7 +123,8 @@
 	}
 }
 
-// TestWhatIsOverIsForgotten: a version is judged by what it did lately, and a new order for a service begins anew.
+// TestWhatIsOverIsForgotten: a version is evaluated by its recent results, and a new order for
+// a service starts from empty tallies.
 func TestWhatIsOverIsForgotten(t *testing.T) {
 	is := is.New(t)
 	table, c := newTestTable()
@@ -134,7 +138,7 @@
 	is.Equal(len(table.Rules()), 0)
 }
 
-// TestReportsFitAPacket: also with as many routes as are counted.
+// TestReportsFitAPacket: a report with the maximum number of routes fits into a datagram.
 func TestReportsFitAPacket(t *testing.T) {
 	is := is.New(t)
 	table, _ := newTestTable()
