--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -10,7 +10,7 @@
 // The calls of a follower, and the pauses between them.
 // ================================================================
 
-// ask makes the next call: a list where none is known, else a watch.
+// call makes the next call: a list if the mirror has none to go on from, otherwise a watch.
 func (f *Follower) ask(ctx context.Context, state *following) error {
 	if !state.listed {
 		if err := f.list(ctx, state.stale); err != nil {
@@ -27,7 +27,8 @@
 	case state.failed:
 		wait = atOnce
 	case state.gathers:
-		// The store answers once in each wait, whatever happens.
+		// After the pause, wait for the rest only, so that the store answers once per Wait
+		// whether or not anything changes.
 		wait = max(wait-gather, atOnce)
 	}
 	state.gathers = false
@@ -36,7 +37,8 @@
 	return err
 }
 
-// takeChanges takes in what has changed, and returns how many changes that were.
+// fetchChanges makes a watch, applies the changes to the mirror and returns how many there
+// were.
 func (f *Follower) takeChanges(ctx context.Context, wait time.Duration) (changes int, err error) {
 	events, at, err := f.watch(ctx, wait)
 	if err != nil {
@@ -48,8 +50,8 @@
 	return len(events), nil
 }
 
-// Poll asks once for what has changed and takes it in, whether this box is to ask the
-// store or not. The mirror must hold a list.
+// Poll fetches and applies the changes since the mirror's revision once, without waiting and
+// whether or not Allowed permits calls. The mirror must hold a list.
 func (f *Follower) Poll(ctx context.Context) error {
 	_, err := f.takeChanges(ctx, atOnce)
 	var compacted *CompactedError
@@ -68,7 +70,7 @@
 	return events, at, err
 }
 
-// list reads all pages. It ends early where another box hands the first list over.
+// list reads all pages of a list. It returns early if another box hands over the first list.
 func (f *Follower) list(ctx context.Context, stale bool) error {
 	first := !f.Mirror.Synced()
 	var items []Object
@@ -101,8 +103,8 @@
 	return nil
 }
 
-// page reads one page. Each has the time of an answer: a long list
-// has many, which together take seconds from a region that is far from the store.
+// listPage reads one page. Each page has a timeout of its own: a long list has many pages,
+// which together take seconds from a region that is far from the store.
 func (f *Follower) page(ctx context.Context, after string, stale bool) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
@@ -112,8 +114,8 @@
 	return p, err
 }
 
-// awaitTurn waits until this box is to read on, or has been handed the list. The
-// error is that of the context.
+// awaitTurn waits until this box may continue its list, or has been handed the list by another
+// box. It returns the error of the context, if any.
 func (f *Follower) awaitTurn(ctx context.Context) error {
 	for f.ContinuesList != nil && !f.ContinuesList() && !f.Mirror.Synced() {
 		f.sleep(ctx, readPoll)
@@ -127,7 +129,7 @@
 func (f *Follower) pause(ctx context.Context, failures int) {
 	select {
 	case <-f.hurry:
-		// It was meant for an earlier pause.
+		// The signal was meant for an earlier pause.
 	default:
 	}
 	d := min(firstRetry<<min(failures, 10), longestRetry)
--- a/pkg/objects/digest_test.go
+++ b/pkg/objects/digest_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDigestFollowsTheObjects: mirrors with equal objects have equal digests,
-// whatever way they came to them; others differ.
+// TestDigestFollowsTheObjects: mirrors with equal objects have equal digests, however they got
+// them; other mirrors have different ones.
 func TestDigestFollowsTheObjects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{items: map[string]Object{}}
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkLoadLongList is what a whole list costs a box that starts.
+// BenchmarkLoadLongList measures loading a whole list, as a starting box does.
 func BenchmarkLoadLongList(b *testing.B) {
 	for _, n := range []int{1000, 10000} {
 		var items []Object
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Tuning of a follower.
+// Parameters of a follower.
 const (
-	// answerTime bounds a call beyond what it was asked to wait.
+	// callTimeout bounds a call in addition to the time that it was asked to wait.
 	answerTime = 1200 * time.Millisecond
-	// firstRetry and longestRetry bound the pause after a failure, which
-	// doubles each time and is spread by chance over half to all of itself.
+	// firstRetry and longestRetry bound the pause after a failed call. The pause doubles with
+	// each failure, and a random duration between half of it and all of it is used.
 	firstRetry   = 150 * time.Millisecond
 	longestRetry = 1200 * time.Millisecond
-	// gather is the pause after a change notification, so that changes that
-	// come together are told by one call. It delays the next one, and is a
-	// quarter of the shortest bound on how soon a change must count.
+	// batchPause is the pause after a watch that brought changes, so that one call returns
+	// changes that follow soon after each other. It delays the next change and is a quarter of
+	// the shortest bound on how soon a change must take effect.
 	gather = 600 * time.Millisecond
-	// atOnce is the wait of the watch that follows a failure: it tells whether the
-	// store answers again, where one that waits would tell it only with a change or
-	// at the end of its wait.
+	// minWait is the wait of the watch that follows a failure: its answer shows whether the
+	// store answers again, whereas a watch that waits would return only with a change or at
+	// the end of its wait.
 	atOnce = time.Millisecond
-	// idlePause is how often a follower that is not allowed looks whether it
-	// is again; Hurry tells it sooner.
+	// idleInterval is how often a follower that may not make calls checks Allowed again;
+	// RetryNow ends the interval early.
 	idlePause = 500 * time.Millisecond
-	// maxPages bounds one list.
+	// maxPages bounds the pages of one list.
 	maxPages = 10_000
-	// pagesAtOnce is how many pages of its first list a follower reads before it
-	// asks ReadsOn, and readPoll how often it asks.
+	// pagesAtOnce is how many pages of its first list a follower reads before it calls
+	// ContinuesList, and turnInterval how often it then calls it.
 	pagesAtOnce = 2
 	readPoll    = 25 * time.Millisecond
 )
@@ -38,53 +38,52 @@
 type Follower struct {
 	Client *Client
 	Mirror *Mirror
-	// Wait is how long a watch may go without changes; WaitNow, where it is set, returns it
-	// anew for each watch. A watch that the store will
-	// never answer, since it was asked for while the store said nothing, is given up
-	// after Wait and answerTime; until then nothing is heard of this kind, whatever
-	// the store answers to other watches.
+	// Wait is how long a watch may wait for changes; NextWait, if set, returns the wait of
+	// each watch in its place. A watch that was sent while the store did not respond may never
+	// be answered. It is abandoned after Wait and callTimeout; until then the follower learns
+	// of no changes of this kind, whatever the store answers to other watches.
 	Wait     time.Duration
 	NextWait func() time.Duration
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Random returns a number in [0, 1).
 	Random func() float64
-	// Allowed reports whether this box is to ask the store; nil means that it
-	// is. It is asked before each call but the first list.
+	// Allowed reports whether this box may call the store; nil means that it may. It is called
+	// before each call but the first list.
 	Allowed func() bool
-	// ContinuesList reports whether a box that has no list yet is to read a long one;
-	// nil means that it is. Until then it waits for another box to hand it over.
+	// ContinuesList reports whether a box that has no list yet may read a long one to its end;
+	// nil means that it may. Until then the box waits for another box to hand over the list.
 	ContinuesList func() bool
-	// OnCall is told of each call, before Succeeded or Failed.
+	// OnCall is called after each call, before OnSuccess or OnFailure.
 	OnCall func(c Call)
-	// OnSuccess is called after each call that was answered, Failed after
-	// each that was not.
+	// OnSuccess is called after each call that was answered, OnFailure after each that was
+	// not.
 	OnSuccess func()
 	OnFailure func(err error)
-	// OnConfirmed is called with each answer to a watch, when the mirror holds it: all that
-	// had changed until then. A list confirms nothing, since changes go on while its pages
-	// are read, and it may be stale.
+	// OnConfirmed is called with each answer to a watch once the mirror holds it: at the time
+	// of the answer the mirror had all changes. A list confirms nothing, since changes go on
+	// while its pages are read, and it may be stale.
 	OnConfirmed func(a Answer)
 
 	mu sync.Mutex
-	// cancel ends the call that is waiting, and began is when it was made.
+	// cancel ends the pending call; callStart is when the last call was made.
 	cancel context.CancelCauseFunc
 	began  time.Time
-	// hurry ends a pause after a failure.
+	// retryNow ends a pause after a failed call.
 	hurry chan struct{}
 }
 
-// Call is one call of the store that has ended.
+// Call describes a call to the store that has ended.
 type Call struct {
-	// Watch: it was a watch, else a page of a list.
+	// Watch is true for a watch and false for a page of a list.
 	Watch bool
-	// Since is the revision from which a watch was asked for, and Revision the store's
+	// Since is the revision from which a watch was requested, and Revision the store's
 	// revision in the answer.
 	Since, Revision uint64
-	// Objects is how many objects or changes the answer holds.
+	// Objects is the number of objects or changes in the answer.
 	Objects int
 	Took    time.Duration
-	// Err is why there is no answer, nil if there is one.
+	// Err is the reason why there is no answer, or nil if there is one.
 	Err error
 }
 
@@ -94,7 +93,7 @@
 	Events []Event
 }
 
-// NewFollower makes a follower that does not run yet.
+// NewFollower returns a follower that does not run yet.
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
@@ -102,7 +101,7 @@
 	}
 }
 
-// RetryNow ends the pause after a failure: the store is known to answer.
+// RetryNow ends the pause after a failed call, because the store is known to answer.
 func (f *Follower) RetryNow() {
 	select {
 	case f.hurry <- struct{}{}:
@@ -110,8 +109,8 @@
 	}
 }
 
-// Run follows until the context ends. It begins with a list that may be stale;
-// from then on it watches, and lists anew only if the history is gone.
+// Run follows the store until the context ends. It starts with a list that may be stale; then
+// it watches, and lists again only if the store's history no longer goes back far enough.
 func (f *Follower) Run(ctx context.Context) {
 	failures := 0
 	state := following{stale: true}
@@ -152,8 +151,8 @@
 	}
 }
 
-// waits reports whether the follower makes no calls for now: another box asks in
-// its place. One that has no list yet tries once by itself.
+// isIdle reports whether the follower makes no calls for now because another box polls the
+// store in its place. A follower that has no list yet makes one attempt by itself.
 func (f *Follower) waits(failures int) bool {
 	if f.Allowed == nil || f.Allowed() {
 		return false
@@ -161,26 +160,25 @@
 	return f.Mirror.Synced() || failures > 0 && f.ContinuesList != nil && !f.ContinuesList()
 }
 
-// following is how far a follower has come.
+// followState is the state of a running follower.
 type following struct {
-	// listed: the mirror holds a list to go on from.
+	// listed means that the mirror holds a list to go on from.
 	listed bool
-	// stale: the next list may be.
+	// stale means that the next list may be stale.
 	stale bool
-	// failed: the call before was not answered.
+	// failed means that the previous call was not answered.
 	failed bool
-	// gathers: the call before brought changes, and there was a pause after it.
+	// batched means that the previous call brought changes and was followed by a pause.
 	gathers bool
 }
 
-// RestartedError says that a call was ended by Restart. That tells nothing of the
-// store.
+// RestartedError reports that a call was ended by Restart. It says nothing about the store.
 type RestartedError struct{}
 
 // Error implements error.
 func (e *RestartedError) Error() string { return "objects: the call was restarted" }
 
-// Restart ends the call that is waiting.
+// Restart cancels the pending call; the follower makes the next one at once.
 func (f *Follower) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,8 +187,8 @@
 	}
 }
 
-// RestartBefore ends the call that is waiting if it was made before the time: the
-// store may have been silent then, and never answers what it was asked meanwhile.
+// RestartBefore cancels the pending call if it was made before the given time: the store may
+// not have responded then, and in that case never answers the calls of that time.
 func (f *Follower) RestartBefore(at time.Time) {
 	if f.CallStart().Before(at) {
 		f.Restart()
@@ -204,7 +202,7 @@
 	return f.began
 }
 
-// begin notes that a call is made now.
+// begin records that a call is made now.
 func (f *Follower) begin() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,8 +210,8 @@
 	return f.began
 }
 
-// step makes the next call, or reads a list. The error is a *RestartedError or that
-// of the call.
+// step makes the next call. It returns the error of the call, or a *RestartedError if Restart
+// ended it.
 func (f *Follower) step(ctx context.Context, state *following) error {
 	callContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -8,13 +8,12 @@
 	"sync"
 )
 
-// Mirror is this box's copy of all objects of one kind. It takes in lists and
-// events from the store and lists from other boxes, in any order, and never
-// goes back to an older list.
+// Mirror is this box's copy of all objects of one kind. It accepts lists and events from the
+// store and from other boxes, in any order, and never returns to an older state.
 type Mirror struct {
 	Kind string
-	// OnChange is called with each object that changed, gone or not, in the
-	// order of changes. It runs under the mirror's lock and must not call it.
+	// OnChange is called with each object that was changed or deleted, in the order of the
+	// changes. It runs under the mirror's lock and must not call the mirror.
 	OnChange func(o Object, gone bool)
 
 	mu     sync.Mutex
@@ -22,62 +21,64 @@
 	held   Extent
 	synced bool
 	digest uint32
-	// changes are the last changes in their order, from oldest on; those up to forgotten are not
-	// all there.
+	// changes[first:] are the latest changes in their order. Changes up to revision trimmedTo
+	// may be missing.
 	changes   []change
 	oldest    int
 	forgotten uint64
 }
 
-// Extent tells how far a list, or some changes, follow the store.
+// Extent is the range of revisions that a list or a set of changes reflects.
 type Extent struct {
-	// CompleteTo: all that changed up to this revision is in it.
+	// CompleteTo is the revision up to which all changes are included.
 	CompleteTo uint64 `json:"at"`
-	// PartialTo: nothing that changed after this revision is. The pages of a long list
-	// are read one after the other, and what changes meanwhile is in some of them.
+	// PartialTo is the revision after which no change is included. The pages of a long list
+	// are read one after the other, and changes made meanwhile are in some of them only.
 	PartialTo uint64 `json:"up_to,omitempty"`
 }
 
-// Exactly is the extent of what is as the store was at one revision.
+// Exactly returns the extent of a state of the store at exactly one revision.
 func Exactly(at uint64) Extent { return Extent{CompleteTo: at, PartialTo: at} }
 
-// and returns the extent of what two things together hold.
+// merge returns the extent of the two states together.
 func (e Extent) and(other Extent) Extent {
 	return Extent{CompleteTo: max(e.CompleteTo, other.CompleteTo), PartialTo: max(e.PartialTo, other.PartialTo, e.CompleteTo, other.CompleteTo)}
 }
 
-// change is a change of one object. It was made at the revision upTo or before.
+// change is a change of one object, made at maxRevision or before.
 type change struct {
 	event Event
 	upTo  uint64
 }
 
-// maxChanges bounds the changes that a mirror remembers for other boxes.
+// maxChanges bounds the changes that a mirror keeps for other boxes.
 const maxChanges = 1024
 
-// Version tells boxes whose mirror is newer.
+// Version lets boxes compare their mirrors.
 type Version struct {
-	// Revision is the store's revision up to which changes are known.
+	// Revision is the store's revision up to which all changes are known.
 	Revision uint64 `json:"at"`
-	// Digest is equal on mirrors with equal objects.
+	// Digest is equal for mirrors with equal objects.
 	Digest uint32 `json:"digest"`
 }
 
-// NewerThan reports whether the mirror holds something that the other lacks.
+// NewerThan reports whether a mirror of this version holds something that one of the other
+// version lacks.
 func (v Version) NewerThan(other Version) bool {
 	return v.Digest != other.Digest && v.Revision > other.Revision
 }
 
-// NewMirror makes an empty mirror.
+// NewMirror returns an empty mirror.
 func NewMirror(kind string) *Mirror {
 	return &Mirror{Kind: kind, OnChange: func(Object, bool) {}, items: map[string]Object{}}
 }
 
-// Load takes in a whole list. One that is older than what is known changes
-// nothing; the return value tells.
+// Load applies a whole list and returns true. If the list is older than the mirror, it changes
+// nothing and returns false.
 //
-// The list may skip objects that came and went, which another mirror holds. So what
-// changed since before it is not told to others from then on; they take the whole list.
+// The list may omit objects that were created and deleted in the meantime, which another
+// mirror may hold. So changes from before the list are no longer passed on to other boxes;
+// these take the whole list instead.
 func (m *Mirror) Load(items []Object, held Extent) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,7 +104,7 @@
 	return true
 }
 
-// Apply takes in events that lead on from the mirror's revision.
+// Apply applies events that start from the mirror's revision.
 func (m *Mirror) Apply(events []Event, held Extent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,27 +114,29 @@
 		known, ok := m.items[e.Object.Name]
 		switch {
 		case e.Deleted && !ok:
-			// Others may hold it.
+			// Other mirrors may hold it.
 			m.remember(e)
 		case e.Deleted && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
 			m.drop(known)
 			m.remember(e)
 			m.OnChange(known, true)
 		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
-			// An object that a newer list no longer held is not revived.
+			// An object that is missing from a newer list must not be added again.
 			m.put(e.Object)
 		}
 	}
 }
 
-// put takes in an object unless the mirror has it as new or newer, and remembers it as a change.
+// putAndRecord stores an object and records it as a change, unless the mirror has the same or
+// a newer revision of it.
 func (m *Mirror) put(o Object) {
 	if m.take(o) {
 		m.remember(Event{Object: o})
 	}
 }
 
-// take takes in an object, and reports whether the mirror did not have it as new or newer.
+// putNewer stores an object and reports true, unless the mirror has the same or a newer
+// revision of it.
 func (m *Mirror) take(o Object) bool {
 	known, ok := m.items[o.Name]
 	if ok && known.Revision >= o.Revision {
@@ -146,9 +149,10 @@
 	return true
 }
 
-// remember keeps a change for other boxes. It may be as new as anything that the
-// mirror holds, and counts as such: told by the revision that the mirror had come to,
-// a change that a list had brought early was told to nobody who had come further.
+// record keeps a change for other boxes. The change may be as new as anything in the mirror,
+// so PartialTo is used as its revision: a list may contain changes newer than its CompleteTo,
+// and with CompleteTo as the revision such a change would not be passed on to boxes that are
+// already past that.
 func (m *Mirror) remember(e Event) {
 	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
 	if len(m.changes)-m.oldest > maxChanges {
@@ -156,15 +160,16 @@
 		m.oldest++
 	}
 	if m.oldest == maxChanges {
-		// Moved together once in a while: to move all with each change takes longer than all else of it.
+		// Move the entries only once per maxChanges changes: moving all of them with each
+		// change takes longer than the rest of it.
 		kept := copy(m.changes, m.changes[m.oldest:])
 		clear(m.changes[kept:])
 		m.changes, m.oldest = m.changes[:kept], 0
 	}
 }
 
-// EventsSince returns what has changed since a revision, and how far that leads; ok
-// is false if that is not known any more.
+// EventsSince returns the changes since a revision and the extent reached with them; ok is
+// false if these changes are no longer known.
 func (m *Mirror) EventsSince(at uint64) (events []Event, held Extent, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,8 +184,8 @@
 	return events, m.held, true
 }
 
-// digestOf is an object's part of the digest. The digest is the exclusive or of
-// all parts, so that a change costs as much in a long list as in a short one.
+// digestOf returns an object's part of the digest. The digest is the exclusive or of all
+// parts, so that the cost of a change does not depend on the length of the list.
 func digestOf(o *Object) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(o.Name))
@@ -188,7 +193,7 @@
 	return h.Sum32()
 }
 
-// set puts an object in the place of the one of its name.
+// set stores an object, replacing the one with the same name.
 func (m *Mirror) set(o Object) {
 	if known, ok := m.items[o.Name]; ok {
 		m.digest ^= digestOf(&known)
@@ -197,35 +202,35 @@
 	m.digest ^= digestOf(&o)
 }
 
-// drop removes an object.
+// remove deletes an object.
 func (m *Mirror) drop(o Object) {
 	m.digest ^= digestOf(&o)
 	delete(m.items, o.Name)
 }
 
-// Version returns how new the mirror is.
+// Version returns the version of the mirror.
 func (m *Mirror) Version() Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Version{Revision: m.held.CompleteTo, Digest: m.digest}
 }
 
-// Lacks reports whether a mirror of the version holds something that this one
-// does not: any does that has a list, be it empty, where this one has none.
+// Lacks reports whether a mirror of the given version holds something that this one does not.
+// A mirror without a list lacks any list, even an empty one.
 func (m *Mirror) Lacks(v Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.synced || v.NewerThan(Version{Revision: m.held.CompleteTo, Digest: m.digest})
 }
 
-// Synced reports whether a whole list was ever taken in.
+// Synced reports whether the mirror has loaded a whole list.
 func (m *Mirror) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.synced
 }
 
-// Items returns all objects by name, and how far they follow the store.
+// Items returns all objects sorted by name, and their extent.
 func (m *Mirror) Items() ([]Object, Extent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/objects/objects.go
+++ b/pkg/objects/objects.go
@@ -1,10 +1,9 @@
-// Package objects follows the platform's store: lists, watches, and what to
-// do when these fail. How the store is spoken to is a Client's matter, a set
-// of function fields that an adapter fills.
+// Package objects follows the platform's store: lists, watches, and the handling of failed
+// calls. The protocol of the store is hidden behind Client, a set of function fields that an
+// adapter fills.
 //
-// Example: the store forgets its history while a watch is cut. The follower
-// hears CompactedError at its next watch, lists anew, and the Mirror tells
-// only what differs.
+// Example: the store discards its history while a watch is interrupted. The follower gets a
+// CompactedError for its next watch, lists again, and the Mirror reports only the differences.
 package objects
 
 import (
@@ -17,10 +16,10 @@
 // Object is one object of the store.
 type Object struct {
 	Name string `json:"name"`
-	// Revision is the store's, of the object's last change.
+	// Revision is the store's revision of the object's last change.
 	Revision uint64          `json:"revision"`
 	Spec     json.RawMessage `json:"spec"`
-	// Status is what others have noted of the object, empty for most.
+	// Status is what others have written about the object; most objects have none.
 	Status json.RawMessage `json:"status,omitempty"`
 }
 
@@ -33,27 +32,27 @@
 // Page is a part of a list.
 type Page struct {
 	Items []Object
-	// More is true if the list goes on after the last item's name.
+	// More is true if the list continues after the name of the last item.
 	More bool
 	// Revision is the store's revision.
 	Revision uint64
 }
 
-// Client reaches the store.
+// Client makes calls to the store.
 type Client struct {
-	// List returns the objects of a kind with names after the given one. A
-	// stale list is cheaper and may be seconds old; a watch that goes on from
-	// its revision brings what it lacks.
+	// List returns the objects of a kind whose names come after the given one. A stale list is
+	// cheaper and may be seconds old; a watch that starts from its revision returns what it
+	// lacks.
 	List func(ctx context.Context, kind, after string, stale bool) (Page, error)
-	// Watch returns what has changed since a revision, as soon as something
-	// has or after the wait, and the revision to go on from.
+	// Watch returns the changes since a revision and the revision to continue from, as soon as
+	// there is a change or the wait is over.
 	Watch func(ctx context.Context, kind string, since uint64, wait time.Duration) ([]Event, uint64, error)
-	// Create writes a new object; one that is there already stays as it is. Remove deletes
-	// one, if it is there.
+	// Create writes a new object; an existing one stays as it is. Remove deletes an object if
+	// it exists.
 	Create func(ctx context.Context, kind, name string, spec any) error
 	Remove func(ctx context.Context, kind, name string) error
-	// SetStatus notes something of an object, if its last change is still that of the revision; the
-	// error is else a *ConflictError.
+	// SetStatus sets the status of an object if its last change is still that of the revision;
+	// otherwise it returns a *ConflictError.
 	SetStatus func(ctx context.Context, kind, name string, revision uint64, status any) error
 }
 
@@ -61,36 +60,41 @@
 // Errors
 // ================================================================
 
-// CompactedError says that the store no longer knows what has changed since.
+// CompactedError reports that the store no longer has the history since the requested
+// revision.
 type CompactedError struct{}
 
 // Error implements error.
-func (e *CompactedError) Error() string { return "objects: the history is gone" }
+func (e *CompactedError) Error() string {
+	return "objects: the store no longer has the history since the requested revision"
+}
 
-// ConflictError says that an object has changed meanwhile, or is gone.
+// ConflictError reports that an object has been changed or deleted meanwhile.
 type ConflictError struct {
 	Kind, Name string
 }
 
 // Error implements error.
-func (e *ConflictError) Error() string { return "objects: " + e.Kind + "/" + e.Name + " has changed" }
+func (e *ConflictError) Error() string {
+	return "objects: " + e.Kind + "/" + e.Name + " was changed or deleted meanwhile"
+}
 
-// UnavailableError says that the store did not do what it was asked.
+// UnavailableError reports that the store did not carry out a call.
 type UnavailableError struct {
-	// Status is the store's HTTP status, 0 if there was no answer.
+	// Status is the store's HTTP status, or 0 if there was no answer.
 	Status int
 	Cause  error
 }
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("objects: unavailable (status %d): %v", e.Status, e.Cause)
+	return fmt.Sprintf("objects: store unavailable (status %d): %v", e.Status, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// MalformedError says that the store's answer could not be read.
+// MalformedError reports that the store's answer could not be parsed.
 type MalformedError struct{ Cause error }
 
 // Error implements error.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -56,8 +56,8 @@
 	return list
 }
 
-// TestMirrorFollowsInAnyOrder: lists that are old, and lists of other boxes
-// between events, never take a mirror back, and it ends equal to the store.
+// TestMirrorFollowsInAnyOrder: old lists, and lists from other boxes between events, never
+// return a mirror to an older state, and it ends up equal to the store.
 func TestMirrorFollowsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{items: map[string]Object{}}
@@ -115,8 +115,8 @@
 	is.Equal(a.Version().Digest, b.Version().Digest)
 }
 
-// TestMirrorWithoutAListLacksAnEmptyOne: a list without objects has the digest of
-// a mirror without a list, and is what a box waits for all the same.
+// TestMirrorWithoutAListLacksAnEmptyOne: an empty list has the digest of a mirror without a
+// list, and a box that waits for a list must still take it.
 func TestMirrorWithoutAListLacksAnEmptyOne(t *testing.T) {
 	is := is.New(t)
 	a, b := NewMirror("things"), NewMirror("things")
@@ -129,7 +129,7 @@
 	is.True(!a.Lacks(b.Version()))
 }
 
-// script is a client whose answers a test gives one after the other.
+// script is a client whose answers a test provides.
 type script struct {
 	mu    sync.Mutex
 	calls []string
@@ -213,7 +213,7 @@
 	f, stop := follow(s, time.Minute)
 	eventually(is, has(f, "c"))
 	stop()
-	// It goes on from the first page's revision, and from the last event's.
+	// It continues from the revision of the first page, and from that of the last event.
 	is.Equal(s.calls[:3], []string{"list ", "list a", "watch 5"})
 }
 
@@ -262,8 +262,8 @@
 	eventually(is, has(f, "late"))
 }
 
-// TestRestartedFollowerAsksAtOnce: it goes on from where it was, so that it
-// costs one call and not a list.
+// TestRestartedFollowerAsksAtOnce: a restarted follower continues from its revision, which
+// costs one watch and no list.
 func TestRestartedFollowerAsksAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -293,8 +293,9 @@
 	is.True(time.Since(start) < time.Second)
 }
 
-// TestFollowerThatIsNotAllowedAsksNothing, and goes on where others brought
-// the mirror when it is allowed again.
+// TestFollowerThatIsNotAllowedAsksNothing: a follower that is not allowed to call the store
+// makes no calls, and continues from the revision that other boxes have brought the mirror to
+// once it is allowed again.
 func TestFollowerThatIsNotAllowedAsksNothing(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -347,7 +348,7 @@
 	s.mu.Lock()
 	down = false
 	s.mu.Unlock()
-	// The pause is one of half a second at least now.
+	// The pause is at least half a second by now.
 	time.Sleep(50 * time.Millisecond)
 	f.RetryNow()
 	start := time.Now()
@@ -355,8 +356,8 @@
 	is.True(time.Since(start) < 300*time.Millisecond)
 }
 
-// TestMirrorPassesItsChangesOn: a mirror that takes in another's changes since
-// its own revision is equal to it, wherever both began.
+// TestMirrorPassesItsChangesOn: a mirror that applies the changes of another one since its own
+// revision is equal to it, wherever both started.
 func TestMirrorPassesItsChangesOn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{items: map[string]Object{}}
@@ -402,8 +403,8 @@
 	is.Equal(len(events), 11)
 }
 
-// TestLongListOfAFarStoreIsRead: each page has the time of an answer, and not
-// all pages together.
+// TestLongListOfAFarStoreIsRead: each page has the timeout of a call, rather than all pages
+// together.
 func TestLongListOfAFarStoreIsRead(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -430,8 +431,8 @@
 	eventually(is, has(f, "server-5"))
 }
 
-// TestLongListIsHandedOver: a box that is not to read a long list on stops after
-// the first pages, and goes on from what another one hands it.
+// TestLongListIsHandedOver: a box that may not continue a long list stops after the first
+// pages, and continues from the list that another box hands over.
 func TestLongListIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -456,8 +457,8 @@
 	is.Equal(s.calls[:3], []string{"list ", "list a", "watch 7"})
 }
 
-// TestBoxWithoutAListDoesNotPressAStoreThatIsDown: one that is not to ask tries
-// once, and then leaves it to those that are.
+// TestBoxWithoutAListDoesNotPressAStoreThatIsDown: a box that may not call the store tries
+// once and then leaves the calls to the boxes that may.
 func TestBoxWithoutAListDoesNotPressAStoreThatIsDown(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// pageSize is how many objects a page of the model's lists holds.
+// pageSize is the number of objects on a page of the model's lists.
 const pageSize = 2
 
 // listing is a list that a box reads page by page while the store changes.
@@ -19,7 +19,7 @@
 	began bool
 }
 
-// page reads the next page and reports whether the list is whole.
+// page reads the next page and reports whether the list is complete.
 func (l *listing) page(s *storeModel) bool {
 	if !l.began {
 		l.began, l.held.CompleteTo = true, s.at
@@ -39,8 +39,8 @@
 	return len(names) <= pageSize
 }
 
-// lacking returns what a mirror has not heard of although it counts as known up to
-// its revision.
+// lacking describes a change up to the mirror's revision that the mirror does not reflect, or
+// returns "" if there is none.
 func lacking(s *storeModel, m *Mirror) string {
 	items, extent := m.Items()
 	at := extent.CompleteTo
@@ -68,26 +68,28 @@
 	return ""
 }
 
-// The story. A server says that it leaves while a box reads the list, which has several
-// pages: the first page is older than the news, a later one has it. The box names the first
-// page's revision as the one that it holds. Another box, which has read further by then but
-// has not heard of the leaving, asks it for what has changed since: the answer lacks what
-// the list had brought early, and leads to a revision that includes it. From then on that
-// box counts as up to date and sends requests to the server until its entry changes again.
+// The failure that this test guards against: a server announces that it is leaving while a box
+// reads a list of several pages. The first page is older than that change, a later one
+// includes it. The box reports the first page's revision as its own. Another box, which is
+// past that revision but has not seen the change, asks it for the changes since. The answer
+// lacks what the list contained early, but leads to a revision that includes it. So that box
+// takes itself to be up to date and sends requests to the server until its entry changes
+// again.
 //
-// The cause: a copy told its changes by the revision that it had come to, not by the one
-// that they may have come from; and one that had skipped over changes by a new list went on
-// to tell what had changed since before it, without what it had skipped.
+// There were two causes. A mirror recorded changes under the revision that it had reached,
+// instead of the highest one they may have come from. And a mirror that had skipped changes by
+// loading a new list still passed on the changes since before that list, without those it had
+// skipped.
 
-// TestMirrorsThatLearnFromEachOtherMissNothing: whoever a box learns from, the store by
-// lists of many pages and by watches, or other boxes by what has changed, it holds all
-// that has changed up to the revision that it names.
+// TestMirrorsThatLearnFromEachOtherMissNothing: whether a mirror is updated from the store, by
+// lists of many pages and by watches, or from the changes of other mirrors, it holds all
+// changes up to the revision that it reports.
 func TestMirrorsThatLearnFromEachOtherMissNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{items: map[string]Object{}}
 		boxes := []*Mirror{NewMirror("things"), NewMirror("things"), NewMirror("things")}
 		lists := make([]listing, len(boxes))
-		// arriving are what other boxes have handed over and is still on its way.
+		// arriving holds what other boxes have handed over and has not arrived yet.
 		arriving := make([]func(), len(boxes))
 		box := rapid.IntRange(0, len(boxes)-1)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
