--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -53,7 +53,7 @@
 // isLater reports whether significantly more of these requests are late than of the others.
 // Known keys and first uses are compared separately: on a route with a short timeout all first
 // uses may be late.
-func (t *Timing) worseLate(others Timing) bool {
+func (t *Timing) isLater(others Timing) bool {
 	if others.Count < minTimed {
 		return t.Late >= 2*minBad && t.Late > lateShare*t.Count
 	}
@@ -114,7 +114,7 @@
 	share, old := p.New.badShare(), p.Old.badShare()
 	slower := max(slowerBy(p.New.Known, p.Old.Known), slowerBy(p.New.First, p.Old.First))
 	isBad := p.New.Bad >= minBad && share > badFactor*old+badMargin || slower > slowFactor ||
-		p.New.Known.worseLate(p.Old.Known) || p.New.First.worseLate(p.Old.First)
+		p.New.Known.isLater(p.Old.Known) || p.New.First.isLater(p.Old.First)
 	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slowdown: float64(slower)}
 }
 
