--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -112,14 +112,14 @@
 // verdict compares the version with other servers.
 func (p *Comparison) verdict() Verdict {
 	share, old := p.New.badShare(), p.Old.badShare()
-	slower := max(slowerBy(p.New.Known, p.Old.Known), slowerBy(p.New.First, p.Old.First))
+	slower := max(slowdown(p.New.Known, p.Old.Known), slowdown(p.New.First, p.Old.First))
 	isBad := p.New.Bad >= minBad && share > badFactor*old+badMargin || slower > slowFactor ||
 		p.New.Known.isLater(p.Old.Known) || p.New.First.isLater(p.Old.First)
 	return Verdict{Bad: isBad, Route: p.Route, BadShare: float64(share), Slowdown: float64(slower)}
 }
 
 // slowdown returns how many times longer the new version took, or 0 if that is not known.
-func slowerBy(fresh, old Timing) float32 {
+func slowdown(fresh, old Timing) float32 {
 	if fresh.Count < minTimed || old.Count < minTimed || old.Seconds <= 0 {
 		return 0
 	}
