--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -127,13 +127,13 @@
 }
 
 // routeTallies holds a box's tallies of a service by route.
-type scores struct {
+type routeTallies struct {
 	pairs map[string]*Comparison
 	at    time.Time
 }
 
 // decay reduces the tallies according to the time since the last call.
-func (s *scores) decay(now time.Time) {
+func (s *routeTallies) decay(now time.Time) {
 	by := float32(math.Exp(-now.Sub(s.at).Seconds() / decayTime.Seconds()))
 	s.at = now
 	for _, p := range s.pairs {
@@ -167,7 +167,7 @@
 	now := t.Now()
 	s := t.own[o.Service]
 	if s == nil {
-		s = &scores{pairs: map[string]*Comparison{}, at: now}
+		s = &routeTallies{pairs: map[string]*Comparison{}, at: now}
 		t.own[o.Service] = s
 	}
 	s.decay(now)
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -94,7 +94,7 @@
 	orders map[string]*active
 	// own holds this box's tallies by service; reports holds the last report of each other box
 	// about each service.
-	own     map[string]*scores
+	own     map[string]*routeTallies
 	reports map[string]received
 }
 
@@ -106,7 +106,7 @@
 
 // NewTable returns a table without orders.
 func NewTable(box string, now func() time.Time) *Table {
-	return &Table{Box: box, Now: now, orders: map[string]*active{}, own: map[string]*scores{}, reports: map[string]received{}}
+	return &Table{Box: box, Now: now, orders: map[string]*active{}, own: map[string]*routeTallies{}, reports: map[string]received{}}
 }
 
 // Set adds an order, replacing an earlier one for the same service.
