--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -205,7 +205,7 @@
 
 // evaluate returns whether the version of a service's order is bad, on all routes together or
 // on a single one. The caller holds the lock.
-func (t *Table) judge(service string, now time.Time) Verdict {
+func (t *Table) evaluate(service string, now time.Time) Verdict {
 	all := Comparison{}
 	routes := map[string]*Comparison{}
 	add := func(p *Comparison) {
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -179,7 +179,7 @@
 		if a.State == Complete || a.State == RolledBack {
 			continue
 		}
-		verdict := t.judge(service, now)
+		verdict := t.evaluate(service, now)
 		a.isBad = a.isBad || verdict.Bad
 		switch {
 		case a.isBad:
