--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -77,7 +77,7 @@
 // active is an order and what this box knows about it.
 type active struct {
 	Order
-	seen time.Time
+	firstSeen time.Time
 	// isBad is true once this box has found the version to be bad, which may be before the
 	// store records it.
 	isBad bool
@@ -118,7 +118,7 @@
 		known.Order = o
 		return
 	}
-	t.orders[o.Service] = &active{Order: o, seen: t.Now()}
+	t.orders[o.Service] = &active{Order: o, firstSeen: t.Now()}
 	t.forget(o.Service)
 }
 
@@ -158,7 +158,7 @@
 	case a.State == RolledBack || a.isBad:
 		return Rule{Version: a.Version, Excluded: true}
 	}
-	return Rule{Version: a.Version, Share: shareAt(now.Sub(a.seen), a.Duration)}
+	return Rule{Version: a.Version, Share: shareAt(now.Sub(a.firstSeen), a.Duration)}
 }
 
 // Change is a state that an order has reached and that the store does not record yet.
@@ -184,7 +184,7 @@
 		switch {
 		case a.isBad:
 			list = append(list, Change{Order: a.Order, State: RolledBack, Verdict: verdict})
-		case now.Sub(a.seen).Seconds() >= completeAt*a.Duration.Seconds():
+		case now.Sub(a.firstSeen).Seconds() >= completeAt*a.Duration.Seconds():
 			list = append(list, Change{Order: a.Order, State: Complete, Verdict: verdict})
 		case a.State == "":
 			list = append(list, Change{Order: a.Order, State: Running, Verdict: verdict})
