--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -41,7 +41,7 @@
 func Exactly(at uint64) Extent { return Extent{CompleteTo: at, PartialTo: at} }
 
 // merge returns the extent of the two states together.
-func (e Extent) and(other Extent) Extent {
+func (e Extent) merge(other Extent) Extent {
 	return Extent{CompleteTo: max(e.CompleteTo, other.CompleteTo), PartialTo: max(e.PartialTo, other.PartialTo, e.CompleteTo, other.CompleteTo)}
 }
 
@@ -97,7 +97,7 @@
 		}
 	}
 	m.synced = true
-	m.held = m.held.and(held)
+	m.held = m.held.merge(held)
 	clear(m.changes)
 	m.changes, m.oldest = m.changes[:0], 0
 	m.forgotten = m.held.PartialTo
@@ -109,7 +109,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before := m.held.CompleteTo
-	m.held = m.held.and(held)
+	m.held = m.held.merge(held)
 	for _, e := range events {
 		known, ok := m.items[e.Object.Name]
 		switch {
