--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -88,7 +88,7 @@
 	listed := map[string]bool{}
 	for _, o := range items {
 		listed[o.Name] = true
-		m.take(o)
+		m.putNewer(o)
 	}
 	for name, o := range m.items {
 		if !listed[name] && o.Revision <= max(held.CompleteTo, held.PartialTo) {
@@ -130,14 +130,14 @@
 // putAndRecord stores an object and records it as a change, unless the mirror has the same or
 // a newer revision of it.
 func (m *Mirror) put(o Object) {
-	if m.take(o) {
+	if m.putNewer(o) {
 		m.remember(Event{Object: o})
 	}
 }
 
 // putNewer stores an object and reports true, unless the mirror has the same or a newer
 // revision of it.
-func (m *Mirror) take(o Object) bool {
+func (m *Mirror) putNewer(o Object) bool {
 	known, ok := m.items[o.Name]
 	if ok && known.Revision >= o.Revision {
 		return false
