--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -122,14 +122,14 @@
 			m.OnChange(known, true)
 		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
 			// An object that is missing from a newer list must not be added again.
-			m.put(e.Object)
+			m.putAndRecord(e.Object)
 		}
 	}
 }
 
 // putAndRecord stores an object and records it as a change, unless the mirror has the same or
 // a newer revision of it.
-func (m *Mirror) put(o Object) {
+func (m *Mirror) putAndRecord(o Object) {
 	if m.putNewer(o) {
 		m.remember(Event{Object: o})
 	}
