--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -12,13 +12,13 @@
 )
 
 // ================================================================
-// What is told of the calls of the platform's store, kind by kind: one watch may
-// hear nothing any more while another one is answered.
+// Logs and metrics about calls to the platform's store, kind by kind: one watch may get no
+// answers any more while another one does.
 // ================================================================
 
-// tellsCalls returns what is to be called with each call for a kind of objects. It
-// tells how long ago the store last answered, the first call of a row that was not
-// answered, and the first one that is again; each single call in lines for debugging.
+// newCallReporter returns a function that is to be called with each call for a kind of
+// objects. It reports how long ago the store last answered, the first of consecutive failed
+// calls and the first answer after them, and every call in debug lines.
 func (r *Replica) tellsCalls(kind string) func(c objects.Call) {
 	var answered atomic.Int64
 	answered.Store(int64(r.contact.age()))
@@ -26,7 +26,7 @@
 		return (r.contact.age() - time.Duration(answered.Load())).Milliseconds()
 	})
 	if err := r.Metrics.Register("store.answered_ago."+kind, gauge); err != nil {
-		r.StoreLog.Warn("metric not told", map[string]any{"kind": kind, "error": err.Error()})
+		r.StoreLog.Warn("cannot register the metric", map[string]any{"kind": kind, "error": err.Error()})
 	}
 	var mu sync.Mutex
 	failed := 0
@@ -44,7 +44,7 @@
 			return
 		}
 		if !r.watching.Load() {
-			// Calls of a box that has left the role are cut short.
+			// A box that no longer is a poller cancels its calls.
 			failed = 0
 			return
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-// isAnswer reports whether a call that ended so was answered by the store.
+// isAnswer reports whether a call with this error was answered by the store.
 func isAnswer(err error) bool {
 	var compacted *objects.CompactedError
 	return err == nil || errors.As(err, &compacted)
--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -9,21 +9,20 @@
 )
 
 // ================================================================
-// What boxes that ask the store say of how new their copies are.
+// What store pollers report about how current their copies are.
 // ================================================================
 
-// claim is what a box said of its copy: of which version it is, and when that was the
-// newest.
+// claim is a box's report that a version of its copy was current at a time.
 type claim struct {
 	version objects.Version
 	at      time.Time
 }
 
-// mostClaims bounds the claims that are kept of a kind: while changes follow each other, some
-// come before what the first one speaks of has been taken over.
+// maxClaims bounds the claims that are kept for a kind: while changes follow each other
+// quickly, further claims arrive before the version of the first one has been applied.
 const mostClaims = 8
 
-// claims are what was said of copies that this box did not have yet, by kind, the oldest
+// claims are reports about versions that this box does not have yet, by kind, the oldest
 // first.
 type claims struct {
 	mu    sync.Mutex
@@ -43,8 +42,8 @@
 	c.kinds[kind] = append(list, one)
 }
 
-// settle returns when the copy was last the newest by the claims that hold for it, and
-// forgets these; ok is false if none does.
+// resolve returns when the copy was last current according to the claims about versions that
+// it now has, and removes these claims; ok is false if there are none.
 func (c *claims) settle(kind string, m *objects.Mirror) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,8 +64,8 @@
 	return at, ok
 }
 
-// hearConfirmations takes the word of a box that asks the store on how new its copies
-// are. It holds for this box's own once they lack nothing of those.
+// addClaims adds the claims of a store poller about its copies. They hold for this box's
+// copies as soon as these lack nothing of that version.
 func (r *Replica) hearConfirmations(from *gossip.Record) {
 	for kind, told := range map[string]uint32{
 		r.Kinds.Configuration: from.ConfirmedAgo, r.Kinds.Servers: from.ListConfirmedAgo,
@@ -81,8 +80,8 @@
 	}
 }
 
-// settleClaims takes the claims of a kind for this box's copy where that lacks nothing of
-// what they were made of.
+// resolveClaims confirms this box's copy of a kind by the claims about versions of which it
+// lacks nothing.
 func (r *Replica) settleClaims(kind string) {
 	c := r.contact.of(r.Kinds, kind)
 	if c == nil {
--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -9,10 +9,10 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// TestClaimsOutliveNewerOnes: while changes follow each other, what another box said of a version
-// is caught up with only after it has said the same of a newer one. Where only the last word was
-// kept, none ever held: all boxes of a start of 295 asked the store themselves, 1,210 calls in
-// 21 s for 352.
+// TestClaimsOutliveNewerOnes: while changes follow each other quickly, a box has a version
+// only after the poller has already reported a newer one. If only the last claim is kept, none
+// ever holds: all boxes of a start of 295 polled the store themselves, with 1,210 calls in 21
+// s in place of 352.
 func TestClaimsOutliveNewerOnes(t *testing.T) {
 	is := is.New(t)
 	m := objects.NewMirror(storeKinds.Servers)
@@ -23,14 +23,14 @@
 		c.put(m.Kind, claim{objects.Version{Revision: 2 + i, Digest: uint32(2 + i)}, start.Add(time.Duration(i) * time.Second)})
 	}
 	_, ok := c.settle(m.Kind, m)
-	is.True(!ok) // the copy lacks what each speaks of
+	is.True(!ok) // the copy lacks the version of each claim
 
 	m.Apply(nil, objects.Exactly(3))
 	at, ok := c.settle(m.Kind, m)
 	is.True(ok)
-	is.Equal(at, start.Add(time.Second)) // the newest that holds
+	is.Equal(at, start.Add(time.Second)) // the newest claim that holds
 	_, ok = c.settle(m.Kind, m)
-	is.True(!ok) // the last one still does not
+	is.True(!ok) // the last claim still does not hold
 
 	for i := range uint64(3 * mostClaims) {
 		c.put(m.Kind, claim{objects.Version{Revision: 10 + i, Digest: 1}, start})
--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -6,52 +6,53 @@
 	"time"
 )
 
-// contact is what a box has seen of the platform's store.
+// contact records the answers and failures of the platform's store that a box has seen.
 type contact struct {
-	// now is the clock, started the start of the box, and within the time of contact.
+	// now is the clock, started the start of the box, and window the contact window.
 	now     func() time.Time
 	started time.Time
 	within  time.Duration
-	// answered is when the store last did, and failed when the last call was made that
-	// it did not answer, in nanoseconds since the start; failed is 0 if there is none.
+	// answered is when the store last answered; failed is when the last call was made that it
+	// did not answer, or 0 if there is none. Both are in nanoseconds since the start.
 	answered atomic.Int64
 	failed   atomic.Int64
-	// configuration and list tell when this box's copies of the configuration and of
-	// the list of servers were last known to be the newest.
+	// configuration and list record when this box's copies of the configuration and of the
+	// list of servers were last known to be current.
 	configuration, list confirmation
-	// failing are the kinds of objects whose last call was not answered.
+	// failing holds the kinds of objects whose last call was not answered.
 	mu      sync.Mutex
 	failing map[string]bool
 }
 
-// confirmation is when a copy was last known to be the newest.
+// confirmation records when a copy was last known to be current.
 type confirmation struct {
-	// now is the clock and started the start of the box. The moments are in nanoseconds after
-	// it, 0 if there is none: own, by this box's own calls; heard, by the word of another box.
+	// now is the clock and started the start of the box. own is set by this box's own calls,
+	// remote by reports of other boxes. Both are in nanoseconds since the start, 0 if there is
+	// none.
 	now        func() time.Time
 	started    time.Time
 	own, heard atomic.Int64
 }
 
-// note notes that the copy was the newest at a time, by a call of this box's own.
+// noteOwn records that a call of this box has shown the copy to be current at a time.
 func (c *confirmation) note(at time.Time) { raise(&c.own, int64(at.Sub(c.started))) }
 
-// hear notes the same by the word of another box.
+// noteRemote records the same from a report of another box.
 func (c *confirmation) hear(at time.Time) { raise(&c.heard, int64(at.Sub(c.started))) }
 
-// ago is how long ago the copy was last known to be the newest, or how long the box has run
+// age returns how long ago the copy was last known to be current, or how long the box has run
 // if it never was.
 func (c *confirmation) ago() time.Duration {
 	return c.now().Sub(c.started) - time.Duration(max(c.own.Load(), c.heard.Load()))
 }
 
-// ever reports whether the copy was ever known to be the newest.
+// known reports whether the copy was ever known to be current.
 func (c *confirmation) ever() bool { return c.own.Load() != 0 || c.heard.Load() != 0 }
 
-// told returns what heartbeats tell of the copy: how long ago it was the newest, in
-// milliseconds and one more; 0 if this box does not ask the store. What it has only heard
-// is not told on: each word counts from when it is heard, so two boxes that told each other
-// would take a copy to be newer the more they talk, by the time of their datagrams each time.
+// reported returns the value for heartbeats: how long ago the copy was current, in
+// milliseconds plus one, or 0 if this box does not poll the store. Reports of other boxes are
+// not passed on: each counts from when it arrives, so two boxes that reported to each other
+// would take a copy to be newer with each report, by the delay of the datagram.
 func (c *confirmation) told(watching bool) uint32 {
 	own := c.own.Load()
 	if own == 0 || !watching {
@@ -69,8 +70,8 @@
 	return c
 }
 
-// setFailing notes whether the last call for a kind failed, and reports whether the
-// one before did.
+// setFailing records whether the last call for a kind failed, and returns whether the one
+// before did.
 func (c *contact) setFailing(kind string, failing bool) (before bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +87,7 @@
 	return c.failing[kind]
 }
 
-// lost reports whether the last call for any kind was not answered.
+// anyFailing reports whether the last call for any kind was not answered.
 func (c *contact) lost() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,8 +99,8 @@
 	return false
 }
 
-// forgetFailures takes no kind for failing any more: the box asks from now on, or has
-// left that to others.
+// forgetFailures marks no kind as failing: the box has just become a poller or ceased to be
+// one.
 func (c *contact) forgetFailures() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,7 @@
 
 func (c *contact) noteAnswer() { c.answered.Store(int64(c.age())) }
 
-// raise sets a moment to a later one.
+// advance sets a moment unless it already has a later value.
 func raise(moment *atomic.Int64, to int64) {
 	for {
 		known := moment.Load()
@@ -120,28 +121,28 @@
 	}
 }
 
-// noteFailure notes that a call was not answered, given when it was made: that is when
-// the store was silent. One that a watch met is known seconds later; counted from then
-// on, the list of servers would not be trusted until seconds after the time of contact, and
-// servers that left meanwhile without a word would be kept.
+// noteFailure records that a call was not answered, given when it was made, which is when the
+// store did not respond. A watch notices this only seconds later. Counted from then, the list
+// of servers would not be trusted until seconds after the contact window, and servers whose
+// entries vanish meanwhile would be kept.
 func (c *contact) noteFailure(made time.Time) {
 	raise(&c.failed, int64(made.Sub(c.started)))
 }
 
-// answeredLately reports whether the store has answered this box lately.
+// answeredLately reports whether the store has answered this box within the contact window.
 func (c *contact) answeredLately() bool {
 	return c.age()-time.Duration(c.answered.Load()) < c.within
 }
 
-// healthy reports whether the store has answered this box without fail for a
-// while.
+// healthy reports whether, within the contact window, the store has answered this box and no
+// call has failed.
 func (c *contact) healthy() bool {
 	failed := c.failed.Load()
 	return c.answeredLately() && (failed == 0 || c.age()-time.Duration(failed) > c.within)
 }
 
-// of returns what is known of the copy of a kind, nil for evacuations, of which nothing is
-// told.
+// confirmationOf returns the confirmation of the copy of a kind, or nil for kinds of which
+// heartbeats report nothing.
 func (c *contact) of(kinds Kinds, kind string) *confirmation {
 	switch kind {
 	case kinds.Configuration:
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -21,22 +21,21 @@
 )
 
 const (
-	// nearWay and farWay are how long a datagram takes within a region and between two,
-	// one way; one in lostOneIn is lost.
+	// nearWay and farWay are how long a datagram takes, one way, within a region and between
+	// two; one datagram in lostOneIn is lost.
 	nearWay   = time.Millisecond
 	farWay    = 35 * time.Millisecond
 	lostOneIn = 40
-	// dialPatience is after what time a box that is not reached is given up.
+	// dialPatience is how long a box tries to connect to a box that cannot be reached.
 	dialPatience = 600 * time.Millisecond
-	// fleetTime is how long a fleet runs, and quietTime how long before its end no
-	// trouble begins.
+	// fleetTime is how long a fleet runs; no fault starts in the last quietTime of it.
 	fleetTime = 24 * time.Second
 	quietTime = 8 * time.Second
-	// checkEvery is how often all boxes are looked at.
+	// checkEvery is how often all boxes are checked.
 	checkEvery = 100 * time.Millisecond
 )
 
-// fleetZones are the zones of a fleet, by region.
+// fleetZones are the zones of a fleet, with their regions.
 var fleetZones = map[string]string{"east-a": "east", "east-b": "east", "west-a": "west", "west-b": "west"}
 
 // fleetBox is one box of a fleet.
@@ -49,29 +48,30 @@
 	told       [2]bool
 }
 
-// fleet is boxes in one process, without sockets, whose time is the test's own.
+// fleet is a set of boxes in one process, without sockets and on the test's own clock.
 type fleet struct {
 	t      *testing.T
 	store  *modelStore
 	random *rand.Rand
 	mu     sync.Mutex
 	boxes  map[string]*fleetBox
-	// struck is when a box or its way to the store was last in trouble, and troubles how many
-	// strike it now, by name: they outlast a life of it.
+	// struck is when a box or its connection to the store last had a fault; troubles is how
+	// many faults a box has now. Both are by name, since faults outlast an incarnation of the
+	// box.
 	struck   map[string]time.Time
 	troubles map[string]int
-	// cuts are pairs of boxes or zones that do not reach each other.
+	// cuts are pairs of boxes or zones that cannot reach each other.
 	cuts map[[2]string]int
-	// taken is when the store took a change, by kind and revision.
+	// taken is when the store accepted a change, by kind and revision.
 	taken map[string]map[uint64]time.Time
-	// removed is the revision that took an object away, by kind and name.
+	// removed is the revision that deleted an object, by kind and name.
 	removed map[string]uint64
-	// storeStruck is when the store as a whole was last in trouble, for all boxes.
+	// storeStruck is when the store as a whole last had a fault that affects all boxes.
 	storeStruck   time.Time
 	storeTroubles int
 	background    sync.WaitGroup
 	ended         context.Context
-	// troublesLog tells the troubles that were played, for a fleet that fails.
+	// troublesLog lists the faults that were played, to be printed if the fleet fails.
 	troublesLog []string
 }
 
@@ -81,7 +81,7 @@
 	return f.random.Intn(n)
 }
 
-// reaches reports whether two boxes reach each other.
+// reaches reports whether two boxes can reach each other.
 func (f *fleet) reaches(a, b *fleetBox) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	return f.boxes[name]
 }
 
-// names returns the boxes that run, in order.
+// names returns the names of the running boxes, sorted.
 func (f *fleet) names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +124,7 @@
 	return farWay
 }
 
-// start starts a box, or a new life of one.
+// start starts a box, or a new incarnation of one.
 func (f *fleet) start(name, zone string) {
 	b := &fleetBox{name: name, zone: zone}
 	ctx, stop := context.WithCancel(f.ended)
@@ -151,7 +151,7 @@
 	b.group.Go(func() { f.tick(ctx, b) })
 }
 
-// tick runs a box's own turns.
+// tick runs the periodic work of a box.
 func (f *fleet) tick(ctx context.Context, b *fleetBox) {
 	time.Sleep(time.Duration(f.chance(100)) * time.Millisecond)
 	for turn := 0; ctx.Err() == nil; turn++ {
@@ -175,7 +175,7 @@
 	}
 }
 
-// carry takes a message to its receivers.
+// carry delivers a message to its receivers.
 func (f *fleet) carry(from *fleetBox, e gossip.Envelope) {
 	for _, name := range e.To {
 		if f.chance(lostOneIn) == 0 {
@@ -202,7 +202,7 @@
 	}
 }
 
-// fleetSeeds is how many fleets are played; 3,000 were by hand.
+// fleetSeeds is how many fleets are played.
 var fleetSeeds = flag.Int("fleets", 60, "how many fleets are played")
 
 var errNotReached = errors.New("not reached")
@@ -234,10 +234,10 @@
 }
 
 // ----------------------------------------------------------------
-// Troubles
+// Faults
 // ----------------------------------------------------------------
 
-// strike marks boxes as struck until the return value is called.
+// strike marks boxes as having a fault until the returned function is called.
 func (f *fleet) strike(names ...string) (end func()) {
 	mark := func(change int) {
 		f.mu.Lock()
@@ -251,7 +251,7 @@
 	return func() { mark(-1) }
 }
 
-// some returns some of the boxes that run, one at least if any does.
+// some returns some of the running boxes, at least one if any is running.
 func (f *fleet) some() []string {
 	names := f.names()
 	if len(names) == 0 {
@@ -263,7 +263,7 @@
 	return names[:1+f.random.Intn(len(names))]
 }
 
-// trouble plays one trouble and returns when it is over.
+// trouble plays one fault and returns when it is over.
 func (f *fleet) trouble() {
 	time.Sleep(time.Duration(f.chance(int((fleetTime-quietTime-2*time.Second)/time.Millisecond))) * time.Millisecond)
 	lasts := time.Duration(200+f.chance(5000)) * time.Millisecond
@@ -318,7 +318,8 @@
 	f.markStore(-1)
 }
 
-// cut keeps two boxes or zones apart, or a box from all; their ways to the store stay.
+// cut separates two boxes or zones from each other, or a box from all others; they still reach
+// the store.
 func (f *fleet) cut(pair [2]string, lasts time.Duration) {
 	add := func(n int) {
 		f.mu.Lock()
@@ -331,7 +332,7 @@
 	add(-1)
 }
 
-// restart ends boxes and starts them again with nothing remembered.
+// restart stops boxes and starts them again without any state.
 func (f *fleet) restart(names []string) {
 	f.logTrouble("restarted", names)
 	for _, name := range names {
@@ -357,12 +358,13 @@
 // Changes and checks
 // ----------------------------------------------------------------
 
-// bounds are after what time a change must be known to each box in touch, by kind.
+// bounds are the times within which a change must be known to each box that is in touch with
+// the store, by kind.
 var bounds = map[string]time.Duration{
 	storeKinds.Servers: drainTime, storeKinds.Configuration: 2500 * time.Millisecond, storeKinds.Evacuations: 5 * time.Second,
 }
 
-// note notes when the store took its newest change of a kind, while it was well.
+// note records when the store accepted its newest change of a kind while it had no fault.
 func (f *fleet) note(kind string) {
 	f.store.mu.Lock()
 	at := f.store.at
@@ -375,7 +377,7 @@
 	f.taken[kind][at] = time.Now()
 }
 
-// noteRemoval is note for a change that took an object away.
+// noteRemoval is note for a change that deleted an object.
 func (f *fleet) noteRemoval(kind, name string) {
 	f.note(kind)
 	f.store.mu.Lock()
@@ -386,7 +388,7 @@
 	f.removed[kind+"/"+name] = at
 }
 
-// change changes something now and then.
+// change changes objects at random times.
 func (f *fleet) change(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(time.Duration(100+f.chance(900)) * time.Millisecond)
@@ -414,8 +416,8 @@
 	}
 }
 
-// inTouch reports whether bounds in time bind a box: neither it nor the store was in
-// trouble within the time of contact.
+// inTouch reports whether the bounds apply to a box: neither the box nor the store had a fault
+// within the contact window.
 func (f *fleet) inTouch(b *fleetBox) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -423,8 +425,8 @@
 	return f.troubles[b.name] == 0 && now.Sub(f.struck[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeStruck) > contactTime
 }
 
-// check returns what a box that is in touch does not know although it must, and whether it
-// is wrong about how new its configuration is.
+// check describes a change that a box in touch does not know although it must, or an error in
+// its age of the configuration. It returns "" if there is neither.
 func (f *fleet) check(b *fleetBox) string {
 	bound := f.inTouch(b)
 	for kind, within := range bounds {
@@ -473,7 +475,7 @@
 	return ""
 }
 
-// isRemoval reports whether a revision took an object away.
+// isRemoval reports whether a revision deleted the object.
 func (f *fleet) isRemoval(kind, name string, revision uint64) bool {
 	return f.removed[kind+"/"+name] == revision
 }
@@ -522,11 +524,11 @@
 	})
 }
 
-// TestBoxesInTouchKnowWhatTheStoreTook: whatever happens to others, a box that has been well,
-// and to which the store has been well, for the time of contact knows of each change within its
-// bound: leaving servers, configurations, evacuations. And no box ever takes its configuration to
-// be newer than it is, which the time for which keys hold rests on. One store in four counts the
-// changes of each kind by themselves.
+// TestBoxesInTouchKnowWhatTheStoreTook: whatever happens to others, a box that had no fault,
+// and for which the store had none, throughout the contact window knows each change within its
+// bound: leaving servers, configurations, evacuations. And no box ever takes its configuration
+// to be newer than it is, on which the time for which keys are valid rests. One store in four
+// counts the changes of each kind separately.
 func TestBoxesInTouchKnowWhatTheStoreTook(t *testing.T) {
 	for seed := range int64(*fleetSeeds) {
 		playFleet(t, seed)
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -8,24 +8,24 @@
 )
 
 // ================================================================
-// This box's own calls of the store.
+// This box's own calls to the store.
 // ================================================================
 
 const (
-	// watchShare is which part of the time of contact a watch waits. A store that falls
-	// silent never answers what it is asked meanwhile, and goes on answering what it was
-	// asked before; so each watch notices by itself, and asks anew, within that time. Watches
-	// that waited for long and relied on that of another kind would be deaf for as long after
-	// a short silence.
+	// watchShare is the part of the contact window that a watch waits. A store that stops
+	// responding never answers the calls it gets meanwhile, but may go on answering earlier
+	// ones. So each watch has to notice this by itself, and ask again, within the contact
+	// window. With long waits that rely on the watch of another kind, a watch would bring no
+	// changes for its whole wait after a short silence of the store.
 	watchShare = 0.6
-	// drainWatchShare is which part of the time in which a server drains the watches of
-	// the servers and of the configuration wait, whose changes must be known within that
-	// time. Each answer confirms the copy, also to the boxes that rely on this one: with a
-	// heartbeat, half a second later at most.
+	// drainWatchShare is the part of the drain time that the watches of servers and of the
+	// configuration wait, since their changes must be known within the drain time. Each answer
+	// confirms the copy, and with the next heartbeat, at most half a second later, also the
+	// copies of boxes that rely on this one.
 	drainWatchShare = 0.5
 )
 
-// shortWatch is how long a watch of a kind waits whose answers are needed.
+// shortWait is how long a watch of a kind waits if its answers are needed.
 func (r *Replica) shortWatch(kind string) time.Duration {
 	wait := time.Duration(watchShare * float64(r.ContactWindow))
 	if kind == r.Kinds.Evacuations || kind == r.Kinds.Rollouts {
@@ -64,9 +64,10 @@
 	return f
 }
 
-// storeSpoke makes the other followers ask at once where they failed too. If the store
-// did not answer this one before, it was silent, and calls of others that are older
-// than the one it has answered now may hang.
+// storeAnswered restarts other followers after the store has answered one. A follower whose
+// last call failed calls again at once. If the answered follower had failed before, the store
+// did not respond for a while, and calls of others that are older than the answered one may
+// hang; these are restarted.
 func (r *Replica) storeSpoke(answered *objects.Follower, failedBefore bool) {
 	for kind, f := range r.followers {
 		if f == answered {
--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -9,32 +9,32 @@
 )
 
 // ================================================================
-// A box that has had no word of the list of servers or of the configuration for long polls
-// the store itself.
+// A box that is not a poller polls the store itself if its list of servers or its
+// configuration has not been confirmed for long.
 // ================================================================
 
 const (
-	// pollShare is after which part of the time in which a server drains, without any
-	// word of a copy, a box polls. What is left is for the way to the store and
-	// back, twice where the connection is new: 0.3 s from the farthest region.
+	// pollShare is the part of the drain time, without a confirmation of a copy, after which a
+	// box polls. The rest is for the way to the store and back, twice if the connection is
+	// new: 0.3 s from the farthest region.
 	pollShare = 0.8
-	// pollTime bounds a poll.
+	// pollTimeout bounds a poll.
 	pollTime = 1200 * time.Millisecond
-	// pollAgain is how many times of contact a box waits after a poll that was not
-	// answered, unless somebody tells it anything meanwhile: the store may be down, and
-	// then all boxes poll in vain.
+	// pollPauseFactor is how many contact windows a box waits after a poll that was not
+	// answered, unless a copy is confirmed meanwhile: the store may be down, and then all
+	// boxes poll in vain.
 	pollAgain = 4
 )
 
-// polls are this box's own, which it makes without the role of asking the store.
+// polls are the polls that a box makes although it is not a poller.
 type polls struct {
 	mu      sync.Mutex
 	running bool
-	// made is when the last one was that was not answered, zero if the last one was.
+	// lastFailed is when the last poll was made if it was not answered, and zero if it was.
 	made time.Time
 }
 
-// begin reports whether a poll may begin now, given when the box was last told anything.
+// begin reports whether a poll may begin now, given when the copies were last confirmed.
 func (p *polls) begin(now, told time.Time, pause time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// end notes how a poll has ended that was made at a time.
+// end records the end of a poll that was made at a time.
 func (p *polls) end(made time.Time, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,10 +55,9 @@
 	}
 }
 
-// pollIfUntold polls the store where no other box has told of the list
-// of servers, or of the configuration, for long: those that ask in this one's place may
-// have been turned away, frozen or cut off, which their zone finds out later than a leaving
-// server must be known.
+// pollIfStale polls the store if the list of servers or the configuration has not been
+// confirmed for long: the pollers on which this box relies may have been refused by the store,
+// suspended or cut off, which their zone finds out later than a leaving server must be known.
 func (r *Replica) pollIfUntold() {
 	ago := max(r.contact.list.ago(), r.contact.configuration.ago())
 	longest := time.Duration(pollShare * float64(r.DrainTime))
@@ -75,21 +74,21 @@
 		r.polls.end(made, err == nil)
 		if err != nil {
 			fields["error"] = err.Error()
-			r.BoxLog.Warn("poll of the store not answered", fields)
+			r.BoxLog.Warn("the store did not answer the poll", fields)
 			return
 		}
 		r.BoxLog.Info("polled the store", fields)
 	})
 }
 
-// poll asks the store once for the changes of each kind, the servers' first. The error is
-// that of the first call that is not answered.
+// poll asks the store once for the changes of each kind, those of servers first. It returns
+// the error of the first call that is not answered.
 func (r *Replica) poll() error {
 	ctx, cancel := context.WithTimeout(r.Context, pollTime)
 	defer cancel()
 	for _, kind := range r.Kinds.all() {
 		if kind != r.Kinds.Servers && r.reached(kind) {
-			continue // the answer for the servers has confirmed it
+			continue // the answer for the servers has confirmed this kind
 		}
 		metrics.GetOrRegisterCounter("store.polls", r.Metrics).Inc(1)
 		if err := r.followers[kind].Poll(ctx); err != nil {
--- a/pkg/replica/poll_test.go
+++ b/pkg/replica/poll_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 )
 
-// hearFor has a box hear another one of its zone that asks the store, and that last heard of
-// the store some time ago: from then on, or for as long as it is told.
+// hearFor sends heartbeats to a box, as from a poller of its zone whose copies were confirmed
+// the given time ago.
 func hearFor(b *modelBox, beat *uint64, d time.Duration, ago func() time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(gossip.Interval) {
 		*beat++
@@ -27,11 +27,12 @@
 	}
 }
 
-// TestPollIsPutOffOnlyWhileNobodyTellsAnything: a box whose poll was not answered waits for long
-// before the next one, since the store may be down for all. Once another box has told that it is
-// not, the next silence of that one is a new one. Found as a box that the store served well, with
-// all others turned away, and that did not know of a server that had left 2.5 s before: a poll
-// 8 s earlier had failed, and others had told it much since.
+// TestPollIsPutOffOnlyWhileNobodyTellsAnything: a box whose poll was not answered waits for
+// long before the next one, since the store may be down for all. Once a poller has confirmed
+// its copies again, a new silence of the poller must lead to a new poll. Without this, a box
+// that the store answered, while it refused all others, did not know of a server that had left
+// 2.5 s before: a poll 8 s earlier had failed, and its copies had been confirmed many times
+// since.
 func TestPollIsPutOffOnlyWhileNobodyTellsAnything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -12,23 +12,24 @@
 )
 
 // ================================================================
-// What boxes learn from each other of the store's objects.
+// Copies that boxes take over from each other.
 // ================================================================
 
 const (
-	// pullAfter is for how many heartbeats another box's mirror must be
-	// newer before it is asked for; the store's own change notification is usually quicker.
+	// pullAfter is for how many heartbeats another box's mirror must be newer before it is
+	// pulled; the store's own change notification is usually quicker.
 	pullAfter = 2
-	// PullIdleTimeout is how long nothing may come of a pull until it is given up, and LongestPull bounds it
-	// as a whole: how long a list takes to come follows its length and the box's share of a processor.
+	// PullIdleTimeout is how long a pull may go without receiving anything, and PullTimeout
+	// bounds the pull as a whole: the time to receive a list depends on its length and on the
+	// box's share of a processor.
 	PullIdleTimeout = time.Second
 	PullTimeout     = 30 * time.Second
 )
 
-// learnsFrom reports whether this box takes a newer mirror of another one as
-// soon as it hears of it: of the own zone, whose watchers it relies on, or, if
-// it asks the store itself and has no list yet or no answer, of anywhere. What
-// other zones know sooner than the own one is left to the heartbeats.
+// pullsAtOnceFrom reports whether this box pulls a newer mirror of another box as soon as it
+// hears of it. It does so from boxes of its own zone, on whose pollers it relies. A poller
+// does so from any box if it has no list yet or its calls fail. What other zones know sooner
+// than the own zone is otherwise left to PullOverdue.
 func (r *Replica) learnsFrom(from *gossip.Record, m *objects.Mirror) bool {
 	near := from.Zone == r.Zone
 	switch {
@@ -40,8 +41,8 @@
 	return r.contact.lost()
 }
 
-// catchUpWith looks for a newer mirror if the box that has just spoken has one.
-// All others are not looked at: heartbeats are many.
+// pullNewerFrom pulls newer mirrors if the box that sent the record has any. It does not look
+// at all boxes, since heartbeats are frequent.
 func (r *Replica) catchUpWith(from *gossip.Record) {
 	for kind, v := range from.Versions {
 		m := r.mirrors[kind]
@@ -54,7 +55,7 @@
 // pulls are the mirrors that are being pulled from other boxes, or soon will be.
 type pulls struct {
 	mu sync.Mutex
-	// behind counts for how many heartbeats a mirror has been behind others'.
+	// behind counts for how many heartbeats a mirror has been behind those of others.
 	behind  map[string]int
 	running map[string]bool
 }
@@ -63,8 +64,8 @@
 	return &pulls{behind: map[string]int{}, running: map[string]bool{}}
 }
 
-// begin reports whether the mirror is to be pulled now: at once, or when others
-// have been ahead for a while. If so, end must be called.
+// begin reports whether the mirror is to be pulled now: at once, or once it has been behind
+// for pullAfter heartbeats. If it returns true, end must be called.
 func (p *pulls) begin(kind string, atOnce bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,18 +92,19 @@
 	p.running[kind] = false
 }
 
-// upToDate notes that no other box is ahead.
+// resetBehind records that no other box is ahead.
 func (p *pulls) upToDate(kind string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.behind[kind] = 0
 }
 
-// catchUp pulls a mirror from a box that has a newer one: at once, or when it
-// has been newer for a while.
+// pullNewer pulls a mirror from a box that has a newer one: at once, or once it has been
+// behind for pullAfter heartbeats.
 func (r *Replica) catchUp(kind string, atOnce bool) {
 	if r.pulls.isRunning(kind) {
-		// Heartbeats are many while a list changes, and each would have all boxes looked at.
+		// Heartbeats are frequent while a list changes, and without this check each would scan
+		// all boxes.
 		return
 	}
 	m := r.mirrors[kind]
@@ -121,7 +123,7 @@
 	})
 }
 
-// pullCounter names the metric of pulls from the own zone, or from others.
+// pullCounter returns the name of the metric of pulls from the own zone, or from other zones.
 func pullCounter(near bool) string {
 	if near {
 		return "mirror.pulls.zone"
@@ -129,9 +131,9 @@
 	return "mirror.pulls.far"
 }
 
-// newest returns where the newest mirror is that differs from this box's own,
-// or "", and whether that is in the own zone, where one is taken if it has any
-// that is newer.
+// newest returns the address of the box whose mirror is the newest of those that differ from
+// this box's, or "", and whether that box is in the own zone. Any newer mirror in the own zone
+// is preferred to those in other zones.
 func (r *Replica) newest(kind string, m *objects.Mirror) (source string, near bool) {
 	var best uint64
 	r.Members.EachLive(func(one *gossip.Record) {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -1,15 +1,15 @@
-// Package replica keeps a box's copies of what the platform's store holds, and knows how
-// new they are. The box asks the store itself or leaves that to another one of its zone
-// (see package watcher), takes over from other boxes what these know sooner, and polls
-// the store itself where nobody has told it anything for long.
+// Package replica keeps a box's copies of the objects in the platform's store, and knows how
+// current they are. The box polls the store itself or leaves that to another box of its zone
+// (see package storepoller), pulls newer copies from other boxes, and polls the store itself
+// if no other box has confirmed its copies for long.
 //
-// Example: a box leaves the store to box-1. The store turns box-1 away without a word.
-// Box-1 goes on sending heartbeats, which tell that it last heard of the list of servers
-// 0.5 s ago, then 1 s, then 1.5 s. At 2 s the box polls the store itself, and hears of the
-// server that has left meanwhile.
+// Example: a box leaves the store to box-1. The store stops answering box-1. Box-1 goes on
+// sending heartbeats, which say that its list of servers was last confirmed 0.5 s ago, then 1
+// s, then 1.5 s. At 2 s the box polls the store itself, and learns of a server that has left
+// meanwhile.
 //
-// Calls of the store and of other boxes are made through function fields; this package
-// has no sockets of its own.
+// Calls to the store and to other boxes are made through function fields; this package has no
+// sockets of its own.
 package replica
 
 import (
@@ -32,11 +32,11 @@
 	Configuration string
 	Servers       string
 	Evacuations   string
-	// Rollouts is empty where there are none.
+	// Rollouts is empty if the platform has none.
 	Rollouts string
 }
 
-// all lists the kinds, the one first whose changes must be known soonest.
+// byUrgency lists the kinds, with the one whose changes must be known soonest first.
 func (k Kinds) all() []string {
 	list := []string{k.Servers, k.Configuration, k.Evacuations}
 	if k.Rollouts != "" {
@@ -45,42 +45,43 @@
 	return list
 }
 
-// Handover is what a box tells another one of its copy of a kind.
+// Handover is the answer of a box that hands its copy of a kind to another one.
 type Handover struct {
 	objects.Extent
-	// Whole: Items are all objects; else Events are what has changed.
+	// Whole means that Items are all objects; otherwise Events are the changes.
 	Whole  bool             `json:"whole,omitempty"`
 	Items  []objects.Object `json:"items,omitempty"`
 	Events []objects.Event  `json:"events,omitempty"`
 }
 
-// Options are what a Replica needs. All fields are needed.
+// Options configure a Replica. All fields are required.
 type Options struct {
 	Kinds Kinds
 	Zone  string
-	// ContactWindow is the time within which a calm box is in touch with the store, and DrainTime
-	// how long after it was listed as leaving a server may still get requests.
+	// ContactWindow is the time within which a box without trouble gets an answer from the
+	// store. DrainTime is how long after it was listed as leaving a server may still get
+	// requests.
 	ContactWindow, DrainTime time.Duration
 	Client                   *objects.Client
 	Members                  *gossip.Table
-	// Fetch asks another box for what its copy has and this one lacks. It gives up when nothing has come
-	// for PullTime.
+	// Fetch asks another box for what its copy has and this one lacks. It gives up if nothing
+	// arrives for PullIdleTimeout.
 	Fetch func(ctx context.Context, source string, m *objects.Mirror) (*Handover, error)
-	// WatchersPerZone is how many boxes of a zone are to ask the store.
+	// WatchersPerZone is how many boxes of a zone poll the store.
 	WatchersPerZone func() int
-	// OnAnswer is called when the store, or another box in its place, has told something.
+	// OnAnswer is called when the store has answered, or another box has handed over a copy.
 	OnAnswer func()
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Go runs work in the background, and Context ends it all.
+	// Go runs work in the background; Context ends all of it.
 	Go      func(work func())
 	Context context.Context
 	Metrics metrics.Registry
-	// BoxLog takes what the box does, StoreLog what the store does.
+	// BoxLog is for lines about this box, StoreLog for lines about the store.
 	BoxLog, StoreLog *logging.Part
 }
 
-// Replica is a box's copies of what the store holds.
+// Replica is a box's copies of the objects in the store.
 type Replica struct {
 	Options
 
@@ -88,11 +89,11 @@
 	followers map[string]*objects.Follower
 	contact   *contact
 	revisions *revisions
-	// watching: this box is one that asks the store; changed: it has changes that it has
-	// not told its zone of yet.
+	// isPoller is true while this box polls the store for its zone. unannounced is true while
+	// it has changes that it has not announced to its zone.
 	watching atomic.Bool
 	changed  atomic.Bool
-	// roleMu keeps two decisions on the role apart.
+	// roleMu serializes decisions on the role.
 	roleMu sync.Mutex
 	role   *storepoller.Role
 
@@ -101,7 +102,7 @@
 	polls  polls
 }
 
-// New makes a replica that does not run yet.
+// New returns a replica that does not run yet.
 func New(o Options) *Replica {
 	now := o.Now()
 	r := &Replica{
@@ -116,7 +117,7 @@
 	return r
 }
 
-// OnChange sets what is called with each object of a kind that has changed, gone or not.
+// OnChange sets the function that is called with each changed or deleted object of a kind.
 // Call it before Run.
 func (r *Replica) OnChange(kind string, changed func(o objects.Object, gone bool)) {
 	r.mirrors[kind].OnChange = func(o objects.Object, gone bool) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// Run begins to follow the store.
+// Run starts to follow the store.
 func (r *Replica) Run() {
 	for _, kind := range r.Kinds.all() {
 		f := r.followers[kind]
@@ -133,33 +134,35 @@
 	}
 }
 
-// Mirror returns this box's copy of a kind, nil for one that it does not keep.
+// Mirror returns this box's copy of a kind, or nil for a kind that it does not keep.
 func (r *Replica) Mirror(kind string) *objects.Mirror { return r.mirrors[kind] }
 
-// Tick decides what this box does next. Call it some times a second.
+// Tick updates the role and polls the store if a copy is stale. Call it several times a
+// second.
 func (r *Replica) Tick() {
 	r.chooseRole()
 	r.pollIfUntold()
 }
 
-// PullOverdue takes over what other boxes have had for a while. Call it with each heartbeat.
+// PullOverdue pulls the copies in which other boxes have been ahead for several heartbeats.
+// Call it with each heartbeat.
 func (r *Replica) PullOverdue() {
 	for _, kind := range r.Kinds.all() {
 		r.catchUp(kind, false)
 	}
 }
 
-// HandleRecord takes in what another box tells of its copies.
+// HandleRecord processes what another box's record says about its copies.
 func (r *Replica) HandleRecord(from *gossip.Record) {
 	r.catchUpWith(from)
 	r.hearConfirmations(from)
 }
 
-// TakeUnannounced reports whether this box asks the store and has changes that it has not told
-// its zone of yet, and takes them for told.
+// TakeUnannounced reports whether this box polls the store and has changes that it has not
+// announced to its zone, and marks them as announced.
 func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.changed.Swap(false) }
 
-// FillRecord writes into this box's record what others are to know of its copies.
+// FillRecord writes the state of this box's copies into its record for other boxes.
 func (r *Replica) FillRecord(self *gossip.Record) {
 	self.Versions = map[string]objects.Version{}
 	for kind, m := range r.mirrors {
@@ -175,37 +178,36 @@
 }
 
 // ----------------------------------------------------------------
-// How far the copies may be trusted
+// How far the copies can be trusted
 // ----------------------------------------------------------------
 
-// Current reports whether the store answered lately, this box or one that
-// tells this box of it, so that what is not in the configuration does not
-// exist.
+// Current reports whether the store has recently answered this box, or a box on which it
+// relies, so that whatever is not in the configuration does not exist.
 func (r *Replica) Current() bool {
 	return r.contact.answeredLately() || !r.watching.Load() && r.anyHealthy()
 }
 
-// TrustsList reports whether a server that the store no longer lists is to be
-// taken as gone: the store has had no trouble lately, for this box or for any
-// other that is live. A store that was down for all may have lost entries of
-// servers that are well.
+// TrustsList reports whether a server that the store no longer lists is to be taken as gone:
+// the store has recently answered this box, or another live box, without failure. A store that
+// was down for all boxes may have lost the entries of servers that still run.
 func (r *Replica) TrustsList() bool { return r.contact.healthy() || r.anyHealthy() }
 
-// ConfigurationAge is how long ago the configuration was last known to be the newest; ok
-// is false if it never was.
+// ConfigurationAge returns how long ago the configuration was last known to be current; ok is
+// false if it never was.
 func (r *Replica) ConfigurationAge() (age time.Duration, ok bool) {
 	return r.contact.configuration.ago(), r.contact.configuration.ever()
 }
 
-// Ages is how long ago the list of servers and the configuration were last known to be the newest.
+// Ages returns how long ago the list of servers and the configuration were last known to be
+// current.
 func (r *Replica) Ages() (list, configuration time.Duration) {
 	return r.contact.list.ago(), r.contact.configuration.ago()
 }
 
-// anyHealthy reports whether the store has answered any other live box without fail.
+// anyHealthy reports whether the store has answered any other live box without failure.
 func (r *Replica) anyHealthy() bool { return r.Members.AnyStoreHealthy() }
 
-// synced reports whether this box has copies of all that the store holds.
+// synced reports whether this box has copies of all kinds of objects.
 func (r *Replica) synced() bool {
 	for _, m := range r.mirrors {
 		if !m.Synced() {
@@ -216,16 +218,15 @@
 }
 
 // ----------------------------------------------------------------
-// The role of asking the store
+// The role of polling the store
 // ----------------------------------------------------------------
 
-// watcherSilence is how long a watching box may be silent before another takes
-// over: three heartbeats, some of which may be lost. Few boxes of each zone
-// watch the store, the others learn from them; what all of a zone miss, they
-// learn from other zones.
+// pollerTimeout is how long a store poller may be silent until another box takes over: three
+// heartbeats, since single ones may be lost. Few boxes of each zone poll the store, and the
+// others learn from them; what all boxes of a zone miss, they learn from other zones.
 const watcherSilence = 3 * gossip.Interval
 
-// chooseRole decides whether this box watches the store.
+// chooseRole decides whether this box polls the store.
 func (r *Replica) chooseRole() {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
@@ -244,7 +245,7 @@
 	}
 }
 
-// view is what this box's role follows from.
+// view returns the state from which this box's role is decided.
 func (r *Replica) view() storepoller.View {
 	z := r.Members.StoreContacts(watcherSilence)
 	healthy := r.contact.healthy()
@@ -254,7 +255,8 @@
 	}
 }
 
-// readsOn reports whether this box reads a long list on that it was not handed.
+// readsAllPages reports whether this box reads all pages of a long list that no other box has
+// handed over.
 func (r *Replica) readsOn() bool {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -8,33 +8,34 @@
 )
 
 // ================================================================
-// What an answer for one kind says of the others: the store counts all changes with one
-// number, one for each change.
+// What an answer for one kind shows about the others: the store counts all changes with a
+// single number, one for each change.
 // ================================================================
 
 const (
-	// longWatch is how long a watch waits whose answers are not needed, since those of the
-	// servers tell whether anything else has changed. This saves half of all calls while nothing changes.
+	// longWait is how long a watch waits whose answers are not needed because those for the
+	// servers show whether anything else has changed. This saves half of all calls while
+	// nothing changes.
 	longWatch = 25 * time.Second
-	// answerSlack is how much longer than it waits a watch may take to be answered before
-	// it is asked for anew: the way between the farthest regions and back, and some.
+	// answerSlack is how much longer than its wait a watch may take before it is sent again:
+	// the round trip between the farthest regions, and some more.
 	answerSlack = 300 * time.Millisecond
-	// mostExplained bounds the revisions that are kept.
+	// maxSeen bounds the revisions that are kept.
 	mostExplained = 4096
 )
 
-// revisions is what this box has seen of the store's count of changes.
+// revisions is what this box has seen of the store's revision counter.
 type revisions struct {
 	mu sync.Mutex
-	// newest is the highest revision that any answer told.
+	// newest is the highest revision in any answer.
 	newest uint64
-	// shared: a watch that brought no change told a higher revision than it was asked
-	// from. So the store counts the changes of all kinds together. One that counts each kind
-	// by itself never shows that.
+	// sharedCounter is true once a watch without changes has returned a higher revision than
+	// it was asked from. This shows that the store counts the changes of all kinds together; a
+	// store that counts each kind separately never returns such an answer.
 	shared bool
-	// explained are revisions of changes that this box was told, of any kind.
+	// seen holds the revisions of changes of any kind that this box has received.
 	explained map[uint64]bool
-	// long tells the kinds whose watch waits for long.
+	// long holds the kinds whose watch has a long wait.
 	long map[string]bool
 }
 
@@ -42,7 +43,7 @@
 	return &revisions{explained: map[uint64]bool{}, long: map[string]bool{}}
 }
 
-// take takes in a call.
+// addCall records the revision of a call's answer.
 func (v *revisions) take(c objects.Call) {
 	if c.Err != nil {
 		return
@@ -53,7 +54,7 @@
 	v.shared = v.shared || c.Watch && c.Objects == 0 && c.Revision > c.Since
 }
 
-// explain takes in changes.
+// addEvents records the revisions of changes.
 func (v *revisions) explain(events []objects.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -65,9 +66,9 @@
 	}
 }
 
-// reached returns up to which revision a copy lacks nothing, given the one it has come to by
-// itself: each call changes one object, so a change of another kind is none of this one.
-// all tells whether that is as far as the store had counted when it last answered.
+// knownUpTo returns the revision up to which a copy lacks nothing, given its own revision:
+// each revision changes one object, so a change of another kind does not concern this copy.
+// all reports whether that is as high as the store's counter when it last answered.
 func (v *revisions) reached(own uint64) (upTo uint64, all bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -93,8 +94,8 @@
 	return v.long[kind]
 }
 
-// reached reports whether a copy is known to lack nothing that the store had counted when it
-// last answered, and has it come to the revision up to which that is known.
+// isUpToDate reports whether a copy is known to lack no change that the store had counted when
+// it last answered, and advances the copy to the revision up to which that is known.
 func (r *Replica) reached(kind string) bool {
 	m := r.mirrors[kind]
 	own := m.Version().Revision
@@ -105,8 +106,8 @@
 	return all && m.Synced()
 }
 
-// waitNow is how long the next watch of a kind waits: as long as is needed to confirm the
-// copy where anything has changed that may concern it.
+// nextWait returns the wait of the next watch of a kind. It is short if a change may concern
+// the copy, so that the answer confirms it soon.
 func (r *Replica) waitNow(kind string, short time.Duration) time.Duration {
 	long := r.reached(kind)
 	r.revisions.setLong(kind, long)
@@ -116,10 +117,10 @@
 	return short
 }
 
-// confirmed follows each answer to a watch. One for the servers, which are watched most often,
-// confirms the copies of other kinds too where all changes since are explained. Where they
-// are not, these kinds are asked for, if their watch waits for long, or should have been
-// answered by now and may never be.
+// handleAnswer processes an answer to a watch. One for the servers, which are watched most
+// often, also confirms the copies of other kinds if all changes since are known. Otherwise
+// these kinds are watched again if their watch has a long wait, or is overdue and may never be
+// answered.
 func (r *Replica) confirmed(kind string, a objects.Answer) {
 	r.revisions.explain(a.Events)
 	r.noteConfirmed(kind, a.At)
@@ -137,14 +138,14 @@
 	}
 }
 
-// noteConfirmed notes that the copy of a kind was the newest at a time.
+// noteConfirmed records that the copy of a kind was current at a time.
 func (r *Replica) noteConfirmed(kind string, at time.Time) {
 	if c := r.contact.of(r.Kinds, kind); c != nil {
 		c.note(at)
 	}
 }
 
-// due is how old a watch of a kind may be before it is asked for anew.
+// maxWatchAge returns how old a pending watch of a kind may be before it is sent again.
 func (r *Replica) due(kind string) time.Duration {
 	if r.revisions.isLong(kind) {
 		return answerSlack
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// TestWatchesOfWhatDoesNotChangeAreFew: while servers come and go, the store's count of changes
-// moves on with each. A box that is told of all of them knows that none was a change of the
-// configuration, and need not ask. Before it did so, it asked for the configuration 17 times and
-// for evacuations 11 times in these 30 s, and on a deployment of 295 boxes a calm day cost 1,088
-// calls, where it costs 508 now.
+// TestWatchesOfWhatDoesNotChangeAreFew: while servers come and go, the store's revision rises
+// with each change. A box that receives all these changes knows that none was a change of the
+// configuration, and need not watch that closely. Without this, it sent 17 watches of the
+// configuration and 11 of evacuations in these 30 s, and a deployment of 295 boxes made 1,088
+// calls on a day without faults in place of 508.
 func TestWatchesOfWhatDoesNotChangeAreFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestRevisionsAreReachedOnlyByWhatIsExplained: a copy is taken for the newest only up to the
-// first change that this box was not told of, and not at all by a store that may count each kind
-// by itself.
+// TestRevisionsAreReachedOnlyByWhatIsExplained: a copy counts as current only up to the first
+// revision that this box has not received, and not at all with a store that may count each
+// kind separately.
 func TestRevisionsAreReachedOnlyByWhatIsExplained(t *testing.T) {
 	is := is.New(t)
 	told := func(revisions ...uint64) (events []objects.Event) {
@@ -81,7 +81,7 @@
 	is.True(!all)
 }
 
-// TestExplainedRevisionsAreBounded: a box that is told of changes for days keeps few of them.
+// TestExplainedRevisionsAreBounded: a box that receives changes for days keeps few revisions.
 func TestExplainedRevisionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	v := newRevisions()
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestCopyThatIsNotThereIsNotTheNewest, whatever changes this box was told of.
+// TestCopyThatIsNotThereIsNotTheNewest: a box without a copy is not up to date, whatever
+// changes it has received.
 func TestCopyThatIsNotThereIsNotTheNewest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -22,29 +22,30 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// The story. Servers were replaced one after the other when the platform's store said
-// nothing for a second. From then on no box noted any change for up to 26 s: requests went
-// to servers that had said they were leaving, and to zones that had been evacuated.
+// The failure that these tests guard against: servers were being replaced when the platform's
+// store did not respond for a second. From then on no box learned of any change for up to 26
+// s: requests went to servers that had announced that they were leaving, and to zones that had
+// been evacuated.
 //
-//  1. A server leaves; the watch of the servers returns with the news.
-//  2. The store falls silent: what is asked of it from now on is never answered.
-//  3. The box asks for the next change of the servers.
-//  4. The store speaks again. Watches that were asked for before are answered.
-//  5. The watch of the configuration was one of these, so the box believes that the store
-//     has answered all along. The watch of the servers waits for 25 s.
+//  1. A server leaves; the watch of the servers returns with that change.
+//  2. The store stops responding: calls made from now on are never answered.
+//  3. The box watches the servers again.
+//  4. The store responds again, and answers the watches from before.
+//  5. The watch of the configuration is one of these, so the box believes that the store
+//     has answered all along. The watch of the servers is never answered and waits for 25 s.
 //
-// The cause: only one of three watches was short enough to notice a store that is silent,
-// and it vouched for the other two, which it says nothing of. The evidence: with each call
-// logged, the watch of the servers that was asked for within the silence was the last one
-// for 26 s, at every box at once, while that of the configuration was answered each 2.4 s.
-// Boxes of other zones could not help, since the same silence had struck them.
+// The cause: only one of three watches was short enough to notice a store that does not
+// respond, and the other two relied on it, although its answers say nothing about them. At
+// every box at once, the watch of the servers from within the silence was the last one for 26
+// s, while that of the configuration was answered every 2.4 s. Boxes of other zones could not
+// help, since the same silence had affected them.
 
-// modelBox is a box's copies of what the store of a test holds, with what it makes of
-// them, without sockets.
+// modelBox is a box's copies of the objects in a test's store, and the state that it derives
+// from them, without sockets.
 type modelBox struct {
 	*Replica
 	set *backend.Set
-	// version is the one of the configuration in force.
+	// version is the version of the configuration in force.
 	version atomic.Uint64
 	group   sync.WaitGroup
 	stop    context.CancelFunc
@@ -53,7 +54,7 @@
 const (
 	contactTime = 4 * time.Second
 	drainTime   = 2500 * time.Millisecond
-	// tickEvery is how often a box decides what it does next.
+	// tickEvery is how often a box calls Tick.
 	tickEvery = 100 * time.Millisecond
 )
 
@@ -96,7 +97,7 @@
 	return b
 }
 
-// ownVersions are those of the box's copies.
+// ownVersions returns the versions of the box's copies.
 func (b *modelBox) ownVersions() map[string]objects.Version {
 	var self gossip.Record
 	b.FillRecord(&self)
@@ -114,7 +115,7 @@
 	})
 }
 
-// replaceServers has one of five servers change each 0.6 s until the context ends.
+// replaceServers changes one of five servers each 0.6 s until the context ends.
 func replaceServers(ctx context.Context, s *modelStore) {
 	for i := 0; ctx.Err() == nil; i++ {
 		s.mu.Lock()
@@ -127,14 +128,14 @@
 	}
 }
 
-// heardWithin is how long after the store took it a change must be known to a box that
-// asks the store: a call that waits is answered at once, another one that brings changes
-// together with others comes 0.6 s later, and some more for their ways.
+// heardWithin is how long after the store accepted it a change must be known to a box that
+// polls the store: a pending watch is answered at once; a change that follows another one
+// waits for the batch pause of 0.6 s, plus the ways to the store and back.
 const heardWithin = time.Second
 
-// TestSilentStoreLeavesNoWatchDeaf: however long the store is silent, and whenever that
-// begins, what it takes when it has been well for the time of contact is heard in time:
-// servers that leave, evacuations, configurations.
+// TestSilentStoreLeavesNoWatchDeaf: however long the store does not respond, and whenever that
+// starts, changes that it accepts after a contact window without faults are known in time:
+// leaving servers, evacuations, configurations.
 func TestSilentStoreLeavesNoWatchDeaf(t *testing.T) {
 	forEachSilence(t, func(is *is.I, s *modelStore, b *modelBox) {
 		s.put(storeKinds.Servers, "leaver", backend.Server{ID: "leaver", Service: "shop", Draining: true})
@@ -152,10 +153,11 @@
 	})
 }
 
-// TestVanishedServerIsLeftAtOnceWhenTheStoreIsWell: a server whose entry goes without a word
-// when the store has been well for the time of contact has left. It is not kept, as one is
-// whose entry may have been lost while the store was away: kept for up to 2.25 s after news
-// that may take 0.9 s, it would get requests for longer than the 2.5 s that are allowed.
+// TestVanishedServerIsLeftAtOnceWhenTheStoreIsWell: if the entry of a server vanishes after
+// the store had no fault throughout the contact window, the server has left. It must not be
+// kept like one whose entry may have been lost during an outage of the store: kept for up to
+// 2.25 s after a change that may take 0.9 s to arrive, it would get requests for longer than
+// the 2.5 s that are allowed.
 func TestVanishedServerIsLeftAtOnceWhenTheStoreIsWell(t *testing.T) {
 	forEachSilence(t, func(is *is.I, s *modelStore, b *modelBox) {
 		anywhere := func(string) bool { return true }
@@ -170,8 +172,8 @@
 	})
 }
 
-// forEachSilence has the store fall silent for a while at many moments, while servers are
-// replaced, and calls play when it has been well for the time of contact.
+// forEachSilence has the store stop responding at many moments for various times, while
+// servers are replaced, and calls play once it has responded for the contact window.
 func forEachSilence(t *testing.T, play func(is *is.I, s *modelStore, b *modelBox)) {
 	for _, silence := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		for begin := time.Duration(0); begin < 3*time.Second; begin += 300 * time.Millisecond {
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -11,7 +11,7 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// storeKinds are the kinds of objects of the model's store.
+// storeKinds are the kinds of objects in the model's store.
 var storeKinds = Kinds{Configuration: "configuration", Servers: "servers", Evacuations: "evacuations"}
 
 // mood is how the store treats a box.
@@ -19,31 +19,32 @@
 
 const (
 	serving mood = iota
-	// silent: what it is asked is never answered; what waits is answered when it speaks
+	// silent: calls are never answered; pending calls are answered once the store responds
 	// again.
 	silent
-	// refusing: what it is asked, and what waits, is refused at once.
+	// refusing: new and pending calls are refused at once.
 	refusing
 )
 
-// pageSize is how many objects a page of a list holds.
+// pageSize is the number of objects on a page of a list.
 const pageSize = 3
 
-// modelStore is a store whose answers take a while, and which may treat each box in its
-// own way.
+// modelStore is a store whose answers take some time, and which may treat each box
+// differently.
 type modelStore struct {
 	mu sync.Mutex
 	at uint64
-	// oldest is the revision from which on the history is known.
+	// oldest is the revision from which the history is known.
 	oldest uint64
-	// byKind: answers tell the revision of the last change of their own kind, and not of any.
+	// byKind means that answers contain the revision of the last change of their own kind,
+	// rather than of any kind.
 	byKind bool
 	last   map[string]uint64
-	// objects are all that there are, events all that happened since oldest, by kind.
+	// objects are all objects, events all changes since oldest, by kind.
 	objects map[string]map[string]objects.Object
 	events  map[string][]objects.Event
 	moods   map[string]mood
-	// watches are how many watches came, by kind.
+	// watches counts the watches by kind.
 	watches map[string]int
 	// changed is closed when anything changes.
 	changed chan struct{}
@@ -59,7 +60,7 @@
 	}
 }
 
-// told is the revision that an answer for a kind tells. The store must be locked.
+// told returns the revision for an answer of a kind. The store must be locked.
 func (s *modelStore) told(kind string) uint64 {
 	if s.byKind {
 		return max(s.last[kind], s.oldest)
@@ -67,13 +68,13 @@
 	return s.at
 }
 
-// wake tells all that wait that something has changed. The store must be locked.
+// wake wakes all pending watches because something has changed. The store must be locked.
 func (s *modelStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// put makes or replaces an object.
+// put creates or replaces an object.
 func (s *modelStore) put(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -82,7 +83,7 @@
 	s.change(kind, name, text)
 }
 
-// remove takes an object away.
+// remove deletes an object.
 func (s *modelStore) remove(kind, name string) { s.change(kind, name, nil) }
 
 func (s *modelStore) change(kind, name string, spec json.RawMessage) {
@@ -113,7 +114,7 @@
 	s.wake()
 }
 
-// compact forgets the history and cuts the watches.
+// compact discards the history and interrupts the watches.
 func (s *modelStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 	s.wake()
 }
 
-// client returns the store as a box sees it.
+// client returns a client of the store for a box.
 func (s *modelStore) client(box string) *objects.Client {
 	return &objects.Client{
 		List: func(ctx context.Context, kind, after string, _ bool) (objects.Page, error) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// refusedStatus is what the store says to a box that it refuses.
+// refusedStatus is the status with which the store refuses a call.
 const refusedStatus = 503
 
 // arrive takes a call to the store.
