--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -115,10 +115,10 @@
 		switch {
 		case e.Deleted && !ok:
 			// Other mirrors may hold it.
-			m.remember(e)
+			m.record(e)
 		case e.Deleted && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
 			m.drop(known)
-			m.remember(e)
+			m.record(e)
 			m.OnChange(known, true)
 		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
 			// An object that is missing from a newer list must not be added again.
@@ -131,7 +131,7 @@
 // a newer revision of it.
 func (m *Mirror) putAndRecord(o Object) {
 	if m.putNewer(o) {
-		m.remember(Event{Object: o})
+		m.record(Event{Object: o})
 	}
 }
 
@@ -153,7 +153,7 @@
 // so PartialTo is used as its revision: a list may contain changes newer than its CompleteTo,
 // and with CompleteTo as the revision such a change would not be passed on to boxes that are
 // already past that.
-func (m *Mirror) remember(e Event) {
+func (m *Mirror) record(e Event) {
 	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
 	if len(m.changes)-m.oldest > maxChanges {
 		m.forgotten = m.changes[m.oldest].upTo
