--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -92,7 +92,7 @@
 	}
 	for name, o := range m.items {
 		if !listed[name] && o.Revision <= max(held.CompleteTo, held.PartialTo) {
-			m.drop(o)
+			m.remove(o)
 			m.OnChange(o, true)
 		}
 	}
@@ -117,7 +117,7 @@
 			// Other mirrors may hold it.
 			m.record(e)
 		case e.Deleted && (e.Object.Revision == 0 || known.Revision <= e.Object.Revision):
-			m.drop(known)
+			m.remove(known)
 			m.record(e)
 			m.OnChange(known, true)
 		case !e.Deleted && (ok || e.Object.Revision > before || !m.synced):
@@ -203,7 +203,7 @@
 }
 
 // remove deletes an object.
-func (m *Mirror) drop(o Object) {
+func (m *Mirror) remove(o Object) {
 	m.digest ^= digestOf(&o)
 	delete(m.items, o.Name)
 }
