--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -25,7 +25,7 @@
 	// may be missing.
 	changes   []change
 	oldest    int
-	forgotten uint64
+	trimmedTo uint64
 }
 
 // Extent is the range of revisions that a list or a set of changes reflects.
@@ -100,7 +100,7 @@
 	m.held = m.held.merge(held)
 	clear(m.changes)
 	m.changes, m.oldest = m.changes[:0], 0
-	m.forgotten = m.held.PartialTo
+	m.trimmedTo = m.held.PartialTo
 	return true
 }
 
@@ -156,7 +156,7 @@
 func (m *Mirror) record(e Event) {
 	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
 	if len(m.changes)-m.oldest > maxChanges {
-		m.forgotten = m.changes[m.oldest].upTo
+		m.trimmedTo = m.changes[m.oldest].upTo
 		m.oldest++
 	}
 	if m.oldest == maxChanges {
@@ -173,7 +173,7 @@
 func (m *Mirror) EventsSince(at uint64) (events []Event, held Extent, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.synced || at < m.forgotten {
+	if !m.synced || at < m.trimmedTo {
 		return nil, Extent{}, false
 	}
 	for _, c := range m.changes[m.oldest:] {
