--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -24,7 +24,7 @@
 	// changes[first:] are the latest changes in their order. Changes up to revision trimmedTo
 	// may be missing.
 	changes   []change
-	oldest    int
+	first    int
 	trimmedTo uint64
 }
 
@@ -99,7 +99,7 @@
 	m.synced = true
 	m.held = m.held.merge(held)
 	clear(m.changes)
-	m.changes, m.oldest = m.changes[:0], 0
+	m.changes, m.first = m.changes[:0], 0
 	m.trimmedTo = m.held.PartialTo
 	return true
 }
@@ -155,16 +155,16 @@
 // already past that.
 func (m *Mirror) record(e Event) {
 	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
-	if len(m.changes)-m.oldest > maxChanges {
-		m.trimmedTo = m.changes[m.oldest].upTo
-		m.oldest++
+	if len(m.changes)-m.first > maxChanges {
+		m.trimmedTo = m.changes[m.first].upTo
+		m.first++
 	}
-	if m.oldest == maxChanges {
+	if m.first == maxChanges {
 		// Move the entries only once per maxChanges changes: moving all of them with each
 		// change takes longer than the rest of it.
-		kept := copy(m.changes, m.changes[m.oldest:])
+		kept := copy(m.changes, m.changes[m.first:])
 		clear(m.changes[kept:])
-		m.changes, m.oldest = m.changes[:kept], 0
+		m.changes, m.first = m.changes[:kept], 0
 	}
 }
 
@@ -176,7 +176,7 @@
 	if !m.synced || at < m.trimmedTo {
 		return nil, Extent{}, false
 	}
-	for _, c := range m.changes[m.oldest:] {
+	for _, c := range m.changes[m.first:] {
 		if c.upTo > at {
 			events = append(events, c.event)
 		}
