--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -48,7 +48,7 @@
 // change is a change of one object, made at maxRevision or before.
 type change struct {
 	event Event
-	upTo  uint64
+	maxRevision  uint64
 }
 
 // maxChanges bounds the changes that a mirror keeps for other boxes.
@@ -154,9 +154,9 @@
 // and with CompleteTo as the revision such a change would not be passed on to boxes that are
 // already past that.
 func (m *Mirror) record(e Event) {
-	m.changes = append(m.changes, change{event: e, upTo: m.held.PartialTo})
+	m.changes = append(m.changes, change{event: e, maxRevision: m.held.PartialTo})
 	if len(m.changes)-m.first > maxChanges {
-		m.trimmedTo = m.changes[m.first].upTo
+		m.trimmedTo = m.changes[m.first].maxRevision
 		m.first++
 	}
 	if m.first == maxChanges {
@@ -177,7 +177,7 @@
 		return nil, Extent{}, false
 	}
 	for _, c := range m.changes[m.first:] {
-		if c.upTo > at {
+		if c.maxRevision > at {
 			events = append(events, c.event)
 		}
 	}
