--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -18,7 +18,7 @@
 
 	mu     sync.Mutex
 	items  map[string]Object
-	held   Extent
+	extent   Extent
 	synced bool
 	digest uint32
 	// changes[first:] are the latest changes in their order. Changes up to revision trimmedTo
@@ -82,7 +82,7 @@
 func (m *Mirror) Load(items []Object, held Extent) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.synced && held.CompleteTo < m.held.CompleteTo {
+	if m.synced && held.CompleteTo < m.extent.CompleteTo {
 		return false
 	}
 	listed := map[string]bool{}
@@ -97,10 +97,10 @@
 		}
 	}
 	m.synced = true
-	m.held = m.held.merge(held)
+	m.extent = m.extent.merge(held)
 	clear(m.changes)
 	m.changes, m.first = m.changes[:0], 0
-	m.trimmedTo = m.held.PartialTo
+	m.trimmedTo = m.extent.PartialTo
 	return true
 }
 
@@ -108,8 +108,8 @@
 func (m *Mirror) Apply(events []Event, held Extent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.held.CompleteTo
-	m.held = m.held.merge(held)
+	before := m.extent.CompleteTo
+	m.extent = m.extent.merge(held)
 	for _, e := range events {
 		known, ok := m.items[e.Object.Name]
 		switch {
@@ -154,7 +154,7 @@
 // and with CompleteTo as the revision such a change would not be passed on to boxes that are
 // already past that.
 func (m *Mirror) record(e Event) {
-	m.changes = append(m.changes, change{event: e, maxRevision: m.held.PartialTo})
+	m.changes = append(m.changes, change{event: e, maxRevision: m.extent.PartialTo})
 	if len(m.changes)-m.first > maxChanges {
 		m.trimmedTo = m.changes[m.first].maxRevision
 		m.first++
@@ -181,7 +181,7 @@
 			events = append(events, c.event)
 		}
 	}
-	return events, m.held, true
+	return events, m.extent, true
 }
 
 // digestOf returns an object's part of the digest. The digest is the exclusive or of all
@@ -212,7 +212,7 @@
 func (m *Mirror) Version() Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Version{Revision: m.held.CompleteTo, Digest: m.digest}
+	return Version{Revision: m.extent.CompleteTo, Digest: m.digest}
 }
 
 // Lacks reports whether a mirror of the given version holds something that this one does not.
@@ -220,7 +220,7 @@
 func (m *Mirror) Lacks(v Version) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.synced || v.NewerThan(Version{Revision: m.held.CompleteTo, Digest: m.digest})
+	return !m.synced || v.NewerThan(Version{Revision: m.extent.CompleteTo, Digest: m.digest})
 }
 
 // Synced reports whether the mirror has loaded a whole list.
@@ -239,5 +239,5 @@
 		list = append(list, o)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
-	return list, m.held
+	return list, m.extent
 }
