--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -62,7 +62,7 @@
 }
 
 func (f *Follower) watch(ctx context.Context, wait time.Duration) ([]Event, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime+wait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
 	start, since := f.begin(), f.Mirror.Version().Revision
 	events, at, err := f.Client.Watch(ctx, f.Mirror.Kind, since, wait)
@@ -106,7 +106,7 @@
 // listPage reads one page. Each page has a timeout of its own: a long list has many pages,
 // which together take seconds from a region that is far from the store.
 func (f *Follower) page(ctx context.Context, after string, stale bool) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	start := f.begin()
 	p, err := f.Client.List(ctx, f.Mirror.Kind, after, stale)
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -10,7 +10,7 @@
 // Parameters of a follower.
 const (
 	// callTimeout bounds a call in addition to the time that it was asked to wait.
-	answerTime = 1200 * time.Millisecond
+	callTimeout = 1200 * time.Millisecond
 	// firstRetry and longestRetry bound the pause after a failed call. The pause doubles with
 	// each failure, and a random duration between half of it and all of it is used.
 	firstRetry   = 150 * time.Millisecond
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -410,7 +410,7 @@
 	s := &script{}
 	pages := 0
 	s.list = func() (Page, error) {
-		time.Sleep(answerTime / 3)
+		time.Sleep(callTimeout / 3)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		pages++
