--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -29,7 +29,7 @@
 	case state.gathers:
 		// After the pause, wait for the rest only, so that the store answers once per Wait
 		// whether or not anything changes.
-		wait = max(wait-gather, atOnce)
+		wait = max(wait-batchPause, atOnce)
 	}
 	state.gathers = false
 	changes, err := f.takeChanges(ctx, wait)
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -18,7 +18,7 @@
 	// batchPause is the pause after a watch that brought changes, so that one call returns
 	// changes that follow soon after each other. It delays the next change and is a quarter of
 	// the shortest bound on how soon a change must take effect.
-	gather = 600 * time.Millisecond
+	batchPause = 600 * time.Millisecond
 	// minWait is the wait of the watch that follows a failure: its answer shows whether the
 	// store answers again, whereas a watch that waits would return only with a change or at
 	// the end of its wait.
@@ -129,7 +129,7 @@
 			failures = 0
 			f.OnSuccess()
 			if state.gathers {
-				f.sleep(ctx, gather)
+				f.sleep(ctx, batchPause)
 			}
 			continue
 		}
