--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -25,11 +25,11 @@
 	}
 	switch {
 	case state.failed:
-		wait = atOnce
+		wait = minWait
 	case state.gathers:
 		// After the pause, wait for the rest only, so that the store answers once per Wait
 		// whether or not anything changes.
-		wait = max(wait-batchPause, atOnce)
+		wait = max(wait-batchPause, minWait)
 	}
 	state.gathers = false
 	changes, err := f.takeChanges(ctx, wait)
@@ -53,7 +53,7 @@
 // Poll fetches and applies the changes since the mirror's revision once, without waiting and
 // whether or not Allowed permits calls. The mirror must hold a list.
 func (f *Follower) Poll(ctx context.Context) error {
-	_, err := f.takeChanges(ctx, atOnce)
+	_, err := f.takeChanges(ctx, minWait)
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		return f.list(ctx, false)
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -22,7 +22,7 @@
 	// minWait is the wait of the watch that follows a failure: its answer shows whether the
 	// store answers again, whereas a watch that waits would return only with a change or at
 	// the end of its wait.
-	atOnce = time.Millisecond
+	minWait = time.Millisecond
 	// idleInterval is how often a follower that may not make calls checks Allowed again;
 	// RetryNow ends the interval early.
 	idlePause = 500 * time.Millisecond
