--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -25,7 +25,7 @@
 	minWait = time.Millisecond
 	// idleInterval is how often a follower that may not make calls checks Allowed again;
 	// RetryNow ends the interval early.
-	idlePause = 500 * time.Millisecond
+	idleInterval = 500 * time.Millisecond
 	// maxPages bounds the pages of one list.
 	maxPages = 10_000
 	// pagesAtOnce is how many pages of its first list a follower reads before it calls
@@ -117,7 +117,7 @@
 	for ctx.Err() == nil {
 		if f.waits(failures) {
 			state.listed = f.Mirror.Synced()
-			f.sleep(ctx, idlePause)
+			f.sleep(ctx, idleInterval)
 			continue
 		}
 		state.failed = failures > 0
