--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -118,7 +118,7 @@
 // box. It returns the error of the context, if any.
 func (f *Follower) awaitTurn(ctx context.Context) error {
 	for f.ContinuesList != nil && !f.ContinuesList() && !f.Mirror.Synced() {
-		f.sleep(ctx, readPoll)
+		f.sleep(ctx, turnInterval)
 		if err := ctx.Err(); err != nil {
 			return err
 		}
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -31,7 +31,7 @@
 	// pagesAtOnce is how many pages of its first list a follower reads before it calls
 	// ContinuesList, and turnInterval how often it then calls it.
 	pagesAtOnce = 2
-	readPoll    = 25 * time.Millisecond
+	turnInterval    = 25 * time.Millisecond
 )
 
 // Follower keeps a Mirror up to date.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -448,7 +448,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
-	time.Sleep(4 * readPoll)
+	time.Sleep(4 * turnInterval)
 	is.True(!f.Mirror.Synced())
 	f.Mirror.Load([]Object{object("b", 6)}, Exactly(7))
 	eventually(is, has(f, "news"))
