--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -113,7 +113,7 @@
 // it watches, and lists again only if the store's history no longer goes back far enough.
 func (f *Follower) Run(ctx context.Context) {
 	failures := 0
-	state := following{stale: true}
+	state := followState{stale: true}
 	for ctx.Err() == nil {
 		if f.waits(failures) {
 			state.listed = f.Mirror.Synced()
@@ -139,7 +139,7 @@
 		}
 		var compacted *CompactedError
 		if errors.As(err, &compacted) {
-			state = following{}
+			state = followState{}
 			if failures == 0 {
 				failures++
 				continue
@@ -161,7 +161,7 @@
 }
 
 // followState is the state of a running follower.
-type following struct {
+type followState struct {
 	// listed means that the mirror holds a list to go on from.
 	listed bool
 	// stale means that the next list may be stale.
@@ -212,7 +212,7 @@
 
 // step makes the next call. It returns the error of the call, or a *RestartedError if Restart
 // ended it.
-func (f *Follower) step(ctx context.Context, state *following) error {
+func (f *Follower) step(ctx context.Context, state *followState) error {
 	callContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	f.mu.Lock()
