--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -26,14 +26,14 @@
 	switch {
 	case state.failed:
 		wait = minWait
-	case state.gathers:
+	case state.batched:
 		// After the pause, wait for the rest only, so that the store answers once per Wait
 		// whether or not anything changes.
 		wait = max(wait-batchPause, minWait)
 	}
-	state.gathers = false
+	state.batched = false
 	changes, err := f.takeChanges(ctx, wait)
-	state.gathers = changes > 0
+	state.batched = changes > 0
 	return err
 }
 
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -128,7 +128,7 @@
 		if err == nil {
 			failures = 0
 			f.OnSuccess()
-			if state.gathers {
+			if state.batched {
 				f.sleep(ctx, batchPause)
 			}
 			continue
@@ -169,7 +169,7 @@
 	// failed means that the previous call was not answered.
 	failed bool
 	// batched means that the previous call brought changes and was followed by a pause.
-	gathers bool
+	batched bool
 }
 
 // RestartedError reports that a call was ended by Restart. It says nothing about the store.
