--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -128,7 +128,7 @@
 
 func (f *Follower) pause(ctx context.Context, failures int) {
 	select {
-	case <-f.hurry:
+	case <-f.retryNow:
 		// The signal was meant for an earlier pause.
 	default:
 	}
@@ -142,6 +142,6 @@
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-f.hurry:
+	case <-f.retryNow:
 	}
 }
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -70,7 +70,7 @@
 	cancel context.CancelCauseFunc
 	began  time.Time
 	// retryNow ends a pause after a failed call.
-	hurry chan struct{}
+	retryNow chan struct{}
 }
 
 // Call describes a call to the store that has ended.
@@ -97,14 +97,14 @@
 func NewFollower(client *Client, mirror *Mirror, wait time.Duration, random func() float64) *Follower {
 	return &Follower{
 		Client: client, Mirror: mirror, Wait: wait, Now: time.Now, Random: random,
-		OnCall: func(Call) {}, OnSuccess: func() {}, OnFailure: func(error) {}, OnConfirmed: func(Answer) {}, hurry: make(chan struct{}, 1),
+		OnCall: func(Call) {}, OnSuccess: func() {}, OnFailure: func(error) {}, OnConfirmed: func(Answer) {}, retryNow: make(chan struct{}, 1),
 	}
 }
 
 // RetryNow ends the pause after a failed call, because the store is known to answer.
 func (f *Follower) RetryNow() {
 	select {
-	case f.hurry <- struct{}{}:
+	case f.retryNow <- struct{}{}:
 	default:
 	}
 }
