--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -68,7 +68,7 @@
 	mu sync.Mutex
 	// cancel ends the pending call; callStart is when the last call was made.
 	cancel context.CancelCauseFunc
-	began  time.Time
+	callStart  time.Time
 	// retryNow ends a pause after a failed call.
 	retryNow chan struct{}
 }
@@ -199,15 +199,15 @@
 func (f *Follower) CallStart() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.began
+	return f.callStart
 }
 
 // begin records that a call is made now.
 func (f *Follower) begin() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.began = f.Now()
-	return f.began
+	f.callStart = f.Now()
+	return f.callStart
 }
 
 // step makes the next call. It returns the error of the call, or a *RestartedError if Restart
