--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -115,7 +115,7 @@
 	failures := 0
 	state := followState{stale: true}
 	for ctx.Err() == nil {
-		if f.waits(failures) {
+		if f.isIdle(failures) {
 			state.listed = f.Mirror.Synced()
 			f.sleep(ctx, idleInterval)
 			continue
@@ -153,7 +153,7 @@
 
 // isIdle reports whether the follower makes no calls for now because another box polls the
 // store in its place. A follower that has no list yet makes one attempt by itself.
-func (f *Follower) waits(failures int) bool {
+func (f *Follower) isIdle(failures int) bool {
 	if f.Allowed == nil || f.Allowed() {
 		return false
 	}
