--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -11,7 +11,7 @@
 // ================================================================
 
 // call makes the next call: a list if the mirror has none to go on from, otherwise a watch.
-func (f *Follower) ask(ctx context.Context, state *followState) error {
+func (f *Follower) call(ctx context.Context, state *followState) error {
 	if !state.listed {
 		if err := f.list(ctx, state.stale); err != nil {
 			return err
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -218,7 +218,7 @@
 	f.mu.Lock()
 	f.cancel = cancel
 	f.mu.Unlock()
-	err := f.ask(callContext, state)
+	err := f.call(callContext, state)
 	var restarted *RestartedError
 	if err != nil && errors.As(context.Cause(callContext), &restarted) {
 		return restarted
