--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -32,14 +32,14 @@
 		wait = max(wait-batchPause, minWait)
 	}
 	state.batched = false
-	changes, err := f.takeChanges(ctx, wait)
+	changes, err := f.fetchChanges(ctx, wait)
 	state.batched = changes > 0
 	return err
 }
 
 // fetchChanges makes a watch, applies the changes to the mirror and returns how many there
 // were.
-func (f *Follower) takeChanges(ctx context.Context, wait time.Duration) (changes int, err error) {
+func (f *Follower) fetchChanges(ctx context.Context, wait time.Duration) (changes int, err error) {
 	events, at, err := f.watch(ctx, wait)
 	if err != nil {
 		return 0, err
@@ -53,7 +53,7 @@
 // Poll fetches and applies the changes since the mirror's revision once, without waiting and
 // whether or not Allowed permits calls. The mirror must hold a list.
 func (f *Follower) Poll(ctx context.Context) error {
-	_, err := f.takeChanges(ctx, minWait)
+	_, err := f.fetchChanges(ctx, minWait)
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		return f.list(ctx, false)
