--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -85,7 +85,7 @@
 				return nil
 			}
 		}
-		p, err := f.page(ctx, after, stale)
+		p, err := f.listPage(ctx, after, stale)
 		if err != nil {
 			return err
 		}
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// listPage reads one page. Each page has a timeout of its own: a long list has many pages,
+// listPage reads one listPage. Each listPage has a timeout of its own: a long list has many pages,
 // which together take seconds from a region that is far from the store.
-func (f *Follower) page(ctx context.Context, after string, stale bool) (Page, error) {
+func (f *Follower) listPage(ctx context.Context, after string, stale bool) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	start := f.begin()
