--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -86,7 +86,7 @@
 func (r *Replica) poll() error {
 	ctx, cancel := context.WithTimeout(r.Context, pollTime)
 	defer cancel()
-	for _, kind := range r.Kinds.all() {
+	for _, kind := range r.Kinds.byUrgency() {
 		if kind != r.Kinds.Servers && r.reached(kind) {
 			continue // the answer for the servers has confirmed this kind
 		}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -37,7 +37,7 @@
 }
 
 // byUrgency lists the kinds, with the one whose changes must be known soonest first.
-func (k Kinds) all() []string {
+func (k Kinds) byUrgency() []string {
 	list := []string{k.Servers, k.Configuration, k.Evacuations}
 	if k.Rollouts != "" {
 		list = append(list, k.Rollouts)
@@ -110,7 +110,7 @@
 		contact: newContact(o.Now, o.ContactWindow), revisions: newRevisions(), pulls: newPulls(),
 		role: storepoller.New(o.WatchersPerZone, o.ContactWindow, now, rand.Float64()),
 	}
-	for _, kind := range o.Kinds.all() {
+	for _, kind := range o.Kinds.byUrgency() {
 		r.mirrors[kind] = objects.NewMirror(kind)
 		r.followers[kind] = r.newFollower(kind)
 	}
@@ -128,7 +128,7 @@
 
 // Run starts to follow the store.
 func (r *Replica) Run() {
-	for _, kind := range r.Kinds.all() {
+	for _, kind := range r.Kinds.byUrgency() {
 		f := r.followers[kind]
 		r.Go(func() { f.Run(r.Context) })
 	}
@@ -147,7 +147,7 @@
 // PullOverdue pulls the copies in which other boxes have been ahead for several heartbeats.
 // Call it with each heartbeat.
 func (r *Replica) PullOverdue() {
-	for _, kind := range r.Kinds.all() {
+	for _, kind := range r.Kinds.byUrgency() {
 		r.catchUp(kind, false)
 	}
 }
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -127,7 +127,7 @@
 	if kind != r.Kinds.Servers {
 		return
 	}
-	for _, other := range r.Kinds.all() {
+	for _, other := range r.Kinds.byUrgency() {
 		switch {
 		case other == kind:
 		case r.reached(other):
