--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -92,7 +92,7 @@
 	// isPoller is true while this box polls the store for its zone. unannounced is true while
 	// it has changes that it has not announced to its zone.
 	watching atomic.Bool
-	changed  atomic.Bool
+	unannounced  atomic.Bool
 	// roleMu serializes decisions on the role.
 	roleMu sync.Mutex
 	role   *storepoller.Role
@@ -122,7 +122,7 @@
 func (r *Replica) OnChange(kind string, changed func(o objects.Object, gone bool)) {
 	r.mirrors[kind].OnChange = func(o objects.Object, gone bool) {
 		changed(o, gone)
-		r.changed.Store(true)
+		r.unannounced.Store(true)
 	}
 }
 
@@ -160,7 +160,7 @@
 
 // TakeUnannounced reports whether this box polls the store and has changes that it has not
 // announced to its zone, and marks them as announced.
-func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.changed.Swap(false) }
+func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.unannounced.Swap(false) }
 
 // FillRecord writes the state of this box's copies into its record for other boxes.
 func (r *Replica) FillRecord(self *gossip.Record) {
