--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -43,7 +43,7 @@
 			failed = 0
 			return
 		}
-		if !r.watching.Load() {
+		if !r.isPoller.Load() {
 			// A box that no longer is a poller cancels its calls.
 			failed = 0
 			return
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -38,7 +38,7 @@
 	wait := r.shortWatch(kind)
 	f := objects.NewFollower(r.Client, r.mirrors[kind], wait, rand.Float64)
 	f.Now = r.Now
-	f.Allowed = r.watching.Load
+	f.Allowed = r.isPoller.Load
 	f.ContinuesList = r.readsOn
 	tell := r.tellsCalls(kind)
 	f.OnCall = func(c objects.Call) {
@@ -55,7 +55,7 @@
 		f.NextWait = func() time.Duration { return r.waitNow(kind, wait) }
 	}
 	f.OnFailure = func(error) {
-		if !r.watching.Load() {
+		if !r.isPoller.Load() {
 			return
 		}
 		r.contact.noteFailure(f.CallStart())
--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -61,7 +61,7 @@
 func (r *Replica) pollIfUntold() {
 	ago := max(r.contact.list.ago(), r.contact.configuration.ago())
 	longest := time.Duration(pollShare * float64(r.DrainTime))
-	if r.watching.Load() || !r.synced() || ago < longest {
+	if r.isPoller.Load() || !r.synced() || ago < longest {
 		return
 	}
 	made := r.Now()
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -33,7 +33,7 @@
 func (r *Replica) learnsFrom(from *gossip.Record, m *objects.Mirror) bool {
 	near := from.Zone == r.Zone
 	switch {
-	case !r.watching.Load():
+	case !r.isPoller.Load():
 		return near
 	case !m.Synced():
 		return true
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -91,7 +91,7 @@
 	revisions *revisions
 	// isPoller is true while this box polls the store for its zone. unannounced is true while
 	// it has changes that it has not announced to its zone.
-	watching atomic.Bool
+	isPoller atomic.Bool
 	unannounced  atomic.Bool
 	// roleMu serializes decisions on the role.
 	roleMu sync.Mutex
@@ -160,7 +160,7 @@
 
 // TakeUnannounced reports whether this box polls the store and has changes that it has not
 // announced to its zone, and marks them as announced.
-func (r *Replica) TakeUnannounced() bool { return r.watching.Load() && r.unannounced.Swap(false) }
+func (r *Replica) TakeUnannounced() bool { return r.isPoller.Load() && r.unannounced.Swap(false) }
 
 // FillRecord writes the state of this box's copies into its record for other boxes.
 func (r *Replica) FillRecord(self *gossip.Record) {
@@ -170,7 +170,7 @@
 			self.Versions[kind] = m.Version()
 		}
 	}
-	watching := r.watching.Load()
+	watching := r.isPoller.Load()
 	self.ConfirmedAgo = r.contact.configuration.told(watching)
 	self.ListConfirmedAgo = r.contact.list.told(watching)
 	self.StoreHealthy = watching && r.synced() && r.contact.healthy()
@@ -184,7 +184,7 @@
 // Current reports whether the store has recently answered this box, or a box on which it
 // relies, so that whatever is not in the configuration does not exist.
 func (r *Replica) Current() bool {
-	return r.contact.answeredLately() || !r.watching.Load() && r.anyHealthy()
+	return r.contact.answeredLately() || !r.isPoller.Load() && r.anyHealthy()
 }
 
 // TrustsList reports whether a server that the store no longer lists is to be taken as gone:
@@ -231,7 +231,7 @@
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
 	watching := r.role.ShouldPoll(r.view(), r.Now())
-	if watching == r.watching.Swap(watching) {
+	if watching == r.isPoller.Swap(watching) {
 		return
 	}
 	r.BoxLog.Info("role changed", map[string]any{"watches_store": watching})
@@ -251,7 +251,7 @@
 	healthy := r.contact.healthy()
 	return storepoller.View{
 		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
-		Synced: r.synced(), Answered: r.watching.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
+		Synced: r.synced(), Answered: r.isPoller.Load() && healthy, StoreAnswers: healthy || r.anyHealthy(),
 	}
 }
 
