--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -224,7 +224,7 @@
 // pollerTimeout is how long a store poller may be silent until another box takes over: three
 // heartbeats, since single ones may be lost. Few boxes of each zone poll the store, and the
 // others learn from them; what all boxes of a zone miss, they learn from other zones.
-const watcherSilence = 3 * gossip.Interval
+const pollerTimeout = 3 * gossip.Interval
 
 // chooseRole decides whether this box polls the store.
 func (r *Replica) chooseRole() {
@@ -247,7 +247,7 @@
 
 // view returns the state from which this box's role is decided.
 func (r *Replica) view() storepoller.View {
-	z := r.Members.StoreContacts(watcherSilence)
+	z := r.Members.StoreContacts(pollerTimeout)
 	healthy := r.contact.healthy()
 	return storepoller.View{
 		HealthyBefore: z.HealthyBefore, UnansweredBefore: z.UnansweredBefore, IdleBefore: z.IdleBefore, ZoneHealthy: z.Healthy,
