--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -19,7 +19,7 @@
 // newCallReporter returns a function that is to be called with each call for a kind of
 // objects. It reports how long ago the store last answered, the first of consecutive failed
 // calls and the first answer after them, and every call in debug lines.
-func (r *Replica) tellsCalls(kind string) func(c objects.Call) {
+func (r *Replica) newCallReporter(kind string) func(c objects.Call) {
 	var answered atomic.Int64
 	answered.Store(int64(r.contact.age()))
 	gauge := metrics.NewFunctionalGauge(func() int64 {
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -40,7 +40,7 @@
 	f.Now = r.Now
 	f.Allowed = r.isPoller.Load
 	f.ContinuesList = r.continuesList
-	tell := r.tellsCalls(kind)
+	tell := r.newCallReporter(kind)
 	f.OnCall = func(c objects.Call) {
 		r.revisions.take(c)
 		tell(c)
