--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -20,7 +20,7 @@
 
 // maxClaims bounds the claims that are kept for a kind: while changes follow each other
 // quickly, further claims arrive before the version of the first one has been applied.
-const mostClaims = 8
+const maxClaims = 8
 
 // claims are reports about versions that this box does not have yet, by kind, the oldest
 // first.
@@ -36,7 +36,7 @@
 		c.kinds = map[string][]claim{}
 	}
 	list := c.kinds[kind]
-	if len(list) == mostClaims {
+	if len(list) == maxClaims {
 		list = list[1:]
 	}
 	c.kinds[kind] = append(list, one)
--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -32,8 +32,8 @@
 	_, ok = c.settle(m.Kind, m)
 	is.True(!ok) // the last claim still does not hold
 
-	for i := range uint64(3 * mostClaims) {
+	for i := range uint64(3 * maxClaims) {
 		c.put(m.Kind, claim{objects.Version{Revision: 10 + i, Digest: 1}, start})
 	}
-	is.Equal(len(c.kinds[m.Kind]), mostClaims)
+	is.Equal(len(c.kinds[m.Kind]), maxClaims)
 }
