--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -44,7 +44,7 @@
 
 // resolve returns when the copy was last current according to the claims about versions that
 // it now has, and removes these claims; ok is false if there are none.
-func (c *claims) settle(kind string, m *objects.Mirror) (at time.Time, ok bool) {
+func (c *claims) resolve(kind string, m *objects.Mirror) (at time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	open := c.kinds[kind][:0]
@@ -87,7 +87,7 @@
 	if c == nil {
 		return
 	}
-	if at, ok := r.claims.settle(kind, r.mirrors[kind]); ok {
+	if at, ok := r.claims.resolve(kind, r.mirrors[kind]); ok {
 		c.hear(at)
 	}
 }
--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -22,14 +22,14 @@
 	for i := range uint64(3) {
 		c.put(m.Kind, claim{objects.Version{Revision: 2 + i, Digest: uint32(2 + i)}, start.Add(time.Duration(i) * time.Second)})
 	}
-	_, ok := c.settle(m.Kind, m)
+	_, ok := c.resolve(m.Kind, m)
 	is.True(!ok) // the copy lacks the version of each claim
 
 	m.Apply(nil, objects.Exactly(3))
-	at, ok := c.settle(m.Kind, m)
+	at, ok := c.resolve(m.Kind, m)
 	is.True(ok)
 	is.Equal(at, start.Add(time.Second)) // the newest claim that holds
-	_, ok = c.settle(m.Kind, m)
+	_, ok = c.resolve(m.Kind, m)
 	is.True(!ok) // the last claim still does not hold
 
 	for i := range uint64(3 * maxClaims) {
