--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -76,13 +76,13 @@
 		}
 		ago := time.Duration(told-1) * time.Millisecond
 		r.claims.put(kind, claim{version, r.Now().Add(-ago)})
-		r.settleClaims(kind)
+		r.resolveClaims(kind)
 	}
 }
 
 // resolveClaims confirms this box's copy of a kind by the claims about versions of which it
 // lacks nothing.
-func (r *Replica) settleClaims(kind string) {
+func (r *Replica) resolveClaims(kind string) {
 	c := r.contact.of(r.Kinds, kind)
 	if c == nil {
 		return
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -162,7 +162,7 @@
 	} else {
 		m.Apply(body.Events, body.Extent)
 	}
-	r.settleClaims(m.Kind)
+	r.resolveClaims(m.Kind)
 	r.BoxLog.Info("caught up through another box", map[string]any{
 		"from": source, "kind": m.Kind, "revision": body.CompleteTo, "whole": body.Whole, "changes": len(body.Events),
 	})
