--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -66,7 +66,7 @@
 
 // addClaims adds the claims of a store poller about its copies. They hold for this box's
 // copies as soon as these lack nothing of that version.
-func (r *Replica) hearConfirmations(from *gossip.Record) {
+func (r *Replica) addClaims(from *gossip.Record) {
 	for kind, told := range map[string]uint32{
 		r.Kinds.Configuration: from.ConfirmedAgo, r.Kinds.Servers: from.ListConfirmedAgo,
 	} {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -155,7 +155,7 @@
 // HandleRecord processes what another box's record says about its copies.
 func (r *Replica) HandleRecord(from *gossip.Record) {
 	r.catchUpWith(from)
-	r.hearConfirmations(from)
+	r.addClaims(from)
 }
 
 // TakeUnannounced reports whether this box polls the store and has changes that it has not
