--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -88,6 +88,6 @@
 		return
 	}
 	if at, ok := r.claims.resolve(kind, r.mirrors[kind]); ok {
-		c.hear(at)
+		c.noteRemote(at)
 	}
 }
--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -38,7 +38,7 @@
 func (c *confirmation) note(at time.Time) { raise(&c.own, int64(at.Sub(c.started))) }
 
 // noteRemote records the same from a report of another box.
-func (c *confirmation) hear(at time.Time) { raise(&c.heard, int64(at.Sub(c.started))) }
+func (c *confirmation) noteRemote(at time.Time) { raise(&c.heard, int64(at.Sub(c.started))) }
 
 // age returns how long ago the copy was last known to be current, or how long the box has run
 // if it never was.
