--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -35,7 +35,7 @@
 }
 
 // noteOwn records that a call of this box has shown the copy to be current at a time.
-func (c *confirmation) note(at time.Time) { raise(&c.own, int64(at.Sub(c.started))) }
+func (c *confirmation) noteOwn(at time.Time) { raise(&c.own, int64(at.Sub(c.started))) }
 
 // noteRemote records the same from a report of another box.
 func (c *confirmation) noteRemote(at time.Time) { raise(&c.heard, int64(at.Sub(c.started))) }
