--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -31,23 +31,23 @@
 	// none.
 	now        func() time.Time
 	started    time.Time
-	own, heard atomic.Int64
+	own, remote atomic.Int64
 }
 
 // noteOwn records that a call of this box has shown the copy to be current at a time.
 func (c *confirmation) noteOwn(at time.Time) { raise(&c.own, int64(at.Sub(c.started))) }
 
 // noteRemote records the same from a report of another box.
-func (c *confirmation) noteRemote(at time.Time) { raise(&c.heard, int64(at.Sub(c.started))) }
+func (c *confirmation) noteRemote(at time.Time) { raise(&c.remote, int64(at.Sub(c.started))) }
 
 // age returns how long ago the copy was last known to be current, or how long the box has run
 // if it never was.
 func (c *confirmation) ago() time.Duration {
-	return c.now().Sub(c.started) - time.Duration(max(c.own.Load(), c.heard.Load()))
+	return c.now().Sub(c.started) - time.Duration(max(c.own.Load(), c.remote.Load()))
 }
 
 // known reports whether the copy was ever known to be current.
-func (c *confirmation) ever() bool { return c.own.Load() != 0 || c.heard.Load() != 0 }
+func (c *confirmation) ever() bool { return c.own.Load() != 0 || c.remote.Load() != 0 }
 
 // reported returns the value for heartbeats: how long ago the copy was current, in
 // milliseconds plus one, or 0 if this box does not poll the store. Reports of other boxes are
