--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -171,8 +171,8 @@
 		}
 	}
 	watching := r.isPoller.Load()
-	self.ConfirmedAgo = r.contact.configuration.told(watching)
-	self.ListConfirmedAgo = r.contact.list.told(watching)
+	self.ConfirmedAgo = r.contact.configuration.reported(watching)
+	self.ListConfirmedAgo = r.contact.list.reported(watching)
 	self.StoreHealthy = watching && r.synced() && r.contact.healthy()
 	self.StoreUnanswered = watching && !self.StoreHealthy
 }
