--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -46,8 +46,8 @@
 	return c.now().Sub(c.started) - time.Duration(max(c.own.Load(), c.remote.Load()))
 }
 
-// known reports whether the copy was ever known to be current.
-func (c *confirmation) ever() bool { return c.own.Load() != 0 || c.remote.Load() != 0 }
+// known reports whether the copy was known known to be current.
+func (c *confirmation) known() bool { return c.own.Load() != 0 || c.remote.Load() != 0 }
 
 // reported returns the value for heartbeats: how long ago the copy was current, in
 // milliseconds plus one, or 0 if this box does not poll the store. Reports of other boxes are
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -195,7 +195,7 @@
 // ConfigurationAge returns how long ago the configuration was last known to be current; ok is
 // false if it never was.
 func (r *Replica) ConfigurationAge() (age time.Duration, ok bool) {
-	return r.contact.configuration.ago(), r.contact.configuration.ever()
+	return r.contact.configuration.ago(), r.contact.configuration.known()
 }
 
 // Ages returns how long ago the list of servers and the configuration were last known to be
