--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -21,9 +21,9 @@
 // calls and the first answer after them, and every call in debug lines.
 func (r *Replica) newCallReporter(kind string) func(c objects.Call) {
 	var answered atomic.Int64
-	answered.Store(int64(r.contact.age()))
+	answered.Store(int64(r.contact.sinceStart()))
 	gauge := metrics.NewFunctionalGauge(func() int64 {
-		return (r.contact.age() - time.Duration(answered.Load())).Milliseconds()
+		return (r.contact.sinceStart() - time.Duration(answered.Load())).Milliseconds()
 	})
 	if err := r.Metrics.Register("store.answered_ago."+kind, gauge); err != nil {
 		r.StoreLog.Warn("cannot register the metric", map[string]any{"kind": kind, "error": err.Error()})
@@ -33,10 +33,10 @@
 	return func(c objects.Call) {
 		mu.Lock()
 		defer mu.Unlock()
-		silent := r.contact.age() - time.Duration(answered.Load())
+		silent := r.contact.sinceStart() - time.Duration(answered.Load())
 		r.StoreLog.Debug("call ended", callFields(kind, c))
 		if isAnswer(c.Err) {
-			answered.Store(int64(r.contact.age()))
+			answered.Store(int64(r.contact.sinceStart()))
 			if failed > 0 {
 				r.StoreLog.Info("store answers again", map[string]any{"kind": kind, "silent_ms": silent.Milliseconds(), "failed": failed})
 			}
--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -107,9 +107,9 @@
 	clear(c.failing)
 }
 
-func (c *contact) age() time.Duration { return c.now().Sub(c.started) }
+func (c *contact) sinceStart() time.Duration { return c.now().Sub(c.started) }
 
-func (c *contact) noteAnswer() { c.answered.Store(int64(c.age())) }
+func (c *contact) noteAnswer() { c.answered.Store(int64(c.sinceStart())) }
 
 // advance sets a moment unless it already has a later value.
 func raise(moment *atomic.Int64, to int64) {
@@ -131,14 +131,14 @@
 
 // answeredLately reports whether the store has answered this box within the contact window.
 func (c *contact) answeredLately() bool {
-	return c.age()-time.Duration(c.answered.Load()) < c.within
+	return c.sinceStart()-time.Duration(c.answered.Load()) < c.within
 }
 
 // healthy reports whether, within the contact window, the store has answered this box and no
 // call has failed.
 func (c *contact) healthy() bool {
 	failed := c.failed.Load()
-	return c.answeredLately() && (failed == 0 || c.age()-time.Duration(failed) > c.within)
+	return c.answeredLately() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.within)
 }
 
 // confirmationOf returns the confirmation of the copy of a kind, or nil for kinds of which
