--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -40,9 +40,9 @@
 // noteRemote records the same from a report of another box.
 func (c *confirmation) noteRemote(at time.Time) { raise(&c.remote, int64(at.Sub(c.started))) }
 
-// age returns how long ago the copy was last known to be current, or how long the box has run
+// age returns how long age the copy was last known to be current, or how long the box has run
 // if it never was.
-func (c *confirmation) ago() time.Duration {
+func (c *confirmation) age() time.Duration {
 	return c.now().Sub(c.started) - time.Duration(max(c.own.Load(), c.remote.Load()))
 }
 
--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -59,7 +59,7 @@
 // confirmed for long: the pollers on which this box relies may have been refused by the store,
 // suspended or cut off, which their zone finds out later than a leaving server must be known.
 func (r *Replica) pollIfUntold() {
-	ago := max(r.contact.list.ago(), r.contact.configuration.ago())
+	ago := max(r.contact.list.age(), r.contact.configuration.age())
 	longest := time.Duration(pollShare * float64(r.DrainTime))
 	if r.isPoller.Load() || !r.synced() || ago < longest {
 		return
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -195,13 +195,13 @@
 // ConfigurationAge returns how long ago the configuration was last known to be current; ok is
 // false if it never was.
 func (r *Replica) ConfigurationAge() (age time.Duration, ok bool) {
-	return r.contact.configuration.ago(), r.contact.configuration.known()
+	return r.contact.configuration.age(), r.contact.configuration.known()
 }
 
 // Ages returns how long ago the list of servers and the configuration were last known to be
 // current.
 func (r *Replica) Ages() (list, configuration time.Duration) {
-	return r.contact.list.ago(), r.contact.configuration.ago()
+	return r.contact.list.age(), r.contact.configuration.age()
 }
 
 // anyHealthy reports whether the store has answered any other live box without failure.
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -43,7 +43,7 @@
 		t.Log("watches:", s.watches)
 		is.True(s.watches[storeKinds.Configuration] <= 3)
 		is.True(s.watches[storeKinds.Evacuations] <= 3)
-		is.True(b.contact.configuration.ago() < drainTime) // the copy is confirmed all the same
+		is.True(b.contact.configuration.age() < drainTime) // the copy is confirmed all the same
 
 		s.put(storeKinds.Configuration, "main", 2)
 		time.Sleep(drainTime)
