--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -11,7 +11,7 @@
 	// now is the clock, started the start of the box, and window the contact window.
 	now     func() time.Time
 	started time.Time
-	within  time.Duration
+	window  time.Duration
 	// answered is when the store last answered; failed is when the last call was made that it
 	// did not answer, or 0 if there is none. Both are in nanoseconds since the start.
 	answered atomic.Int64
@@ -64,7 +64,7 @@
 
 func newContact(now func() time.Time, within time.Duration) *contact {
 	started := now()
-	c := &contact{now: now, started: started, within: within, failing: map[string]bool{}}
+	c := &contact{now: now, started: started, window: within, failing: map[string]bool{}}
 	c.configuration.now, c.list.now = now, now
 	c.configuration.started, c.list.started = started, started
 	return c
@@ -131,14 +131,14 @@
 
 // answeredLately reports whether the store has answered this box within the contact window.
 func (c *contact) answeredLately() bool {
-	return c.sinceStart()-time.Duration(c.answered.Load()) < c.within
+	return c.sinceStart()-time.Duration(c.answered.Load()) < c.window
 }
 
 // healthy reports whether, within the contact window, the store has answered this box and no
 // call has failed.
 func (c *contact) healthy() bool {
 	failed := c.failed.Load()
-	return c.answeredLately() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.within)
+	return c.answeredLately() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.window)
 }
 
 // confirmationOf returns the confirmation of the copy of a kind, or nil for kinds of which
