--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -35,10 +35,10 @@
 }
 
 // noteOwn records that a call of this box has shown the copy to be current at a time.
-func (c *confirmation) noteOwn(at time.Time) { raise(&c.own, int64(at.Sub(c.started))) }
+func (c *confirmation) noteOwn(at time.Time) { advance(&c.own, int64(at.Sub(c.started))) }
 
 // noteRemote records the same from a report of another box.
-func (c *confirmation) noteRemote(at time.Time) { raise(&c.remote, int64(at.Sub(c.started))) }
+func (c *confirmation) noteRemote(at time.Time) { advance(&c.remote, int64(at.Sub(c.started))) }
 
 // age returns how long age the copy was last known to be current, or how long the box has run
 // if it never was.
@@ -112,7 +112,7 @@
 func (c *contact) noteAnswer() { c.answered.Store(int64(c.sinceStart())) }
 
 // advance sets a moment unless it already has a later value.
-func raise(moment *atomic.Int64, to int64) {
+func advance(moment *atomic.Int64, to int64) {
 	for {
 		known := moment.Load()
 		if to <= known || moment.CompareAndSwap(known, to) {
@@ -126,7 +126,7 @@
 // of servers would not be trusted until seconds after the contact window, and servers whose
 // entries vanish meanwhile would be kept.
 func (c *contact) noteFailure(made time.Time) {
-	raise(&c.failed, int64(made.Sub(c.started)))
+	advance(&c.failed, int64(made.Sub(c.started)))
 }
 
 // answeredLately reports whether the store has answered this box within the contact window.
