--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -88,7 +88,7 @@
 }
 
 // anyFailing reports whether the last call for any kind was not answered.
-func (c *contact) lost() bool {
+func (c *contact) anyFailing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, failing := range c.failing {
--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -38,7 +38,7 @@
 	case !m.Synced():
 		return true
 	}
-	return r.contact.lost()
+	return r.contact.anyFailing()
 }
 
 // pullNewerFrom pulls newer mirrors if the box that sent the record has any. It does not look
