--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -83,7 +83,7 @@
 // resolveClaims confirms this box's copy of a kind by the claims about versions of which it
 // lacks nothing.
 func (r *Replica) resolveClaims(kind string) {
-	c := r.contact.of(r.Kinds, kind)
+	c := r.contact.confirmationOf(r.Kinds, kind)
 	if c == nil {
 		return
 	}
--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -141,9 +141,9 @@
 	return c.answeredLately() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.window)
 }
 
-// confirmationOf returns the confirmation of the copy of a kind, or nil for kinds of which
+// confirmationOf returns the confirmation confirmationOf the copy confirmationOf a kind, or nil for kinds confirmationOf which
 // heartbeats report nothing.
-func (c *contact) of(kinds Kinds, kind string) *confirmation {
+func (c *contact) confirmationOf(kinds Kinds, kind string) *confirmation {
 	switch kind {
 	case kinds.Configuration:
 		return &c.configuration
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -140,7 +140,7 @@
 
 // noteConfirmed records that the copy of a kind was current at a time.
 func (r *Replica) noteConfirmed(kind string, at time.Time) {
-	if c := r.contact.of(r.Kinds, kind); c != nil {
+	if c := r.contact.confirmationOf(r.Kinds, kind); c != nil {
 		c.noteOwn(at)
 	}
 }
