--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -26,7 +26,7 @@
 )
 
 // shortWait is how long a watch of a kind waits if its answers are needed.
-func (r *Replica) shortWatch(kind string) time.Duration {
+func (r *Replica) shortWait(kind string) time.Duration {
 	wait := time.Duration(watchShare * float64(r.ContactWindow))
 	if kind == r.Kinds.Evacuations || kind == r.Kinds.Rollouts {
 		return wait
@@ -35,7 +35,7 @@
 }
 
 func (r *Replica) newFollower(kind string) *objects.Follower {
-	wait := r.shortWatch(kind)
+	wait := r.shortWait(kind)
 	f := objects.NewFollower(r.Client, r.mirrors[kind], wait, rand.Float64)
 	f.Now = r.Now
 	f.Allowed = r.isPoller.Load
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -150,5 +150,5 @@
 	if r.revisions.isLong(kind) {
 		return answerSlack
 	}
-	return r.shortWatch(kind) + answerSlack
+	return r.shortWait(kind) + answerSlack
 }
