--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -47,7 +47,7 @@
 	}
 	f.OnSuccess = func() {
 		r.contact.noteAnswer()
-		r.storeSpoke(f, r.contact.setFailing(kind, false))
+		r.storeAnswered(f, r.contact.setFailing(kind, false))
 		r.OnAnswer()
 	}
 	f.OnConfirmed = func(a objects.Answer) { r.confirmed(kind, a) }
@@ -68,7 +68,7 @@
 // last call failed calls again at once. If the answered follower had failed before, the store
 // did not respond for a while, and calls of others that are older than the answered one may
 // hang; these are restarted.
-func (r *Replica) storeSpoke(answered *objects.Follower, failedBefore bool) {
+func (r *Replica) storeAnswered(answered *objects.Follower, failedBefore bool) {
 	for kind, f := range r.followers {
 		if f == answered {
 			continue
