--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -58,7 +58,7 @@
 // pollIfStale polls the store if the list of servers or the configuration has not been
 // confirmed for long: the pollers on which this box relies may have been refused by the store,
 // suspended or cut off, which their zone finds out later than a leaving server must be known.
-func (r *Replica) pollIfUntold() {
+func (r *Replica) pollIfStale() {
 	ago := max(r.contact.list.age(), r.contact.configuration.age())
 	longest := time.Duration(pollShare * float64(r.DrainTime))
 	if r.isPoller.Load() || !r.synced() || ago < longest {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -141,7 +141,7 @@
 // second.
 func (r *Replica) Tick() {
 	r.chooseRole()
-	r.pollIfUntold()
+	r.pollIfStale()
 }
 
 // PullOverdue pulls the copies in which other boxes have been ahead for several heartbeats.
