--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -19,7 +19,7 @@
 	// new: 0.3 s from the farthest region.
 	pollShare = 0.8
 	// pollTimeout bounds a poll.
-	pollTime = 1200 * time.Millisecond
+	pollTimeout = 1200 * time.Millisecond
 	// pollPauseFactor is how many contact windows a box waits after a poll that was not
 	// answered, unless a copy is confirmed meanwhile: the store may be down, and then all
 	// boxes poll in vain.
@@ -84,7 +84,7 @@
 // poll asks the store once for the changes of each kind, those of servers first. It returns
 // the error of the first call that is not answered.
 func (r *Replica) poll() error {
-	ctx, cancel := context.WithTimeout(r.Context, pollTime)
+	ctx, cancel := context.WithTimeout(r.Context, pollTimeout)
 	defer cancel()
 	for _, kind := range r.Kinds.byUrgency() {
 		if kind != r.Kinds.Servers && r.reached(kind) {
