--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -23,7 +23,7 @@
 	// pollPauseFactor is how many contact windows a box waits after a poll that was not
 	// answered, unless a copy is confirmed meanwhile: the store may be down, and then all
 	// boxes poll in vain.
-	pollAgain = 4
+	pollPauseFactor = 4
 )
 
 // polls are the polls that a box makes although it is not a poller.
@@ -65,7 +65,7 @@
 		return
 	}
 	made := r.Now()
-	if !r.polls.begin(made, made.Add(-ago), pollAgain*r.ContactWindow) {
+	if !r.polls.begin(made, made.Add(-ago), pollPauseFactor*r.ContactWindow) {
 		return
 	}
 	r.Go(func() {
