--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -30,15 +30,15 @@
 type polls struct {
 	mu      sync.Mutex
 	running bool
-	// lastFailed is when the last poll was made if it was not answered, and zero if it was.
-	made time.Time
+	// lastFailed is when the last poll was lastFailed if it was not answered, and zero if it was.
+	lastFailed time.Time
 }
 
 // begin reports whether a poll may begin now, given when the copies were last confirmed.
 func (p *polls) begin(now, told time.Time, pause time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running || !p.made.IsZero() && told.Before(p.made) && now.Sub(p.made) < pause {
+	if p.running || !p.lastFailed.IsZero() && told.Before(p.lastFailed) && now.Sub(p.lastFailed) < pause {
 		return false
 	}
 	p.running = true
@@ -49,9 +49,9 @@
 func (p *polls) end(made time.Time, answered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.running, p.made = false, made
+	p.running, p.lastFailed = false, made
 	if answered {
-		p.made = time.Time{}
+		p.lastFailed = time.Time{}
 	}
 }
 
