--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -30,7 +30,7 @@
 // hears of it. It does so from boxes of its own zone, on whose pollers it relies. A poller
 // does so from any box if it has no list yet or its calls fail. What other zones know sooner
 // than the own zone is otherwise left to PullOverdue.
-func (r *Replica) learnsFrom(from *gossip.Record, m *objects.Mirror) bool {
+func (r *Replica) pullsAtOnceFrom(from *gossip.Record, m *objects.Mirror) bool {
 	near := from.Zone == r.Zone
 	switch {
 	case !r.isPoller.Load():
@@ -46,7 +46,7 @@
 func (r *Replica) catchUpWith(from *gossip.Record) {
 	for kind, v := range from.Versions {
 		m := r.mirrors[kind]
-		if m != nil && m.Lacks(v) && r.learnsFrom(from, m) {
+		if m != nil && m.Lacks(v) && r.pullsAtOnceFrom(from, m) {
 			r.catchUp(kind, true)
 		}
 	}
