--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -43,7 +43,7 @@
 
 // pullNewerFrom pulls newer mirrors if the box that sent the record has any. It does not look
 // at all boxes, since heartbeats are frequent.
-func (r *Replica) catchUpWith(from *gossip.Record) {
+func (r *Replica) pullNewerFrom(from *gossip.Record) {
 	for kind, v := range from.Versions {
 		m := r.mirrors[kind]
 		if m != nil && m.Lacks(v) && r.pullsAtOnceFrom(from, m) {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -154,7 +154,7 @@
 
 // HandleRecord processes what another box's record says about its copies.
 func (r *Replica) HandleRecord(from *gossip.Record) {
-	r.catchUpWith(from)
+	r.pullNewerFrom(from)
 	r.addClaims(from)
 }
 
