--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -47,7 +47,7 @@
 	for kind, v := range from.Versions {
 		m := r.mirrors[kind]
 		if m != nil && m.Lacks(v) && r.pullsAtOnceFrom(from, m) {
-			r.catchUp(kind, true)
+			r.pullNewer(kind, true)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 
 // pullNewer pulls a mirror from a box that has a newer one: at once, or once it has been
 // behind for pullAfter heartbeats.
-func (r *Replica) catchUp(kind string, atOnce bool) {
+func (r *Replica) pullNewer(kind string, atOnce bool) {
 	if r.pulls.isRunning(kind) {
 		// Heartbeats are frequent while a list changes, and without this check each would scan
 		// all boxes.
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -148,7 +148,7 @@
 // Call it with each heartbeat.
 func (r *Replica) PullOverdue() {
 	for _, kind := range r.Kinds.byUrgency() {
-		r.catchUp(kind, false)
+		r.pullNewer(kind, false)
 	}
 }
 
