--- a/pkg/replica/pulls.go
+++ b/pkg/replica/pulls.go
@@ -93,7 +93,7 @@
 }
 
 // resetBehind records that no other box is ahead.
-func (p *pulls) upToDate(kind string) {
+func (p *pulls) resetBehind(kind string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.behind[kind] = 0
@@ -110,7 +110,7 @@
 	m := r.mirrors[kind]
 	source, near := r.newest(kind, m)
 	if source == "" {
-		r.pulls.upToDate(kind)
+		r.pulls.resetBehind(kind)
 		return
 	}
 	if !r.pulls.begin(kind, atOnce) {
