--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -42,7 +42,7 @@
 	f.ContinuesList = r.continuesList
 	tell := r.newCallReporter(kind)
 	f.OnCall = func(c objects.Call) {
-		r.revisions.take(c)
+		r.revisions.addCall(c)
 		tell(c)
 	}
 	f.OnSuccess = func() {
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -44,7 +44,7 @@
 }
 
 // addCall records the revision of a call's answer.
-func (v *revisions) take(c objects.Call) {
+func (v *revisions) addCall(c objects.Call) {
 	if c.Err != nil {
 		return
 	}
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -63,18 +63,18 @@
 		return events
 	}
 	v := newRevisions()
-	v.take(objects.Call{Watch: true, Since: 10, Revision: 12, Objects: 2})
+	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12, Objects: 2})
 	v.explain(told(11, 12))
 	upTo, all := v.reached(10)
 	is.Equal(upTo, uint64(10)) // nothing shows yet that the store counts all kinds together
 	is.True(!all)
 
-	v.take(objects.Call{Watch: true, Since: 10, Revision: 12})
+	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12})
 	upTo, all = v.reached(10)
 	is.Equal(upTo, uint64(12))
 	is.True(all)
 
-	v.take(objects.Call{Watch: true, Since: 12, Revision: 15, Objects: 2})
+	v.addCall(objects.Call{Watch: true, Since: 12, Revision: 15, Objects: 2})
 	v.explain(told(13, 15))
 	upTo, all = v.reached(12)
 	is.Equal(upTo, uint64(13)) // 14 may be a change of any kind
