--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -55,7 +55,7 @@
 }
 
 // addEvents records the revisions of changes.
-func (v *revisions) explain(events []objects.Event) {
+func (v *revisions) addEvents(events []objects.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.explained)+len(events) > mostExplained {
@@ -122,7 +122,7 @@
 // these kinds are watched again if their watch has a long wait, or is overdue and may never be
 // answered.
 func (r *Replica) confirmed(kind string, a objects.Answer) {
-	r.revisions.explain(a.Events)
+	r.revisions.addEvents(a.Events)
 	r.noteConfirmed(kind, a.At)
 	if kind != r.Kinds.Servers {
 		return
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -64,7 +64,7 @@
 	}
 	v := newRevisions()
 	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12, Objects: 2})
-	v.explain(told(11, 12))
+	v.addEvents(told(11, 12))
 	upTo, all := v.reached(10)
 	is.Equal(upTo, uint64(10)) // nothing shows yet that the store counts all kinds together
 	is.True(!all)
@@ -75,7 +75,7 @@
 	is.True(all)
 
 	v.addCall(objects.Call{Watch: true, Since: 12, Revision: 15, Objects: 2})
-	v.explain(told(13, 15))
+	v.addEvents(told(13, 15))
 	upTo, all = v.reached(12)
 	is.Equal(upTo, uint64(13)) // 14 may be a change of any kind
 	is.True(!all)
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	v := newRevisions()
 	for at := range uint64(3 * mostExplained) {
-		v.explain([]objects.Event{{Object: objects.Object{Revision: at}}})
+		v.addEvents([]objects.Event{{Object: objects.Object{Revision: at}}})
 		is.True(len(v.explained) <= mostExplained)
 	}
 }
@@ -100,7 +100,7 @@
 		defer b.group.Wait()
 		defer b.stop()
 		b.revisions.shared = true
-		b.revisions.explain([]objects.Event{{Object: objects.Object{Name: "server", Revision: 1}}})
+		b.revisions.addEvents([]objects.Event{{Object: objects.Object{Name: "server", Revision: 1}}})
 		is.True(!b.reached(storeKinds.Configuration))
 	})
 }
