--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -34,13 +34,13 @@
 	// store that counts each kind separately never returns such an answer.
 	shared bool
 	// seen holds the revisions of changes of any kind that this box has received.
-	explained map[uint64]bool
+	seen map[uint64]bool
 	// long holds the kinds whose watch has a long wait.
 	long map[string]bool
 }
 
 func newRevisions() *revisions {
-	return &revisions{explained: map[uint64]bool{}, long: map[string]bool{}}
+	return &revisions{seen: map[uint64]bool{}, long: map[string]bool{}}
 }
 
 // addCall records the revision of a call's answer.
@@ -58,11 +58,11 @@
 func (v *revisions) addEvents(events []objects.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.explained)+len(events) > mostExplained {
-		clear(v.explained)
+	if len(v.seen)+len(events) > mostExplained {
+		clear(v.seen)
 	}
 	for i := range events {
-		v.explained[events[i].Object.Revision] = true
+		v.seen[events[i].Object.Revision] = true
 	}
 }
 
@@ -76,7 +76,7 @@
 		return own, false
 	}
 	upTo = own
-	for v.explained[upTo+1] {
+	for v.seen[upTo+1] {
 		upTo++
 	}
 	return upTo, upTo >= v.newest
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -87,7 +87,7 @@
 	v := newRevisions()
 	for at := range uint64(3 * mostExplained) {
 		v.addEvents([]objects.Event{{Object: objects.Object{Revision: at}}})
-		is.True(len(v.explained) <= mostExplained)
+		is.True(len(v.seen) <= mostExplained)
 	}
 }
 
