--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -21,7 +21,7 @@
 	// the round trip between the farthest regions, and some more.
 	answerSlack = 300 * time.Millisecond
 	// maxSeen bounds the revisions that are kept.
-	mostExplained = 4096
+	maxSeen = 4096
 )
 
 // revisions is what this box has seen of the store's revision counter.
@@ -58,7 +58,7 @@
 func (v *revisions) addEvents(events []objects.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.seen)+len(events) > mostExplained {
+	if len(v.seen)+len(events) > maxSeen {
 		clear(v.seen)
 	}
 	for i := range events {
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -85,9 +85,9 @@
 func TestExplainedRevisionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	v := newRevisions()
-	for at := range uint64(3 * mostExplained) {
+	for at := range uint64(3 * maxSeen) {
 		v.addEvents([]objects.Event{{Object: objects.Object{Revision: at}}})
-		is.True(len(v.seen) <= mostExplained)
+		is.True(len(v.seen) <= maxSeen)
 	}
 }
 
