--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -32,7 +32,7 @@
 	// sharedCounter is true once a watch without changes has returned a higher revision than
 	// it was asked from. This shows that the store counts the changes of all kinds together; a
 	// store that counts each kind separately never returns such an answer.
-	shared bool
+	sharedCounter bool
 	// seen holds the revisions of changes of any kind that this box has received.
 	seen map[uint64]bool
 	// long holds the kinds whose watch has a long wait.
@@ -51,7 +51,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.newest = max(v.newest, c.Revision)
-	v.shared = v.shared || c.Watch && c.Objects == 0 && c.Revision > c.Since
+	v.sharedCounter = v.sharedCounter || c.Watch && c.Objects == 0 && c.Revision > c.Since
 }
 
 // addEvents records the revisions of changes.
@@ -72,7 +72,7 @@
 func (v *revisions) reached(own uint64) (upTo uint64, all bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.shared {
+	if !v.sharedCounter {
 		return own, false
 	}
 	upTo = own
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -99,7 +99,7 @@
 		b := newModelBox(t, newModelStore())
 		defer b.group.Wait()
 		defer b.stop()
-		b.revisions.shared = true
+		b.revisions.sharedCounter = true
 		b.revisions.addEvents([]objects.Event{{Object: objects.Object{Name: "server", Revision: 1}}})
 		is.True(!b.reached(storeKinds.Configuration))
 	})
