--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -16,7 +16,7 @@
 	// longWait is how long a watch waits whose answers are not needed because those for the
 	// servers show whether anything else has changed. This saves half of all calls while
 	// nothing changes.
-	longWatch = 25 * time.Second
+	longWait = 25 * time.Second
 	// answerSlack is how much longer than its wait a watch may take before it is sent again:
 	// the round trip between the farthest regions, and some more.
 	answerSlack = 300 * time.Millisecond
@@ -112,7 +112,7 @@
 	long := r.reached(kind)
 	r.revisions.setLong(kind, long)
 	if long {
-		return longWatch
+		return longWait
 	}
 	return short
 }
