--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -69,7 +69,7 @@
 // knownUpTo returns the revision up to which a copy lacks nothing, given its own revision:
 // each revision changes one object, so a change of another kind does not concern this copy.
 // all reports whether that is as high as the store's counter when it last answered.
-func (v *revisions) reached(own uint64) (upTo uint64, all bool) {
+func (v *revisions) knownUpTo(own uint64) (upTo uint64, all bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.sharedCounter {
@@ -99,7 +99,7 @@
 func (r *Replica) reached(kind string) bool {
 	m := r.mirrors[kind]
 	own := m.Version().Revision
-	upTo, all := r.revisions.reached(own)
+	upTo, all := r.revisions.knownUpTo(own)
 	if m.Synced() && upTo > own {
 		m.Apply(nil, objects.Exactly(upTo))
 	}
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -65,18 +65,18 @@
 	v := newRevisions()
 	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12, Objects: 2})
 	v.addEvents(told(11, 12))
-	upTo, all := v.reached(10)
+	upTo, all := v.knownUpTo(10)
 	is.Equal(upTo, uint64(10)) // nothing shows yet that the store counts all kinds together
 	is.True(!all)
 
 	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12})
-	upTo, all = v.reached(10)
+	upTo, all = v.knownUpTo(10)
 	is.Equal(upTo, uint64(12))
 	is.True(all)
 
 	v.addCall(objects.Call{Watch: true, Since: 12, Revision: 15, Objects: 2})
 	v.addEvents(told(13, 15))
-	upTo, all = v.reached(12)
+	upTo, all = v.knownUpTo(12)
 	is.Equal(upTo, uint64(13)) // 14 may be a change of any kind
 	is.True(!all)
 }
