--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(r.Context, pollTimeout)
 	defer cancel()
 	for _, kind := range r.Kinds.byUrgency() {
-		if kind != r.Kinds.Servers && r.reached(kind) {
+		if kind != r.Kinds.Servers && r.isUpToDate(kind) {
 			continue // the answer for the servers has confirmed this kind
 		}
 		metrics.GetOrRegisterCounter("store.polls", r.Metrics).Inc(1)
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -96,7 +96,7 @@
 
 // isUpToDate reports whether a copy is known to lack no change that the store had counted when
 // it last answered, and advances the copy to the revision up to which that is known.
-func (r *Replica) reached(kind string) bool {
+func (r *Replica) isUpToDate(kind string) bool {
 	m := r.mirrors[kind]
 	own := m.Version().Revision
 	upTo, all := r.revisions.knownUpTo(own)
@@ -109,7 +109,7 @@
 // nextWait returns the wait of the next watch of a kind. It is short if a change may concern
 // the copy, so that the answer confirms it soon.
 func (r *Replica) waitNow(kind string, short time.Duration) time.Duration {
-	long := r.reached(kind)
+	long := r.isUpToDate(kind)
 	r.revisions.setLong(kind, long)
 	if long {
 		return longWait
@@ -130,7 +130,7 @@
 	for _, other := range r.Kinds.byUrgency() {
 		switch {
 		case other == kind:
-		case r.reached(other):
+		case r.isUpToDate(other):
 			r.noteConfirmed(other, a.At)
 		default:
 			r.followers[other].RestartBefore(a.At.Add(-r.due(other)))
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -101,6 +101,6 @@
 		defer b.stop()
 		b.revisions.sharedCounter = true
 		b.revisions.addEvents([]objects.Event{{Object: objects.Object{Name: "server", Revision: 1}}})
-		is.True(!b.reached(storeKinds.Configuration))
+		is.True(!b.isUpToDate(storeKinds.Configuration))
 	})
 }
