--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -52,7 +52,7 @@
 	}
 	f.OnConfirmed = func(a objects.Answer) { r.confirmed(kind, a) }
 	if kind != r.Kinds.Servers {
-		f.NextWait = func() time.Duration { return r.waitNow(kind, wait) }
+		f.NextWait = func() time.Duration { return r.nextWait(kind, wait) }
 	}
 	f.OnFailure = func(error) {
 		if !r.isPoller.Load() {
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -108,7 +108,7 @@
 
 // nextWait returns the wait of the next watch of a kind. It is short if a change may concern
 // the copy, so that the answer confirms it soon.
-func (r *Replica) waitNow(kind string, short time.Duration) time.Duration {
+func (r *Replica) nextWait(kind string, short time.Duration) time.Duration {
 	long := r.isUpToDate(kind)
 	r.revisions.setLong(kind, long)
 	if long {
