--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -50,7 +50,7 @@
 		r.storeAnswered(f, r.contact.setFailing(kind, false))
 		r.OnAnswer()
 	}
-	f.OnConfirmed = func(a objects.Answer) { r.confirmed(kind, a) }
+	f.OnConfirmed = func(a objects.Answer) { r.handleAnswer(kind, a) }
 	if kind != r.Kinds.Servers {
 		f.NextWait = func() time.Duration { return r.nextWait(kind, wait) }
 	}
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -121,7 +121,7 @@
 // often, also confirms the copies of other kinds if all changes since are known. Otherwise
 // these kinds are watched again if their watch has a long wait, or is overdue and may never be
 // answered.
-func (r *Replica) confirmed(kind string, a objects.Answer) {
+func (r *Replica) handleAnswer(kind string, a objects.Answer) {
 	r.revisions.addEvents(a.Events)
 	r.noteConfirmed(kind, a.At)
 	if kind != r.Kinds.Servers {
