--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -133,7 +133,7 @@
 		case r.isUpToDate(other):
 			r.noteConfirmed(other, a.At)
 		default:
-			r.followers[other].RestartBefore(a.At.Add(-r.due(other)))
+			r.followers[other].RestartBefore(a.At.Add(-r.maxWatchAge(other)))
 		}
 	}
 }
@@ -146,7 +146,7 @@
 }
 
 // maxWatchAge returns how old a pending watch of a kind may be before it is sent again.
-func (r *Replica) due(kind string) time.Duration {
+func (r *Replica) maxWatchAge(kind string) time.Duration {
 	if r.revisions.isLong(kind) {
 		return answerSlack
 	}
