--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -117,7 +117,7 @@
 // awaitTurn waits until this box may continue its list, or has been handed the list by another
 // box. It returns the error of the context, if any.
 func (f *Follower) awaitTurn(ctx context.Context) error {
-	for f.ContinuesList != nil && !f.ContinuesList() && !f.Mirror.Synced() {
+	for f.ReadsAllPages != nil && !f.ReadsAllPages() && !f.Mirror.Synced() {
 		f.sleep(ctx, turnInterval)
 		if err := ctx.Err(); err != nil {
 			return err
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -51,9 +51,9 @@
 	// Allowed reports whether this box may call the store; nil means that it may. It is called
 	// before each call but the first list.
 	Allowed func() bool
-	// ContinuesList reports whether a box that has no list yet may read a long one to its end;
+	// ReadsAllPages reports whether a box that has no list yet may read a long one to its end;
 	// nil means that it may. Until then the box waits for another box to hand over the list.
-	ContinuesList func() bool
+	ReadsAllPages func() bool
 	// OnCall is called after each call, before OnSuccess or OnFailure.
 	OnCall func(c Call)
 	// OnSuccess is called after each call that was answered, OnFailure after each that was
@@ -157,7 +157,7 @@
 	if f.Allowed == nil || f.Allowed() {
 		return false
 	}
-	return f.Mirror.Synced() || failures > 0 && f.ContinuesList != nil && !f.ContinuesList()
+	return f.Mirror.Synced() || failures > 0 && f.ReadsAllPages != nil && !f.ReadsAllPages()
 }
 
 // followState is the state of a running follower.
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -444,7 +444,7 @@
 		return blocked(ctx)
 	}
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
-	f.ContinuesList = func() bool { return false }
+	f.ReadsAllPages = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
@@ -465,7 +465,7 @@
 	s.list = func() (Page, error) { return Page{}, &UnavailableError{Status: 503} }
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
 	f.Allowed = func() bool { return false }
-	f.ContinuesList = func() bool { return false }
+	f.ReadsAllPages = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
