--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -39,7 +39,7 @@
 	f := objects.NewFollower(r.Client, r.mirrors[kind], wait, rand.Float64)
 	f.Now = r.Now
 	f.Allowed = r.isPoller.Load
-	f.ReadsAllPages = r.continuesList
+	f.ReadsAllPages = r.readsAllPages
 	tell := r.newCallReporter(kind)
 	f.OnCall = func(c objects.Call) {
 		r.revisions.addCall(c)
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -257,7 +257,7 @@
 
 // readsAllPages reports whether this box reads all pages of a long list that no other box has
 // handed over.
-func (r *Replica) continuesList() bool {
+func (r *Replica) readsAllPages() bool {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
 	return r.role.ReadsAllPages(r.Now())
