--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -79,10 +79,10 @@
 // The list may omit objects that were created and deleted in the meantime, which another
 // mirror may hold. So changes from before the list are no longer passed on to other boxes;
 // these take the whole list instead.
-func (m *Mirror) Load(items []Object, held Extent) bool {
+func (m *Mirror) Load(items []Object, extent Extent) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.synced && held.CompleteTo < m.extent.CompleteTo {
+	if m.synced && extent.CompleteTo < m.extent.CompleteTo {
 		return false
 	}
 	listed := map[string]bool{}
@@ -91,13 +91,13 @@
 		m.putNewer(o)
 	}
 	for name, o := range m.items {
-		if !listed[name] && o.Revision <= max(held.CompleteTo, held.PartialTo) {
+		if !listed[name] && o.Revision <= max(extent.CompleteTo, extent.PartialTo) {
 			m.remove(o)
 			m.OnChange(o, true)
 		}
 	}
 	m.synced = true
-	m.extent = m.extent.merge(held)
+	m.extent = m.extent.merge(extent)
 	clear(m.changes)
 	m.changes, m.first = m.changes[:0], 0
 	m.trimmedTo = m.extent.PartialTo
