--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -105,11 +105,11 @@
 }
 
 // Apply applies events that start from the mirror's revision.
-func (m *Mirror) Apply(events []Event, held Extent) {
+func (m *Mirror) Apply(events []Event, extent Extent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before := m.extent.CompleteTo
-	m.extent = m.extent.merge(held)
+	m.extent = m.extent.merge(extent)
 	for _, e := range events {
 		known, ok := m.items[e.Object.Name]
 		switch {
