--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -170,7 +170,7 @@
 
 // EventsSince returns the changes since a revision and the extent reached with them; ok is
 // false if these changes are no longer known.
-func (m *Mirror) EventsSince(at uint64) (events []Event, held Extent, ok bool) {
+func (m *Mirror) EventsSince(at uint64) (events []Event, extent Extent, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.synced || at < m.trimmedTo {
