--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -74,7 +74,7 @@
 func (f *Follower) list(ctx context.Context, stale bool) error {
 	first := !f.Mirror.Synced()
 	var items []Object
-	var held Extent
+	var extent Extent
 	after := ""
 	for page := range maxPages {
 		if first && page >= pagesAtOnce {
@@ -90,16 +90,16 @@
 			return err
 		}
 		if page == 0 {
-			held.CompleteTo = p.Revision
+			extent.CompleteTo = p.Revision
 		}
-		held.PartialTo = p.Revision
+		extent.PartialTo = p.Revision
 		items = append(items, p.Items...)
 		if !p.More || len(p.Items) == 0 {
 			break
 		}
 		after = p.Items[len(p.Items)-1].Name
 	}
-	f.Mirror.Load(items, held)
+	f.Mirror.Load(items, extent)
 	return nil
 }
 
