--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -35,10 +35,10 @@
 }
 
 // begin reports whether a poll may begin now, given when the copies were last confirmed.
-func (p *polls) begin(now, told time.Time, pause time.Duration) bool {
+func (p *polls) begin(now, confirmed time.Time, pause time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running || !p.lastFailed.IsZero() && told.Before(p.lastFailed) && now.Sub(p.lastFailed) < pause {
+	if p.running || !p.lastFailed.IsZero() && confirmed.Before(p.lastFailed) && now.Sub(p.lastFailed) < pause {
 		return false
 	}
 	p.running = true
