--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -129,8 +129,8 @@
 	advance(&c.failed, int64(made.Sub(c.started)))
 }
 
-// answeredLately reports whether the store has answered this box within the contact window.
-func (c *contact) answeredLately() bool {
+// answeredRecently reports whether the store has answered this box within the contact window.
+func (c *contact) answeredRecently() bool {
 	return c.sinceStart()-time.Duration(c.answered.Load()) < c.window
 }
 
@@ -138,7 +138,7 @@
 // call has failed.
 func (c *contact) healthy() bool {
 	failed := c.failed.Load()
-	return c.answeredLately() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.window)
+	return c.answeredRecently() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.window)
 }
 
 // confirmationOf returns the confirmation confirmationOf the copy confirmationOf a kind, or nil for kinds confirmationOf which
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -184,7 +184,7 @@
 // Current reports whether the store has recently answered this box, or a box on which it
 // relies, so that whatever is not in the configuration does not exist.
 func (r *Replica) Current() bool {
-	return r.contact.answeredLately() || !r.isPoller.Load() && r.anyHealthy()
+	return r.contact.answeredRecently() || !r.isPoller.Load() && r.anyHealthy()
 }
 
 // TrustsList reports whether a server that the store no longer lists is to be taken as gone:
