--- a/pkg/replica/claims.go
+++ b/pkg/replica/claims.go
@@ -67,14 +67,14 @@
 // addClaims adds the claims of a store poller about its copies. They hold for this box's
 // copies as soon as these lack nothing of that version.
 func (r *Replica) addClaims(from *gossip.Record) {
-	for kind, told := range map[string]uint32{
+	for kind, reported := range map[string]uint32{
 		r.Kinds.Configuration: from.ConfirmedAgo, r.Kinds.Servers: from.ListConfirmedAgo,
 	} {
 		version, has := from.Versions[kind]
-		if told == 0 || !has {
+		if reported == 0 || !has {
 			continue
 		}
-		ago := time.Duration(told-1) * time.Millisecond
+		ago := time.Duration(reported-1) * time.Millisecond
 		r.claims.put(kind, claim{version, r.Now().Add(-ago)})
 		r.resolveClaims(kind)
 	}
