--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -35,12 +35,12 @@
 	sharedCounter bool
 	// seen holds the revisions of changes of any kind that this box has received.
 	seen map[uint64]bool
-	// long holds the kinds whose watch has a long wait.
-	long map[string]bool
+	// hasLongWait holds the kinds whose watch has a hasLongWait wait.
+	hasLongWait map[string]bool
 }
 
 func newRevisions() *revisions {
-	return &revisions{seen: map[uint64]bool{}, long: map[string]bool{}}
+	return &revisions{seen: map[uint64]bool{}, hasLongWait: map[string]bool{}}
 }
 
 // addCall records the revision of a call's answer.
@@ -85,13 +85,13 @@
 func (v *revisions) setLong(kind string, long bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.long[kind] = long
+	v.hasLongWait[kind] = long
 }
 
 func (v *revisions) isLong(kind string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.long[kind]
+	return v.hasLongWait[kind]
 }
 
 // isUpToDate reports whether a copy is known to lack no change that the store had counted when
