--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -82,7 +82,7 @@
 	return upTo, upTo >= v.newest
 }
 
-func (v *revisions) setLong(kind string, long bool) {
+func (v *revisions) setLongWait(kind string, long bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.hasLongWait[kind] = long
@@ -110,7 +110,7 @@
 // the copy, so that the answer confirms it soon.
 func (r *Replica) nextWait(kind string, short time.Duration) time.Duration {
 	long := r.isUpToDate(kind)
-	r.revisions.setLong(kind, long)
+	r.revisions.setLongWait(kind, long)
 	if long {
 		return longWait
 	}
