--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -88,7 +88,7 @@
 	v.hasLongWait[kind] = long
 }
 
-func (v *revisions) isLong(kind string) bool {
+func (v *revisions) waitsLong(kind string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.hasLongWait[kind]
@@ -147,7 +147,7 @@
 
 // maxWatchAge returns how old a pending watch of a kind may be before it is sent again.
 func (r *Replica) maxWatchAge(kind string) time.Duration {
-	if r.revisions.isLong(kind) {
+	if r.revisions.waitsLong(kind) {
 		return answerSlack
 	}
 	return r.shortWait(kind) + answerSlack
