--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -269,9 +269,9 @@
 	lasts := time.Duration(200+f.chance(5000)) * time.Millisecond
 	switch f.chance(7) {
 	case 0, 1:
-		f.turnAway(f.some(), mood(1+f.chance(2)), lasts)
+		f.turnAway(f.some(), treatment(1+f.chance(2)), lasts)
 	case 2:
-		f.storeDown(mood(1+f.chance(2)), lasts)
+		f.storeDown(treatment(1+f.chance(2)), lasts)
 	case 3:
 		f.compact()
 	case 4:
@@ -285,7 +285,7 @@
 	}
 }
 
-func (f *fleet) turnAway(names []string, m mood, lasts time.Duration) {
+func (f *fleet) turnAway(names []string, m treatment, lasts time.Duration) {
 	f.logTrouble("turned away", names, m, lasts)
 	end := f.strike(names...)
 	defer end()
@@ -301,7 +301,7 @@
 	f.storeStruck = time.Now()
 }
 
-func (f *fleet) storeDown(m mood, lasts time.Duration) {
+func (f *fleet) storeDown(m treatment, lasts time.Duration) {
 	f.logTrouble("store down", m, lasts)
 	f.markStore(1)
 	defer f.markStore(-1)
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -14,11 +14,11 @@
 // storeKinds are the kinds of objects in the model's store.
 var storeKinds = Kinds{Configuration: "configuration", Servers: "servers", Evacuations: "evacuations"}
 
-// mood is how the store treats a box.
-type mood int
+// treatment is how the store treats a box.
+type treatment int
 
 const (
-	serving mood = iota
+	serving treatment = iota
 	// silent: calls are never answered; pending calls are answered once the store responds
 	// again.
 	silent
@@ -43,7 +43,7 @@
 	// objects are all objects, events all changes since oldest, by kind.
 	objects map[string]map[string]objects.Object
 	events  map[string][]objects.Event
-	moods   map[string]mood
+	moods   map[string]treatment
 	// watches counts the watches by kind.
 	watches map[string]int
 	// changed is closed when anything changes.
@@ -56,7 +56,7 @@
 func newModelStore() *modelStore {
 	return &modelStore{
 		objects: map[string]map[string]objects.Object{}, events: map[string][]objects.Event{},
-		moods: map[string]mood{}, last: map[string]uint64{}, watches: map[string]int{}, changed: make(chan struct{}),
+		moods: map[string]treatment{}, last: map[string]uint64{}, watches: map[string]int{}, changed: make(chan struct{}),
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // treat sets how the store treats boxes from now on.
-func (s *modelStore) treat(m mood, boxes ...string) {
+func (s *modelStore) treat(m treatment, boxes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range boxes {
