--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -119,7 +119,7 @@
 func replaceServers(ctx context.Context, s *modelStore) {
 	for i := 0; ctx.Err() == nil; i++ {
 		s.mu.Lock()
-		m := s.moods["box"]
+		m := s.treatments["box"]
 		s.mu.Unlock()
 		if m == serving {
 			s.put(storeKinds.Servers, fmt.Sprint("replaced-", i%5), backend.Server{ID: fmt.Sprint("replaced-", i%5), Service: "shop", ColdFor: time.Duration(i)})
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -43,7 +43,7 @@
 	// objects are all objects, events all changes since oldest, by kind.
 	objects map[string]map[string]objects.Object
 	events  map[string][]objects.Event
-	moods   map[string]treatment
+	treatments   map[string]treatment
 	// watches counts the watches by kind.
 	watches map[string]int
 	// changed is closed when anything changes.
@@ -56,7 +56,7 @@
 func newModelStore() *modelStore {
 	return &modelStore{
 		objects: map[string]map[string]objects.Object{}, events: map[string][]objects.Event{},
-		moods: map[string]treatment{}, last: map[string]uint64{}, watches: map[string]int{}, changed: make(chan struct{}),
+		treatments: map[string]treatment{}, last: map[string]uint64{}, watches: map[string]int{}, changed: make(chan struct{}),
 	}
 }
 
@@ -109,7 +109,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range boxes {
-		s.moods[b] = m
+		s.treatments[b] = m
 	}
 	s.wake()
 }
@@ -143,7 +143,7 @@
 func (s *modelStore) arrive(ctx context.Context, box string) error {
 	time.Sleep(way)
 	s.mu.Lock()
-	m := s.moods[box]
+	m := s.treatments[box]
 	s.mu.Unlock()
 	switch m {
 	case silent:
@@ -192,7 +192,7 @@
 	end := time.Now().Add(wait)
 	for {
 		s.mu.Lock()
-		m, at, oldest, changed := s.moods[box], s.told(kind), s.oldest, s.changed
+		m, at, oldest, changed := s.treatments[box], s.told(kind), s.oldest, s.changed
 		var events []objects.Event
 		for _, e := range s.events[kind] {
 			if e.Object.Revision > since {
