--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// told returns the revision for an answer of a kind. The store must be locked.
-func (s *modelStore) told(kind string) uint64 {
+// revisionFor returns the revision for an answer of a kind. The store must be locked.
+func (s *modelStore) revisionFor(kind string) uint64 {
 	if s.byKind {
 		return max(s.last[kind], s.oldest)
 	}
@@ -166,7 +166,7 @@
 		return objects.Page{}, err
 	}
 	s.mu.Lock()
-	page := objects.Page{Revision: s.told(kind)}
+	page := objects.Page{Revision: s.revisionFor(kind)}
 	for _, name := range slices.Sorted(maps.Keys(s.objects[kind])) {
 		if name <= after {
 			continue
@@ -192,7 +192,7 @@
 	end := time.Now().Add(wait)
 	for {
 		s.mu.Lock()
-		m, at, oldest, changed := s.treatments[box], s.told(kind), s.oldest, s.changed
+		m, at, oldest, changed := s.treatments[box], s.revisionFor(kind), s.oldest, s.changed
 		var events []objects.Event
 		for _, e := range s.events[kind] {
 			if e.Object.Revision > since {
