--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -463,7 +463,7 @@
 			problem = lacks(within)
 		}
 		if age, ok := b.replica.ConfigurationAge(); problem == "" && kind == storeKinds.Configuration && ok {
-			if wrong := lacks(age + 2*way); wrong != "" {
+			if wrong := lacks(age + 2*storeDelay); wrong != "" {
 				problem = fmt.Sprintf("takes its configuration to be %s old: %s", age, wrong)
 			}
 		}
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -50,8 +50,8 @@
 	changed chan struct{}
 }
 
-// way is how long a call takes to the store, and its answer back.
-const way = 55 * time.Millisecond
+// storeDelay is how long a call takes to the store, and its answer back.
+const storeDelay = 55 * time.Millisecond
 
 func newModelStore() *modelStore {
 	return &modelStore{
@@ -141,7 +141,7 @@
 
 // arrive takes a call to the store.
 func (s *modelStore) arrive(ctx context.Context, box string) error {
-	time.Sleep(way)
+	time.Sleep(storeDelay)
 	s.mu.Lock()
 	m := s.treatments[box]
 	s.mu.Unlock()
@@ -178,7 +178,7 @@
 		page.Items = append(page.Items, s.objects[kind][name])
 	}
 	s.mu.Unlock()
-	time.Sleep(way)
+	time.Sleep(storeDelay)
 	return page, unavailable(ctx.Err())
 }
 
@@ -207,7 +207,7 @@
 		case since < oldest:
 			return nil, 0, &objects.CompactedError{}
 		case len(events) > 0 || over:
-			time.Sleep(way)
+			time.Sleep(storeDelay)
 			return events, at, unavailable(ctx.Err())
 		}
 		timer := time.NewTimer(max(time.Until(end), 0))
