--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// nearWay and farWay are how long a datagram takes, one way, within a region and between
+	// nearDelay and farWay are how long a datagram takes, one way, within a region and between
 	// two; one datagram in lostOneIn is lost.
-	nearWay   = time.Millisecond
+	nearDelay   = time.Millisecond
 	farWay    = 35 * time.Millisecond
 	lostOneIn = 40
 	// dialPatience is how long a box tries to connect to a box that cannot be reached.
@@ -119,7 +119,7 @@
 
 func wayBetween(a, b *fleetBox) time.Duration {
 	if fleetZones[a.zone] == fleetZones[b.zone] {
-		return nearWay
+		return nearDelay
 	}
 	return farWay
 }
