--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -24,7 +24,7 @@
 	// nearDelay and farWay are how long a datagram takes, one way, within a region and between
 	// two; one datagram in lostOneIn is lost.
 	nearDelay   = time.Millisecond
-	farWay    = 35 * time.Millisecond
+	farDelay    = 35 * time.Millisecond
 	lostOneIn = 40
 	// dialPatience is how long a box tries to connect to a box that cannot be reached.
 	dialPatience = 600 * time.Millisecond
@@ -121,7 +121,7 @@
 	if fleetZones[a.zone] == fleetZones[b.zone] {
 		return nearDelay
 	}
-	return farWay
+	return farDelay
 }
 
 // start starts a box, or a new incarnation of one.
