--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -117,7 +117,7 @@
 	f.troublesLog = append(f.troublesLog, time.Now().Format("05.000 ")+fmt.Sprintln(parts...))
 }
 
-func wayBetween(a, b *fleetBox) time.Duration {
+func delayBetween(a, b *fleetBox) time.Duration {
 	if fleetZones[a.zone] == fleetZones[b.zone] {
 		return nearDelay
 	}
@@ -186,7 +186,7 @@
 			if to == nil || !f.reaches(from, to) {
 				return
 			}
-			time.Sleep(wayBetween(from, to))
+			time.Sleep(delayBetween(from, to))
 			if f.box(name) != to || f.ended.Err() != nil {
 				return
 			}
@@ -217,11 +217,11 @@
 		}
 		return nil, errNotReached
 	}
-	time.Sleep(2 * wayBetween(b, from))
+	time.Sleep(2 * delayBetween(b, from))
 	theirs := from.replica.Mirror(m.Kind)
 	if m.Synced() {
 		if events, held, ok := theirs.EventsSince(m.Version().Revision); ok {
-			time.Sleep(wayBetween(b, from))
+			time.Sleep(delayBetween(b, from))
 			return &Handover{Events: events, Extent: held}, nil
 		}
 	}
@@ -229,7 +229,7 @@
 		return nil, errNotReached
 	}
 	items, held := theirs.Items()
-	time.Sleep(wayBetween(b, from))
+	time.Sleep(delayBetween(b, from))
 	return &Handover{Whole: true, Items: items, Extent: held}, nil
 }
 
