--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -26,8 +26,8 @@
 	nearDelay   = time.Millisecond
 	farDelay    = 35 * time.Millisecond
 	lostOneIn = 40
-	// dialPatience is how long a box tries to connect to a box that cannot be reached.
-	dialPatience = 600 * time.Millisecond
+	// dialTimeout is how long a box tries to connect to a box that cannot be reached.
+	dialTimeout = 600 * time.Millisecond
 	// fleetTime is how long a fleet runs; no fault starts in the last quietTime of it.
 	fleetTime = 24 * time.Second
 	quietTime = 8 * time.Second
@@ -212,7 +212,7 @@
 	from := f.box(source)
 	if from == nil || !f.reaches(b, from) {
 		select {
-		case <-time.After(dialPatience):
+		case <-time.After(dialTimeout):
 		case <-ctx.Done():
 		}
 		return nil, errNotReached
