--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -59,7 +59,7 @@
 	// many faults a box has now. Both are by name, since faults outlast an incarnation of the
 	// box.
 	lastFault   map[string]time.Time
-	troubles map[string]int
+	faults map[string]int
 	// cuts are pairs of boxes or zones that cannot reach each other.
 	cuts map[[2]string]int
 	// taken is when the store accepted a change, by kind and revision.
@@ -243,7 +243,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for _, name := range names {
-			f.troubles[name] += change
+			f.faults[name] += change
 			f.lastFault[name] = time.Now()
 		}
 	}
@@ -422,7 +422,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return f.troubles[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeStruck) > contactTime
+	return f.faults[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeStruck) > contactTime
 }
 
 // check describes a change that a box in touch does not know although it must, or an error in
@@ -485,7 +485,7 @@
 		ended, end := context.WithCancel(t.Context())
 		f := &fleet{
 			t: t, store: newModelStore(), random: rand.New(rand.NewSource(seed)), boxes: map[string]*fleetBox{},
-			lastFault: map[string]time.Time{}, troubles: map[string]int{}, cuts: map[[2]string]int{}, taken: map[string]map[uint64]time.Time{}, removed: map[string]uint64{}, ended: ended,
+			lastFault: map[string]time.Time{}, faults: map[string]int{}, cuts: map[[2]string]int{}, taken: map[string]map[uint64]time.Time{}, removed: map[string]uint64{}, ended: ended,
 		}
 		f.store.byKind = seed%4 == 3
 		f.store.put(storeKinds.Configuration, "main", -1)
