--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -66,8 +66,8 @@
 	taken map[string]map[uint64]time.Time
 	// removed is the revision that deleted an object, by kind and name.
 	removed map[string]uint64
-	// storeStruck is when the store as a whole last had a fault that affects all boxes.
-	storeStruck   time.Time
+	// storeLastFault is when the store as a whole last had a fault that affects all boxes.
+	storeLastFault   time.Time
 	storeTroubles int
 	background    sync.WaitGroup
 	ended         context.Context
@@ -298,7 +298,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeTroubles += change
-	f.storeStruck = time.Now()
+	f.storeLastFault = time.Now()
 }
 
 func (f *fleet) storeDown(m treatment, lasts time.Duration) {
@@ -422,7 +422,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return f.faults[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeStruck) > contactTime
+	return f.faults[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeLastFault) > contactTime
 }
 
 // check describes a change that a box in touch does not know although it must, or an error in
