--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -68,7 +68,7 @@
 	removed map[string]uint64
 	// storeLastFault is when the store as a whole last had a fault that affects all boxes.
 	storeLastFault   time.Time
-	storeTroubles int
+	storeFaults int
 	background    sync.WaitGroup
 	ended         context.Context
 	// troublesLog lists the faults that were played, to be printed if the fleet fails.
@@ -297,7 +297,7 @@
 func (f *fleet) markStore(change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.storeTroubles += change
+	f.storeFaults += change
 	f.storeLastFault = time.Now()
 }
 
@@ -393,7 +393,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(time.Duration(100+f.chance(900)) * time.Millisecond)
 		f.mu.Lock()
-		down := f.storeTroubles > 0
+		down := f.storeFaults > 0
 		f.mu.Unlock()
 		if down {
 			continue
@@ -422,7 +422,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return f.faults[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeLastFault) > contactTime
+	return f.faults[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeFaults == 0 && now.Sub(f.storeLastFault) > contactTime
 }
 
 // check describes a change that a box in touch does not know although it must, or an error in
