--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -71,8 +71,8 @@
 	storeFaults int
 	background    sync.WaitGroup
 	ended         context.Context
-	// troublesLog lists the faults that were played, to be printed if the fleet fails.
-	troublesLog []string
+	// faultLog lists the faults that were played, to be printed if the fleet fails.
+	faultLog []string
 }
 
 func (f *fleet) chance(n int) int {
@@ -114,7 +114,7 @@
 func (f *fleet) logTrouble(parts ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.troublesLog = append(f.troublesLog, time.Now().Format("05.000 ")+fmt.Sprintln(parts...))
+	f.faultLog = append(f.faultLog, time.Now().Format("05.000 ")+fmt.Sprintln(parts...))
 }
 
 func delayBetween(a, b *fleetBox) time.Duration {
@@ -519,7 +519,7 @@
 		}
 		f.background.Wait()
 		if problem != "" {
-			t.Fatalf("seed %d, at %s: %s\n%s", seed, time.Now().Format("05.000"), problem, f.troublesLog)
+			t.Fatalf("seed %d, at %s: %s\n%s", seed, time.Now().Format("05.000"), problem, f.faultLog)
 		}
 	})
 }
