--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -111,7 +111,7 @@
 	return list
 }
 
-func (f *fleet) logTrouble(parts ...any) {
+func (f *fleet) logFault(parts ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faultLog = append(f.faultLog, time.Now().Format("05.000 ")+fmt.Sprintln(parts...))
@@ -286,7 +286,7 @@
 }
 
 func (f *fleet) turnAway(names []string, m treatment, lasts time.Duration) {
-	f.logTrouble("turned away", names, m, lasts)
+	f.logFault("turned away", names, m, lasts)
 	end := f.strike(names...)
 	defer end()
 	f.store.treat(m, names...)
@@ -302,7 +302,7 @@
 }
 
 func (f *fleet) storeDown(m treatment, lasts time.Duration) {
-	f.logTrouble("store down", m, lasts)
+	f.logFault("store down", m, lasts)
 	f.markStore(1)
 	defer f.markStore(-1)
 	names := f.names()
@@ -312,7 +312,7 @@
 }
 
 func (f *fleet) compact() {
-	f.logTrouble("history gone")
+	f.logFault("history gone")
 	f.markStore(1)
 	f.store.compact()
 	f.markStore(-1)
@@ -326,7 +326,7 @@
 		defer f.mu.Unlock()
 		f.cuts[pair] += n
 	}
-	f.logTrouble("cut", pair, lasts)
+	f.logFault("cut", pair, lasts)
 	add(1)
 	time.Sleep(lasts)
 	add(-1)
@@ -334,7 +334,7 @@
 
 // restart stops boxes and starts them again without any state.
 func (f *fleet) restart(names []string) {
-	f.logTrouble("restarted", names)
+	f.logFault("restarted", names)
 	for _, name := range names {
 		b := f.box(name)
 		if b == nil {
