--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -237,8 +237,8 @@
 // Faults
 // ----------------------------------------------------------------
 
-// strike marks boxes as having a fault until the returned function is called.
-func (f *fleet) strike(names ...string) (end func()) {
+// markFault marks boxes as having a fault until the returned function is called.
+func (f *fleet) markFault(names ...string) (end func()) {
 	mark := func(change int) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -287,7 +287,7 @@
 
 func (f *fleet) turnAway(names []string, m treatment, lasts time.Duration) {
 	f.logFault("turned away", names, m, lasts)
-	end := f.strike(names...)
+	end := f.markFault(names...)
 	defer end()
 	f.store.treat(m, names...)
 	time.Sleep(lasts)
