--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -263,8 +263,8 @@
 	return names[:1+f.random.Intn(len(names))]
 }
 
-// trouble plays one fault and returns when it is over.
-func (f *fleet) trouble() {
+// playFault plays one fault and returns when it is over.
+func (f *fleet) playFault() {
 	time.Sleep(time.Duration(f.chance(int((fleetTime-quietTime-2*time.Second)/time.Millisecond))) * time.Millisecond)
 	lasts := time.Duration(200+f.chance(5000)) * time.Millisecond
 	switch f.chance(7) {
@@ -498,7 +498,7 @@
 			f.start(fmt.Sprintf("%s-%d", zones[i%4], i/4), zones[i%4])
 		}
 		for range 1 + f.chance(4) {
-			f.background.Go(f.trouble)
+			f.background.Go(f.playFault)
 		}
 		changing, stopChanging := context.WithCancel(ended)
 		f.background.Go(func() { f.change(changing) })
