--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -269,7 +269,7 @@
 	lasts := time.Duration(200+f.chance(5000)) * time.Millisecond
 	switch f.chance(7) {
 	case 0, 1:
-		f.turnAway(f.some(), treatment(1+f.chance(2)), lasts)
+		f.failStoreFor(f.some(), treatment(1+f.chance(2)), lasts)
 	case 2:
 		f.storeDown(treatment(1+f.chance(2)), lasts)
 	case 3:
@@ -285,7 +285,7 @@
 	}
 }
 
-func (f *fleet) turnAway(names []string, m treatment, lasts time.Duration) {
+func (f *fleet) failStoreFor(names []string, m treatment, lasts time.Duration) {
 	f.logFault("turned away", names, m, lasts)
 	end := f.markFault(names...)
 	defer end()
