--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -62,8 +62,8 @@
 	faults map[string]int
 	// cuts are pairs of boxes or zones that cannot reach each other.
 	cuts map[[2]string]int
-	// taken is when the store accepted a change, by kind and revision.
-	taken map[string]map[uint64]time.Time
+	// accepted is when the store accepted a change, by kind and revision.
+	accepted map[string]map[uint64]time.Time
 	// removed is the revision that deleted an object, by kind and name.
 	removed map[string]uint64
 	// storeLastFault is when the store as a whole last had a fault that affects all boxes.
@@ -371,10 +371,10 @@
 	f.store.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.taken[kind] == nil {
-		f.taken[kind] = map[uint64]time.Time{}
+	if f.accepted[kind] == nil {
+		f.accepted[kind] = map[uint64]time.Time{}
 	}
-	f.taken[kind][at] = time.Now()
+	f.accepted[kind][at] = time.Now()
 }
 
 // noteRemoval is note for a change that deleted an object.
@@ -442,7 +442,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for name, o := range current {
-				if at, ok := f.taken[kind][o.Revision]; ok && time.Since(at) > age && held[name].Revision < o.Revision {
+				if at, ok := f.accepted[kind][o.Revision]; ok && time.Since(at) > age && held[name].Revision < o.Revision {
 					return fmt.Sprintf("%s: %s/%s of revision %d, taken %s ago, is not known (held: %d)", b.name, kind, name, o.Revision, time.Since(at), held[name].Revision)
 				}
 			}
@@ -450,7 +450,7 @@
 				if _, ok := current[name]; ok {
 					continue
 				}
-				for revision, at := range f.taken[kind] {
+				for revision, at := range f.accepted[kind] {
 					if revision > o.Revision && time.Since(at) > age && f.isRemoval(kind, name, revision) {
 						return fmt.Sprintf("%s: %s/%s went with revision %d, %s ago, and is held as of %d", b.name, kind, name, revision, time.Since(at), o.Revision)
 					}
@@ -485,7 +485,7 @@
 		ended, end := context.WithCancel(t.Context())
 		f := &fleet{
 			t: t, store: newModelStore(), random: rand.New(rand.NewSource(seed)), boxes: map[string]*fleetBox{},
-			lastFault: map[string]time.Time{}, faults: map[string]int{}, cuts: map[[2]string]int{}, taken: map[string]map[uint64]time.Time{}, removed: map[string]uint64{}, ended: ended,
+			lastFault: map[string]time.Time{}, faults: map[string]int{}, cuts: map[[2]string]int{}, accepted: map[string]map[uint64]time.Time{}, removed: map[string]uint64{}, ended: ended,
 		}
 		f.store.byKind = seed%4 == 3
 		f.store.put(storeKinds.Configuration, "main", -1)
