--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -45,7 +45,7 @@
 	replica    *Replica
 	stop       context.CancelFunc
 	group      sync.WaitGroup
-	told       [2]bool
+	announced       [2]bool
 }
 
 // fleet is a set of boxes in one process, without sockets and on the test's own clock.
@@ -167,8 +167,8 @@
 		news := b.replica.TakeUnannounced()
 		b.table.Update(b.replica.FillRecord)
 		self := b.table.Self()
-		if now := [2]bool{self.StoreHealthy, self.StoreUnanswered}; news || now != b.told {
-			b.told = now
+		if now := [2]bool{self.StoreHealthy, self.StoreUnanswered}; news || now != b.announced {
+			b.announced = now
 			f.carry(b, b.table.Announce())
 		}
 		time.Sleep(tickEvery)
