--- a/pkg/replica/poll_test.go
+++ b/pkg/replica/poll_test.go
@@ -11,9 +11,9 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 )
 
-// hearFor sends heartbeats to a box, as from a poller of its zone whose copies were confirmed
+// sendHeartbeats sends heartbeats to a box, as from a poller of its zone whose copies were confirmed
 // the given time ago.
-func hearFor(b *modelBox, beat *uint64, d time.Duration, ago func() time.Duration) {
+func sendHeartbeats(b *modelBox, beat *uint64, d time.Duration, ago func() time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(gossip.Interval) {
 		*beat++
 		told := 1 + uint32(ago().Milliseconds())
@@ -46,18 +46,18 @@
 		beat := uint64(0)
 		fresh := func() time.Duration { return 0 }
 		b.run()
-		hearFor(b, &beat, 2*time.Second, fresh)
+		sendHeartbeats(b, &beat, 2*time.Second, fresh)
 
 		s.treat(refusing, "box")
 		since := time.Now()
 		older := func() time.Duration { return time.Since(since) }
-		hearFor(b, &beat, 4*time.Second, older) // its poll is refused
+		sendHeartbeats(b, &beat, 4*time.Second, older) // its poll is refused
 		s.treat(serving, "box")
-		hearFor(b, &beat, 2*time.Second, fresh)
+		sendHeartbeats(b, &beat, 2*time.Second, fresh)
 
 		since = time.Now()
 		s.put(storeKinds.Servers, "leaver", backend.Server{ID: "leaver", Service: "shop", Draining: true})
-		hearFor(b, &beat, drainTime, older)
+		sendHeartbeats(b, &beat, drainTime, older)
 		for _, v := range b.set.List() {
 			is.True(v.ID != "leaver" || v.Draining)
 		}
