--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -128,10 +128,10 @@
 	}
 }
 
-// heardWithin is how long after the store accepted it a change must be known to a box that
+// knownWithin is how long after the store accepted it a change must be known to a box that
 // polls the store: a pending watch is answered at once; a change that follows another one
 // waits for the batch pause of 0.6 s, plus the ways to the store and back.
-const heardWithin = time.Second
+const knownWithin = time.Second
 
 // TestSilentStoreLeavesNoWatchDeaf: however long the store does not respond, and whenever that
 // starts, changes that it accepts after a contact window without faults are known in time:
@@ -141,7 +141,7 @@
 		s.put(storeKinds.Servers, "leaver", backend.Server{ID: "leaver", Service: "shop", Draining: true})
 		s.put(storeKinds.Evacuations, "east", struct{}{})
 		s.put(storeKinds.Configuration, "main", 2)
-		time.Sleep(heardWithin)
+		time.Sleep(knownWithin)
 		for _, v := range b.set.List() {
 			if v.ID == "leaver" {
 				is.True(v.Draining) // the server that left is known to leave
@@ -164,7 +164,7 @@
 		_, err := b.set.Choose(&backend.Request{Service: "lone", RegionAllowed: anywhere})
 		is.NoErr(err)
 		s.remove(storeKinds.Servers, "lone")
-		time.Sleep(heardWithin)
+		time.Sleep(knownWithin)
 		_, err = b.set.Choose(&backend.Request{Service: "lone", RegionAllowed: anywhere})
 		var choice *backend.ChoiceError
 		is.True(errors.As(err, &choice))
