--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestWhatIsOverIsForgotten: a version is evaluated by its recent results, and a new order for
+// TestOldResultsAreDiscarded: a version is evaluated by its recent results, and a new order for
 // a service starts from empty tallies.
-func TestWhatIsOverIsForgotten(t *testing.T) {
+func TestOldResultsAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	table, c := newTestTable()
 	note(table, "v2", 20, minBad, time.Millisecond)
