--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -101,11 +101,11 @@
 	}
 }
 
-// TestLateFirstUsesAreComparedWithTheirLike guards against rolling back a good version because
+// TestLateFirstUsesAreComparedWithFirstUses guards against rolling back a good version because
 // first uses take longer than a route's timeout, both at the new servers and at the others,
 // while the others mostly get keys that they know. A version that never answers is still found
 // to be bad.
-func TestLateFirstUsesAreComparedWithTheirLike(t *testing.T) {
+func TestLateFirstUsesAreComparedWithFirstUses(t *testing.T) {
 	for _, c := range []struct {
 		oldFirst, oldLate, newLate int
 		bad                        bool
