--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -9,11 +9,11 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// TestClaimsOutliveNewerOnes: while changes follow each other quickly, a box has a version
+// TestOlderClaimsAreKept: while changes follow each other quickly, a box has a version
 // only after the poller has already reported a newer one. If only the last claim is kept, none
 // ever holds: all boxes of a start of 295 polled the store themselves, with 1,210 calls in 21
 // s in place of 352.
-func TestClaimsOutliveNewerOnes(t *testing.T) {
+func TestOlderClaimsAreKept(t *testing.T) {
 	is := is.New(t)
 	m := objects.NewMirror(storeKinds.Servers)
 	start := time.Now()
