--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-// TestWatchesOfWhatDoesNotChangeAreFew: while servers come and go, the store's revision rises
+// TestUnchangedKindsAreWatchedRarely: while servers come and go, the store's revision rises
 // with each change. A box that receives all these changes knows that none was a change of the
 // configuration, and need not watch that closely. Without this, it sent 17 watches of the
 // configuration and 11 of evacuations in these 30 s, and a deployment of 295 boxes made 1,088
 // calls on a day without faults in place of 508.
-func TestWatchesOfWhatDoesNotChangeAreFew(t *testing.T) {
+func TestUnchangedKindsAreWatchedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newModelStore()
