--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -51,10 +51,10 @@
 	})
 }
 
-// TestRevisionsAreReachedOnlyByWhatIsExplained: a copy counts as current only up to the first
+// TestCopyIsCurrentOnlyUpToFirstUnseenRevision: a copy counts as current only up to the first
 // revision that this box has not received, and not at all with a store that may count each
 // kind separately.
-func TestRevisionsAreReachedOnlyByWhatIsExplained(t *testing.T) {
+func TestCopyIsCurrentOnlyUpToFirstUnseenRevision(t *testing.T) {
 	is := is.New(t)
 	told := func(revisions ...uint64) (events []objects.Event) {
 		for _, at := range revisions {
