--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -81,8 +81,8 @@
 	is.True(!all)
 }
 
-// TestExplainedRevisionsAreBounded: a box that receives changes for days keeps few revisions.
-func TestExplainedRevisionsAreBounded(t *testing.T) {
+// TestSeenRevisionsAreBounded: a box that receives changes for days keeps few revisions.
+func TestSeenRevisionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	v := newRevisions()
 	for at := range uint64(3 * maxSeen) {
