--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestCopyThatIsNotThereIsNotTheNewest: a box without a copy is not up to date, whatever
+// TestMissingCopyIsNotUpToDate: a box without a copy is not up to date, whatever
 // changes it has received.
-func TestCopyThatIsNotThereIsNotTheNewest(t *testing.T) {
+func TestMissingCopyIsNotUpToDate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newModelBox(t, newModelStore())
