--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -457,9 +457,9 @@
 	is.Equal(s.calls[:3], []string{"list ", "list a", "watch 7"})
 }
 
-// TestBoxWithoutAListDoesNotPressAStoreThatIsDown: a box that may not call the store tries
+// TestBoxWithoutAListCallsAStoreThatIsDownOnce: a box that may not call the store tries
 // once and then leaves the calls to the boxes that may.
-func TestBoxWithoutAListDoesNotPressAStoreThatIsDown(t *testing.T) {
+func TestBoxWithoutAListCallsAStoreThatIsDownOnce(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
 	s.list = func() (Page, error) { return Page{}, &UnavailableError{Status: 503} }
