--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -242,7 +242,7 @@
 	is.True(!has(f, "a")())
 }
 
-func TestFollowerLeavesAWatchThatIsSilent(t *testing.T) {
+func TestFollowerAbandonsAWatchWithoutAnAnswer(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
 	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
