--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// listPage reads one listPage. Each listPage has a timeout of its own: a long list has many pages,
+// listPage reads one page. Each page has a timeout of its own: a long list has many pages,
 // which together take seconds from a region that is far from the store.
 func (f *Follower) listPage(ctx context.Context, after string, stale bool) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -29,9 +29,9 @@
 	// maxPages bounds the pages of one list.
 	maxPages = 10_000
 	// pagesAtOnce is how many pages of its first list a follower reads before it calls
-	// ContinuesList, and turnInterval how often it then calls it.
-	pagesAtOnce = 2
-	turnInterval    = 25 * time.Millisecond
+	// ReadsAllPages, and turnInterval how often it then calls it.
+	pagesAtOnce  = 2
+	turnInterval = 25 * time.Millisecond
 )
 
 // Follower keeps a Mirror up to date.
@@ -67,8 +67,8 @@
 
 	mu sync.Mutex
 	// cancel ends the pending call; callStart is when the last call was made.
-	cancel context.CancelCauseFunc
-	callStart  time.Time
+	cancel    context.CancelCauseFunc
+	callStart time.Time
 	// retryNow ends a pause after a failed call.
 	retryNow chan struct{}
 }
--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -18,13 +18,13 @@
 
 	mu     sync.Mutex
 	items  map[string]Object
-	extent   Extent
+	extent Extent
 	synced bool
 	digest uint32
 	// changes[first:] are the latest changes in their order. Changes up to revision trimmedTo
 	// may be missing.
 	changes   []change
-	first    int
+	first     int
 	trimmedTo uint64
 }
 
@@ -47,8 +47,8 @@
 
 // change is a change of one object, made at maxRevision or before.
 type change struct {
-	event Event
-	maxRevision  uint64
+	event       Event
+	maxRevision uint64
 }
 
 // maxChanges bounds the changes that a mirror keeps for other boxes.
--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -29,8 +29,8 @@
 	// now is the clock and started the start of the box. own is set by this box's own calls,
 	// remote by reports of other boxes. Both are in nanoseconds since the start, 0 if there is
 	// none.
-	now        func() time.Time
-	started    time.Time
+	now         func() time.Time
+	started     time.Time
 	own, remote atomic.Int64
 }
 
@@ -40,13 +40,13 @@
 // noteRemote records the same from a report of another box.
 func (c *confirmation) noteRemote(at time.Time) { advance(&c.remote, int64(at.Sub(c.started))) }
 
-// age returns how long age the copy was last known to be current, or how long the box has run
+// age returns how long ago the copy was last known to be current, or how long the box has run
 // if it never was.
 func (c *confirmation) age() time.Duration {
 	return c.now().Sub(c.started) - time.Duration(max(c.own.Load(), c.remote.Load()))
 }
 
-// known reports whether the copy was known known to be current.
+// known reports whether the copy was ever known to be current.
 func (c *confirmation) known() bool { return c.own.Load() != 0 || c.remote.Load() != 0 }
 
 // reported returns the value for heartbeats: how long ago the copy was current, in
@@ -141,7 +141,7 @@
 	return c.answeredRecently() && (failed == 0 || c.sinceStart()-time.Duration(failed) > c.window)
 }
 
-// confirmationOf returns the confirmation confirmationOf the copy confirmationOf a kind, or nil for kinds confirmationOf which
+// confirmationOf returns the confirmation of the copy of a kind, or nil for kinds of which
 // heartbeats report nothing.
 func (c *contact) confirmationOf(kinds Kinds, kind string) *confirmation {
 	switch kind {
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// nearDelay and farWay are how long a datagram takes, one way, within a region and between
-	// two; one datagram in lostOneIn is lost.
-	nearDelay   = time.Millisecond
-	farDelay    = 35 * time.Millisecond
+	// nearDelay and farDelay are how long a datagram takes, one way, within a region and
+	// between two; one datagram in lostOneIn is lost.
+	nearDelay = time.Millisecond
+	farDelay  = 35 * time.Millisecond
 	lostOneIn = 40
 	// dialTimeout is how long a box tries to connect to a box that cannot be reached.
 	dialTimeout = 600 * time.Millisecond
@@ -45,7 +45,7 @@
 	replica    *Replica
 	stop       context.CancelFunc
 	group      sync.WaitGroup
-	announced       [2]bool
+	announced  [2]bool
 }
 
 // fleet is a set of boxes in one process, without sockets and on the test's own clock.
@@ -55,11 +55,11 @@
 	random *rand.Rand
 	mu     sync.Mutex
 	boxes  map[string]*fleetBox
-	// lastFault is when a box or its connection to the store last had a fault; troubles is how
+	// lastFault is when a box or its connection to the store last had a fault; faults is how
 	// many faults a box has now. Both are by name, since faults outlast an incarnation of the
 	// box.
-	lastFault   map[string]time.Time
-	faults map[string]int
+	lastFault map[string]time.Time
+	faults    map[string]int
 	// cuts are pairs of boxes or zones that cannot reach each other.
 	cuts map[[2]string]int
 	// accepted is when the store accepted a change, by kind and revision.
@@ -67,10 +67,10 @@
 	// removed is the revision that deleted an object, by kind and name.
 	removed map[string]uint64
 	// storeLastFault is when the store as a whole last had a fault that affects all boxes.
-	storeLastFault   time.Time
-	storeFaults int
-	background    sync.WaitGroup
-	ended         context.Context
+	storeLastFault time.Time
+	storeFaults    int
+	background     sync.WaitGroup
+	ended          context.Context
 	// faultLog lists the faults that were played, to be printed if the fleet fails.
 	faultLog []string
 }
--- a/pkg/replica/poll.go
+++ b/pkg/replica/poll.go
@@ -30,7 +30,7 @@
 type polls struct {
 	mu      sync.Mutex
 	running bool
-	// lastFailed is when the last poll was lastFailed if it was not answered, and zero if it was.
+	// lastFailed is when the last poll was made if it was not answered, and zero if it was.
 	lastFailed time.Time
 }
 
--- a/pkg/replica/poll_test.go
+++ b/pkg/replica/poll_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 )
 
-// sendHeartbeats sends heartbeats to a box, as from a poller of its zone whose copies were confirmed
-// the given time ago.
+// sendHeartbeats sends heartbeats to a box, as from a poller of its zone whose copies were
+// confirmed the given time ago.
 func sendHeartbeats(b *modelBox, beat *uint64, d time.Duration, ago func() time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(gossip.Interval) {
 		*beat++
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -91,8 +91,8 @@
 	revisions *revisions
 	// isPoller is true while this box polls the store for its zone. unannounced is true while
 	// it has changes that it has not announced to its zone.
-	isPoller atomic.Bool
-	unannounced  atomic.Bool
+	isPoller    atomic.Bool
+	unannounced atomic.Bool
 	// roleMu serializes decisions on the role.
 	roleMu sync.Mutex
 	role   *storepoller.Role
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -35,7 +35,7 @@
 	sharedCounter bool
 	// seen holds the revisions of changes of any kind that this box has received.
 	seen map[uint64]bool
-	// hasLongWait holds the kinds whose watch has a hasLongWait wait.
+	// hasLongWait holds the kinds whose watch has a long wait.
 	hasLongWait map[string]bool
 }
 
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -41,9 +41,9 @@
 	byKind bool
 	last   map[string]uint64
 	// objects are all objects, events all changes since oldest, by kind.
-	objects map[string]map[string]objects.Object
-	events  map[string][]objects.Event
-	treatments   map[string]treatment
+	objects    map[string]map[string]objects.Object
+	events     map[string][]objects.Event
+	treatments map[string]treatment
 	// watches counts the watches by kind.
 	watches map[string]int
 	// changed is closed when anything changes.
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestOldResultsAreDiscarded: a version is evaluated by its recent results, and a new order for
-// a service starts from empty tallies.
+// TestOldResultsAreDiscarded: a version is evaluated by its recent results, and a new order
+// for a service starts from empty tallies.
 func TestOldResultsAreDiscarded(t *testing.T) {
 	is := is.New(t)
 	table, c := newTestTable()
