--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -170,11 +170,11 @@
 			self.Versions[kind] = m.Version()
 		}
 	}
-	watching := r.isPoller.Load()
-	self.ConfirmedAgo = r.contact.configuration.reported(watching)
-	self.ListConfirmedAgo = r.contact.list.reported(watching)
-	self.StoreHealthy = watching && r.synced() && r.contact.healthy()
-	self.StoreUnanswered = watching && !self.StoreHealthy
+	isPoller := r.isPoller.Load()
+	self.ConfirmedAgo = r.contact.configuration.reported(isPoller)
+	self.ListConfirmedAgo = r.contact.list.reported(isPoller)
+	self.StoreHealthy = isPoller && r.synced() && r.contact.healthy()
+	self.StoreUnanswered = isPoller && !self.StoreHealthy
 }
 
 // ----------------------------------------------------------------
