--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -230,14 +230,14 @@
 func (r *Replica) chooseRole() {
 	r.roleMu.Lock()
 	defer r.roleMu.Unlock()
-	watching := r.role.ShouldPoll(r.view(), r.Now())
-	if watching == r.isPoller.Swap(watching) {
+	isPoller := r.role.ShouldPoll(r.view(), r.Now())
+	if isPoller == r.isPoller.Swap(isPoller) {
 		return
 	}
-	r.BoxLog.Info("role changed", map[string]any{"watches_store": watching})
+	r.BoxLog.Info("role changed", map[string]any{"watches_store": isPoller})
 	r.contact.forgetFailures()
 	for _, f := range r.followers {
-		if watching {
+		if isPoller {
 			f.RetryNow()
 		} else {
 			f.Restart()
