--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -53,9 +53,9 @@
 // milliseconds plus one, or 0 if this box does not poll the store. Reports of other boxes are
 // not passed on: each counts from when it arrives, so two boxes that reported to each other
 // would take a copy to be newer with each report, by the delay of the datagram.
-func (c *confirmation) reported(watching bool) uint32 {
+func (c *confirmation) reported(isPoller bool) uint32 {
 	own := c.own.Load()
-	if own == 0 || !watching {
+	if own == 0 || !isPoller {
 		return 0
 	}
 	ago := c.now().Sub(c.started) - time.Duration(own)
