--- a/pkg/replica/contact.go
+++ b/pkg/replica/contact.go
@@ -62,9 +62,9 @@
 	return 1 + uint32(ago.Milliseconds())
 }
 
-func newContact(now func() time.Time, within time.Duration) *contact {
+func newContact(now func() time.Time, window time.Duration) *contact {
 	started := now()
-	c := &contact{now: now, started: started, window: within, failing: map[string]bool{}}
+	c := &contact{now: now, started: started, window: window, failing: map[string]bool{}}
 	c.configuration.now, c.list.now = now, now
 	c.configuration.started, c.list.started = started, started
 	return c
