--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -40,10 +40,10 @@
 	f.Now = r.Now
 	f.Allowed = r.isPoller.Load
 	f.ReadsAllPages = r.readsAllPages
-	tell := r.newCallReporter(kind)
+	report := r.newCallReporter(kind)
 	f.OnCall = func(c objects.Call) {
 		r.revisions.addCall(c)
-		tell(c)
+		report(c)
 	}
 	f.OnSuccess = func() {
 		r.contact.noteAnswer()
