--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -170,14 +170,14 @@
 
 // EventsSince returns the changes since a revision and the extent reached with them; ok is
 // false if these changes are no longer known.
-func (m *Mirror) EventsSince(at uint64) (events []Event, extent Extent, ok bool) {
+func (m *Mirror) EventsSince(revision uint64) (events []Event, extent Extent, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.synced || at < m.trimmedTo {
+	if !m.synced || revision < m.trimmedTo {
 		return nil, Extent{}, false
 	}
 	for _, c := range m.changes[m.first:] {
-		if c.maxRevision > at {
+		if c.maxRevision > revision {
 			events = append(events, c.event)
 		}
 	}
