--- a/pkg/objects/mirror.go
+++ b/pkg/objects/mirror.go
@@ -38,7 +38,7 @@
 }
 
 // Exactly returns the extent of a state of the store at exactly one revision.
-func Exactly(at uint64) Extent { return Extent{CompleteTo: at, PartialTo: at} }
+func Exactly(revision uint64) Extent { return Extent{CompleteTo: revision, PartialTo: revision} }
 
 // merge returns the extent of the two states together.
 func (e Extent) merge(other Extent) Extent {
