--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-func follow(s *script, wait time.Duration) (*Follower, func()) {
+func startFollower(s *script, wait time.Duration) (*Follower, func()) {
 	f := NewFollower(s.client(), NewMirror("things"), wait, func() float64 { return 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -210,7 +210,7 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, time.Minute)
+	f, stop := startFollower(s, time.Minute)
 	eventually(is, has(f, "c"))
 	stop()
 	// It continues from the revision of the first page, and from that of the last event.
@@ -236,7 +236,7 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, time.Minute)
+	f, stop := startFollower(s, time.Minute)
 	defer stop()
 	eventually(is, has(f, "b"))
 	is.True(!has(f, "a")())
@@ -257,7 +257,7 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, 10*time.Millisecond)
+	f, stop := startFollower(s, 10*time.Millisecond)
 	defer stop()
 	eventually(is, has(f, "late"))
 }
@@ -279,7 +279,7 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, time.Hour)
+	f, stop := startFollower(s, time.Hour)
 	defer stop()
 	eventually(is, func() bool {
 		s.mu.Lock()
@@ -338,7 +338,7 @@
 		return Page{Items: []Object{object("news", 2)}, Revision: 2}, nil
 	}
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) { return blocked(ctx) }
-	f, stop := follow(s, time.Hour)
+	f, stop := startFollower(s, time.Hour)
 	defer stop()
 	eventually(is, func() bool {
 		s.mu.Lock()
