--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -128,7 +128,7 @@
 
 // routeTallies holds a box's tallies of a service by route.
 type routeTallies struct {
-	pairs map[string]*Comparison
+	comparisons map[string]*Comparison
 	at    time.Time
 }
 
@@ -136,7 +136,7 @@
 func (s *routeTallies) decay(now time.Time) {
 	by := float32(math.Exp(-now.Sub(s.at).Seconds() / decayTime.Seconds()))
 	s.at = now
-	for _, p := range s.pairs {
+	for _, p := range s.comparisons {
 		p.New.decay(by)
 		p.Old.decay(by)
 	}
@@ -167,17 +167,17 @@
 	now := t.Now()
 	s := t.own[o.Service]
 	if s == nil {
-		s = &routeTallies{pairs: map[string]*Comparison{}, at: now}
+		s = &routeTallies{comparisons: map[string]*Comparison{}, at: now}
 		t.own[o.Service] = s
 	}
 	s.decay(now)
-	p := s.pairs[o.Route]
+	p := s.comparisons[o.Route]
 	if p == nil {
-		if len(s.pairs) >= maxRoutes {
+		if len(s.comparisons) >= maxRoutes {
 			return
 		}
 		p = &Comparison{Route: o.Route}
-		s.pairs[o.Route] = p
+		s.comparisons[o.Route] = p
 	}
 	tally := &p.Old
 	if o.Version == a.Version {
@@ -217,7 +217,7 @@
 	}
 	if s := t.own[service]; s != nil {
 		s.decay(now)
-		for _, p := range s.pairs {
+		for _, p := range s.comparisons {
 			add(p)
 		}
 	}
@@ -269,7 +269,7 @@
 		}
 		s.decay(now)
 		r := Report{Box: t.Box, Service: service, Version: a.Version}
-		for _, p := range s.pairs {
+		for _, p := range s.comparisons {
 			r.Comparisons = append(r.Comparisons, *p)
 		}
 		list = append(list, r)
