--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -14,7 +14,7 @@
 	// firstRetry and longestRetry bound the pause after a failed call. The pause doubles with
 	// each failure, and a random duration between half of it and all of it is used.
 	firstRetry   = 150 * time.Millisecond
-	longestRetry = 1200 * time.Millisecond
+	maxRetry = 1200 * time.Millisecond
 	// batchPause is the pause after a watch that brought changes, so that one call returns
 	// changes that follow soon after each other. It delays the next change and is a quarter of
 	// the shortest bound on how soon a change must take effect.
