--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -132,7 +132,7 @@
 		// The signal was meant for an earlier pause.
 	default:
 	}
-	d := min(firstRetry<<min(failures, 10), maxRetry)
+	d := min(minRetry<<min(failures, 10), maxRetry)
 	f.sleep(ctx, time.Duration(float64(d)*(0.5+f.Random()/2)))
 }
 
--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -11,9 +11,9 @@
 const (
 	// callTimeout bounds a call in addition to the time that it was asked to wait.
 	callTimeout = 1200 * time.Millisecond
-	// firstRetry and longestRetry bound the pause after a failed call. The pause doubles with
+	// minRetry and longestRetry bound the pause after a failed call. The pause doubles with
 	// each failure, and a random duration between half of it and all of it is used.
-	firstRetry   = 150 * time.Millisecond
+	minRetry   = 150 * time.Millisecond
 	maxRetry = 1200 * time.Millisecond
 	// batchPause is the pause after a watch that brought changes, so that one call returns
 	// changes that follow soon after each other. It delays the next change and is a quarter of
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -469,7 +469,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
-	time.Sleep(2 * firstRetry)
+	time.Sleep(2 * minRetry)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	is.Equal(s.calls, []string{"list "})
