--- a/pkg/objects/follower.go
+++ b/pkg/objects/follower.go
@@ -11,9 +11,9 @@
 const (
 	// callTimeout bounds a call in addition to the time that it was asked to wait.
 	callTimeout = 1200 * time.Millisecond
-	// minRetry and longestRetry bound the pause after a failed call. The pause doubles with
+	// minRetry and maxRetry bound the pause after a failed call. The pause doubles with
 	// each failure, and a random duration between half of it and all of it is used.
-	minRetry   = 150 * time.Millisecond
+	minRetry = 150 * time.Millisecond
 	maxRetry = 1200 * time.Millisecond
 	// batchPause is the pause after a watch that brought changes, so that one call returns
 	// changes that follow soon after each other. It delays the next change and is a quarter of
@@ -178,7 +178,7 @@
 // Error implements error.
 func (e *RestartedError) Error() string { return "objects: the call was restarted" }
 
-// Restart cancels the pending call; the follower makes the next one at once.
+// Restart cancels the pending call, which then fails with a *RestartedError.
 func (f *Follower) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/objects/spread_test.go
+++ b/pkg/objects/spread_test.go
@@ -58,11 +58,11 @@
 		o, ok := held[name]
 		switch {
 		case e.Deleted && ok && o.Revision < e.Object.Revision:
-			return fmt.Sprintf("%s is gone since %d, held as of %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
+			return fmt.Sprintf("%s was deleted at %d, but is held at revision %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
 		case !e.Deleted && ok && o.Revision < e.Object.Revision:
-			return fmt.Sprintf("%s changed at %d, held as of %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
+			return fmt.Sprintf("%s was changed at %d, but is held at revision %d by a mirror at %d", name, e.Object.Revision, o.Revision, at)
 		case !e.Deleted && !ok && s.items[name].Revision == e.Object.Revision:
-			return fmt.Sprintf("%s is there since %d, not held by a mirror at %d", name, e.Object.Revision, at)
+			return fmt.Sprintf("%s was put at %d, but is not held by a mirror at %d", name, e.Object.Revision, at)
 		}
 	}
 	return ""
--- a/pkg/replica/calls.go
+++ b/pkg/replica/calls.go
@@ -44,7 +44,7 @@
 			return
 		}
 		if !r.isPoller.Load() {
-			// A box that no longer is a poller cancels its calls.
+			// A box that is no longer a poller cancels its calls.
 			failed = 0
 			return
 		}
--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -11,8 +11,8 @@
 
 // TestOlderClaimsAreKept: while changes follow each other quickly, a box has a version
 // only after the poller has already reported a newer one. If only the last claim is kept, none
-// ever holds: all boxes of a start of 295 polled the store themselves, with 1,210 calls in 21
-// s in place of 352.
+// ever holds: when 295 boxes started, all of them polled the store themselves, with 1,210 calls
+// in 21 s in place of 352.
 func TestOlderClaimsAreKept(t *testing.T) {
 	is := is.New(t)
 	m := objects.NewMirror(storeKinds.Servers)
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -286,7 +286,7 @@
 }
 
 func (f *fleet) failStoreFor(names []string, m treatment, lasts time.Duration) {
-	f.logFault("turned away", names, m, lasts)
+	f.logFault("store fails for", names, m, lasts)
 	end := f.markFault(names...)
 	defer end()
 	f.store.treat(m, names...)
@@ -312,7 +312,7 @@
 }
 
 func (f *fleet) compact() {
-	f.logFault("history gone")
+	f.logFault("history discarded")
 	f.markStore(1)
 	f.store.compact()
 	f.markStore(-1)
@@ -443,7 +443,7 @@
 			defer f.mu.Unlock()
 			for name, o := range current {
 				if at, ok := f.accepted[kind][o.Revision]; ok && time.Since(at) > age && held[name].Revision < o.Revision {
-					return fmt.Sprintf("%s: %s/%s of revision %d, taken %s ago, is not known (held: %d)", b.name, kind, name, o.Revision, time.Since(at), held[name].Revision)
+					return fmt.Sprintf("%s: %s/%s at revision %d, accepted %s ago, is not known (held: %d)", b.name, kind, name, o.Revision, time.Since(at), held[name].Revision)
 				}
 			}
 			for name, o := range held {
@@ -452,7 +452,7 @@
 				}
 				for revision, at := range f.accepted[kind] {
 					if revision > o.Revision && time.Since(at) > age && f.isRemoval(kind, name, revision) {
-						return fmt.Sprintf("%s: %s/%s went with revision %d, %s ago, and is held as of %d", b.name, kind, name, revision, time.Since(at), o.Revision)
+						return fmt.Sprintf("%s: %s/%s was deleted at revision %d, %s ago, but is held at revision %d", b.name, kind, name, revision, time.Since(at), o.Revision)
 					}
 				}
 			}
@@ -464,7 +464,7 @@
 		}
 		if age, ok := b.replica.ConfigurationAge(); problem == "" && kind == storeKinds.Configuration && ok {
 			if wrong := lacks(age + 2*storeDelay); wrong != "" {
-				problem = fmt.Sprintf("takes its configuration to be %s old: %s", age, wrong)
+				problem = fmt.Sprintf("reports its configuration to be %s old: %s", age, wrong)
 			}
 		}
 		f.store.mu.Unlock()
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -25,7 +25,7 @@
 	drainWatchShare = 0.5
 )
 
-// shortWait is how long a watch of a kind waits if its answers are needed.
+// shortWait returns how long a watch of a kind waits if its answers are needed.
 func (r *Replica) shortWait(kind string) time.Duration {
 	wait := time.Duration(watchShare * float64(r.ContactWindow))
 	if kind == r.Kinds.Evacuations || kind == r.Kinds.Rollouts {
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -4,8 +4,8 @@
 // if no other box has confirmed its copies for long.
 //
 // Example: a box leaves the store to box-1. The store stops answering box-1. Box-1 goes on
-// sending heartbeats, which say that its list of servers was last confirmed 0.5 s ago, then 1
-// s, then 1.5 s. At 2 s the box polls the store itself, and learns of a server that has left
+// sending heartbeats, which say that its list of servers was last confirmed 0.5, then 1, then
+// 1.5 s ago. At 2 s the box polls the store itself, and learns of a server that has left
 // meanwhile.
 //
 // Calls to the store and to other boxes are made through function fields; this package has no
--- a/pkg/replica/silence_test.go
+++ b/pkg/replica/silence_test.go
@@ -23,9 +23,9 @@
 )
 
 // The failure that these tests guard against: servers were being replaced when the platform's
-// store did not respond for a second. From then on no box learned of any change for up to 26
-// s: requests went to servers that had announced that they were leaving, and to zones that had
-// been evacuated.
+// store did not respond for a second. From then on no box learned of any change for up to
+// 26 s: requests went to servers that had announced that they were leaving, and to zones that
+// had been evacuated.
 //
 //  1. A server leaves; the watch of the servers returns with that change.
 //  2. The store stops responding: calls made from now on are never answered.
@@ -36,9 +36,9 @@
 //
 // The cause: only one of three watches was short enough to notice a store that does not
 // respond, and the other two relied on it, although its answers say nothing about them. At
-// every box at once, the watch of the servers from within the silence was the last one for 26
-// s, while that of the configuration was answered every 2.4 s. Boxes of other zones could not
-// help, since the same silence had affected them.
+// every box at once, the watch of the servers from within the silence was the last one for
+// 26 s, while that of the configuration was answered every 2.4 s. Boxes of other zones could
+// not help, since the same silence had affected them.
 
 // modelBox is a box's copies of the objects in a test's store, and the state that it derives
 // from them, without sockets.
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -129,7 +129,7 @@
 // routeTallies holds a box's tallies of a service by route.
 type routeTallies struct {
 	comparisons map[string]*Comparison
-	at    time.Time
+	at          time.Time
 }
 
 // decay reduces the tallies according to the time since the last call.
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -1,11 +1,11 @@
 // Package rollout moves a service's requests to a new version of its backend servers step by
 // step, and moves them back if that version is bad. It does no input or output.
 //
-// Example: an operator orders that a service moves to version v2 within 20 s. For the first 12
-// s one request in twenty goes to servers of v2; boxes count how these servers and the others
-// perform. If v2 fails more often, or is several times slower, the order is rolled back;
-// otherwise v2 gets more and more requests, and the order is complete before the 20 s are
-// over.
+// Example: an operator orders that a service moves to version v2 within 20 s. For the first
+// 12 s one request in twenty goes to servers of v2; boxes count how these servers and the
+// others perform. If v2 fails more often, or is several times slower, the order is rolled
+// back; otherwise v2 gets more and more requests, and the order is complete before the 20 s
+// are over.
 package rollout
 
 import (
--- a/pkg/rollout/rollout_test.go
+++ b/pkg/rollout/rollout_test.go
@@ -61,7 +61,7 @@
 		newTook           time.Duration
 		elsewhere, result bool
 	}{
-		{name: "well", newTook: 100 * time.Millisecond},
+		{name: "no failures", newTook: 100 * time.Millisecond},
 		{name: "few failures", newBad: minBad - 1, newTook: 100 * time.Millisecond},
 		{name: "failures", newBad: minBad, newTook: 100 * time.Millisecond, result: true},
 		{name: "all fail alike", oldBad: 60, newBad: 20, newTook: 100 * time.Millisecond},
