--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -234,7 +234,7 @@
 	if isPoller == r.isPoller.Swap(isPoller) {
 		return
 	}
-	r.BoxLog.Info("role changed", map[string]any{"watches_store": isPoller})
+	r.BoxLog.Info("store poller role changed", map[string]any{"watches_store": isPoller})
 	r.contact.forgetFailures()
 	for _, f := range r.followers {
 		if isPoller {
