--- a/pkg/replica/claims_test.go
+++ b/pkg/replica/claims_test.go
@@ -9,11 +9,11 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// TestClaimsOutliveNewerOnes: while changes follow each other, what another box said of a version
-// is caught up with only after it has said the same of a newer one. Where only the last word was
-// kept, none ever held: all boxes of a start of 295 asked the store themselves, 1,210 calls in
-// 21 s for 352.
-func TestClaimsOutliveNewerOnes(t *testing.T) {
+// TestOlderClaimsAreKept: while changes follow each other quickly, a box has a version
+// only after the poller has already reported a newer one. If only the last claim is kept, none
+// ever holds: when 295 boxes started, all of them polled the store themselves, with 1,210 calls
+// in 21 s in place of 352.
+func TestOlderClaimsAreKept(t *testing.T) {
 	is := is.New(t)
 	m := objects.NewMirror(storeKinds.Servers)
 	start := time.Now()
@@ -22,18 +22,18 @@
 	for i := range uint64(3) {
 		c.put(m.Kind, claim{objects.Version{Revision: 2 + i, Digest: uint32(2 + i)}, start.Add(time.Duration(i) * time.Second)})
 	}
-	_, ok := c.settle(m.Kind, m)
-	is.True(!ok) // the copy lacks what each speaks of
+	_, ok := c.resolve(m.Kind, m)
+	is.True(!ok) // the copy lacks the version of each claim
 
 	m.Apply(nil, objects.Exactly(3))
-	at, ok := c.settle(m.Kind, m)
+	at, ok := c.resolve(m.Kind, m)
 	is.True(ok)
-	is.Equal(at, start.Add(time.Second)) // the newest that holds
-	_, ok = c.settle(m.Kind, m)
-	is.True(!ok) // the last one still does not
+	is.Equal(at, start.Add(time.Second)) // the newest claim that holds
+	_, ok = c.resolve(m.Kind, m)
+	is.True(!ok) // the last claim still does not hold
 
-	for i := range uint64(3 * mostClaims) {
+	for i := range uint64(3 * maxClaims) {
 		c.put(m.Kind, claim{objects.Version{Revision: 10 + i, Digest: 1}, start})
 	}
-	is.Equal(len(c.kinds[m.Kind]), mostClaims)
+	is.Equal(len(c.kinds[m.Kind]), maxClaims)
 }
--- a/pkg/replica/fleet_test.go
+++ b/pkg/replica/fleet_test.go
@@ -21,22 +21,21 @@
 )
 
 const (
-	// nearWay and farWay are how long a datagram takes within a region and between two,
-	// one way; one in lostOneIn is lost.
-	nearWay   = time.Millisecond
-	farWay    = 35 * time.Millisecond
+	// nearDelay and farDelay are how long a datagram takes, one way, within a region and
+	// between two; one datagram in lostOneIn is lost.
+	nearDelay = time.Millisecond
+	farDelay  = 35 * time.Millisecond
 	lostOneIn = 40
-	// dialPatience is after what time a box that is not reached is given up.
-	dialPatience = 600 * time.Millisecond
-	// fleetTime is how long a fleet runs, and quietTime how long before its end no
-	// trouble begins.
+	// dialTimeout is how long a box tries to connect to a box that cannot be reached.
+	dialTimeout = 600 * time.Millisecond
+	// fleetTime is how long a fleet runs; no fault starts in the last quietTime of it.
 	fleetTime = 24 * time.Second
 	quietTime = 8 * time.Second
-	// checkEvery is how often all boxes are looked at.
+	// checkEvery is how often all boxes are checked.
 	checkEvery = 100 * time.Millisecond
 )
 
-// fleetZones are the zones of a fleet, by region.
+// fleetZones are the zones of a fleet, with their regions.
 var fleetZones = map[string]string{"east-a": "east", "east-b": "east", "west-a": "west", "west-b": "west"}
 
 // fleetBox is one box of a fleet.
@@ -46,33 +45,34 @@
 	replica    *Replica
 	stop       context.CancelFunc
 	group      sync.WaitGroup
-	told       [2]bool
+	announced  [2]bool
 }
 
-// fleet is boxes in one process, without sockets, whose time is the test's own.
+// fleet is a set of boxes in one process, without sockets and on the test's own clock.
 type fleet struct {
 	t      *testing.T
 	store  *modelStore
 	random *rand.Rand
 	mu     sync.Mutex
 	boxes  map[string]*fleetBox
-	// struck is when a box or its way to the store was last in trouble, and troubles how many
-	// strike it now, by name: they outlast a life of it.
-	struck   map[string]time.Time
-	troubles map[string]int
-	// cuts are pairs of boxes or zones that do not reach each other.
+	// lastFault is when a box or its connection to the store last had a fault; faults is how
+	// many faults a box has now. Both are by name, since faults outlast an incarnation of the
+	// box.
+	lastFault map[string]time.Time
+	faults    map[string]int
+	// cuts are pairs of boxes or zones that cannot reach each other.
 	cuts map[[2]string]int
-	// taken is when the store took a change, by kind and revision.
-	taken map[string]map[uint64]time.Time
-	// removed is the revision that took an object away, by kind and name.
+	// accepted is when the store accepted a change, by kind and revision.
+	accepted map[string]map[uint64]time.Time
+	// removed is the revision that deleted an object, by kind and name.
 	removed map[string]uint64
-	// storeStruck is when the store as a whole was last in trouble, for all boxes.
-	storeStruck   time.Time
-	storeTroubles int
-	background    sync.WaitGroup
-	ended         context.Context
-	// troublesLog tells the troubles that were played, for a fleet that fails.
-	troublesLog []string
+	// storeLastFault is when the store as a whole last had a fault that affects all boxes.
+	storeLastFault time.Time
+	storeFaults    int
+	background     sync.WaitGroup
+	ended          context.Context
+	// faultLog lists the faults that were played, to be printed if the fleet fails.
+	faultLog []string
 }
 
 func (f *fleet) chance(n int) int {
@@ -81,7 +81,7 @@
 	return f.random.Intn(n)
 }
 
-// reaches reports whether two boxes reach each other.
+// reaches reports whether two boxes can reach each other.
 func (f *fleet) reaches(a, b *fleetBox) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	return f.boxes[name]
 }
 
-// names returns the boxes that run, in order.
+// names returns the names of the running boxes, sorted.
 func (f *fleet) names() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,20 +111,20 @@
 	return list
 }
 
-func (f *fleet) logTrouble(parts ...any) {
+func (f *fleet) logFault(parts ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.troublesLog = append(f.troublesLog, time.Now().Format("05.000 ")+fmt.Sprintln(parts...))
+	f.faultLog = append(f.faultLog, time.Now().Format("05.000 ")+fmt.Sprintln(parts...))
 }
 
-func wayBetween(a, b *fleetBox) time.Duration {
+func delayBetween(a, b *fleetBox) time.Duration {
 	if fleetZones[a.zone] == fleetZones[b.zone] {
-		return nearWay
+		return nearDelay
 	}
-	return farWay
+	return farDelay
 }
 
-// start starts a box, or a new life of one.
+// start starts a box, or a new incarnation of one.
 func (f *fleet) start(name, zone string) {
 	b := &fleetBox{name: name, zone: zone}
 	ctx, stop := context.WithCancel(f.ended)
@@ -145,13 +145,13 @@
 	})
 	f.mu.Lock()
 	f.boxes[name] = b
-	f.struck[name] = time.Now()
+	f.lastFault[name] = time.Now()
 	f.mu.Unlock()
 	b.replica.Run()
 	b.group.Go(func() { f.tick(ctx, b) })
 }
 
-// tick runs a box's own turns.
+// tick runs the periodic work of a box.
 func (f *fleet) tick(ctx context.Context, b *fleetBox) {
 	time.Sleep(time.Duration(f.chance(100)) * time.Millisecond)
 	for turn := 0; ctx.Err() == nil; turn++ {
@@ -167,15 +167,15 @@
 		news := b.replica.TakeUnannounced()
 		b.table.Update(b.replica.FillRecord)
 		self := b.table.Self()
-		if now := [2]bool{self.StoreHealthy, self.StoreUnanswered}; news || now != b.told {
-			b.told = now
+		if now := [2]bool{self.StoreHealthy, self.StoreUnanswered}; news || now != b.announced {
+			b.announced = now
 			f.carry(b, b.table.Announce())
 		}
 		time.Sleep(tickEvery)
 	}
 }
 
-// carry takes a message to its receivers.
+// carry delivers a message to its receivers.
 func (f *fleet) carry(from *fleetBox, e gossip.Envelope) {
 	for _, name := range e.To {
 		if f.chance(lostOneIn) == 0 {
@@ -186,7 +186,7 @@
 			if to == nil || !f.reaches(from, to) {
 				return
 			}
-			time.Sleep(wayBetween(from, to))
+			time.Sleep(delayBetween(from, to))
 			if f.box(name) != to || f.ended.Err() != nil {
 				return
 			}
@@ -202,7 +202,7 @@
 	}
 }
 
-// fleetSeeds is how many fleets are played; 3,000 were by hand.
+// fleetSeeds is how many fleets are played.
 var fleetSeeds = flag.Int("fleets", 60, "how many fleets are played")
 
 var errNotReached = errors.New("not reached")
@@ -212,16 +212,16 @@
 	from := f.box(source)
 	if from == nil || !f.reaches(b, from) {
 		select {
-		case <-time.After(dialPatience):
+		case <-time.After(dialTimeout):
 		case <-ctx.Done():
 		}
 		return nil, errNotReached
 	}
-	time.Sleep(2 * wayBetween(b, from))
+	time.Sleep(2 * delayBetween(b, from))
 	theirs := from.replica.Mirror(m.Kind)
 	if m.Synced() {
 		if events, held, ok := theirs.EventsSince(m.Version().Revision); ok {
-			time.Sleep(wayBetween(b, from))
+			time.Sleep(delayBetween(b, from))
 			return &Handover{Events: events, Extent: held}, nil
 		}
 	}
@@ -229,29 +229,29 @@
 		return nil, errNotReached
 	}
 	items, held := theirs.Items()
-	time.Sleep(wayBetween(b, from))
+	time.Sleep(delayBetween(b, from))
 	return &Handover{Whole: true, Items: items, Extent: held}, nil
 }
 
 // ----------------------------------------------------------------
-// Troubles
+// Faults
 // ----------------------------------------------------------------
 
-// strike marks boxes as struck until the return value is called.
-func (f *fleet) strike(names ...string) (end func()) {
+// markFault marks boxes as having a fault until the returned function is called.
+func (f *fleet) markFault(names ...string) (end func()) {
 	mark := func(change int) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for _, name := range names {
-			f.troubles[name] += change
-			f.struck[name] = time.Now()
+			f.faults[name] += change
+			f.lastFault[name] = time.Now()
 		}
 	}
 	mark(1)
 	return func() { mark(-1) }
 }
 
-// some returns some of the boxes that run, one at least if any does.
+// some returns some of the running boxes, at least one if any is running.
 func (f *fleet) some() []string {
 	names := f.names()
 	if len(names) == 0 {
@@ -263,15 +263,15 @@
 	return names[:1+f.random.Intn(len(names))]
 }
 
-// trouble plays one trouble and returns when it is over.
-func (f *fleet) trouble() {
+// playFault plays one fault and returns when it is over.
+func (f *fleet) playFault() {
 	time.Sleep(time.Duration(f.chance(int((fleetTime-quietTime-2*time.Second)/time.Millisecond))) * time.Millisecond)
 	lasts := time.Duration(200+f.chance(5000)) * time.Millisecond
 	switch f.chance(7) {
 	case 0, 1:
-		f.turnAway(f.some(), mood(1+f.chance(2)), lasts)
+		f.failStoreFor(f.some(), treatment(1+f.chance(2)), lasts)
 	case 2:
-		f.storeDown(mood(1+f.chance(2)), lasts)
+		f.storeDown(treatment(1+f.chance(2)), lasts)
 	case 3:
 		f.compact()
 	case 4:
@@ -285,9 +285,9 @@
 	}
 }
 
-func (f *fleet) turnAway(names []string, m mood, lasts time.Duration) {
-	f.logTrouble("turned away", names, m, lasts)
-	end := f.strike(names...)
+func (f *fleet) failStoreFor(names []string, m treatment, lasts time.Duration) {
+	f.logFault("store fails for", names, m, lasts)
+	end := f.markFault(names...)
 	defer end()
 	f.store.treat(m, names...)
 	time.Sleep(lasts)
@@ -297,12 +297,12 @@
 func (f *fleet) markStore(change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.storeTroubles += change
-	f.storeStruck = time.Now()
+	f.storeFaults += change
+	f.storeLastFault = time.Now()
 }
 
-func (f *fleet) storeDown(m mood, lasts time.Duration) {
-	f.logTrouble("store down", m, lasts)
+func (f *fleet) storeDown(m treatment, lasts time.Duration) {
+	f.logFault("store down", m, lasts)
 	f.markStore(1)
 	defer f.markStore(-1)
 	names := f.names()
@@ -312,28 +312,29 @@
 }
 
 func (f *fleet) compact() {
-	f.logTrouble("history gone")
+	f.logFault("history discarded")
 	f.markStore(1)
 	f.store.compact()
 	f.markStore(-1)
 }
 
-// cut keeps two boxes or zones apart, or a box from all; their ways to the store stay.
+// cut separates two boxes or zones from each other, or a box from all others; they still reach
+// the store.
 func (f *fleet) cut(pair [2]string, lasts time.Duration) {
 	add := func(n int) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.cuts[pair] += n
 	}
-	f.logTrouble("cut", pair, lasts)
+	f.logFault("cut", pair, lasts)
 	add(1)
 	time.Sleep(lasts)
 	add(-1)
 }
 
-// restart ends boxes and starts them again with nothing remembered.
+// restart stops boxes and starts them again without any state.
 func (f *fleet) restart(names []string) {
-	f.logTrouble("restarted", names)
+	f.logFault("restarted", names)
 	for _, name := range names {
 		b := f.box(name)
 		if b == nil {
@@ -357,25 +358,26 @@
 // Changes and checks
 // ----------------------------------------------------------------
 
-// bounds are after what time a change must be known to each box in touch, by kind.
+// bounds are the times within which a change must be known to each box that is in touch with
+// the store, by kind.
 var bounds = map[string]time.Duration{
 	storeKinds.Servers: drainTime, storeKinds.Configuration: 2500 * time.Millisecond, storeKinds.Evacuations: 5 * time.Second,
 }
 
-// note notes when the store took its newest change of a kind, while it was well.
+// note records when the store accepted its newest change of a kind while it had no fault.
 func (f *fleet) note(kind string) {
 	f.store.mu.Lock()
 	at := f.store.at
 	f.store.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.taken[kind] == nil {
-		f.taken[kind] = map[uint64]time.Time{}
+	if f.accepted[kind] == nil {
+		f.accepted[kind] = map[uint64]time.Time{}
 	}
-	f.taken[kind][at] = time.Now()
+	f.accepted[kind][at] = time.Now()
 }
 
-// noteRemoval is note for a change that took an object away.
+// noteRemoval is note for a change that deleted an object.
 func (f *fleet) noteRemoval(kind, name string) {
 	f.note(kind)
 	f.store.mu.Lock()
@@ -386,12 +388,12 @@
 	f.removed[kind+"/"+name] = at
 }
 
-// change changes something now and then.
+// change changes objects at random times.
 func (f *fleet) change(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(time.Duration(100+f.chance(900)) * time.Millisecond)
 		f.mu.Lock()
-		down := f.storeTroubles > 0
+		down := f.storeFaults > 0
 		f.mu.Unlock()
 		if down {
 			continue
@@ -414,17 +416,17 @@
 	}
 }
 
-// inTouch reports whether bounds in time bind a box: neither it nor the store was in
-// trouble within the time of contact.
+// inTouch reports whether the bounds apply to a box: neither the box nor the store had a fault
+// within the contact window.
 func (f *fleet) inTouch(b *fleetBox) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return f.troubles[b.name] == 0 && now.Sub(f.struck[b.name]) > contactTime && f.storeTroubles == 0 && now.Sub(f.storeStruck) > contactTime
+	return f.faults[b.name] == 0 && now.Sub(f.lastFault[b.name]) > contactTime && f.storeFaults == 0 && now.Sub(f.storeLastFault) > contactTime
 }
 
-// check returns what a box that is in touch does not know although it must, and whether it
-// is wrong about how new its configuration is.
+// check describes a change that a box in touch does not know although it must, or an error in
+// its age of the configuration. It returns "" if there is neither.
 func (f *fleet) check(b *fleetBox) string {
 	bound := f.inTouch(b)
 	for kind, within := range bounds {
@@ -440,17 +442,17 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for name, o := range current {
-				if at, ok := f.taken[kind][o.Revision]; ok && time.Since(at) > age && held[name].Revision < o.Revision {
-					return fmt.Sprintf("%s: %s/%s of revision %d, taken %s ago, is not known (held: %d)", b.name, kind, name, o.Revision, time.Since(at), held[name].Revision)
+				if at, ok := f.accepted[kind][o.Revision]; ok && time.Since(at) > age && held[name].Revision < o.Revision {
+					return fmt.Sprintf("%s: %s/%s at revision %d, accepted %s ago, is not known (held: %d)", b.name, kind, name, o.Revision, time.Since(at), held[name].Revision)
 				}
 			}
 			for name, o := range held {
 				if _, ok := current[name]; ok {
 					continue
 				}
-				for revision, at := range f.taken[kind] {
+				for revision, at := range f.accepted[kind] {
 					if revision > o.Revision && time.Since(at) > age && f.isRemoval(kind, name, revision) {
-						return fmt.Sprintf("%s: %s/%s went with revision %d, %s ago, and is held as of %d", b.name, kind, name, revision, time.Since(at), o.Revision)
+						return fmt.Sprintf("%s: %s/%s was deleted at revision %d, %s ago, but is held at revision %d", b.name, kind, name, revision, time.Since(at), o.Revision)
 					}
 				}
 			}
@@ -461,8 +463,8 @@
 			problem = lacks(within)
 		}
 		if age, ok := b.replica.ConfigurationAge(); problem == "" && kind == storeKinds.Configuration && ok {
-			if wrong := lacks(age + 2*way); wrong != "" {
-				problem = fmt.Sprintf("takes its configuration to be %s old: %s", age, wrong)
+			if wrong := lacks(age + 2*storeDelay); wrong != "" {
+				problem = fmt.Sprintf("reports its configuration to be %s old: %s", age, wrong)
 			}
 		}
 		f.store.mu.Unlock()
@@ -473,7 +475,7 @@
 	return ""
 }
 
-// isRemoval reports whether a revision took an object away.
+// isRemoval reports whether a revision deleted the object.
 func (f *fleet) isRemoval(kind, name string, revision uint64) bool {
 	return f.removed[kind+"/"+name] == revision
 }
@@ -483,7 +485,7 @@
 		ended, end := context.WithCancel(t.Context())
 		f := &fleet{
 			t: t, store: newModelStore(), random: rand.New(rand.NewSource(seed)), boxes: map[string]*fleetBox{},
-			struck: map[string]time.Time{}, troubles: map[string]int{}, cuts: map[[2]string]int{}, taken: map[string]map[uint64]time.Time{}, removed: map[string]uint64{}, ended: ended,
+			lastFault: map[string]time.Time{}, faults: map[string]int{}, cuts: map[[2]string]int{}, accepted: map[string]map[uint64]time.Time{}, removed: map[string]uint64{}, ended: ended,
 		}
 		f.store.byKind = seed%4 == 3
 		f.store.put(storeKinds.Configuration, "main", -1)
@@ -496,7 +498,7 @@
 			f.start(fmt.Sprintf("%s-%d", zones[i%4], i/4), zones[i%4])
 		}
 		for range 1 + f.chance(4) {
-			f.background.Go(f.trouble)
+			f.background.Go(f.playFault)
 		}
 		changing, stopChanging := context.WithCancel(ended)
 		f.background.Go(func() { f.change(changing) })
@@ -517,16 +519,16 @@
 		}
 		f.background.Wait()
 		if problem != "" {
-			t.Fatalf("seed %d, at %s: %s\n%s", seed, time.Now().Format("05.000"), problem, f.troublesLog)
+			t.Fatalf("seed %d, at %s: %s\n%s", seed, time.Now().Format("05.000"), problem, f.faultLog)
 		}
 	})
 }
 
-// TestBoxesInTouchKnowWhatTheStoreTook: whatever happens to others, a box that has been well,
-// and to which the store has been well, for the time of contact knows of each change within its
-// bound: leaving servers, configurations, evacuations. And no box ever takes its configuration to
-// be newer than it is, which the time for which keys hold rests on. One store in four counts the
-// changes of each kind by themselves.
+// TestBoxesInTouchKnowWhatTheStoreTook: whatever happens to others, a box that had no fault,
+// and for which the store had none, throughout the contact window knows each change within its
+// bound: leaving servers, configurations, evacuations. And no box ever takes its configuration
+// to be newer than it is, on which the time for which keys are valid rests. One store in four
+// counts the changes of each kind separately.
 func TestBoxesInTouchKnowWhatTheStoreTook(t *testing.T) {
 	for seed := range int64(*fleetSeeds) {
 		playFleet(t, seed)
--- a/pkg/replica/revisions_test.go
+++ b/pkg/replica/revisions_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-// TestWatchesOfWhatDoesNotChangeAreFew: while servers come and go, the store's count of changes
-// moves on with each. A box that is told of all of them knows that none was a change of the
-// configuration, and need not ask. Before it did so, it asked for the configuration 17 times and
-// for evacuations 11 times in these 30 s, and on a deployment of 295 boxes a calm day cost 1,088
-// calls, where it costs 508 now.
-func TestWatchesOfWhatDoesNotChangeAreFew(t *testing.T) {
+// TestUnchangedKindsAreWatchedRarely: while servers come and go, the store's revision rises
+// with each change. A box that receives all these changes knows that none was a change of the
+// configuration, and need not watch that closely. Without this, it sent 17 watches of the
+// configuration and 11 of evacuations in these 30 s, and a deployment of 295 boxes made 1,088
+// calls on a day without faults in place of 508.
+func TestUnchangedKindsAreWatchedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newModelStore()
@@ -43,7 +43,7 @@
 		t.Log("watches:", s.watches)
 		is.True(s.watches[storeKinds.Configuration] <= 3)
 		is.True(s.watches[storeKinds.Evacuations] <= 3)
-		is.True(b.contact.configuration.ago() < drainTime) // the copy is confirmed all the same
+		is.True(b.contact.configuration.age() < drainTime) // the copy is confirmed all the same
 
 		s.put(storeKinds.Configuration, "main", 2)
 		time.Sleep(drainTime)
@@ -51,10 +51,10 @@
 	})
 }
 
-// TestRevisionsAreReachedOnlyByWhatIsExplained: a copy is taken for the newest only up to the
-// first change that this box was not told of, and not at all by a store that may count each kind
-// by itself.
-func TestRevisionsAreReachedOnlyByWhatIsExplained(t *testing.T) {
+// TestCopyIsCurrentOnlyUpToFirstUnseenRevision: a copy counts as current only up to the first
+// revision that this box has not received, and not at all with a store that may count each
+// kind separately.
+func TestCopyIsCurrentOnlyUpToFirstUnseenRevision(t *testing.T) {
 	is := is.New(t)
 	told := func(revisions ...uint64) (events []objects.Event) {
 		for _, at := range revisions {
@@ -63,43 +63,44 @@
 		return events
 	}
 	v := newRevisions()
-	v.take(objects.Call{Watch: true, Since: 10, Revision: 12, Objects: 2})
-	v.explain(told(11, 12))
-	upTo, all := v.reached(10)
+	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12, Objects: 2})
+	v.addEvents(told(11, 12))
+	upTo, all := v.knownUpTo(10)
 	is.Equal(upTo, uint64(10)) // nothing shows yet that the store counts all kinds together
 	is.True(!all)
 
-	v.take(objects.Call{Watch: true, Since: 10, Revision: 12})
-	upTo, all = v.reached(10)
+	v.addCall(objects.Call{Watch: true, Since: 10, Revision: 12})
+	upTo, all = v.knownUpTo(10)
 	is.Equal(upTo, uint64(12))
 	is.True(all)
 
-	v.take(objects.Call{Watch: true, Since: 12, Revision: 15, Objects: 2})
-	v.explain(told(13, 15))
-	upTo, all = v.reached(12)
+	v.addCall(objects.Call{Watch: true, Since: 12, Revision: 15, Objects: 2})
+	v.addEvents(told(13, 15))
+	upTo, all = v.knownUpTo(12)
 	is.Equal(upTo, uint64(13)) // 14 may be a change of any kind
 	is.True(!all)
 }
 
-// TestExplainedRevisionsAreBounded: a box that is told of changes for days keeps few of them.
-func TestExplainedRevisionsAreBounded(t *testing.T) {
+// TestSeenRevisionsAreBounded: a box that receives changes for days keeps few revisions.
+func TestSeenRevisionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	v := newRevisions()
-	for at := range uint64(3 * mostExplained) {
-		v.explain([]objects.Event{{Object: objects.Object{Revision: at}}})
-		is.True(len(v.explained) <= mostExplained)
+	for at := range uint64(3 * maxSeen) {
+		v.addEvents([]objects.Event{{Object: objects.Object{Revision: at}}})
+		is.True(len(v.seen) <= maxSeen)
 	}
 }
 
-// TestCopyThatIsNotThereIsNotTheNewest, whatever changes this box was told of.
-func TestCopyThatIsNotThereIsNotTheNewest(t *testing.T) {
+// TestMissingCopyIsNotUpToDate: a box without a copy is not up to date, whatever
+// changes it has received.
+func TestMissingCopyIsNotUpToDate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newModelBox(t, newModelStore())
 		defer b.group.Wait()
 		defer b.stop()
-		b.revisions.shared = true
-		b.revisions.explain([]objects.Event{{Object: objects.Object{Name: "server", Revision: 1}}})
-		is.True(!b.reached(storeKinds.Configuration))
+		b.revisions.sharedCounter = true
+		b.revisions.addEvents([]objects.Event{{Object: objects.Object{Name: "server", Revision: 1}}})
+		is.True(!b.isUpToDate(storeKinds.Configuration))
 	})
 }
