--- a/pkg/ctl/ctl_customers.go
+++ b/pkg/ctl/ctl_customers.go
@@ -5,12 +5,12 @@
 	"flag"
 	"io"
 
-	"github.com/stoneworks/stoneworks/pkg/standing"
+	"github.com/stoneworks/stoneworks/pkg/customerstats"
 )
 
 // verbCustomers shows what has become of customers' requests, summed over boxes.
 func verbCustomers(p *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
-	return showBoxes(p, standing.Path, func(w io.Writer, boxes []standing.Box) error {
-		return standing.Print(w, standing.Sum(boxes))
+	return showBoxes(p, customerstats.Path, func(w io.Writer, boxes []customerstats.Box) error {
+		return customerstats.Print(w, customerstats.Sum(boxes))
 	})
 }
--- a/pkg/standing/standing.go
+++ b/pkg/customerstats/customerstats.go
@@ -1,6 +1,6 @@
 // Package standing is what boxes tell operators of their customers, and its sum over
 // boxes. It is data and tables only.
-package standing
+package customerstats
 
 import (
 	"fmt"
--- a/pkg/standing/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -1,4 +1,4 @@
-package standing
+package customerstats
 
 import (
 	"math"
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -17,6 +17,7 @@
 	"github.com/stoneworks/stoneworks/pkg/backend"
 	"github.com/stoneworks/stoneworks/pkg/clock"
 	"github.com/stoneworks/stoneworks/pkg/customer"
+	"github.com/stoneworks/stoneworks/pkg/customerstats"
 	"github.com/stoneworks/stoneworks/pkg/directory"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
 	"github.com/stoneworks/stoneworks/pkg/failurereport"
@@ -33,7 +34,6 @@
 	"github.com/stoneworks/stoneworks/pkg/routing"
 	"github.com/stoneworks/stoneworks/pkg/serverstatus"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/standing"
 	"github.com/stoneworks/stoneworks/pkg/timer"
 	"github.com/stoneworks/stoneworks/pkg/topology"
 )
@@ -86,7 +86,7 @@
 	Statuses *serverstatus.Table
 	// Rollouts holds the orders to move services to new versions.
 	Rollouts  *rollout.Table
-	Ledger    *standing.Ledger
+	Ledger    *customerstats.Ledger
 	Directory *directory.Directory
 	Ingress   *ingress.Server
 
@@ -168,7 +168,7 @@
 		started:  started,
 		pools:    map[poolKey]*exchange.Pool{},
 		idle:     exchange.NewIdleLimit(c.Now),
-		Ledger:   standing.NewLedger(c.Now),
+		Ledger:   customerstats.NewLedger(c.Now),
 		Rollouts: rollout.NewTable(s.Box, c.Now),
 		ports:    &ports{},
 		refused:  map[string]bool{},
--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -8,13 +8,13 @@
 	"sync"
 	"time"
 
+	"github.com/stoneworks/stoneworks/pkg/customerstats"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/pipeline"
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
 	"github.com/stoneworks/stoneworks/pkg/routing"
 	"github.com/stoneworks/stoneworks/pkg/serverstatus"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/standing"
 )
 
 // HTTPHandler serves HTTP.
@@ -187,7 +187,7 @@
 	peers.HandleFunc("GET "+pathMirror+"{kind}", n.serveMirror)
 	admin := http.NewServeMux()
 	admin.HandleFunc("GET /metrics", n.serveMetrics)
-	admin.HandleFunc("GET "+standing.Path, n.serveCustomers)
+	admin.HandleFunc("GET "+customerstats.Path, n.serveCustomers)
 	admin.HandleFunc("GET "+serverstatus.PathLimits, n.serveLimits)
 	admin.HandleFunc("GET "+serverstatus.PathSaid, n.serveSaid)
 	admin.HandleFunc("GET "+gossip.PathFleet, n.serveFleet)
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -13,9 +13,9 @@
 	"github.com/rcrowley/go-metrics"
 
 	"github.com/stoneworks/stoneworks/pkg/customer"
+	"github.com/stoneworks/stoneworks/pkg/customerstats"
 	"github.com/stoneworks/stoneworks/pkg/gossip"
 	"github.com/stoneworks/stoneworks/pkg/quota"
-	"github.com/stoneworks/stoneworks/pkg/standing"
 )
 
 // ================================================================
@@ -217,7 +217,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	b := standing.Box{Box: n.Settings.Box, Zone: n.Settings.Zone, Region: n.Topology.RegionOf(n.Settings.Zone), Version: t.Configuration.Version}
+	b := customerstats.Box{Box: n.Settings.Box, Zone: n.Settings.Zone, Region: n.Topology.RegionOf(n.Settings.Zone), Version: t.Configuration.Version}
 	for i := range t.Configuration.Customers {
 		c := &t.Configuration.Customers[i]
 		s := n.Quota.Stats(quota.IDOf(c.Name))
@@ -226,7 +226,7 @@
 		for _, k := range c.Keys {
 			keys = append(keys, k.String())
 		}
-		b.Customers = append(b.Customers, standing.Customer{
+		b.Customers = append(b.Customers, customerstats.Customer{
 			Name: c.Name, Keys: keys, Priority: c.Priority, Rate: c.Rate, Burst: c.Burst, AllowedRegions: c.AllowedRegions,
 			Arrived: s.Arrived, Admitted: s.Admitted, Refused: s.Refused, PerSecond: s.PerSecond, Held: s.Held,
 			Settled: settled, InTime: inTime,
--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/matryer/is"
 
+	"github.com/stoneworks/stoneworks/pkg/customerstats"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/standing"
 )
 
 // notes is a log that tests read while boxes write it.
@@ -339,10 +339,10 @@
 	eventually(t, "no server may take it", func() bool {
 		return client.Do("GET", "/read/1", "refused", "", bearer(studioKey)).Status == 503
 	})
-	answer, err := http.Get("http://" + f.Boxes[0].IP + ":8103" + standing.Path)
+	answer, err := http.Get("http://" + f.Boxes[0].IP + ":8103" + customerstats.Path)
 	is.NoErr(err)
 	defer func() { _ = answer.Body.Close() }()
-	var told standing.Box
+	var told customerstats.Box
 	is.NoErr(json.NewDecoder(answer.Body).Decode(&told))
 	for _, c := range told.Customers {
 		if c.Name == "studio" {
