--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -62,7 +62,7 @@
 
 	handler *logging.AsyncHandler
 	logger  *log.Logger
-	log     *logging.Part
+	log     *logging.Logger
 
 	started  time.Time
 	version  atomic.Uint64
--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_steer.go
@@ -51,7 +51,7 @@
 }
 
 // waitForEnd takes over changed settings until the box is told to stop.
-func waitForEnd(n *node.Node, path string, signals <-chan os.Signal, log *logging.Part) {
+func waitForEnd(n *node.Node, path string, signals <-chan os.Signal, log *logging.Logger) {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
 	seen := modified(path)
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -42,7 +42,7 @@
 	LookupTTL   time.Duration
 	// BufferedBody bounds the bodies that are held whole, in bytes.
 	BufferedBody int
-	Log          *logging.Part
+	Log          *logging.Logger
 	Budget       *Budget
 
 	Now   func() time.Time
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -148,7 +148,7 @@
 	SyncClock func()
 	// Random returns a random number, for requests without a key.
 	Random func() uint64
-	Log    *logging.Part
+	Log    *logging.Logger
 	// Count counts an event; Observe a request's time by service and outcome.
 	Count   func(name string)
 	Observe func(name string, d time.Duration)
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -104,34 +104,34 @@
 	return &log.Logger{Handler: h, Level: level}
 }
 
-// Part is a logger with the fixed prefix of one part of the program.
-type Part struct {
+// Logger is a logger with the fixed prefix of one part of the program.
+type Logger struct {
 	logger *log.Logger
 	prefix string
 }
 
 // For returns the logger of a part; its lines start with "name: ".
-func For(l *log.Logger, name string) *Part {
-	return &Part{logger: l, prefix: name + ": "}
+func For(l *log.Logger, name string) *Logger {
+	return &Logger{logger: l, prefix: name + ": "}
 }
 
 // Discard returns a part that writes nothing, for tests.
-func Discard() *Part {
+func Discard() *Logger {
 	return For(New(log.HandlerFunc(func(*log.Entry) error { return nil }), log.FatalLevel), "discard")
 }
 
 // Info writes a line.
-func (p *Part) Info(text string, fields log.Fields) {
+func (p *Logger) Info(text string, fields log.Fields) {
 	p.logger.WithFields(fields).Info(p.prefix + text)
 }
 
 // Warn writes a line about something an operator should know.
-func (p *Part) Warn(text string, fields log.Fields) {
+func (p *Logger) Warn(text string, fields log.Fields) {
 	p.logger.WithFields(fields).Warn(p.prefix + text)
 }
 
 // Debug writes a line that is usually not wanted.
-func (p *Part) Debug(text string, fields log.Fields) {
+func (p *Logger) Debug(text string, fields log.Fields) {
 	p.logger.WithFields(fields).Debug(p.prefix + text)
 }
 
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -93,7 +93,7 @@
 	adapter *Adapter
 	store   *objects.Client
 	handler *logging.AsyncHandler
-	log     *logging.Part
+	log     *logging.Logger
 	started time.Time
 	// resumed is when the box last resumed after a pause that was longer than it remembers other
 	// boxes, in nanoseconds since the start.
@@ -277,7 +277,7 @@
 	}
 }
 
-func (n *Node) newMembers(log *logging.Part) {
+func (n *Node) newMembers(log *logging.Logger) {
 	s := n.Settings
 	self := gossip.Record{
 		Box: s.Box, Zone: s.Zone, Clients: s.Advertise.Callers, Peers: s.Advertise.Peers,
@@ -291,7 +291,7 @@
 	}
 }
 
-func (n *Node) newSet(log *logging.Part) {
+func (n *Node) newSet(log *logging.Logger) {
 	b := n.Settings.Bounds
 	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
@@ -316,7 +316,7 @@
 	n.Set.SetPolicy(p)
 }
 
-func (n *Node) newIngress(log *logging.Part) {
+func (n *Node) newIngress(log *logging.Logger) {
 	n.Ingress = &ingress.Server{
 		Policy:    n.policy.Load,
 		Dialect:   n.adapter.Dialect,
--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -28,7 +28,7 @@
 	serverLimitWait = 100 * time.Millisecond
 )
 
-func (n *Node) newLimits(log *logging.Part) {
+func (n *Node) newLimits(log *logging.Logger) {
 	n.Statuses = serverstatus.NewTable(n.Clock.Now)
 	n.Statuses.Changed = func(r serverstatus.Record, what serverstatus.Change) {
 		if what == serverstatus.Leaves {
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -35,7 +35,7 @@
 	spreadFanout = 3
 )
 
-func (n *Node) newQuarantine(log *logging.Part) {
+func (n *Node) newQuarantine(log *logging.Logger) {
 	n.Quarantine = quarantine.NewTable(func() quarantine.Terms {
 		p := n.policy.Load()
 		return quarantine.Terms{Crashes: p.QuarantineAfter, Hold: p.QuarantineHold}
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -28,7 +28,7 @@
 )
 
 // rolloutChanged applies a new, changed or removed order.
-func (n *Node) rolloutChanged(log *logging.Part, o objects.Object, gone bool) {
+func (n *Node) rolloutChanged(log *logging.Logger, o objects.Object, gone bool) {
 	if gone {
 		n.Rollouts.Remove(o.Name)
 		n.Set.SetVersions(n.Rollouts.Rules())
--- a/pkg/node/node_store.go
+++ b/pkg/node/node_store.go
@@ -16,7 +16,7 @@
 // Processing of the store's objects.
 // ================================================================
 
-func (n *Node) newReplica(log *logging.Part) {
+func (n *Node) newReplica(log *logging.Logger) {
 	s, kinds := n.Settings, n.adapter.Kinds
 	if !s.Platform.Rollouts {
 		kinds.Rollouts = ""
@@ -53,7 +53,7 @@
 }
 
 // configurationChanged applies a configuration if it is newer than the current one.
-func (n *Node) configurationChanged(log *logging.Part, o objects.Object, gone bool) {
+func (n *Node) configurationChanged(log *logging.Logger, o objects.Object, gone bool) {
 	if gone {
 		return
 	}
@@ -118,12 +118,12 @@
 
 // noteUnreadObject counts and logs an object of the store that cannot be read; the other objects
 // remain in effect.
-func (n *Node) noteUnreadObject(log *logging.Part, err error) {
+func (n *Node) noteUnreadObject(log *logging.Logger, err error) {
 	metrics.GetOrRegisterCounter("store.unread", n.Metrics).Inc(1)
 	log.Warn("object of the store could not be read", map[string]any{"error": err.Error()})
 }
 
-func (n *Node) serverChanged(log *logging.Part, o objects.Object, gone bool) {
+func (n *Node) serverChanged(log *logging.Logger, o objects.Object, gone bool) {
 	if gone {
 		n.Set.Remove(o.Name, n.Replica.TrustsList())
 		return
@@ -145,7 +145,7 @@
 	n.Set.Put(v)
 }
 
-func (n *Node) evacuationChanged(log *logging.Part, evacuated map[string]bool, o objects.Object, gone bool) {
+func (n *Node) evacuationChanged(log *logging.Logger, evacuated map[string]bool, o objects.Object, gone bool) {
 	if gone {
 		delete(evacuated, o.Name)
 	} else {
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -71,7 +71,7 @@
 	Seeds []string
 	Table *membership.Table
 	Store *config.Store
-	Log   *logging.Part
+	Log   *logging.Logger
 	// Call sends a message to a box's peers' address; a seam.
 	Call func(ctx context.Context, address, path string, in, out any) error
 	// SameRegion reports whether a zone is in this box's region.
@@ -88,7 +88,7 @@
 }
 
 // NewExchanger makes an exchanger.
-func NewExchanger(self, zone string, seeds []string, table *membership.Table, store *config.Store, log *logging.Part) *Exchanger {
+func NewExchanger(self, zone string, seeds []string, table *membership.Table, store *config.Store, log *logging.Logger) *Exchanger {
 	return &Exchanger{
 		Self: self, Zone: zone, Seeds: seeds, Table: table, Store: store, Log: log,
 		SameRegion: func(other string) bool { return other == zone },
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -77,7 +77,7 @@
 	Context context.Context
 	Metrics metrics.Registry
 	// BoxLog takes what the box does, StoreLog what the store does.
-	BoxLog, StoreLog *logging.Part
+	BoxLog, StoreLog *logging.Logger
 }
 
 // Replica is a box's copies of what the store holds.
