--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -38,9 +38,9 @@
 // NewLedger makes a ledger in which nothing has ended.
 func NewLedger(now func() time.Time) *Ledger { return &Ledger{Now: now, totals: map[string]*total{}} }
 
-// Settle notes that a request of a customer has ended, in time or not. Requests over the
+// Record notes that a request of a customer has ended, in time or not. Requests over the
 // customer's limit, and those that their client left, are not noted.
-func (l *Ledger) Settle(customer string, inTime bool) {
+func (l *Ledger) Record(customer string, inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.totals[customer]
--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -18,10 +18,10 @@
 	is.Equal(customers, 0)
 	for i := range 20 {
 		for j := range 10 {
-			l.Settle(fmt.Sprint("customer-", i), j >= i) // the i-th has 10-i of 10 in time
+			l.Record(fmt.Sprint("customer-", i), j >= i) // the i-th has 10-i of 10 in time
 		}
 	}
-	l.Settle("rare", false) // one request says nothing
+	l.Record("rare", false) // one request says nothing
 	share, customers = l.Worst()
 	is.Equal(customers, 2)
 	is.True(math.Abs(share-0) < 1e-9) // those from the 10th on have none
@@ -38,11 +38,11 @@
 	now := time.Unix(1000, 0)
 	l := NewLedger(func() time.Time { return now })
 	for range 20 {
-		l.Settle("a", false)
+		l.Record("a", false)
 	}
 	now = now.Add(3 * ledgerSpan)
 	for range 20 {
-		l.Settle("a", true)
+		l.Record("a", true)
 	}
 	share, _ := l.Worst()
 	is.True(share > 0.9)
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -332,7 +332,7 @@
 		KeysHold:  n.keysTrusted,
 		GiveBack:  func(c *customer.Customer) { n.Quota.GiveBack(quota.IDOf(c.Name)) },
 		AwaitRoom: n.awaitRoom, ReleaseRoom: n.releaseRoom,
-		Settle:     func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
+		Settle:     func(c *customer.Customer, inTime bool) { n.Ledger.Record(c.Name, inTime) },
 		Pool:       n.pool,
 		HasCrashed: n.hasCrashed,
 		Crashed:    n.noteCrash,
