--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -64,9 +64,9 @@
 	t.at = now
 }
 
-// Of returns how many requests of a customer have ended since the start, and how many of
+// Counts returns how many requests of a customer have ended since the start, and how many of
 // these in time.
-func (l *Ledger) Of(customer string) (settled, inTime uint32) {
+func (l *Ledger) Counts(customer string) (settled, inTime uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.totals[customer]
--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -25,10 +25,10 @@
 	share, customers = l.Worst()
 	is.Equal(customers, 2)
 	is.True(math.Abs(share-0) < 1e-9) // those from the 10th on have none
-	settled, inTime := l.Of("customer-3")
+	settled, inTime := l.Counts("customer-3")
 	is.Equal(settled, uint32(10))
 	is.Equal(inTime, uint32(7))
-	settled, _ = l.Of("nobody")
+	settled, _ = l.Counts("nobody")
 	is.Equal(settled, uint32(0))
 }
 
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -221,7 +221,7 @@
 	for i := range t.Configuration.Customers {
 		c := &t.Configuration.Customers[i]
 		s := n.Quota.Stats(quota.IDOf(c.Name))
-		settled, inTime := n.Ledger.Of(c.Name)
+		settled, inTime := n.Ledger.Counts(c.Name)
 		var keys []string
 		for _, k := range c.Keys {
 			keys = append(keys, k.String())
