--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -76,9 +76,9 @@
 	return t.settled, t.inTime
 }
 
-// Worst returns the share of requests answered in time of the worst-served tenth of the
+// WorstTenth returns the share of requests answered in time of the worst-served tenth of the
 // customers, lately, and of how many customers that is; 1 and 0 where too few have asked.
-func (l *Ledger) Worst() (share float64, customers int) {
+func (l *Ledger) WorstTenth() (share float64, customers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var shares []float64
--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	l := NewLedger(func() time.Time { return now })
-	share, customers := l.Worst()
+	share, customers := l.WorstTenth()
 	is.Equal(share, 1.0)
 	is.Equal(customers, 0)
 	for i := range 20 {
@@ -22,7 +22,7 @@
 		}
 	}
 	l.Record("rare", false) // one request says nothing
-	share, customers = l.Worst()
+	share, customers = l.WorstTenth()
 	is.Equal(customers, 2)
 	is.True(math.Abs(share-0) < 1e-9) // those from the 10th on have none
 	settled, inTime := l.Counts("customer-3")
@@ -44,6 +44,6 @@
 	for range 20 {
 		l.Record("a", true)
 	}
-	share, _ := l.Worst()
+	share, _ := l.WorstTenth()
 	is.True(share > 0.9)
 }
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -54,7 +54,7 @@
 	}
 	n.Quota.Start()
 	worst := metrics.NewFunctionalGaugeFloat64(func() float64 {
-		share, _ := n.Ledger.Worst()
+		share, _ := n.Ledger.WorstTenth()
 		return share
 	})
 	if err := n.Metrics.Register("customer.worst_tenth", worst); err != nil {
