--- a/pkg/customerstats/customerstats.go
+++ b/pkg/customerstats/customerstats.go
@@ -38,10 +38,10 @@
 	Refused        uint32   `json:"refused"`
 	PerSecond      float64  `json:"per_second"`
 	Held           int      `json:"held"`
-	// Settled are its requests within its limit that have ended here, but for those that
+	// Completed are its requests within its limit that have ended here, but for those that
 	// their clients left, and InTime those answered within their route's target.
-	Settled uint32 `json:"settled"`
-	InTime  uint32 `json:"in_time"`
+	Completed uint32 `json:"settled"`
+	InTime    uint32 `json:"in_time"`
 }
 
 // Row is a customer's sum over boxes.
@@ -59,7 +59,7 @@
 			r := rows[c.Name]
 			if r == nil {
 				r = &Row{Customer: c, Regions: map[string]*Customer{}}
-				r.Arrived, r.Admitted, r.Refused, r.PerSecond, r.Held, r.Settled, r.InTime = 0, 0, 0, 0, 0, 0, 0
+				r.Arrived, r.Admitted, r.Refused, r.PerSecond, r.Held, r.Completed, r.InTime = 0, 0, 0, 0, 0, 0, 0
 				rows[c.Name] = r
 			}
 			if r.Regions[b.Region] == nil {
@@ -82,7 +82,7 @@
 	c.Refused += o.Refused
 	c.PerSecond += o.PerSecond
 	c.Held += o.Held
-	c.Settled += o.Settled
+	c.Completed += o.Completed
 	c.InTime += o.InTime
 }
 
@@ -110,7 +110,7 @@
 func printWorst(w io.Writer, rows []Row) error {
 	var shares []float64
 	for i := range rows {
-		if rows[i].Settled >= leastRequests {
+		if rows[i].Completed >= leastRequests {
 			shares = append(shares, rows[i].share())
 		}
 	}
@@ -123,10 +123,10 @@
 }
 
 // share is the share of the customer's requests that were answered in time.
-func (c *Customer) share() float64 { return float64(c.InTime) / float64(max(1, c.Settled)) }
+func (c *Customer) share() float64 { return float64(c.InTime) / float64(max(1, c.Completed)) }
 
 func (c *Customer) inTime() string {
-	if c.Settled == 0 {
+	if c.Completed == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.0f%%", 100*c.share())
--- a/pkg/customerstats/customerstats_test.go
+++ b/pkg/customerstats/customerstats_test.go
@@ -14,7 +14,7 @@
 	key := customer.DigestOf("a-secret").String()
 	box := func(region string, refused uint32) Box {
 		return Box{Region: region, Customers: []Customer{
-			{Name: "label", Rate: 40, Burst: 10, Keys: []string{key}, AllowedRegions: []string{"east"}, Arrived: 10, Admitted: 10 - refused, Refused: refused, PerSecond: 1.5, Settled: 8, InTime: 6},
+			{Name: "label", Rate: 40, Burst: 10, Keys: []string{key}, AllowedRegions: []string{"east"}, Arrived: 10, Admitted: 10 - refused, Refused: refused, PerSecond: 1.5, Completed: 8, InTime: 6},
 			{Name: "studio", Arrived: 1, Admitted: 1},
 		}}
 	}
@@ -28,7 +28,7 @@
 	is.NoErr(Print(&b, rows))
 	lines := strings.Split(b.String(), "\n")
 	is.True(strings.HasPrefix(lines[1], "label "))
-	is.Equal(rows[0].Settled, uint32(24))
+	is.Equal(rows[0].Completed, uint32(24))
 	is.True(strings.Contains(b.String(), "worst tenth (1 of 1 customers): 75% in time"))
 	for _, part := range []string{"40/s", "east 4, west 1", key, "4.5", "75%"} {
 		is.True(strings.Contains(lines[1], part))
--- a/pkg/node/node_quota.go
+++ b/pkg/node/node_quota.go
@@ -229,7 +229,7 @@
 		b.Customers = append(b.Customers, customerstats.Customer{
 			Name: c.Name, Keys: keys, Priority: c.Priority, Rate: c.Rate, Burst: c.Burst, AllowedRegions: c.AllowedRegions,
 			Arrived: s.Arrived, Admitted: s.Admitted, Refused: s.Refused, PerSecond: s.PerSecond, Held: s.Held,
-			Settled: settled, InTime: inTime,
+			Completed: settled, InTime: inTime,
 		})
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -347,7 +347,7 @@
 	for _, c := range told.Customers {
 		if c.Name == "studio" {
 			is.Equal(c.InTime, uint32(1))
-			is.True(c.Settled >= 3)
+			is.True(c.Completed >= 3)
 		}
 	}
 }
