--- a/pkg/ctl/ctl_report.go
+++ b/pkg/ctl/ctl_report.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return &UsageError{Problem: err.Error()}
 		}
-		r, err := report.Make(lines, *every)
+		r, err := report.Summarize(lines, *every)
 		if err != nil {
 			return &UsageError{Problem: err.Error()}
 		}
--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -143,8 +143,8 @@
 // Error implements error.
 func (*EmptyError) Error() string { return "no line tells of a request" }
 
-// Make sums up the lines. The error is an *EmptyError.
-func Make(lines []trace.Line, every time.Duration) (*Report, error) {
+// Summarize sums up the lines. The error is an *EmptyError.
+func Summarize(lines []trace.Line, every time.Duration) (*Report, error) {
 	r := &Report{Every: every}
 	services, regions, customers := map[string]*Group{}, map[string]*Group{}, map[string]*Group{}
 	spans := map[time.Time]*Span{}
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -47,7 +47,7 @@
 		{`"text":"request: not answered: late","service":"shop","status":504,"took_ms":900,"try1":"i-1 broken","try2":"i-1 late"`, Lost, CauseTriedAgain},
 	} {
 		is := is.New(t)
-		r, err := Make(linesOf(t, e.line), time.Second)
+		r, err := Summarize(linesOf(t, e.line), time.Second)
 		is.NoErr(err)
 		is.Equal(r.All.Requests(), 1)
 		is.Equal(r.All.Outcomes[e.outcome], 1)
@@ -61,7 +61,7 @@
 // of lines, by service and by the time at which requests began.
 func TestSampledLinesCountForTheRequestsTheyStandFor(t *testing.T) {
 	is := is.New(t)
-	r, err := Make(linesOf(t,
+	r, err := Summarize(linesOf(t,
 		answered+`"took_ms":120,"requests":32,"try1":"i-1 answered"`,
 		answered+`"took_ms":1500,"try1":"i-1 answered","try1_known":true`,
 		`"text":"request: not answered: desk","service":"desk","status":503,"took_ms":0`,
@@ -80,7 +80,7 @@
 }
 
 func TestLogsWithoutRequestsAreAnError(t *testing.T) {
-	_, err := Make(linesOf(t, `"text":"box: started"`), time.Second)
+	_, err := Summarize(linesOf(t, `"text":"box: started"`), time.Second)
 	var empty *EmptyError
 	is.New(t).True(errors.As(err, &empty))
 }
@@ -88,7 +88,7 @@
 // TestPageStandsAlone: the page shows plots and fetches nothing.
 func TestPageStandsAlone(t *testing.T) {
 	is := is.New(t)
-	r, err := Make(linesOf(t,
+	r, err := Summarize(linesOf(t,
 		answered+`"took_ms":120,"try1":"i-1 answered"`,
 		answered+`"took_ms":420,"try1":"i-1 answered"`,
 		strings.Replace(answered, "shop", "<script>", 1)+`"took_ms":420,"try1":"i-1 answered"`,
