--- a/pkg/ctl/ctl_report.go
+++ b/pkg/ctl/ctl_report.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.Page(file); err != nil {
+	if err := r.WriteHTML(file); err != nil {
 		_ = file.Close() // the page's own error is the one to tell
 		return err
 	}
--- a/pkg/report/report_html.go
+++ b/pkg/report/report_html.go
@@ -47,8 +47,8 @@
 	Rows   [][]string
 }
 
-// Page writes the report as one self-contained page with plots over time.
-func (r *Report) Page(w io.Writer) error {
+// WriteHTML writes the report as one self-contained page with plots over time.
+func (r *Report) WriteHTML(w io.Writer) error {
 	var lines []any
 	for o := range outcomes {
 		lines = append(lines, o.String(), r.series(func(t *Tally) int { return t.Outcomes[o] }))
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -95,7 +95,7 @@
 	), time.Second)
 	is.NoErr(err)
 	var b bytes.Buffer
-	is.NoErr(r.Page(&b))
+	is.NoErr(r.WriteHTML(&b))
 	page := b.String()
 	is.Equal(strings.Count(page, "<svg"), 2)
 	is.True(!strings.Contains(page, "<script>"))
