--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -45,8 +45,8 @@
 const (
 	// CauseOverLimit: its customer was over its limit.
 	CauseOverLimit Cause = "over limit"
-	// CauseHeld: servers have crashed under earlier attempts at it.
-	CauseHeld Cause = "crashes servers"
+	// CauseQuarantined: servers have crashed under earlier attempts at it.
+	CauseQuarantined Cause = "crashes servers"
 	// CauseNotTried: refused without being sent to any server.
 	CauseNotTried Cause = "not tried"
 	// CauseTriedAgain: a first server failed or refused it.
@@ -65,7 +65,7 @@
 
 // Causes lists all causes in the order in which they are looked for.
 var Causes = []Cause{
-	CauseOverLimit, CauseHeld, CauseNotTried, CauseTriedAgain, CauseServerFailed, CauseFirstUse, CauseQueued, CauseRemote, CauseSlow,
+	CauseOverLimit, CauseQuarantined, CauseNotTried, CauseTriedAgain, CauseServerFailed, CauseFirstUse, CauseQueued, CauseRemote, CauseSlow,
 }
 
 // Tally counts requests.
@@ -287,7 +287,7 @@
 	case reason == outcome.ReasonOverLimit:
 		return CauseOverLimit
 	case reason == outcome.ReasonCrashesServers:
-		return CauseHeld
+		return CauseQuarantined
 	case q.tries == 0:
 		return CauseNotTried
 	case q.tries > 1:
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -41,7 +41,7 @@
 		{answered + `"took_ms":380,"try1":"i-1 shed","try2":"i-2 answered"`, Late, CauseTriedAgain},
 		{`"text":"request: not answered: shop","service":"shop","status":503,"took_ms":0`, Refused, CauseNotTried},
 		{`"text":"request: not answered: studio","service":"shop","status":429,"took_ms":0,"reason":"over_limit"`, Refused, CauseOverLimit},
-		{`"text":"request: not answered: 1f","service":"shop","status":503,"took_ms":0,"reason":"crashes_backend_servers"`, Refused, CauseHeld},
+		{`"text":"request: not answered: 1f","service":"shop","status":503,"took_ms":0,"reason":"crashes_backend_servers"`, Refused, CauseQuarantined},
 		{`"text":"request: not answered: i-1","service":"shop","status":503,"took_ms":9,"try1":"i-1 shed"`, Refused, CauseServerFailed},
 		{`"text":"request: not answered: reset","service":"shop","status":502,"took_ms":9,"try1":"i-1 broken"`, Lost, CauseServerFailed},
 		{`"text":"request: not answered: late","service":"shop","status":504,"took_ms":900,"try1":"i-1 broken","try2":"i-1 late"`, Lost, CauseTriedAgain},
