--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -49,8 +49,8 @@
 	CauseQuarantined Cause = "crashes servers"
 	// CauseNotTried: refused without being sent to any server.
 	CauseNotTried Cause = "not tried"
-	// CauseTriedAgain: a first server failed or refused it.
-	CauseTriedAgain Cause = "tried again"
+	// CauseRetried: a first server failed or refused it.
+	CauseRetried Cause = "tried again"
 	// CauseServerFailed: the only server that was tried failed or refused.
 	CauseServerFailed Cause = "server failed"
 	// CauseFirstUse: the server was not known to have the key.
@@ -65,7 +65,7 @@
 
 // Causes lists all causes in the order in which they are looked for.
 var Causes = []Cause{
-	CauseOverLimit, CauseQuarantined, CauseNotTried, CauseTriedAgain, CauseServerFailed, CauseFirstUse, CauseQueued, CauseRemote, CauseSlow,
+	CauseOverLimit, CauseQuarantined, CauseNotTried, CauseRetried, CauseServerFailed, CauseFirstUse, CauseQueued, CauseRemote, CauseSlow,
 }
 
 // Tally counts requests.
@@ -291,7 +291,7 @@
 	case q.tries == 0:
 		return CauseNotTried
 	case q.tries > 1:
-		return CauseTriedAgain
+		return CauseRetried
 	case !strings.HasSuffix(q.text(q.last), " answered"):
 		return CauseServerFailed
 	case q.fields[q.last+"_known"] == nil:
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -38,13 +38,13 @@
 		{answered + `"took_ms":380,"try1":"i-1 answered","try1_slots":4,"try1_known":true,"try1_busy":4`, Late, CauseQueued},
 		{answered + `"took_ms":380,"try1":"i-1 answered","try1_slots":4,"try1_known":true,"try1_busy":3,"try1_remote":true`, Late, CauseRemote},
 		{answered + `"took_ms":380,"try1":"i-1 answered","try1_slots":4,"try1_known":true`, Late, CauseSlow},
-		{answered + `"took_ms":380,"try1":"i-1 shed","try2":"i-2 answered"`, Late, CauseTriedAgain},
+		{answered + `"took_ms":380,"try1":"i-1 shed","try2":"i-2 answered"`, Late, CauseRetried},
 		{`"text":"request: not answered: shop","service":"shop","status":503,"took_ms":0`, Refused, CauseNotTried},
 		{`"text":"request: not answered: studio","service":"shop","status":429,"took_ms":0,"reason":"over_limit"`, Refused, CauseOverLimit},
 		{`"text":"request: not answered: 1f","service":"shop","status":503,"took_ms":0,"reason":"crashes_backend_servers"`, Refused, CauseQuarantined},
 		{`"text":"request: not answered: i-1","service":"shop","status":503,"took_ms":9,"try1":"i-1 shed"`, Refused, CauseServerFailed},
 		{`"text":"request: not answered: reset","service":"shop","status":502,"took_ms":9,"try1":"i-1 broken"`, Lost, CauseServerFailed},
-		{`"text":"request: not answered: late","service":"shop","status":504,"took_ms":900,"try1":"i-1 broken","try2":"i-1 late"`, Lost, CauseTriedAgain},
+		{`"text":"request: not answered: late","service":"shop","status":504,"took_ms":900,"try1":"i-1 broken","try2":"i-1 late"`, Lost, CauseRetried},
 	} {
 		is := is.New(t)
 		r, err := Summarize(linesOf(t, e.line), time.Second)
