--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// ledgerSpan is the span of the averages: some bursts long, so that a customer of a few
+	// decayTime is the span of the averages: some bursts long, so that a customer of a few
 	// requests a second has a share that means something.
-	ledgerSpan = 10 * time.Second
+	decayTime = 10 * time.Second
 	// leastRequests is how many requests within the span make a customer count among the
 	// worst: with fewer, one late answer is most of its share.
 	leastRequests = 5
@@ -58,7 +58,7 @@
 }
 
 func (t *total) fade(now time.Time) {
-	left := math.Exp(-now.Sub(t.at).Seconds() / ledgerSpan.Seconds())
+	left := math.Exp(-now.Sub(t.at).Seconds() / decayTime.Seconds())
 	t.lately *= left
 	t.good *= left
 	t.at = now
--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -40,7 +40,7 @@
 	for range 20 {
 		l.Record("a", false)
 	}
-	now = now.Add(3 * ledgerSpan)
+	now = now.Add(3 * decayTime)
 	for range 20 {
 		l.Record("a", true)
 	}
