--- a/pkg/customerstats/customerstats.go
+++ b/pkg/customerstats/customerstats.go
@@ -110,7 +110,7 @@
 func printWorst(w io.Writer, rows []Row) error {
 	var shares []float64
 	for i := range rows {
-		if rows[i].Completed >= leastRequests {
+		if rows[i].Completed >= minRequests {
 			shares = append(shares, rows[i].share())
 		}
 	}
--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -11,9 +11,9 @@
 	// decayTime is the span of the averages: some bursts long, so that a customer of a few
 	// requests a second has a share that means something.
 	decayTime = 10 * time.Second
-	// leastRequests is how many requests within the span make a customer count among the
+	// minRequests is how many requests within the span make a customer count among the
 	// worst: with fewer, one late answer is most of its share.
-	leastRequests = 5
+	minRequests = 5
 	// worstShare is which part of the customers is the worst.
 	worstShare = 0.1
 )
@@ -84,7 +84,7 @@
 	var shares []float64
 	for _, t := range l.totals {
 		t.fade(l.Now())
-		if t.lately >= leastRequests {
+		if t.lately >= minRequests {
 			shares = append(shares, t.good/t.lately)
 		}
 	}
