--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -14,8 +14,8 @@
 	// minRequests is how many requests within the span make a customer count among the
 	// worst: with fewer, one late answer is most of its share.
 	minRequests = 5
-	// worstShare is which part of the customers is the worst.
-	worstShare = 0.1
+	// worstFraction is which part of the customers is the worst.
+	worstFraction = 0.1
 )
 
 // Ledger counts how this box's customers are served. It has no input or output.
@@ -97,7 +97,7 @@
 		return 1, 0
 	}
 	slices.Sort(shares)
-	count = int(math.Ceil(worstShare * float64(len(shares))))
+	count = int(math.Ceil(worstFraction * float64(len(shares))))
 	for _, share := range shares[:count] {
 		mean += share / float64(count)
 	}
