--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -24,19 +24,19 @@
 	Now func() time.Time
 
 	mu     sync.Mutex
-	totals map[string]*total
+	totals map[string]*counts
 }
 
-// total is what became of one customer's requests: all since the start, and the lately
+// counts is what became of one customer's requests: all since the start, and the lately
 // ended ones, which fade.
-type total struct {
+type counts struct {
 	settled, inTime uint32
 	lately, good    float64
 	at              time.Time
 }
 
 // NewLedger makes a ledger in which nothing has ended.
-func NewLedger(now func() time.Time) *Ledger { return &Ledger{Now: now, totals: map[string]*total{}} }
+func NewLedger(now func() time.Time) *Ledger { return &Ledger{Now: now, totals: map[string]*counts{}} }
 
 // Record notes that a request of a customer has ended, in time or not. Requests over the
 // customer's limit, and those that their client left, are not noted.
@@ -45,7 +45,7 @@
 	defer l.mu.Unlock()
 	t := l.totals[customer]
 	if t == nil {
-		t = &total{at: l.Now()}
+		t = &counts{at: l.Now()}
 		l.totals[customer] = t
 	}
 	t.fade(l.Now())
@@ -57,7 +57,7 @@
 	}
 }
 
-func (t *total) fade(now time.Time) {
+func (t *counts) fade(now time.Time) {
 	left := math.Exp(-now.Sub(t.at).Seconds() / decayTime.Seconds())
 	t.lately *= left
 	t.good *= left
