--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -30,9 +30,9 @@
 // counts is what became of one customer's requests: all since the start, and the lately
 // ended ones, which fade.
 type counts struct {
-	settled, inTime uint32
-	lately, good    float64
-	at              time.Time
+	completed, inTime uint32
+	lately, good      float64
+	at                time.Time
 }
 
 // NewLedger makes a ledger in which nothing has ended.
@@ -49,7 +49,7 @@
 		l.totals[customer] = t
 	}
 	t.fade(l.Now())
-	t.settled++
+	t.completed++
 	t.lately++
 	if inTime {
 		t.inTime++
@@ -73,7 +73,7 @@
 	if t == nil {
 		return 0, 0
 	}
-	return t.settled, t.inTime
+	return t.completed, t.inTime
 }
 
 // WorstTenth returns the share of requests answered in time of the worst-served tenth of the
