--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -31,7 +31,7 @@
 // ended ones, which fade.
 type counts struct {
 	completed, inTime uint32
-	lately, good      float64
+	recent, good      float64
 	at                time.Time
 }
 
@@ -50,7 +50,7 @@
 	}
 	t.fade(l.Now())
 	t.completed++
-	t.lately++
+	t.recent++
 	if inTime {
 		t.inTime++
 		t.good++
@@ -59,7 +59,7 @@
 
 func (t *counts) fade(now time.Time) {
 	left := math.Exp(-now.Sub(t.at).Seconds() / decayTime.Seconds())
-	t.lately *= left
+	t.recent *= left
 	t.good *= left
 	t.at = now
 }
@@ -84,8 +84,8 @@
 	var shares []float64
 	for _, t := range l.totals {
 		t.fade(l.Now())
-		if t.lately >= minRequests {
-			shares = append(shares, t.good/t.lately)
+		if t.recent >= minRequests {
+			shares = append(shares, t.good/t.recent)
 		}
 	}
 	return worstOf(shares)
