--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -30,9 +30,9 @@
 // counts is what became of one customer's requests: all since the start, and the lately
 // ended ones, which fade.
 type counts struct {
-	completed, inTime uint32
-	recent, good      float64
-	at                time.Time
+	completed, inTime    uint32
+	recent, recentInTime float64
+	at                   time.Time
 }
 
 // NewLedger makes a ledger in which nothing has ended.
@@ -53,14 +53,14 @@
 	t.recent++
 	if inTime {
 		t.inTime++
-		t.good++
+		t.recentInTime++
 	}
 }
 
 func (t *counts) fade(now time.Time) {
 	left := math.Exp(-now.Sub(t.at).Seconds() / decayTime.Seconds())
 	t.recent *= left
-	t.good *= left
+	t.recentInTime *= left
 	t.at = now
 }
 
@@ -85,7 +85,7 @@
 	for _, t := range l.totals {
 		t.fade(l.Now())
 		if t.recent >= minRequests {
-			shares = append(shares, t.good/t.recent)
+			shares = append(shares, t.recentInTime/t.recent)
 		}
 	}
 	return worstOf(shares)
