--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -32,7 +32,7 @@
 type counts struct {
 	completed, inTime    uint32
 	recent, recentInTime float64
-	at                   time.Time
+	updated              time.Time
 }
 
 // NewLedger makes a ledger in which nothing has ended.
@@ -45,7 +45,7 @@
 	defer l.mu.Unlock()
 	t := l.totals[customer]
 	if t == nil {
-		t = &counts{at: l.Now()}
+		t = &counts{updated: l.Now()}
 		l.totals[customer] = t
 	}
 	t.fade(l.Now())
@@ -58,10 +58,10 @@
 }
 
 func (t *counts) fade(now time.Time) {
-	left := math.Exp(-now.Sub(t.at).Seconds() / decayTime.Seconds())
+	left := math.Exp(-now.Sub(t.updated).Seconds() / decayTime.Seconds())
 	t.recent *= left
 	t.recentInTime *= left
-	t.at = now
+	t.updated = now
 }
 
 // Counts returns how many requests of a customer have ended since the start, and how many of
