--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -48,7 +48,7 @@
 		t = &counts{updated: l.Now()}
 		l.totals[customer] = t
 	}
-	t.fade(l.Now())
+	t.decay(l.Now())
 	t.completed++
 	t.recent++
 	if inTime {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (t *counts) fade(now time.Time) {
+func (t *counts) decay(now time.Time) {
 	left := math.Exp(-now.Sub(t.updated).Seconds() / decayTime.Seconds())
 	t.recent *= left
 	t.recentInTime *= left
@@ -83,7 +83,7 @@
 	defer l.mu.Unlock()
 	var shares []float64
 	for _, t := range l.totals {
-		t.fade(l.Now())
+		t.decay(l.Now())
 		if t.recent >= minRequests {
 			shares = append(shares, t.recentInTime/t.recent)
 		}
