--- a/pkg/customerstats/customerstats.go
+++ b/pkg/customerstats/customerstats.go
@@ -114,7 +114,7 @@
 			shares = append(shares, rows[i].share())
 		}
 	}
-	share, count := worstOf(shares)
+	share, count := worstTenth(shares)
 	if count == 0 {
 		return nil
 	}
--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -88,11 +88,11 @@
 			shares = append(shares, t.recentInTime/t.recent)
 		}
 	}
-	return worstOf(shares)
+	return worstTenth(shares)
 }
 
-// worstOf returns the mean of the worst tenth of shares, rounded up, and how many that are.
-func worstOf(shares []float64) (mean float64, count int) {
+// worstTenth returns the mean of the worst tenth of shares, rounded up, and how many that are.
+func worstTenth(shares []float64) (mean float64, count int) {
 	if len(shares) == 0 {
 		return 1, 0
 	}
