--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -32,8 +32,8 @@
 	is.Equal(settled, uint32(0))
 }
 
-// TestWorstTenthIsThatOfLately: what was bad some time ago fades.
-func TestWorstTenthIsThatOfLately(t *testing.T) {
+// TestOldResultsDecay: what was bad some time ago fades.
+func TestOldResultsDecay(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	l := NewLedger(func() time.Time { return now })
