--- a/pkg/settings/decoder.go
+++ b/pkg/settings/decoder.go
@@ -78,7 +78,7 @@
 	case v.Kind() == reflect.Float64:
 		d.float(key, n, v)
 	case v.Kind() == reflect.Bool:
-		d.toggle(key, n, v)
+		d.boolean(key, n, v)
 	default:
 		d.text(key, n, v)
 	}
@@ -153,7 +153,7 @@
 	v.SetFloat(parsed)
 }
 
-func (d *decoder) toggle(key string, n *yaml.Node, v reflect.Value) {
+func (d *decoder) boolean(key string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.ScalarNode || n.Value != "true" && n.Value != "false" {
 		d.fault(key, fmt.Sprintf("%q", n.Value), "true or false")
 		return
