--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -16,7 +16,7 @@
   - {zone: dakar-a, region: dakar}
 `
 
-func TestGood(t *testing.T) {
+func TestValidSettingsAreParsed(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("box.yaml", []byte(good))
 	is.NoErr(err)
