--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `box: dakar-a-1
+const validSettings = `box: dakar-a-1
 zone: dakar-a
 listen: {callers: "127.0.0.1:1", peers: "127.0.0.1:2", operators: "127.0.0.1:3", admin: "127.0.0.1:4"}
 platform: {address: "127.0.0.1:5"}
@@ -18,7 +18,7 @@
 
 func TestValidSettingsAreParsed(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("box.yaml", []byte(good))
+	s, err := Parse("box.yaml", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Advertise.Peers, "127.0.0.1:2")
 	is.Equal(s.Limits.OnceRecords, Defaults().Limits.OnceRecords)
@@ -26,7 +26,7 @@
 
 func TestEveryFaultAtOnce(t *testing.T) {
 	is := is.New(t)
-	text := strings.Replace(good, "zone: dakar-a\n", "zone: dakar-z\n", 1) +
+	text := strings.Replace(validSettings, "zone: dakar-a\n", "zone: dakar-z\n", 1) +
 		"lookup_ttl: soon\nlookups: 5\nlimits:\n  header_bytes: many\n"
 	_, err := Parse("box.yaml", []byte(text))
 	var faults *Error
@@ -34,17 +34,17 @@
 	is.Equal(len(faults.Faults), 4)
 	is.Equal(faults.Faults[0].Line, 7)
 	is.Equal(faults.Faults[3].Key, "zone")
-	_, err = Parse("box.yaml", []byte(strings.Replace(good, "zone: dakar-a\n", "zone: dakar-z\n", 1)))
+	_, err = Parse("box.yaml", []byte(strings.Replace(validSettings, "zone: dakar-a\n", "zone: dakar-z\n", 1)))
 	is.True(errors.As(err, &faults))
 	is.Equal(faults.Faults[0].Line, 2)
 }
 
 func TestMachineIsChecked(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("box.yaml", []byte(good+"machine: {cores: 0.16, link_mbps: 10}\n"))
+	s, err := Parse("box.yaml", []byte(validSettings+"machine: {cores: 0.16, link_mbps: 10}\n"))
 	is.NoErr(err)
 	is.Equal(s.Machine, Machine{Cores: 0.16, LinkMbps: 10})
-	_, err = Parse("box.yaml", []byte(good+"machine: {cores: -1, link_mbps: much}\n"))
+	_, err = Parse("box.yaml", []byte(validSettings+"machine: {cores: -1, link_mbps: much}\n"))
 	var faults *Error
 	is.True(errors.As(err, &faults))
 	is.Equal(len(faults.Faults), 2)
@@ -55,18 +55,18 @@
 // in a panic.
 func TestSwitchesAreRead(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("box.yaml", []byte(good+"bounds: {enforce_revocation: true}\n"))
+	s, err := Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: true}\n"))
 	is.NoErr(err)
 	is.True(s.Bounds.EnforceRevocation)
 	for _, odd := range []string{"yes", "1", "[true]", "~"} {
-		_, err = Parse("box.yaml", []byte(good+"bounds: {enforce_revocation: "+odd+"}\n"))
+		_, err = Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: "+odd+"}\n"))
 		var faults *Error
 		is.True(errors.As(err, &faults))
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("a: [b, {c: d}]"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		_, _ = Parse("box.yaml", text)
