--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -24,7 +24,7 @@
 	is.Equal(s.Limits.OnceRecords, Defaults().Limits.OnceRecords)
 }
 
-func TestEveryFaultAtOnce(t *testing.T) {
+func TestAllFaultsAreReported(t *testing.T) {
 	is := is.New(t)
 	text := strings.Replace(validSettings, "zone: dakar-a\n", "zone: dakar-z\n", 1) +
 		"lookup_ttl: soon\nlookups: 5\nlimits:\n  header_bytes: many\n"
