--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -50,10 +50,10 @@
 	is.Equal(len(faults.Faults), 2)
 }
 
-// TestSwitchesAreRead. The story: a box whose settings said enforce_revocation did not start, on any deployment
+// TestBooleansAreDecoded. The story: a box whose settings said enforce_revocation did not start, on any deployment
 // whose keys must be revoked in time. The cause: the decoder knew no switches and took one for text, which ends
 // in a panic.
-func TestSwitchesAreRead(t *testing.T) {
+func TestBooleansAreDecoded(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: true}\n"))
 	is.NoErr(err)
