--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -26,8 +26,8 @@
 	Format  func(*log.Entry) string
 	lines   chan string
 	dropped atomic.Int64
-	// told is how many of the dropped lines were told of.
-	told int64
+	// reported is how many of the dropped lines were reported of.
+	reported int64
 }
 
 // NewAsyncHandler makes a handler of plain text; call Run to have it write.
@@ -89,12 +89,12 @@
 		}
 		break
 	}
-	if dropped := h.dropped.Load(); dropped > h.told {
+	if dropped := h.dropped.Load(); dropped > h.reported {
 		b.WriteString(h.Format(&log.Entry{
 			Timestamp: time.Now(), Level: log.WarnLevel, Message: "log: lines dropped",
-			Fields: log.Fields{"lines": dropped - h.told},
+			Fields: log.Fields{"lines": dropped - h.reported},
 		}))
-		h.told = dropped
+		h.reported = dropped
 	}
 	_, _ = io.WriteString(h.out, b.String())
 }
