--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -94,7 +94,7 @@
 		return ExitOK
 	}
 	if s.Platform.Protocol == settings.ProtocolObjects {
-		return steer(s, *path, stdout, stderr)
+		return runNode(s, *path, stdout, stderr)
 	}
 	return run(s, stdout, stderr, customize)
 }
--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_steer.go
@@ -22,8 +22,8 @@
 // without a signal.
 const settingsPoll = 2 * time.Second
 
-// steer runs a box on a platform that is a store of objects.
-func steer(s *settings.Settings, path string, stdout, stderr io.Writer) int {
+// runNode runs a box on a platform that is a store of objects.
+func runNode(s *settings.Settings, path string, stdout, stderr io.Writer) int {
 	handler := logging.NewAsyncHandler(stdout)
 	if s.LogFormat == "json" {
 		handler = logging.NewAsyncJSONHandler(stdout)
