--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_steer.go
@@ -42,7 +42,7 @@
 		n.Stop()
 		return ExitFailed
 	}
-	waitForEnd(n, path, signals, logging.For(logging.New(handler, logging.ParseLevel(s.LogLevel)), "daemon"))
+	reloadUntilStopped(n, path, signals, logging.For(logging.New(handler, logging.ParseLevel(s.LogLevel)), "daemon"))
 	leaveContext, cancelLeave := context.WithTimeout(ctx, longestLeave)
 	defer cancelLeave()
 	n.Leave(leaveContext)
@@ -50,8 +50,8 @@
 	return ExitOK
 }
 
-// waitForEnd takes over changed settings until the box is told to stop.
-func waitForEnd(n *node.Node, path string, signals <-chan os.Signal, log *logging.Logger) {
+// reloadUntilStopped takes over changed settings until the box is told to stop.
+func reloadUntilStopped(n *node.Node, path string, signals <-chan os.Signal, log *logging.Logger) {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
 	seen := modified(path)
