--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_steer.go
@@ -54,7 +54,7 @@
 func reloadUntilStopped(n *node.Node, path string, signals <-chan os.Signal, log *logging.Logger) {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
-	seen := modified(path)
+	seen := modTime(path)
 	for {
 		select {
 		case signal := <-signals:
@@ -63,11 +63,11 @@
 			}
 			log.Info("asked to read the settings", nil)
 		case <-poll.C:
-			if modified(path).Equal(seen) {
+			if modTime(path).Equal(seen) {
 				continue
 			}
 		}
-		seen = modified(path)
+		seen = modTime(path)
 		s, err := settings.Load(path)
 		if err != nil {
 			log.Warn("settings refused, the old ones stay in force", map[string]any{"error": err.Error()})
@@ -77,8 +77,8 @@
 	}
 }
 
-// modified returns when the file was last changed.
-func modified(path string) time.Time {
+// modTime returns when the file was last changed.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
