--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -32,8 +32,8 @@
 	ExitSettings = 2
 )
 
-// longestLeave bounds a planned stop.
-const longestLeave = 10 * time.Minute
+// maxLeaveTime bounds a planned stop.
+const maxLeaveTime = 10 * time.Minute
 
 const usage = `stoneworksd runs one box of stoneworks.
 
@@ -150,7 +150,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	<-signals
-	ctx, cancel := context.WithTimeout(context.Background(), longestLeave)
+	ctx, cancel := context.WithTimeout(context.Background(), maxLeaveTime)
 	defer cancel()
 	again := conc.NewWaitGroup()
 	again.Go(func() {
--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_steer.go
@@ -43,7 +43,7 @@
 		return ExitFailed
 	}
 	reloadUntilStopped(n, path, signals, logging.For(logging.New(handler, logging.ParseLevel(s.LogLevel)), "daemon"))
-	leaveContext, cancelLeave := context.WithTimeout(ctx, longestLeave)
+	leaveContext, cancelLeave := context.WithTimeout(ctx, maxLeaveTime)
 	defer cancelLeave()
 	n.Leave(leaveContext)
 	n.Stop()
