--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -165,7 +165,7 @@
 			groupOf(regions, q.regions()).add(outcome, cause, q.requests)
 		}
 		start := q.start.Truncate(every)
-		of(spans, start, func() *Span { return &Span{Start: start} }).add(outcome, cause, q.requests)
+		getOrAdd(spans, start, func() *Span { return &Span{Start: start} }).add(outcome, cause, q.requests)
 	}
 	if r.All.Requests() == 0 {
 		return nil, &EmptyError{}
@@ -190,11 +190,11 @@
 }
 
 func groupOf(groups map[string]*Group, name string) *Group {
-	return of(groups, name, func() *Group { return &Group{Name: name} })
+	return getOrAdd(groups, name, func() *Group { return &Group{Name: name} })
 }
 
-// of returns the entry of a key, made if there is none.
-func of[K comparable, V any](m map[K]*V, key K, empty func() *V) *V {
+// getOrAdd returns the entry getOrAdd a key, made if there is none.
+func getOrAdd[K comparable, V any](m map[K]*V, key K, empty func() *V) *V {
 	if m[key] == nil {
 		m[key] = empty()
 	}
