--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -159,10 +159,10 @@
 		if q.requests > 1 {
 			r.Sampled += q.requests
 		}
-		groupOf(services, q.service).add(outcome, cause, q.requests)
+		getGroup(services, q.service).add(outcome, cause, q.requests)
 		if customer := q.text("customer"); customer != "" {
-			groupOf(customers, customer).add(outcome, cause, q.requests)
-			groupOf(regions, q.regions()).add(outcome, cause, q.requests)
+			getGroup(customers, customer).add(outcome, cause, q.requests)
+			getGroup(regions, q.regions()).add(outcome, cause, q.requests)
 		}
 		start := q.start.Truncate(every)
 		getOrAdd(spans, start, func() *Span { return &Span{Start: start} }).add(outcome, cause, q.requests)
@@ -189,7 +189,7 @@
 	return list
 }
 
-func groupOf(groups map[string]*Group, name string) *Group {
+func getGroup(groups map[string]*Group, name string) *Group {
 	return getOrAdd(groups, name, func() *Group { return &Group{Name: name} })
 }
 
