--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -149,7 +149,7 @@
 	services, regions, customers := map[string]*Group{}, map[string]*Group{}, map[string]*Group{}
 	spans := map[time.Time]*Span{}
 	for i := range lines {
-		q, ok := read(&lines[i])
+		q, ok := readRequest(&lines[i])
 		if !ok {
 			continue
 		}
@@ -219,7 +219,7 @@
 // linePrefix begins the lines that tell of a request.
 const linePrefix = "request: "
 
-func read(l *trace.Line) (*request, bool) {
+func readRequest(l *trace.Line) (*request, bool) {
 	if !strings.HasPrefix(l.Text, linePrefix) {
 		return nil, false
 	}
