--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -117,9 +117,9 @@
 	someRegions = "some regions"
 )
 
-// mostCustomers bounds the customers of a report: those with most requests that were
+// maxCustomers bounds the customers of a report: those with most requests that were
 // not answered in time.
-const mostCustomers = 20
+const maxCustomers = 20
 
 // Report is what logs tell.
 type Report struct {
@@ -172,7 +172,7 @@
 	}
 	r.Services, r.Regions, r.Customers = sorted(services), sorted(regions), sorted(customers)
 	slices.SortStableFunc(r.Customers, func(a, b Group) int { return b.missed() - a.missed() })
-	r.Customers = r.Customers[:min(len(r.Customers), mostCustomers)]
+	r.Customers = r.Customers[:min(len(r.Customers), maxCustomers)]
 	for _, s := range spans {
 		r.Spans = append(r.Spans, *s)
 	}
