--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -84,8 +84,8 @@
 	return sum
 }
 
-// missed counts the requests that were not answered in time.
-func (t *Tally) missed() int { return t.Requests() - t.Outcomes[InTime] }
+// notInTime counts the requests that were not answered in time.
+func (t *Tally) notInTime() int { return t.Requests() - t.Outcomes[InTime] }
 
 func (t *Tally) add(o Outcome, c Cause, requests int) {
 	t.Outcomes[o] += requests
@@ -171,7 +171,7 @@
 		return nil, &EmptyError{}
 	}
 	r.Services, r.Regions, r.Customers = sorted(services), sorted(regions), sorted(customers)
-	slices.SortStableFunc(r.Customers, func(a, b Group) int { return b.missed() - a.missed() })
+	slices.SortStableFunc(r.Customers, func(a, b Group) int { return b.notInTime() - a.notInTime() })
 	r.Customers = r.Customers[:min(len(r.Customers), maxCustomers)]
 	for _, s := range spans {
 		r.Spans = append(r.Spans, *s)
