--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -18,7 +18,7 @@
 // Outcome is what a client got.
 type Outcome int
 
-// The outcomes.
+// The outcomeCount.
 const (
 	// InTime: answered within the route's target, or the route has none.
 	InTime Outcome = iota
@@ -28,11 +28,11 @@
 	Refused
 	// Lost: no answer of a server, and not known whether it was run.
 	Lost
-	outcomes
+	outcomeCount
 )
 
 // outcomeNames are the outcomes' names in tables, by value.
-var outcomeNames = [outcomes]string{"in time", "late", "refused", "lost"}
+var outcomeNames = [outcomeCount]string{"in time", "late", "refused", "lost"}
 
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -70,7 +70,7 @@
 
 // Tally counts requests.
 type Tally struct {
-	Outcomes [outcomes]int
+	Outcomes [outcomeCount]int
 	// Causes counts those that were not answered in time.
 	Causes map[Cause]int
 }
--- a/pkg/report/report_html.go
+++ b/pkg/report/report_html.go
@@ -50,7 +50,7 @@
 // WriteHTML writes the report as one self-contained page with plots over time.
 func (r *Report) WriteHTML(w io.Writer) error {
 	var lines []any
-	for o := range outcomes {
+	for o := range outcomeCount {
 		lines = append(lines, o.String(), r.series(func(t *Tally) int { return t.Outcomes[o] }))
 	}
 	results, err := r.plot("outcomes", lines)
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -72,7 +72,7 @@
 	is.Equal(r.Sampled, 32)
 	is.Equal(len(r.Services), 2)
 	is.Equal(r.Services[0].Name, "desk")
-	is.Equal(r.Services[1].Outcomes, [outcomes]int{32, 1, 0, 0})
+	is.Equal(r.Services[1].Outcomes, [outcomeCount]int{32, 1, 0, 0})
 	is.Equal(len(r.Spans), 2)
 	is.Equal(r.Spans[0].Requests(), 33) // the late one began a second and a half before its line
 	is.Equal(r.Spans[0].Start.Format("15:04:05"), "09:59:58")
