--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -211,9 +211,9 @@
 	// requests is how many requests the line stands for.
 	requests int
 	tries    int
-	// last is the name of the last try's fields.
-	last   string
-	fields map[string]any
+	// lastTry is the name of the lastTry try's fields.
+	lastTry string
+	fields  map[string]any
 }
 
 // linePrefix begins the lines that tell of a request.
@@ -237,7 +237,7 @@
 	}
 	for q.fields[fmt.Sprint("try", q.tries+1)] != nil {
 		q.tries++
-		q.last = fmt.Sprint("try", q.tries)
+		q.lastTry = fmt.Sprint("try", q.tries)
 	}
 	return q, true
 }
@@ -292,13 +292,13 @@
 		return CauseNotTried
 	case q.tries > 1:
 		return CauseRetried
-	case !strings.HasSuffix(q.text(q.last), " answered"):
+	case !strings.HasSuffix(q.text(q.lastTry), " answered"):
 		return CauseServerFailed
-	case q.fields[q.last+"_known"] == nil:
+	case q.fields[q.lastTry+"_known"] == nil:
 		return CauseFirstUse
-	case q.number(q.last+"_busy") >= max(1, q.number(q.last+"_slots")):
+	case q.number(q.lastTry+"_busy") >= max(1, q.number(q.lastTry+"_slots")):
 		return CauseQueued
-	case q.fields[q.last+"_remote"] != nil:
+	case q.fields[q.lastTry+"_remote"] != nil:
 		return CauseRemote
 	}
 	return CauseSlow
