--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestSampledLinesCountForTheRequestsTheyStandFor: sums are of requests, not
+// TestSampledLinesAreWeighted: sums are of requests, not
 // of lines, by service and by the time at which requests began.
-func TestSampledLinesCountForTheRequestsTheyStandFor(t *testing.T) {
+func TestSampledLinesAreWeighted(t *testing.T) {
 	is := is.New(t)
 	r, err := Summarize(linesOf(t,
 		answered+`"took_ms":120,"requests":32,"try1":"i-1 answered"`,
