--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -85,8 +85,8 @@
 	is.New(t).True(errors.As(err, &empty))
 }
 
-// TestPageStandsAlone: the page shows plots and fetches nothing.
-func TestPageStandsAlone(t *testing.T) {
+// TestPageIsSelfContained: the page shows plots and fetches nothing.
+func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
 	r, err := Summarize(linesOf(t,
 		answered+`"took_ms":120,"try1":"i-1 answered"`,
