--- a/pkg/ctl/ctl_verbs.go
+++ b/pkg/ctl/ctl_verbs.go
@@ -50,8 +50,8 @@
 // run is what a verb does with its arguments and a client of the chosen box.
 type run func(ctx context.Context, c pb.OperatorsClient, args []string) error
 
-// taking makes a verb of a run that needs the named arguments.
-func (p *program) taking(names []string, f run) func(context.Context, []string) error {
+// withArguments makes a verb of a run that needs the named arguments.
+func (p *program) withArguments(names []string, f run) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if err := arguments(args, names...); err != nil {
 			return err
@@ -143,7 +143,7 @@
 func verbDelete(p *program, f *flag.FlagSet) func(context.Context, []string) error {
 	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
 	revision := f.Uint64("revision", 0, "the revision that must be current; 0 for the one in force")
-	return p.taking([]string{"NAME"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
+	return p.withArguments([]string{"NAME"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
 		current, err := c.GetService(ctx, &pb.GetServiceRequest{Name: args[0]})
 		if err != nil {
 			return err
@@ -207,7 +207,7 @@
 // ----------------------------------------------------------------
 
 func verbGet(p *program, _ *flag.FlagSet) func(context.Context, []string) error {
-	return p.taking([]string{"NAME"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
+	return p.withArguments([]string{"NAME"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
 		reply, err := c.GetService(ctx, &pb.GetServiceRequest{Name: args[0]})
 		if err != nil {
 			return err
@@ -217,7 +217,7 @@
 }
 
 func verbList(p *program, _ *flag.FlagSet) func(context.Context, []string) error {
-	return p.taking(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
+	return p.withArguments(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
 		reply, err := c.ListServices(ctx, &pb.ListServicesRequest{})
 		if err != nil {
 			return err
@@ -228,7 +228,7 @@
 
 func verbWatch(p *program, f *flag.FlagSet) func(context.Context, []string) error {
 	count := f.Int("count", 0, "stop after so many lines; 0 to go on until the timeout")
-	return p.taking(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
+	return p.withArguments(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
 		stream, err := c.WatchServices(ctx, &pb.WatchServicesRequest{})
 		if err != nil {
 			return err
@@ -248,7 +248,7 @@
 }
 
 func verbStatus(p *program, _ *flag.FlagSet) func(context.Context, []string) error {
-	return p.taking(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
+	return p.withArguments(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
 		reply, err := c.GetStatus(ctx, &pb.GetStatusRequest{})
 		if err != nil {
 			return err
@@ -258,7 +258,7 @@
 }
 
 func verbPlan(p *program, _ *flag.FlagSet) func(context.Context, []string) error {
-	return p.taking([]string{"SERVICE"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
+	return p.withArguments([]string{"SERVICE"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
 		reply, err := c.GetStatus(ctx, &pb.GetStatusRequest{})
 		if err != nil {
 			return err
@@ -275,7 +275,7 @@
 func verbExplain(p *program, f *flag.FlagSet) func(context.Context, []string) error {
 	method := f.String("method", "GET", "the request's method")
 	path := f.String("path", "/", "the request's path")
-	return p.taking([]string{"SERVICE", "CLIENT"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
+	return p.withArguments([]string{"SERVICE", "CLIENT"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
 		reply, err := c.Explain(ctx, &pb.ExplainRequest{Service: args[0], Client: args[1], Method: *method, Path: *path})
 		if err != nil {
 			return err
