--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -143,8 +143,8 @@
 	return pb.NewOperatorsClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// with runs f with a client of the chosen box.
-func (p *program) with(f func(pb.OperatorsClient) error) error {
+// withClient runs f withClient a client of the chosen box.
+func (p *program) withClient(f func(pb.OperatorsClient) error) error {
 	client, done, err := p.dial(p.address)
 	if err != nil {
 		return err
--- a/pkg/ctl/ctl_verbs.go
+++ b/pkg/ctl/ctl_verbs.go
@@ -56,7 +56,7 @@
 		if err := arguments(args, names...); err != nil {
 			return err
 		}
-		return p.with(func(c pb.OperatorsClient) error { return f(ctx, c, args) })
+		return p.withClient(func(c pb.OperatorsClient) error { return f(ctx, c, args) })
 	}
 }
 
@@ -98,7 +98,7 @@
 		if err != nil {
 			return err
 		}
-		return p.with(func(c pb.OperatorsClient) error {
+		return p.withClient(func(c pb.OperatorsClient) error {
 			reply, err := c.CreateService(ctx, &pb.CreateServiceRequest{Spec: spec, ChangeId: newChangeID()})
 			return p.changed(ctx, c, reply, err)
 		})
@@ -123,7 +123,7 @@
 // edit reads a service, changes it, and writes it back against the revision
 // that was read.
 func (p *program) edit(ctx context.Context, name string, revision uint64, change func(*pb.ServiceSpec) (*pb.ServiceSpec, error)) error {
-	return p.with(func(c pb.OperatorsClient) error {
+	return p.withClient(func(c pb.OperatorsClient) error {
 		current, err := c.GetService(ctx, &pb.GetServiceRequest{Name: name})
 		if err != nil {
 			return err
