--- a/pkg/ctl/ctl_verbs.go
+++ b/pkg/ctl/ctl_verbs.go
@@ -47,11 +47,11 @@
 	return nil
 }
 
-// run is what a verb does with its arguments and a client of the chosen box.
-type run func(ctx context.Context, c pb.OperatorsClient, args []string) error
+// runFunc is what a verb does with its arguments and a client of the chosen box.
+type runFunc func(ctx context.Context, c pb.OperatorsClient, args []string) error
 
 // withArguments makes a verb of a run that needs the named arguments.
-func (p *program) withArguments(names []string, f run) func(context.Context, []string) error {
+func (p *program) withArguments(names []string, f runFunc) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if err := arguments(args, names...); err != nil {
 			return err
