--- a/pkg/ctl/ctl_boxes.go
+++ b/pkg/ctl/ctl_boxes.go
@@ -29,9 +29,9 @@
 // Error implements error.
 func (e *AnswerError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// askBoxes asks each address for the same. The problems, each a *BoxError, are of those that
+// queryBoxes asks each address for the same. The problems, each a *BoxError, are of those that
 // did not tell; the error is a *UsageError.
-func askBoxes[T any](ctx context.Context, addresses []string, path string) (told []T, problems []error, err error) {
+func queryBoxes[T any](ctx context.Context, addresses []string, path string) (told []T, problems []error, err error) {
 	if len(addresses) == 0 {
 		return nil, nil, &UsageError{Problem: "needed: ADDRESS..., the admin addresses of boxes"}
 	}
--- a/pkg/ctl/ctl_limits.go
+++ b/pkg/ctl/ctl_limits.go
@@ -30,7 +30,7 @@
 // table, or as JSON.
 func showBoxes[T any](p *program, path string, print func(w io.Writer, boxes []T) error) func(ctx context.Context, args []string) error {
 	return func(ctx context.Context, args []string) error {
-		boxes, problems, err := askBoxes[T](ctx, args, path)
+		boxes, problems, err := queryBoxes[T](ctx, args, path)
 		if err != nil {
 			return err
 		}
