--- a/pkg/ctl/ctl_boxes.go
+++ b/pkg/ctl/ctl_boxes.go
@@ -31,7 +31,7 @@
 
 // queryBoxes asks each address for the same. The problems, each a *BoxError, are of those that
 // did not tell; the error is a *UsageError.
-func queryBoxes[T any](ctx context.Context, addresses []string, path string) (told []T, problems []error, err error) {
+func queryBoxes[T any](ctx context.Context, addresses []string, path string) (answers []T, problems []error, err error) {
 	if len(addresses) == 0 {
 		return nil, nil, &UsageError{Problem: "needed: ADDRESS..., the admin addresses of boxes"}
 	}
@@ -41,9 +41,9 @@
 			problems = append(problems, &BoxError{Address: address, Cause: err})
 			continue
 		}
-		told = append(told, one)
+		answers = append(answers, one)
 	}
-	return told, problems, nil
+	return answers, problems, nil
 }
 
 // callBox makes one call and decodes its answer into the target, nil for none. The error is
