--- a/pkg/ctl/ctl_quarantine.go
+++ b/pkg/ctl/ctl_quarantine.go
@@ -16,7 +16,7 @@
 // verbRelease has a box, and so all boxes, send a request to backend servers again.
 func verbRelease(_ *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
 	return func(ctx context.Context, args []string) error {
-		if err := arguments(args, "FINGERPRINT", "ADDRESS"); err != nil {
+		if err := checkArguments(args, "FINGERPRINT", "ADDRESS"); err != nil {
 			return err
 		}
 		f, err := quarantine.ParseFingerprint(args[0])
--- a/pkg/ctl/ctl_verbs.go
+++ b/pkg/ctl/ctl_verbs.go
@@ -40,7 +40,7 @@
 	{"trace", "trace [--before 5s] ID LOG...", "print one request's way, from logs of boxes in JSON", verbTrace},
 }
 
-func arguments(args []string, names ...string) error {
+func checkArguments(args []string, names ...string) error {
 	if len(args) != len(names) {
 		return &UsageError{Problem: fmt.Sprintf("%d arguments given, needed: %s", len(args), strings.Join(names, " "))}
 	}
@@ -53,7 +53,7 @@
 // withArguments makes a verb of a run that needs the named arguments.
 func (p *program) withArguments(names []string, f runFunc) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
-		if err := arguments(args, names...); err != nil {
+		if err := checkArguments(args, names...); err != nil {
 			return err
 		}
 		return p.withClient(func(c pb.OperatorsClient) error { return f(ctx, c, args) })
@@ -91,7 +91,7 @@
 func verbCreate(p *program, f *flag.FlagSet) func(context.Context, []string) error {
 	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
 	return func(ctx context.Context, args []string) error {
-		if err := arguments(args, "FILE.json"); err != nil {
+		if err := checkArguments(args, "FILE.json"); err != nil {
 			return err
 		}
 		spec, err := p.readSpec(args[0])
@@ -109,7 +109,7 @@
 	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
 	revision := f.Uint64("revision", 0, "the revision that must be current; 0 for the one in force")
 	return func(ctx context.Context, args []string) error {
-		if err := arguments(args, "FILE.json"); err != nil {
+		if err := checkArguments(args, "FILE.json"); err != nil {
 			return err
 		}
 		spec, err := p.readSpec(args[0])
@@ -161,7 +161,7 @@
 	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
 	undo := f.Bool("undo", false, "give it new work again")
 	return func(ctx context.Context, args []string) error {
-		if err := arguments(args, "SERVICE", "SERVER"); err != nil {
+		if err := checkArguments(args, "SERVICE", "SERVER"); err != nil {
 			return err
 		}
 		return p.edit(ctx, args[0], 0, func(spec *pb.ServiceSpec) (*pb.ServiceSpec, error) {
@@ -179,7 +179,7 @@
 func verbShift(p *program, f *flag.FlagSet) func(context.Context, []string) error {
 	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
 	return func(ctx context.Context, args []string) error {
-		if err := arguments(args, "SERVICE", "FROM", "TO", "SHARE"); err != nil {
+		if err := checkArguments(args, "SERVICE", "FROM", "TO", "SHARE"); err != nil {
 			return err
 		}
 		var share float64
