--- a/pkg/ctl/ctl_verbs.go
+++ b/pkg/ctl/ctl_verbs.go
@@ -100,7 +100,7 @@
 		}
 		return p.withClient(func(c pb.OperatorsClient) error {
 			reply, err := c.CreateService(ctx, &pb.CreateServiceRequest{Spec: spec, ChangeId: newChangeID()})
-			return p.changed(ctx, c, reply, err)
+			return p.finishChange(ctx, c, reply, err)
 		})
 	}
 }
@@ -136,7 +136,7 @@
 			return err
 		}
 		reply, err := c.UpdateService(ctx, &pb.UpdateServiceRequest{Spec: spec, ExpectedRevision: revision, ChangeId: newChangeID()})
-		return p.changed(ctx, c, reply, err)
+		return p.finishChange(ctx, c, reply, err)
 	})
 }
 
@@ -153,7 +153,7 @@
 			expected = current.Revision
 		}
 		reply, err := c.DeleteService(ctx, &pb.DeleteServiceRequest{Name: args[0], ExpectedRevision: expected, ChangeId: newChangeID()})
-		return p.changed(ctx, c, reply, err)
+		return p.finishChange(ctx, c, reply, err)
 	})
 }
 
--- a/pkg/ctl/ctl_wait.go
+++ b/pkg/ctl/ctl_wait.go
@@ -14,9 +14,9 @@
 // waitPoll is the time between two looks at the boxes that lag.
 const waitPoll = 50 * time.Millisecond
 
-// changed prints an accepted change and, with -wait, waits until every box
+// finishChange prints an accepted change and, with -wait, waits until every box
 // that can be reached has it in force.
-func (p *program) changed(ctx context.Context, c pb.OperatorsClient, reply *pb.ServiceReply, err error) error {
+func (p *program) finishChange(ctx context.Context, c pb.OperatorsClient, reply *pb.ServiceReply, err error) error {
 	if err != nil {
 		return err
 	}
