--- a/pkg/ctl/ctl_wait.go
+++ b/pkg/ctl/ctl_wait.go
@@ -64,7 +64,7 @@
 type boxWait int
 
 const (
-	boxHasIt boxWait = iota
+	boxUpToDate boxWait = iota
 	boxLags
 	boxUnreachable
 )
@@ -83,7 +83,7 @@
 			return boxUnreachable
 		}
 		if err == nil && hasRevision(status, want) {
-			return boxHasIt
+			return boxUpToDate
 		}
 		select {
 		case <-ctx.Done():
