--- a/pkg/ctl/ctl_wait.go
+++ b/pkg/ctl/ctl_wait.go
@@ -51,7 +51,7 @@
 	wg.Wait()
 	for i, r := range results {
 		switch r {
-		case boxLags:
+		case boxBehind:
 			missing = append(missing, boxes[i].Box)
 		case boxUnreachable:
 			unreachable = append(unreachable, boxes[i].Box)
@@ -65,7 +65,7 @@
 
 const (
 	boxUpToDate boxWait = iota
-	boxLags
+	boxBehind
 	boxUnreachable
 )
 
@@ -87,7 +87,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return boxLags
+			return boxBehind
 		case <-time.After(waitPoll):
 		}
 	}
