--- a/pkg/customerstats/customerstats.go
+++ b/pkg/customerstats/customerstats.go
@@ -1,5 +1,5 @@
-// Package standing is what boxes tell operators of their customers, and its sum over
-// boxes. It is data and tables only.
+// Package customerstats defines what boxes report to operators about their customers, and sums
+// it over boxes. It holds data and tables only.
 package customerstats
 
 import (
@@ -11,20 +11,20 @@
 	"text/tabwriter"
 )
 
-// Path is where a box tells it on its admin address.
+// Path is the path of the report on a box's admin address.
 const Path = "/v1/customers"
 
-// Box is what one box tells.
+// Box is the report of one box.
 type Box struct {
 	Box    string `json:"box"`
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// Version is that of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version   uint64     `json:"version"`
 	Customers []Customer `json:"customers"`
 }
 
-// Customer is one customer at one box. Counts are since the box started.
+// Customer is one customer at one box. Its counts are since the start of the box.
 type Customer struct {
 	Name string `json:"name"`
 	// Keys are the beginnings of the keys' digests; see customer.Digest.
@@ -38,8 +38,9 @@
 	Refused        uint32   `json:"refused"`
 	PerSecond      float64  `json:"per_second"`
 	Held           int      `json:"held"`
-	// Completed are its requests within its limit that have ended here, but for those that
-	// their clients left, and InTime those answered within their route's target.
+	// Completed counts the requests within the customer's limit that have ended at this box,
+	// except those that their clients abandoned. InTime counts those of them that were
+	// answered within their route's target.
 	Completed uint32 `json:"settled"`
 	InTime    uint32 `json:"in_time"`
 }
@@ -47,11 +48,11 @@
 // Row is a customer's sum over boxes.
 type Row struct {
 	Customer
-	// Regions are the sums by region, by name.
+	// Regions holds the sums for each region, by the region's name.
 	Regions map[string]*Customer
 }
 
-// Sum adds up what boxes told, by customer.
+// Sum adds up the reports of boxes, by customer.
 func Sum(boxes []Box) []Row {
 	rows := map[string]*Row{}
 	for _, b := range boxes {
@@ -86,7 +87,7 @@
 	c.InTime += o.InTime
 }
 
-// Print writes the rows as a table for a terminal: those first that were refused most.
+// Print writes the rows as a table for a terminal, sorted by refused requests, most first.
 func Print(w io.Writer, rows []Row) error {
 	slices.SortStableFunc(rows, func(a, b Row) int { return int(int64(b.Refused) - int64(a.Refused)) })
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -106,7 +107,8 @@
 	return printWorst(w, rows)
 }
 
-// printWorst writes how the worst-served tenth of the customers fare.
+// printWorst writes the share of requests answered in time of the worst-served tenth of the
+// customers.
 func printWorst(w io.Writer, rows []Row) error {
 	var shares []float64
 	for i := range rows {
@@ -122,7 +124,7 @@
 	return err
 }
 
-// share is the share of the customer's requests that were answered in time.
+// share returns the share of the customer's requests that were answered in time.
 func (c *Customer) share() float64 { return float64(c.InTime) / float64(max(1, c.Completed)) }
 
 func (c *Customer) inTime() string {
--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// decayTime is the span of the averages: some bursts long, so that a customer of a few
-	// requests a second has a share that means something.
+	// decayTime is the time constant of the averages. It covers several bursts, so that the
+	// share of a customer with a few requests a second is meaningful.
 	decayTime = 10 * time.Second
-	// minRequests is how many requests within the span make a customer count among the
-	// worst: with fewer, one late answer is most of its share.
+	// minRequests is how many requests a customer needs to be considered for the worst tenth:
+	// with fewer, one late answer makes up most of its share.
 	minRequests = 5
-	// worstFraction is which part of the customers is the worst.
+	// worstFraction is the fraction of the customers that counts as the worst tenth.
 	worstFraction = 0.1
 )
 
-// Ledger counts how this box's customers are served. It has no input or output.
+// Ledger counts how this box's customers are served. It does no input or output.
 type Ledger struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
@@ -27,19 +27,20 @@
 	totals map[string]*counts
 }
 
-// counts is what became of one customer's requests: all since the start, and the lately
-// ended ones, which fade.
+// counts are the results of one customer's requests: completed and inTime since the start,
+// recent and recentInTime as counts that decay with decayTime.
 type counts struct {
 	completed, inTime    uint32
 	recent, recentInTime float64
 	updated              time.Time
 }
 
-// NewLedger makes a ledger in which nothing has ended.
+// NewLedger returns an empty ledger.
 func NewLedger(now func() time.Time) *Ledger { return &Ledger{Now: now, totals: map[string]*counts{}} }
 
-// Record notes that a request of a customer has ended, in time or not. Requests over the
-// customer's limit, and those that their client left, are not noted.
+// Record records that a customer's request has ended, and whether it was answered in time.
+// Requests over the customer's limit and requests that their client abandoned are not to be
+// recorded.
 func (l *Ledger) Record(customer string, inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +66,7 @@
 }
 
 // Counts returns how many requests of a customer have ended since the start, and how many of
-// these in time.
+// them were answered in time.
 func (l *Ledger) Counts(customer string) (settled, inTime uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,8 +77,9 @@
 	return t.completed, t.inTime
 }
 
-// WorstTenth returns the share of requests answered in time of the worst-served tenth of the
-// customers, lately, and of how many customers that is; 1 and 0 where too few have asked.
+// WorstTenth returns the mean share of recent requests answered in time of the worst-served
+// tenth of the customers, and how many customers that tenth has. It returns 1 and 0 if no
+// customer has enough recent requests.
 func (l *Ledger) WorstTenth() (share float64, customers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +93,8 @@
 	return worstTenth(shares)
 }
 
-// worstTenth returns the mean of the worst tenth of shares, rounded up, and how many that are.
+// worstTenth returns the mean of the lowest tenth of shares, and how many shares that tenth
+// has, rounded up.
 func worstTenth(shares []float64) (mean float64, count int) {
 	if len(shares) == 0 {
 		return 1, 0
--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -18,13 +18,13 @@
 	is.Equal(customers, 0)
 	for i := range 20 {
 		for j := range 10 {
-			l.Record(fmt.Sprint("customer-", i), j >= i) // the i-th has 10-i of 10 in time
+			l.Record(fmt.Sprint("customer-", i), j >= i) // customer i has 10-i of 10 requests in time
 		}
 	}
-	l.Record("rare", false) // one request says nothing
+	l.Record("rare", false) // too few requests to be considered
 	share, customers = l.WorstTenth()
 	is.Equal(customers, 2)
-	is.True(math.Abs(share-0) < 1e-9) // those from the 10th on have none
+	is.True(math.Abs(share-0) < 1e-9) // customers 10 to 19 have no request in time
 	settled, inTime := l.Counts("customer-3")
 	is.Equal(settled, uint32(10))
 	is.Equal(inTime, uint32(7))
@@ -32,7 +32,7 @@
 	is.Equal(settled, uint32(0))
 }
 
-// TestOldResultsDecay: what was bad some time ago fades.
+// TestOldResultsDecay checks that results of some time ago no longer count.
 func TestOldResultsDecay(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
