--- a/pkg/settings/decoder.go
+++ b/pkg/settings/decoder.go
@@ -11,20 +11,20 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// decoder fills a struct from YAML nodes. Unlike the library's own decoder it
-// goes on after a fault, so that all of them can be reported together.
+// decoder fills a struct from YAML nodes. Unlike the library's own decoder it continues after
+// a fault, so that all faults are reported together.
 type decoder struct {
 	faults []Fault
-	// lines remembers where each key stood, for the checks that follow.
+	// lines holds the line of each key, for the checks that follow.
 	lines map[string]int
-	// parsed is set when the text was YAML at all.
+	// parsed is set if the text is a YAML document that is not empty.
 	parsed bool
 }
 
 var durationType = reflect.TypeOf(time.Duration(0))
 
-// fault reports a problem at the line where the key, or the nearest key
-// above it, stands. Of one key, and what is below it, only the first counts.
+// fault records a problem at the line of the key or, if the file does not have the key, of its
+// nearest enclosing key. Only the first fault of a key and the keys below it is recorded.
 func (d *decoder) fault(key, problem, allowed string) {
 	for _, f := range d.faults {
 		if key == f.Key || strings.HasPrefix(key, f.Key+".") || strings.HasPrefix(key, f.Key+"[") {
@@ -193,7 +193,8 @@
 	return key + "." + name
 }
 
-// yamlLine finds the line in the parser's own message.
+// yamlLine returns the line number that the parser's error message contains, 0 if there is
+// none.
 func yamlLine(err error) int {
 	_, rest, found := strings.Cut(err.Error(), "line ")
 	if !found {
--- a/pkg/settings/listen.go
+++ b/pkg/settings/listen.go
@@ -1,6 +1,6 @@
 package settings
 
-// ListenError says that an endpoint of the settings cannot be opened.
+// ListenError reports that the box cannot listen on an address of its settings.
 type ListenError struct {
 	Port    string
 	Address string
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a box's YAML settings. Everything is checked at once
-// when the program starts: each fault is reported with its line and with what
-// would be allowed, and a key that is not known is a fault.
+// Package settings reads a box's YAML settings. All of them are checked when the program
+// starts: each fault is reported with its line and the allowed values. An unknown key is a
+// fault.
 package settings
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/stoneworks/stoneworks/pkg/topology"
 )
 
-// Settings is one box's settings.
+// Settings are the settings of one box.
 type Settings struct {
 	Box          string           `yaml:"box" required:"true"`
 	Zone         string           `yaml:"zone" required:"true"`
@@ -29,67 +29,67 @@
 	Limits       Limits           `yaml:"limits"`
 	Bounds       Bounds           `yaml:"bounds"`
 	Machine      Machine          `yaml:"machine"`
-	// Policy holds the figures by which the box decides.
+	// Policy holds the parameters of the box's decisions.
 	Policy policy.Policy `yaml:"policy"`
 }
 
-// Machine tells what the box's machine can bear; 0 where that is not known.
+// Machine describes the resources of the box's machine; 0 stands for unknown.
 type Machine struct {
-	// Cores is the part of a processor's cores that the box may use.
+	// Cores is how many of the processor's cores the box may use; it may be a fraction.
 	Cores float64 `yaml:"cores"`
-	// LinkMbps is the bandwidth of its link, in megabits a second.
+	// LinkMbps is the bandwidth of the machine's network link, in megabits a second.
 	LinkMbps float64 `yaml:"link_mbps"`
 }
 
 // Protocols of the platform.
 const (
-	// ProtocolBoxes is the platform's object API with a list of boxes; the
-	// box gives out slots and is driven by operators' calls.
+	// ProtocolBoxes is the protocol of a platform with an object API and a list of boxes; the
+	// box allocates slots and is controlled by operators' calls.
 	ProtocolBoxes = "boxes"
-	// ProtocolObjects is a store of objects only, with the configuration and
-	// the backend servers in it.
+	// ProtocolObjects is the protocol of a platform that is only a store of objects, which
+	// include the configuration and the backend servers.
 	ProtocolObjects = "objects"
 )
 
-// Bounds are what is promised of the fleet as a whole.
+// Bounds are the limits that the fleet as a whole guarantees.
 type Bounds struct {
-	// Contact is how long a box may be out of touch with the platform before
-	// it is not bound by what the platform told meanwhile.
+	// Contact is how long a box may be out of contact with the platform before it is no longer
+	// bound by what the platform publishes meanwhile.
 	Contact time.Duration `yaml:"contact"`
-	// Drain is how long after it was listed as leaving, or as gone, a backend
-	// server may still get requests.
+	// Drain is how long a backend server may still get requests after it was listed as leaving
+	// or was no longer listed.
 	Drain time.Duration `yaml:"drain"`
 	// Grace is how long a stopping box has before it is killed.
 	Grace time.Duration `yaml:"grace"`
-	// RetryRatio and RetrySlack bound repeats within RetryWindow.
+	// RetryRatio and RetrySlack bound the retries within RetryWindow.
 	RetryRatio  float64       `yaml:"retry_ratio"`
 	RetrySlack  float64       `yaml:"retry_slack"`
 	RetryWindow time.Duration `yaml:"retry_window"`
-	// ColdOverage and ColdSlack bound the requests to a cold backend server.
+	// ColdOverage and ColdSlack bound the requests to a backend server during its cold start.
 	ColdOverage float64 `yaml:"cold_overage"`
 	ColdSlack   float64 `yaml:"cold_slack"`
 	// MaxShift bounds the share of requests that change region within
 	// ShiftWindow.
 	MaxShift    float64       `yaml:"max_shift"`
 	ShiftWindow time.Duration `yaml:"shift_window"`
-	// QuotaWindow, QuotaOverage and QuotaSlack bound what a customer's requests,
-	// summed over all boxes, may be over its limit.
+	// QuotaWindow, QuotaOverage and QuotaSlack bound by how much a customer's requests, summed
+	// over all boxes, may exceed its limit.
 	QuotaWindow  time.Duration `yaml:"quota_window"`
 	QuotaOverage float64       `yaml:"quota_overage"`
 	QuotaSlack   float64       `yaml:"quota_slack"`
-	// ServerLimitWindow, ServerLimitOverage and ServerLimitSlack bound what a backend server gets,
-	// summed over all boxes, over the limit that it names.
+	// ServerLimitWindow, ServerLimitOverage and ServerLimitSlack bound by how much the
+	// requests to a backend server, summed over all boxes, may exceed the limit that it names.
 	ServerLimitWindow  time.Duration `yaml:"server_limit_window"`
 	ServerLimitOverage float64       `yaml:"server_limit_overage"`
 	ServerLimitSlack   float64       `yaml:"server_limit_slack"`
-	// EnforceRevocation: a box that may not know that a key was taken away serves
-	// nobody by its key, from Revoke after it last knew the configuration to be fresh.
+	// EnforceRevocation makes a box that may have missed the revocation of a key serve no
+	// requests by key, from Revoke after it last knew that its configuration was current.
 	EnforceRevocation bool          `yaml:"enforce_revocation"`
 	Revoke            time.Duration `yaml:"revoke"`
 }
 
-// Addresses are the endpoints of a box, each an IP number and port. Operators
-// belongs to the protocol boxes, Ready and Directory to the protocol objects.
+// Addresses are the endpoints of a box, each an IP address and port. Operators is used with
+// ProtocolBoxes only, Ready and Directory with ProtocolObjects only.
 type Addresses struct {
 	Callers   string `yaml:"callers" json:"callers"`
 	Peers     string `yaml:"peers" json:"peers"`
@@ -99,14 +99,14 @@
 	Directory string `yaml:"directory" json:"directory,omitempty"`
 }
 
-// Platform tells where the platform's object API is.
+// Platform describes how to reach the platform's object API.
 type Platform struct {
 	Address string        `yaml:"address" required:"true"`
 	Timeout time.Duration `yaml:"timeout"`
 	// Protocol is ProtocolBoxes or ProtocolObjects.
 	Protocol string `yaml:"protocol"`
-	// Rollouts: operators order moves of services to new versions of their backend servers there.
-	// Without it boxes do not ask for these.
+	// Rollouts says that operators order rollouts of new versions of backend servers through
+	// the platform. Without it boxes do not query the platform for such orders.
 	Rollouts bool `yaml:"rollouts"`
 }
 
@@ -114,18 +114,18 @@
 type Limits struct {
 	// HeaderBytes bounds a request's headers.
 	HeaderBytes int `yaml:"header_bytes"`
-	// BufferedBodyBytes bounds a body that is held whole, so that it can be
-	// sent again or kept as the answer of an idempotency key.
+	// BufferedBodyBytes bounds a body that is held in memory whole, so that it can be sent
+	// again or kept as the answer of an idempotency key.
 	BufferedBodyBytes int `yaml:"buffered_body_bytes"`
-	// OnceRecords bounds the idempotency keys that a box remembers.
+	// OnceRecords bounds how many idempotency keys a box remembers.
 	OnceRecords int `yaml:"once_records"`
-	// OnceAge is how long a key is remembered.
+	// OnceAge is how long an idempotency key is remembered.
 	OnceAge time.Duration `yaml:"once_age"`
 	// QueueWait bounds how long a request waits for a slot.
 	QueueWait time.Duration `yaml:"queue_wait"`
 }
 
-// Defaults returns the settings that a file need not give.
+// Defaults returns the settings that apply where a file gives none.
 func Defaults() Settings {
 	return Settings{
 		Policy:    policy.Default(),
@@ -158,16 +158,16 @@
 	}
 }
 
-// Fault is one thing wrong in a settings file.
+// Fault is one problem of a settings file.
 type Fault struct {
-	// Line in the file, from 1; 0 if the fault has no line.
+	// Line is the line in the file, from 1; 0 if the fault has no line.
 	Line    int
 	Key     string
 	Problem string
 	Allowed string
 }
 
-// Error lists all the faults of a settings file.
+// Error lists all faults of a settings file.
 type Error struct {
 	File   string
 	Faults []Fault
@@ -182,8 +182,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file. The error is an *Error, or that of
-// reading the file.
+// Load reads and checks a settings file. The error is an *Error or that of reading the file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -192,7 +191,7 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file.
+// Parse decodes and checks the text of a settings file. The error is an *Error.
 func Parse(file string, text []byte) (*Settings, error) {
 	s := Defaults()
 	d := &decoder{lines: map[string]int{}}
--- a/pkg/settings/settings_check.go
+++ b/pkg/settings/settings_check.go
@@ -8,7 +8,7 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// check looks at values that parsed but may not make sense.
+// check checks that the decoded values make sense.
 func (d *decoder) check(s *Settings) {
 	d.checkName("box", s.Box)
 	zones := map[string]bool{}
@@ -74,8 +74,8 @@
 	}
 }
 
-// checkAddresses checks the endpoints; those that the protocol needs may not
-// be missing.
+// checkAddresses checks the endpoints. Those that the protocol needs must be present; if the
+// protocol is empty, none is needed.
 func (d *decoder) checkAddresses(key string, a Addresses, protocol string) {
 	for _, e := range []struct{ name, address, neededBy string }{
 		{"callers", a.Callers, ""}, {"peers", a.Peers, ""}, {"admin", a.Admin, ""},
@@ -90,7 +90,7 @@
 	}
 }
 
-// checkMachine looks at what the machine can bear.
+// checkMachine checks the resources of the machine.
 func (d *decoder) checkMachine(m Machine) {
 	if m.Cores < 0 || m.Cores > maxCores {
 		d.fault("machine.cores", fmt.Sprint(m.Cores), fmt.Sprintf("0 to %d", maxCores))
@@ -100,13 +100,13 @@
 	}
 }
 
-// maxCores and maxLinkMbps bound what a machine may be said to have.
+// maxCores and maxLinkMbps bound the values that the settings may give for a machine.
 const (
 	maxCores    = 4096
 	maxLinkMbps = 10_000_000
 )
 
-// checkBounds looks at the bounds of the fleet.
+// checkBounds checks the bounds of the fleet.
 func (d *decoder) checkBounds(b Bounds) {
 	d.checkDuration("bounds.contact", b.Contact, 500*time.Millisecond, time.Hour)
 	d.checkDuration("bounds.drain", b.Drain, 100*time.Millisecond, time.Hour)
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -50,9 +50,9 @@
 	is.Equal(len(faults.Faults), 2)
 }
 
-// TestBooleansAreDecoded. The story: a box whose settings said enforce_revocation did not start, on any deployment
-// whose keys must be revoked in time. The cause: the decoder knew no switches and took one for text, which ends
-// in a panic.
+// TestBooleansAreDecoded guards against a box that does not start if its settings contain
+// enforce_revocation, which a deployment needs where keys must be revoked in time: the decoder
+// had no case for booleans and decoded them as text, which panics.
 func TestBooleansAreDecoded(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: true}\n"))
