--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes the log. Lines go through a bounded queue, so that a
-// slow terminal never holds up a request; lines that do not fit are counted.
+// Package logging writes the log. Lines go through a bounded queue, so that a slow terminal
+// never delays a request; lines that do not fit are dropped and counted.
 package logging
 
 import (
@@ -16,26 +16,26 @@
 	"github.com/apex/log"
 )
 
-// QueueLength is how many lines may wait to be written.
+// QueueLength is how many lines the queue holds.
 const QueueLength = 8192
 
 // AsyncHandler is an apex/log handler that writes in the background.
 type AsyncHandler struct {
 	out io.Writer
-	// Format writes an entry as one line.
+	// Format formats an entry as one line.
 	Format  func(*log.Entry) string
 	lines   chan string
 	dropped atomic.Int64
-	// reported is how many of the dropped lines were reported of.
+	// reported is how many of the dropped lines the log has reported.
 	reported int64
 }
 
-// NewAsyncHandler makes a handler of plain text; call Run to have it write.
+// NewAsyncHandler returns a handler that writes plain text; its method Run does the writing.
 func NewAsyncHandler(out io.Writer) *AsyncHandler {
 	return &AsyncHandler{out: out, Format: FormatText, lines: make(chan string, QueueLength)}
 }
 
-// NewAsyncJSONHandler makes a handler that writes a JSON object a line.
+// NewAsyncJSONHandler returns a handler that writes one JSON object per line.
 func NewAsyncJSONHandler(out io.Writer) *AsyncHandler {
 	h := NewAsyncHandler(out)
 	h.Format = FormatJSON
@@ -52,10 +52,10 @@
 	return nil
 }
 
-// Dropped returns how many lines did not fit the queue.
+// Dropped returns how many lines were dropped because the queue was full.
 func (h *AsyncHandler) Dropped() int64 { return h.dropped.Load() }
 
-// Run writes lines until the context ends, then what is still queued.
+// Run writes lines until the context ends, and then the lines that are still queued.
 func (h *AsyncHandler) Run(ctx context.Context) {
 	for {
 		select {
@@ -68,11 +68,11 @@
 	}
 }
 
-// maxWrite bounds what is written at once, in bytes.
+// maxWrite bounds the bytes of lines that are joined into one write.
 const maxWrite = 64 << 10
 
-// write writes the line and all that wait behind it, at once as far as they
-// fit, since each write has a price of its own.
+// write writes the line and all lines that are queued. It joins them into writes of up to
+// maxWrite bytes, since each write has a cost of its own.
 func (h *AsyncHandler) write(line string) {
 	var b strings.Builder
 	b.WriteString(line)
@@ -99,43 +99,43 @@
 	_, _ = io.WriteString(h.out, b.String())
 }
 
-// New returns a logger that writes at the level and above.
+// New returns a logger that writes entries of the level and above.
 func New(h log.Handler, level log.Level) *log.Logger {
 	return &log.Logger{Handler: h, Level: level}
 }
 
-// Logger is a logger with the fixed prefix of one part of the program.
+// Logger is a logger whose lines have the fixed prefix of one component of the program.
 type Logger struct {
 	logger *log.Logger
 	prefix string
 }
 
-// For returns the logger of a part; its lines start with "name: ".
+// For returns the logger of a component; its lines start with "name: ".
 func For(l *log.Logger, name string) *Logger {
 	return &Logger{logger: l, prefix: name + ": "}
 }
 
-// Discard returns a part that writes nothing, for tests.
+// Discard returns a logger that writes nothing, for tests.
 func Discard() *Logger {
 	return For(New(log.HandlerFunc(func(*log.Entry) error { return nil }), log.FatalLevel), "discard")
 }
 
-// Info writes a line.
+// Info writes a line of level info.
 func (p *Logger) Info(text string, fields log.Fields) {
 	p.logger.WithFields(fields).Info(p.prefix + text)
 }
 
-// Warn writes a line about something an operator should know.
+// Warn writes a line that an operator should see.
 func (p *Logger) Warn(text string, fields log.Fields) {
 	p.logger.WithFields(fields).Warn(p.prefix + text)
 }
 
-// Debug writes a line that is usually not wanted.
+// Debug writes a line that is usually not needed.
 func (p *Logger) Debug(text string, fields log.Fields) {
 	p.logger.WithFields(fields).Debug(p.prefix + text)
 }
 
-// ParseLevel returns the named level, info for an unknown one.
+// ParseLevel returns the named level, or info if the name is unknown.
 func ParseLevel(name string) log.Level {
 	level, err := log.ParseLevel(name)
 	if err != nil {
@@ -144,8 +144,8 @@
 	return level
 }
 
-// FormatJSON writes an entry as a JSON object: the request's id first where
-// there is one, then time, level and text, then the other fields by name.
+// FormatJSON formats an entry as a JSON object: the request's ID first if there is one, then
+// time, level and text, then the other fields sorted by name.
 func FormatJSON(e *log.Entry) string {
 	var b strings.Builder
 	b.WriteByte('{')
@@ -187,7 +187,7 @@
 	return names
 }
 
-// FormatText writes an entry as plain text.
+// FormatText formats an entry as plain text.
 func FormatText(e *log.Entry) string {
 	var b strings.Builder
 	b.WriteString(e.Timestamp.UTC().Format("2006-01-02T15:04:05.000Z "))
