--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the program stoneworksd: it reads the settings, runs one
-// box, and stops it as planned when told to.
+// Package daemon is the program stoneworksd: it reads the settings, runs one box, and shuts it
+// down gracefully on a signal.
 package daemon
 
 import (
@@ -32,19 +32,19 @@
 	ExitSettings = 2
 )
 
-// maxLeaveTime bounds a planned stop.
+// maxLeaveTime bounds a graceful shutdown.
 const maxLeaveTime = 10 * time.Minute
 
 const usage = `stoneworksd runs one box of stoneworks.
 
   stoneworksd --config box.yaml           run until SIGTERM
-  stoneworksd --config box.yaml --check   check the settings, print the figures of policy and exit
+  stoneworksd --config box.yaml --check   check the settings, print the parameters of the policy and exit
   stoneworksd --config box.yaml --print   print the settings in force and exit
   stoneworksd --metrics                   print the table of metrics and exit
   stoneworksd --version                   print the version and exit
 
-SIGTERM or SIGINT: leave as planned; no request is cut. A second one stops at once.
-Exit codes: 0 stopped or settings fine, 1 failed, 2 settings or usage at fault.
+SIGTERM or SIGINT: shut down gracefully, without cutting off requests. A second one stops at once.
+Exit codes: 0 stopped or settings valid, 1 failed, 2 invalid settings or usage.
 `
 
 // Customize may change a box before it starts; tests use it.
@@ -55,7 +55,7 @@
 	flags := flag.NewFlagSet("stoneworksd", flag.ContinueOnError)
 	flags.SetOutput(stderr)
 	flags.Usage = func() { fmt.Fprint(stderr, usage) }
-	path := flags.String("config", "", "the settings file; without it, the one that the platform names")
+	path := flags.String("config", "", "the settings file; by default the one that the platform names in the environment")
 	metricTable := flags.Bool("metrics", false, "print the table of metrics and exit")
 	effective := flags.Bool("print", false, "print the settings in force, defaults included, and exit")
 	version := flags.Bool("version", false, "print the version and exit")
@@ -99,7 +99,7 @@
 	return run(s, stdout, stderr, customize)
 }
 
-// printSettings prints the settings with their defaults. They hold no secrets.
+// printSettings prints the settings with their defaults. They contain no secrets.
 func printSettings(s *settings.Settings, stdout, stderr io.Writer) int {
 	text, err := yaml.Marshal(s)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return ExitOK
 }
 
-// buildVersion returns the revision that the program was built from.
+// buildVersion returns the source revision that the program was built from.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/pkg/daemon/daemon_node.go
+++ b/pkg/daemon/daemon_node.go
@@ -18,8 +18,8 @@
 	"github.com/stoneworks/stoneworks/platform"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPoll is the interval at which the settings file is checked: it may change without a
+// signal.
 const settingsPoll = 2 * time.Second
 
 // runNode runs a box on a platform that is a store of objects.
@@ -50,7 +50,7 @@
 	return ExitOK
 }
 
-// reloadUntilStopped takes over changed settings until the box is told to stop.
+// reloadUntilStopped applies changed settings until a signal tells the box to stop.
 func reloadUntilStopped(n *node.Node, path string, signals <-chan os.Signal, log *logging.Logger) {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
@@ -61,7 +61,7 @@
 			if signal != syscall.SIGHUP {
 				return
 			}
-			log.Info("asked to read the settings", nil)
+			log.Info("reading the settings after SIGHUP", nil)
 		case <-poll.C:
 			if modTime(path).Equal(seen) {
 				continue
@@ -70,14 +70,14 @@
 		seen = modTime(path)
 		s, err := settings.Load(path)
 		if err != nil {
-			log.Warn("settings refused, the old ones stay in force", map[string]any{"error": err.Error()})
+			log.Warn("settings are invalid; the previous ones stay in force", map[string]any{"error": err.Error()})
 			continue
 		}
 		n.Reload(s)
 	}
 }
 
-// modTime returns when the file was last changed.
+// modTime returns when the file was last changed, the zero time if that cannot be read.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
