--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -1,7 +1,6 @@
-// Package trace finds one request's way in the logs of several boxes: the
-// lines that carry its id, and what the boxes that handled it had come to
-// believe shortly before of the servers that it was sent to, of the store and
-// of the configuration.
+// Package trace finds one request in the logs of several boxes: the lines that carry its ID,
+// and the lines shortly before them that show what the boxes that handled it knew about the
+// servers that it was sent to, the store and the configuration.
 package trace
 
 import (
@@ -14,12 +13,12 @@
 	"time"
 )
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine bounds the length of a log line, in bytes.
 const maxLine = 1 << 20
 
 // Line is one line of a log.
 type Line struct {
-	// Source is the log that it is from.
+	// Source is the name of the log that contains the line.
 	Source string
 	Time   time.Time
 	Text   string
@@ -27,15 +26,15 @@
 	raw    string
 }
 
-// MalformedError says that a log holds nothing that can be read.
+// MalformedError reports that a log has no line that can be parsed.
 type MalformedError struct{ Source string }
 
 // Error implements error.
 func (e *MalformedError) Error() string {
-	return e.Source + ": no line of JSON as stoneworksd writes with log_format json"
+	return e.Source + ": no JSON log line; stoneworksd writes them with log_format json"
 }
 
-// NotFoundError says that no log names the request.
+// NotFoundError reports that no log has a line of the request.
 type NotFoundError struct{ ID string }
 
 // Error implements error.
@@ -43,7 +42,8 @@
 	return fmt.Sprintf("no line for request %q: answered requests are sampled; the box may also have been killed first", e.ID)
 }
 
-// Read reads a log. Anything before the first brace of a line is left out.
+// Read reads a log. It skips text before the first brace of a line, and lines that do not
+// parse. The error is a *MalformedError if no line parses.
 func Read(source string, r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLine)
@@ -81,9 +81,8 @@
 	return l, true
 }
 
-// Find returns the request's lines and, of the logs that hold them, the lines
-// within the time before that concern what decided it. The error is a
-// *NotFoundError.
+// Find returns the request's lines and, from the same logs, the lines up to the time before
+// them that may explain how it was handled. The error is a *NotFoundError.
 func Find(lines []Line, id string, before time.Duration) ([]Line, error) {
 	var found []Line
 	for _, l := range lines {
@@ -104,9 +103,10 @@
 	return all, nil
 }
 
-// concerns reports whether the line tells what one of the request's lines was
-// decided by: of servers, those that the request was sent to, or where it was
-// sent to none, all of its service.
+// concerns reports whether a line may explain one of the request's lines: it is in the same
+// log and not older than the time before. A line about a server counts if the request was sent
+// to the server or, for a request that was sent to none, if the server belongs to its service.
+// Lines about other boxes do not count.
 func concerns(l Line, found []Line, before time.Duration) bool {
 	if l.Fields["request"] != nil {
 		return false
@@ -139,7 +139,7 @@
 	}
 }
 
-// Print writes lines in a form for reading.
+// Print writes lines in a readable form.
 func Print(w io.Writer, lines []Line) {
 	for _, l := range lines {
 		fmt.Fprintf(w, "%s  %s  %s\n", l.Time.Format("15:04:05.000"), l.Source, l.Text)
