--- a/pkg/report/report.go
+++ b/pkg/report/report.go
@@ -1,7 +1,6 @@
-// Package report sums up the logs of boxes: of the requests of each service
-// and of each span of time, how many were answered in time, late, refused or
-// lost, and for which cause. It reads lines of package trace; only Page and
-// Print write, to where they are told.
+// Package report summarizes the logs of boxes: how many requests of each service and each span
+// of time were answered in time, late, refused or lost, and from which cause. It reads lines
+// of package trace; only WriteHTML and Print do output.
 package report
 
 import (
@@ -15,55 +14,55 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// Outcome is what a client got.
+// Outcome is the result of a request for its client.
 type Outcome int
 
-// The outcomeCount.
+// The outcomes.
 const (
-	// InTime: answered within the route's target, or the route has none.
+	// InTime: answered within the route's target, or on a route without a target.
 	InTime Outcome = iota
 	// Late: answered after the target.
 	Late
-	// Refused: told that it was not run.
+	// Refused: the box reported that the request was not run.
 	Refused
-	// Lost: no answer of a server, and not known whether it was run.
+	// Lost: no answer from a server, and unknown whether the request was run.
 	Lost
 	outcomeCount
 )
 
-// outcomeNames are the outcomes' names in tables, by value.
+// outcomeNames holds the outcomes' names in tables, indexed by outcome.
 var outcomeNames = [outcomeCount]string{"in time", "late", "refused", "lost"}
 
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Cause is the first of the causes below that holds for a request that was
-// not answered in time.
+// Cause is the first of the causes below that applies to a request that was not answered in
+// time.
 type Cause string
 
-// The causes, in the order in which they are looked for.
+// The causes, in the order in which they are checked.
 const (
-	// CauseOverLimit: its customer was over its limit.
+	// CauseOverLimit: the request's customer was over its limit.
 	CauseOverLimit Cause = "over limit"
-	// CauseQuarantined: servers have crashed under earlier attempts at it.
+	// CauseQuarantined: servers crashed during earlier attempts at the request.
 	CauseQuarantined Cause = "crashes servers"
-	// CauseNotTried: refused without being sent to any server.
+	// CauseNotTried: the request was refused without being sent to any server.
 	CauseNotTried Cause = "not tried"
-	// CauseRetried: a first server failed or refused it.
+	// CauseRetried: the first server failed or refused the request.
 	CauseRetried Cause = "tried again"
-	// CauseServerFailed: the only server that was tried failed or refused.
+	// CauseServerFailed: the only server that was tried failed or refused the request.
 	CauseServerFailed Cause = "server failed"
-	// CauseFirstUse: the server was not known to have the key.
+	// CauseFirstUse: the server was not known to have the affinity key.
 	CauseFirstUse Cause = "first use of the key"
-	// CauseQueued: the server had all slots taken.
+	// CauseQueued: all slots of the server were in use.
 	CauseQueued Cause = "queued"
 	// CauseRemote: the server is in another region.
 	CauseRemote Cause = "remote"
-	// CauseSlow: none of these; the server took long.
+	// CauseSlow: none of the other causes; the server was slow.
 	CauseSlow Cause = "server slow"
 )
 
-// Causes lists all causes in the order in which they are looked for.
+// Causes lists all causes in the order in which they are checked.
 var Causes = []Cause{
 	CauseOverLimit, CauseQuarantined, CauseNotTried, CauseRetried, CauseServerFailed, CauseFirstUse, CauseQueued, CauseRemote, CauseSlow,
 }
@@ -75,7 +74,7 @@
 	Causes map[Cause]int
 }
 
-// Requests is the sum of all outcomes.
+// Requests returns the sum over all outcomes.
 func (t *Tally) Requests() int {
 	sum := 0
 	for _, n := range t.Outcomes {
@@ -98,14 +97,14 @@
 	t.Causes[c] += requests
 }
 
-// Span is one span of time.
+// Span counts the requests that began in one span of time.
 type Span struct {
 	Start time.Time
 	Tally
 }
 
-// Group is the sum of the requests of one service, or of one customer, or of those
-// that may run in some regions only.
+// Group counts the requests of one service, of one customer, or of one group by where requests
+// may run.
 type Group struct {
 	Name string
 	Tally
@@ -117,33 +116,33 @@
 	someRegions = "some regions"
 )
 
-// maxCustomers bounds the customers of a report: those with most requests that were
-// not answered in time.
+// maxCustomers bounds the customers of a report, which lists those with the most requests that
+// were not answered in time.
 const maxCustomers = 20
 
-// Report is what logs tell.
+// Report is the summary of logs.
 type Report struct {
 	// Every is the length of a span.
 	Every    time.Duration
 	All      Tally
 	Services []Group
-	// Regions are requests by where they may run, and Customers those of each
-	// customer. Both are empty where logs name no customer.
+	// Regions groups the requests by where they may run, Customers by customer. Both are empty
+	// if the logs name no customer.
 	Regions   []Group
 	Customers []Group
 	Spans     []Span
-	// Sampled is how many of the requests are told by lines that stand for
-	// several; their figures are estimates.
+	// Sampled is how many of the requests are represented by lines that stand for several
+	// requests; the counts of these are estimates.
 	Sampled int
 }
 
-// EmptyError says that logs tell of no request.
+// EmptyError reports that the logs have no line about a request.
 type EmptyError struct{}
 
 // Error implements error.
-func (*EmptyError) Error() string { return "no line tells of a request" }
+func (*EmptyError) Error() string { return "no line about a request" }
 
-// Summarize sums up the lines. The error is an *EmptyError.
+// Summarize counts the requests that the lines are about. The error is an *EmptyError.
 func Summarize(lines []trace.Line, every time.Duration) (*Report, error) {
 	r := &Report{Every: every}
 	services, regions, customers := map[string]*Group{}, map[string]*Group{}, map[string]*Group{}
@@ -180,7 +179,7 @@
 	return r, nil
 }
 
-// sorted returns the groups by name.
+// sorted returns the groups, sorted by name.
 func sorted(groups map[string]*Group) []Group {
 	var list []Group
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
@@ -193,7 +192,7 @@
 	return getOrAdd(groups, name, func() *Group { return &Group{Name: name} })
 }
 
-// getOrAdd returns the entry getOrAdd a key, made if there is none.
+// getOrAdd returns the entry of a key and adds one if there is none.
 func getOrAdd[K comparable, V any](m map[K]*V, key K, empty func() *V) *V {
 	if m[key] == nil {
 		m[key] = empty()
@@ -201,7 +200,7 @@
 	return m[key]
 }
 
-// request is what a line tells of a request.
+// request is what a log line contains about a request.
 type request struct {
 	service string
 	start   time.Time
@@ -211,12 +210,12 @@
 	// requests is how many requests the line stands for.
 	requests int
 	tries    int
-	// lastTry is the name of the lastTry try's fields.
+	// lastTry is the name of the last try's field, and the prefix of its other fields.
 	lastTry string
 	fields  map[string]any
 }
 
-// linePrefix begins the lines that tell of a request.
+// linePrefix is the prefix of lines about requests.
 const linePrefix = "request: "
 
 func readRequest(l *trace.Line) (*request, bool) {
@@ -242,14 +241,14 @@
 	return q, true
 }
 
-// number returns a field's number, 0 where there is none: fields whose value
-// would say nothing are left out of the log.
+// number returns the value of a numeric field, 0 if it is absent: the log omits fields without
+// a meaningful value.
 func (q *request) number(name string) float64 {
 	v, _ := q.fields[name].(float64)
 	return v
 }
 
-// Statuses that a box answers with in its own name.
+// Statuses of answers that a box makes itself.
 const (
 	statusBadGateway         = 502
 	statusServiceUnavailable = 503
@@ -269,7 +268,7 @@
 	return Refused
 }
 
-// regions names the group by where the request may run.
+// regions returns the name of the request's group by where it may run.
 func (q *request) regions() string {
 	if q.fields["bound"] != nil {
 		return someRegions
--- a/pkg/report/report_html.go
+++ b/pkg/report/report_html.go
@@ -20,13 +20,14 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// page is the one page; plots are part of it, nothing is fetched.
+// page is the template of the HTML page. Plots are inline, so that the page loads nothing
+// else.
 var page = template.Must(template.New("report").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>stoneworks: requests</title>
 <style>body{font-family:sans-serif;margin:2em}table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child{text-align:left}svg{max-width:100%;height:auto}</style>
 </head><body>
 <h1>Requests</h1>
-{{if .Sampled}}<p>{{.Sampled}} of {{.Requests}} requests are told by samples: their figures are estimates.</p>{{end}}
+{{if .Sampled}}<p>{{.Sampled}} of {{.Requests}} requests are represented by samples: their counts are estimates.</p>{{end}}
 {{range .Plots}}<h2>{{.Title}}</h2>
 {{.Picture}}
 {{end}}{{range .Tables}}<h2>{{.Title}}</h2>
@@ -47,7 +48,7 @@
 	Rows   [][]string
 }
 
-// WriteHTML writes the report as one self-contained page with plots over time.
+// WriteHTML writes the report as one self-contained HTML page with plots over time.
 func (r *Report) WriteHTML(w io.Writer) error {
 	var lines []any
 	for o := range outcomeCount {
@@ -61,7 +62,7 @@
 	for _, c := range Causes {
 		lines = append(lines, string(c), r.series(func(t *Tally) int { return t.Causes[c] }))
 	}
-	causes, err := r.plot("causes of what was not answered in time", lines)
+	causes, err := r.plot("causes of requests not answered in time", lines)
 	if err != nil {
 		return err
 	}
@@ -71,7 +72,7 @@
 	})
 }
 
-// series returns a figure of each span, a second.
+// series returns a count of each span, per second.
 func (r *Report) series(figure func(t *Tally) int) plotter.XYs {
 	points := make(plotter.XYs, len(r.Spans))
 	for i := range r.Spans {
@@ -100,18 +101,18 @@
 	if !found {
 		return picture{}, &PlotError{Title: title}
 	}
-	// The picture is drawn above, of numbers and this package's own names, so
-	// it may stand in the page as it is.
+	// The picture is drawn above from numbers and this package's own names, so it needs no
+	// escaping.
 	return picture{Title: title, Picture: template.HTML("<svg" + string(svg))}, nil
 }
 
-// PlotError says that a plot could not be drawn.
+// PlotError reports that a plot could not be drawn.
 type PlotError struct {
 	Title string
 }
 
 // Error implements error.
-func (e *PlotError) Error() string { return fmt.Sprintf("plot of %s: no picture", e.Title) }
+func (e *PlotError) Error() string { return fmt.Sprintf("plot of %s: no SVG element", e.Title) }
 
 func (r *Report) tables() []table {
 	services := table{Title: "by service", Header: append([]string{"service"}, columns()...)}
--- a/pkg/report/report_print.go
+++ b/pkg/report/report_print.go
@@ -23,12 +23,12 @@
 		fmt.Fprintln(t, row(r.Spans[i].Start.Format("15:04:05"), &r.Spans[i].Tally))
 	}
 	if r.Sampled > 0 {
-		fmt.Fprintf(t, "\n%d of %d requests are told by samples: their figures are estimates.\n", r.Sampled, r.All.Requests())
+		fmt.Fprintf(t, "\n%d of %d requests are represented by samples: their counts are estimates.\n", r.Sampled, r.All.Requests())
 	}
 	return t.Flush()
 }
 
-// printGroups writes a table of groups, if there are any.
+// printGroups writes a table of groups, unless there are none.
 func printGroups(w io.Writer, title string, groups []Group) {
 	if len(groups) == 0 {
 		return
@@ -40,7 +40,7 @@
 	fmt.Fprintln(w)
 }
 
-// columns are the names of the columns after the first one.
+// columns returns the names of the columns after the first one.
 func columns() []string {
 	names := []string{"requests"}
 	names = append(names, outcomeNames[:]...)
@@ -50,7 +50,7 @@
 	return names
 }
 
-// cells are a row's values.
+// cells returns the values of a row.
 func cells(first string, t *Tally) []string {
 	values := []string{first, fmt.Sprint(t.Requests())}
 	for _, n := range t.Outcomes {
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// linesOf reads a log that is given as the fields of its lines.
+// linesOf reads a log with a line for each of the given texts of JSON fields.
 func linesOf(t *testing.T, fields ...string) []trace.Line {
 	t.Helper()
 	var b strings.Builder
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestSampledLinesAreWeighted: sums are of requests, not
-// of lines, by service and by the time at which requests began.
+// TestSampledLinesAreWeighted checks that a report counts requests, not lines, by service and
+// by the time at which the requests began.
 func TestSampledLinesAreWeighted(t *testing.T) {
 	is := is.New(t)
 	r, err := Summarize(linesOf(t,
@@ -74,7 +74,7 @@
 	is.Equal(r.Services[0].Name, "desk")
 	is.Equal(r.Services[1].Outcomes, [outcomeCount]int{32, 1, 0, 0})
 	is.Equal(len(r.Spans), 2)
-	is.Equal(r.Spans[0].Requests(), 33) // the late one began a second and a half before its line
+	is.Equal(r.Spans[0].Requests(), 33) // the late request began 1.5 s before its line
 	is.Equal(r.Spans[0].Start.Format("15:04:05"), "09:59:58")
 	is.Equal(r.Spans[1].Requests(), 1)
 }
@@ -85,7 +85,7 @@
 	is.New(t).True(errors.As(err, &empty))
 }
 
-// TestPageIsSelfContained: the page shows plots and fetches nothing.
+// TestPageIsSelfContained checks that the page contains its plots and loads nothing.
 func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
 	r, err := Summarize(linesOf(t,
