--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the program stoneworksctl, the operators' command line over
-// the calls of the schema file.
+// Package ctl is the program stoneworksctl, the operators' command line for the calls that the
+// schema file defines.
 package ctl
 
 import (
@@ -23,11 +23,11 @@
 // Exit codes.
 const (
 	ExitOK = 0
-	// ExitFailed: the call failed, and nothing changed.
+	// ExitFailed: the call failed and nothing changed.
 	ExitFailed = 1
-	// ExitUsage: the command line or its input is at fault.
+	// ExitUsage: the command line or its input is invalid.
 	ExitUsage = 2
-	// ExitConflict: somebody else changed the object first.
+	// ExitConflict: the object was changed by somebody else first.
 	ExitConflict = 3
 	// ExitNotFound: there is no such object.
 	ExitNotFound = 4
@@ -37,7 +37,7 @@
 	ExitNotEverywhere = 6
 )
 
-// UsageError says what is wrong with a command line.
+// UsageError describes what is wrong with a command line or its input.
 type UsageError struct {
 	Problem string
 }
@@ -87,7 +87,7 @@
 	return p.report(err)
 }
 
-// command builds the tree of verbs; verbs is the one list of them.
+// command builds the tree of commands from verbs.
 func (p *program) command() *ffcli.Command {
 	flags := flag.NewFlagSet("stoneworksctl", flag.ContinueOnError)
 	flags.SetOutput(p.stderr)
@@ -114,12 +114,12 @@
 	flags.DurationVar(&p.timeout, "timeout", 15*time.Second, "how long the whole command may take")
 }
 
-// verb is one row of the table of verbs.
+// verb is one subcommand.
 type verb struct {
 	name  string
 	usage string
 	help  string
-	// flags adds the verb's own flags, and returns what runs it.
+	// flags adds the verb's own flags and returns the function that runs it.
 	flags func(p *program, f *flag.FlagSet) func(ctx context.Context, args []string) error
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-// dial opens a connection to a box's operators' port.
+// dial opens a connection to the operators' address of a box.
 func (p *program) dial(address string) (pb.OperatorsClient, func(), error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -143,7 +143,7 @@
 	return pb.NewOperatorsClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// withClient runs f withClient a client of the chosen box.
+// withClient calls f with a client of the chosen box.
 func (p *program) withClient(f func(pb.OperatorsClient) error) error {
 	client, done, err := p.dial(p.address)
 	if err != nil {
@@ -153,7 +153,7 @@
 	return f(client)
 }
 
-// report prints an error and returns the exit code for it.
+// report prints an error and returns its exit code.
 func (p *program) report(err error) int {
 	if err == nil {
 		return ExitOK
@@ -175,7 +175,7 @@
 	case errors.As(err, &usage):
 		return ExitUsage
 	case errors.As(err, &unread):
-		// Nothing was asked to change.
+		// Calls of admin addresses change no stored service.
 		return ExitFailed
 	case errors.As(err, &missing):
 		return ExitNotEverywhere
--- a/pkg/ctl/ctl_boxes.go
+++ b/pkg/ctl/ctl_boxes.go
@@ -8,10 +8,10 @@
 )
 
 // ================================================================
-// Calls of the admin addresses of boxes.
+// Calls of boxes at their admin addresses.
 // ================================================================
 
-// BoxError says that a box did not tell what it was asked.
+// BoxError reports that a call of a box failed.
 type BoxError struct {
 	Address string
 	Cause   error
@@ -23,14 +23,14 @@
 // Unwrap returns the cause.
 func (e *BoxError) Unwrap() error { return e.Cause }
 
-// AnswerError is an answer of a box that is not what was asked for.
+// AnswerError reports that a box answered with an unexpected status.
 type AnswerError struct{ Status int }
 
 // Error implements error.
 func (e *AnswerError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// queryBoxes asks each address for the same. The problems, each a *BoxError, are of those that
-// did not tell; the error is a *UsageError.
+// queryBoxes gets the same path from each address. The problems are the failed calls, each a
+// *BoxError; the error is a *UsageError.
 func queryBoxes[T any](ctx context.Context, addresses []string, path string) (answers []T, problems []error, err error) {
 	if len(addresses) == 0 {
 		return nil, nil, &UsageError{Problem: "needed: ADDRESS..., the admin addresses of boxes"}
@@ -46,8 +46,8 @@
 	return answers, problems, nil
 }
 
-// callBox makes one call and decodes its answer into the target, nil for none. The error is
-// an *AnswerError or that of the connection.
+// callBox makes one call and decodes its answer into the target, unless the target is nil. The
+// error is an *AnswerError or that of the connection.
 func callBox(ctx context.Context, method, address, path string, target any) error {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
--- a/pkg/ctl/ctl_limits.go
+++ b/pkg/ctl/ctl_limits.go
@@ -11,7 +11,7 @@
 	"github.com/stoneworks/stoneworks/pkg/serverstatus"
 )
 
-// verbServers shows what backend servers say of themselves, as boxes know it.
+// verbServers shows what backend servers report about themselves, as known to boxes.
 func verbServers(p *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
 	return showBoxes(p, serverstatus.PathSaid, serverstatus.PrintSaid)
 }
@@ -21,13 +21,13 @@
 	return showBoxes(p, gossip.PathFleet, gossip.PrintFleet)
 }
 
-// verbLimits shows which limits backend servers name, as boxes know them.
+// verbLimits shows the limits that backend servers name, as known to boxes.
 func verbLimits(p *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
 	return showBoxes(p, serverstatus.PathLimits, serverstatus.Print)
 }
 
-// showBoxes asks boxes for what they tell at a path of their admin addresses, and prints it as a
-// table, or as JSON.
+// showBoxes gets a path from the admin addresses of boxes and prints the answers as a table or
+// as JSON.
 func showBoxes[T any](p *program, path string, print func(w io.Writer, boxes []T) error) func(ctx context.Context, args []string) error {
 	return func(ctx context.Context, args []string) error {
 		boxes, problems, err := queryBoxes[T](ctx, args, path)
--- a/pkg/ctl/ctl_print.go
+++ b/pkg/ctl/ctl_print.go
@@ -11,7 +11,7 @@
 	pb "github.com/stoneworks/stoneworks/api/stoneworks/v1"
 )
 
-// print writes the message as JSON, or through table.
+// print writes the message as JSON, or as the table that the function writes.
 func (p *program) print(m proto.Message, table func(w *tabwriter.Writer)) error {
 	switch p.output {
 	case "json":
@@ -82,7 +82,7 @@
 
 func (p *program) printPlan(s *pb.ServiceStatus) error {
 	return p.print(s, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "service %s\tplan revision %d\tleft to walk %.1f%%\n", s.Name, s.PlanRevision, 100*s.PlanLeft)
+		fmt.Fprintf(w, "service %s\tplan revision %d\tremaining %.1f%%\n", s.Name, s.PlanRevision, 100*s.PlanLeft)
 		fmt.Fprintln(w, "CLIENTS OF\tSERVED BY\tSHARE")
 		for _, a := range s.Assignment {
 			fmt.Fprintf(w, "%s\t%s\t%.1f%%\n", a.ClientRegion, a.ServingRegion, 100*a.Share)
--- a/pkg/ctl/ctl_quarantine.go
+++ b/pkg/ctl/ctl_quarantine.go
@@ -8,12 +8,12 @@
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
 )
 
-// verbQuarantine shows which requests boxes keep from backend servers.
+// verbQuarantine shows which requests boxes hold in quarantine.
 func verbQuarantine(p *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
 	return showBoxes(p, quarantine.Path, quarantine.Print)
 }
 
-// verbRelease has a box, and so all boxes, send a request to backend servers again.
+// verbRelease releases a request from quarantine at one box, which makes all boxes release it.
 func verbRelease(_ *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
 	return func(ctx context.Context, args []string) error {
 		if err := checkArguments(args, "FINGERPRINT", "ADDRESS"); err != nil {
--- a/pkg/ctl/ctl_report.go
+++ b/pkg/ctl/ctl_report.go
@@ -10,11 +10,11 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// defaultEvery is the length of the spans of a report: short enough to show a
-// burst of a few seconds, long enough for a table of a few minutes.
+// defaultEvery is the default length of a report's spans: short enough to show a burst of a
+// few seconds, and long enough that a few minutes fit a table.
 const defaultEvery = 2 * time.Second
 
-// verbReport sums up the logs of boxes.
+// verbReport summarizes the requests in logs of boxes.
 func verbReport(p *program, f *flag.FlagSet) func(ctx context.Context, args []string) error {
 	every := f.Duration("every", defaultEvery, "the length of a span of time")
 	path := f.String("html", "", "also write a page with plots to this file")
@@ -61,7 +61,7 @@
 		return err
 	}
 	if err := r.WriteHTML(file); err != nil {
-		_ = file.Close() // the page's own error is the one to tell
+		_ = file.Close() // the error of the page is the one to report
 		return err
 	}
 	return file.Close()
--- a/pkg/ctl/ctl_trace.go
+++ b/pkg/ctl/ctl_trace.go
@@ -11,12 +11,13 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// defaultBefore is how long before a request's line other lines are shown.
+// defaultBefore is the default time before the request's lines from which other lines are
+// shown.
 const defaultBefore = 5 * time.Second
 
-// verbTrace prints one request's way through the logs of boxes.
+// verbTrace prints the lines about one request from logs of boxes.
 func verbTrace(p *program, f *flag.FlagSet) func(ctx context.Context, args []string) error {
-	before := f.Duration("before", defaultBefore, "how long before the request's lines others are shown")
+	before := f.Duration("before", defaultBefore, "show related lines up to this long before the request's lines")
 	return func(_ context.Context, args []string) error {
 		if len(args) < 2 {
 			return &UsageError{Problem: "needed: ID LOG..."}
@@ -34,7 +35,7 @@
 	}
 }
 
-// readLog reads a log; its name without the ending stands for its box.
+// readLog reads a log; the file's name without its extension is the name of the box.
 func readLog(path string) ([]trace.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/pkg/ctl/ctl_verbs.go
+++ b/pkg/ctl/ctl_verbs.go
@@ -17,7 +17,7 @@
 	pb "github.com/stoneworks/stoneworks/api/stoneworks/v1"
 )
 
-// verbs is the one list of verbs.
+// verbs lists all verbs.
 var verbs = []verb{
 	{"create", "create [-wait] FILE.json", "create a service from a file ('-' for standard input)", verbCreate},
 	{"get", "get NAME", "read one service", verbGet},
@@ -25,19 +25,19 @@
 	{"update", "update [-revision N] [-wait] FILE.json", "replace a service", verbUpdate},
 	{"delete", "delete [-revision N] [-wait] NAME", "delete a service", verbDelete},
 	{"watch", "watch [-count N]", "print services as they change", verbWatch},
-	{"drain", "drain [-undo] [-wait] SERVICE SERVER", "give a backend server no new work", verbDrain},
-	{"shift", "shift [-wait] SERVICE FROM TO SHARE", "plan that a share of a region's clients moves", verbShift},
+	{"drain", "drain [-undo] [-wait] SERVICE SERVER", "send no new requests to a backend server", verbDrain},
+	{"shift", "shift [-wait] SERVICE FROM TO SHARE", "plan to move a share of a region's clients to another region", verbShift},
 	{"status", "status", "show how a box sees the deployment", verbStatus},
 	{"plan", "plan SERVICE", "show which region serves which share of the clients, and how far a box is from the plan", verbPlan},
-	{"explain", "explain [-method M] [-path P] SERVICE CLIENT", "say where a request would go, and why", verbExplain},
-	{"customers", "customers ADDRESS...", "show limits of customers, and what was admitted and refused, from the admin addresses of boxes", verbCustomers},
-	{"quarantine", "quarantine ADDRESS...", "show requests that are kept from backend servers, since servers crashed under them, from the admin addresses of boxes", verbQuarantine},
-	{"release", "release FINGERPRINT ADDRESS", "send such a request to backend servers again, at all boxes; the admin address of any box", verbRelease},
+	{"explain", "explain [-method M] [-path P] SERVICE CLIENT", "show where a request would go, and why", verbExplain},
+	{"customers", "customers ADDRESS...", "show the limits of customers and their admitted and refused requests, from the admin addresses of boxes", verbCustomers},
+	{"quarantine", "quarantine ADDRESS...", "show requests in quarantine, during which backend servers crashed, from the admin addresses of boxes", verbQuarantine},
+	{"release", "release FINGERPRINT ADDRESS", "release a request from quarantine at all boxes, through the admin address of any box", verbRelease},
 	{"fleet", "fleet ADDRESS...", "show boxes by zone: live, with clients, asking the store, behind, silent, as the boxes at these admin addresses know it", verbFleet},
-	{"servers", "servers ADDRESS...", "show which backend servers say that they leave, ask boxes for rest or name limits, from the admin addresses of boxes", verbServers},
-	{"limits", "limits ADDRESS...", "show how many requests a second backend servers say they take, and what boxes send them, from the admin addresses of boxes", verbLimits},
-	{"report", "report [--every 2s] [--html FILE] LOG...", "sum up requests, outcomes and causes, from logs of boxes in JSON", verbReport},
-	{"trace", "trace [--before 5s] ID LOG...", "print one request's way, from logs of boxes in JSON", verbTrace},
+	{"servers", "servers ADDRESS...", "show which backend servers report that they leave, ask boxes to back off or name limits, from the admin addresses of boxes", verbServers},
+	{"limits", "limits ADDRESS...", "show the limits in requests a second that backend servers name, and what boxes send them, from the admin addresses of boxes", verbLimits},
+	{"report", "report [--every 2s] [--html FILE] LOG...", "summarize requests by outcome and cause, from JSON logs of boxes", verbReport},
+	{"trace", "trace [--before 5s] ID LOG...", "print the lines about one request, from JSON logs of boxes", verbTrace},
 }
 
 func checkArguments(args []string, names ...string) error {
@@ -47,10 +47,11 @@
 	return nil
 }
 
-// runFunc is what a verb does with its arguments and a client of the chosen box.
+// runFunc runs a verb with its arguments and a client of the chosen box.
 type runFunc func(ctx context.Context, c pb.OperatorsClient, args []string) error
 
-// withArguments makes a verb of a run that needs the named arguments.
+// withArguments checks that the named arguments are given, and then calls f with a client of
+// the chosen box.
 func (p *program) withArguments(names []string, f runFunc) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if err := checkArguments(args, names...); err != nil {
@@ -89,7 +90,7 @@
 // ----------------------------------------------------------------
 
 func verbCreate(p *program, f *flag.FlagSet) func(context.Context, []string) error {
-	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
+	f.BoolVar(&p.wait, "wait", false, "return when the change is in force at all reachable boxes")
 	return func(ctx context.Context, args []string) error {
 		if err := checkArguments(args, "FILE.json"); err != nil {
 			return err
@@ -106,7 +107,7 @@
 }
 
 func verbUpdate(p *program, f *flag.FlagSet) func(context.Context, []string) error {
-	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
+	f.BoolVar(&p.wait, "wait", false, "return when the change is in force at all reachable boxes")
 	revision := f.Uint64("revision", 0, "the revision that must be current; 0 for the one in force")
 	return func(ctx context.Context, args []string) error {
 		if err := checkArguments(args, "FILE.json"); err != nil {
@@ -120,8 +121,8 @@
 	}
 }
 
-// edit reads a service, changes it, and writes it back against the revision
-// that was read.
+// edit reads a service, changes it, and writes it back, provided that its revision is still
+// the given one or, if that is 0, the one that was read.
 func (p *program) edit(ctx context.Context, name string, revision uint64, change func(*pb.ServiceSpec) (*pb.ServiceSpec, error)) error {
 	return p.withClient(func(c pb.OperatorsClient) error {
 		current, err := c.GetService(ctx, &pb.GetServiceRequest{Name: name})
@@ -141,7 +142,7 @@
 }
 
 func verbDelete(p *program, f *flag.FlagSet) func(context.Context, []string) error {
-	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
+	f.BoolVar(&p.wait, "wait", false, "return when the change is in force at all reachable boxes")
 	revision := f.Uint64("revision", 0, "the revision that must be current; 0 for the one in force")
 	return p.withArguments([]string{"NAME"}, func(ctx context.Context, c pb.OperatorsClient, args []string) error {
 		current, err := c.GetService(ctx, &pb.GetServiceRequest{Name: args[0]})
@@ -158,8 +159,8 @@
 }
 
 func verbDrain(p *program, f *flag.FlagSet) func(context.Context, []string) error {
-	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
-	undo := f.Bool("undo", false, "give it new work again")
+	f.BoolVar(&p.wait, "wait", false, "return when the change is in force at all reachable boxes")
+	undo := f.Bool("undo", false, "send it new requests again")
 	return func(ctx context.Context, args []string) error {
 		if err := checkArguments(args, "SERVICE", "SERVER"); err != nil {
 			return err
@@ -177,7 +178,7 @@
 }
 
 func verbShift(p *program, f *flag.FlagSet) func(context.Context, []string) error {
-	f.BoolVar(&p.wait, "wait", false, "return when it is in force everywhere reachable")
+	f.BoolVar(&p.wait, "wait", false, "return when the change is in force at all reachable boxes")
 	return func(ctx context.Context, args []string) error {
 		if err := checkArguments(args, "SERVICE", "FROM", "TO", "SHARE"); err != nil {
 			return err
@@ -227,7 +228,7 @@
 }
 
 func verbWatch(p *program, f *flag.FlagSet) func(context.Context, []string) error {
-	count := f.Int("count", 0, "stop after so many lines; 0 to go on until the timeout")
+	count := f.Int("count", 0, "stop after this many lines; 0 to continue until the timeout")
 	return p.withArguments(nil, func(ctx context.Context, c pb.OperatorsClient, _ []string) error {
 		stream, err := c.WatchServices(ctx, &pb.WatchServicesRequest{})
 		if err != nil {
--- a/pkg/ctl/ctl_wait.go
+++ b/pkg/ctl/ctl_wait.go
@@ -11,11 +11,11 @@
 	pb "github.com/stoneworks/stoneworks/api/stoneworks/v1"
 )
 
-// waitPoll is the time between two looks at the boxes that lag.
+// waitPoll is the interval at which a box is queried until it has a change in force.
 const waitPoll = 50 * time.Millisecond
 
-// finishChange prints an accepted change and, with -wait, waits until every box
-// that can be reached has it in force.
+// finishChange prints an accepted change and, with -wait, waits until all reachable boxes have
+// it in force.
 func (p *program) finishChange(ctx context.Context, c pb.OperatorsClient, reply *pb.ServiceReply, err error) error {
 	if err != nil {
 		return err
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// awaitEverywhere asks each box until it has the revision in force.
+// awaitEverywhere queries each box until it has the revision in force. It returns the boxes
+// that do not have it in time and those that cannot be reached.
 func (p *program) awaitEverywhere(ctx context.Context, boxes []*pb.BoxStatus, want *pb.ServiceReply) (missing, unreachable []string) {
 	wg := conc.NewWaitGroup()
 	results := make([]boxWait, len(boxes))
