--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -159,7 +159,7 @@
 		return ExitOK
 	}
 	var usage *UsageError
-	var unread *BoxError
+	var boxError *BoxError
 	var missing *NotEverywhereError
 	s, _ := status.FromError(err)
 	fmt.Fprintln(p.stderr, "stoneworksctl:", s.Message())
@@ -174,7 +174,7 @@
 	switch {
 	case errors.As(err, &usage):
 		return ExitUsage
-	case errors.As(err, &unread):
+	case errors.As(err, &boxError):
 		// Calls of admin addresses change no stored service.
 		return ExitFailed
 	case errors.As(err, &missing):
