--- a/pkg/customerstats/ledger.go
+++ b/pkg/customerstats/ledger.go
@@ -67,7 +67,7 @@
 
 // Counts returns how many requests of a customer have ended since the start, and how many of
 // them were answered in time.
-func (l *Ledger) Counts(customer string) (settled, inTime uint32) {
+func (l *Ledger) Counts(customer string) (completed, inTime uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.totals[customer]
