--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -152,8 +152,8 @@
 	<-signals
 	ctx, cancel := context.WithTimeout(context.Background(), maxLeaveTime)
 	defer cancel()
-	again := conc.NewWaitGroup()
-	again.Go(func() {
+	watcher := conc.NewWaitGroup()
+	watcher.Go(func() {
 		select {
 		case <-signals:
 			cancel()
@@ -162,5 +162,5 @@
 	})
 	b.Leave(ctx)
 	cancel()
-	again.Wait()
+	watcher.Wait()
 }
