--- a/pkg/ctl/ctl_wait.go
+++ b/pkg/ctl/ctl_wait.go
@@ -77,8 +77,8 @@
 	}
 	defer done()
 	for {
-		one, cancel := context.WithTimeout(ctx, time.Second)
-		status, err := client.GetStatus(one, &pb.GetStatusRequest{})
+		attempt, cancel := context.WithTimeout(ctx, time.Second)
+		status, err := client.GetStatus(attempt, &pb.GetStatusRequest{})
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			return boxUnreachable
