--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -58,8 +58,8 @@
 	s, err := Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: true}\n"))
 	is.NoErr(err)
 	is.True(s.Bounds.EnforceRevocation)
-	for _, odd := range []string{"yes", "1", "[true]", "~"} {
-		_, err = Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: "+odd+"}\n"))
+	for _, invalid := range []string{"yes", "1", "[true]", "~"} {
+		_, err = Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: "+invalid+"}\n"))
 		var faults *Error
 		is.True(errors.As(err, &faults))
 	}
