--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -95,7 +95,7 @@
 	}
 	var all []Line
 	for _, l := range lines {
-		if l.Fields["request"] == id || concerns(l, found, before) {
+		if l.Fields["request"] == id || mayExplain(l, found, before) {
 			all = append(all, l)
 		}
 	}
@@ -103,11 +103,11 @@
 	return all, nil
 }
 
-// concerns reports whether a line may explain one of the request's lines: it is in the same
+// mayExplain reports whether a line may explain one of the request's lines: it is in the same
 // log and not older than the time before. A line about a server counts if the request was sent
 // to the server or, for a request that was sent to none, if the server belongs to its service.
 // Lines about other boxes do not count.
-func concerns(l Line, found []Line, before time.Duration) bool {
+func mayExplain(l Line, found []Line, before time.Duration) bool {
 	if l.Fields["request"] != nil {
 		return false
 	}
