--- a/pkg/daemon/daemon_steer.go
+++ b/pkg/daemon/daemon_node.go
@@ -18,12 +18,12 @@
 	"github.com/stoneworks/stoneworks/platform"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPoll is the interval at which the settings file is checked: it may change without a
+// signal.
 const settingsPoll = 2 * time.Second
 
-// steer runs a box on a platform that is a store of objects.
-func steer(s *settings.Settings, path string, stdout, stderr io.Writer) int {
+// runNode runs a box on a platform that is a store of objects.
+func runNode(s *settings.Settings, path string, stdout, stderr io.Writer) int {
 	handler := logging.NewAsyncHandler(stdout)
 	if s.LogFormat == "json" {
 		handler = logging.NewAsyncJSONHandler(stdout)
@@ -42,43 +42,43 @@
 		n.Stop()
 		return ExitFailed
 	}
-	waitForEnd(n, path, signals, logging.For(logging.New(handler, logging.ParseLevel(s.LogLevel)), "daemon"))
-	leaveContext, cancelLeave := context.WithTimeout(ctx, longestLeave)
+	reloadUntilStopped(n, path, signals, logging.For(logging.New(handler, logging.ParseLevel(s.LogLevel)), "daemon"))
+	leaveContext, cancelLeave := context.WithTimeout(ctx, maxLeaveTime)
 	defer cancelLeave()
 	n.Leave(leaveContext)
 	n.Stop()
 	return ExitOK
 }
 
-// waitForEnd takes over changed settings until the box is told to stop.
-func waitForEnd(n *node.Node, path string, signals <-chan os.Signal, log *logging.Part) {
+// reloadUntilStopped applies changed settings until a signal tells the box to stop.
+func reloadUntilStopped(n *node.Node, path string, signals <-chan os.Signal, log *logging.Logger) {
 	poll := time.NewTicker(settingsPoll)
 	defer poll.Stop()
-	seen := modified(path)
+	seen := modTime(path)
 	for {
 		select {
 		case signal := <-signals:
 			if signal != syscall.SIGHUP {
 				return
 			}
-			log.Info("asked to read the settings", nil)
+			log.Info("reading the settings after SIGHUP", nil)
 		case <-poll.C:
-			if modified(path).Equal(seen) {
+			if modTime(path).Equal(seen) {
 				continue
 			}
 		}
-		seen = modified(path)
+		seen = modTime(path)
 		s, err := settings.Load(path)
 		if err != nil {
-			log.Warn("settings refused, the old ones stay in force", map[string]any{"error": err.Error()})
+			log.Warn("settings are invalid; the previous ones stay in force", map[string]any{"error": err.Error()})
 			continue
 		}
 		n.Reload(s)
 	}
 }
 
-// modified returns when the file was last changed.
-func modified(path string) time.Time {
+// modTime returns when the file was last changed, the zero time if that cannot be read.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
