--- a/pkg/timer/time_of_day_test.go
+++ b/pkg/timer/time_of_day_test.go
@@ -14,7 +14,7 @@
 
 // monotonicPackages decide by spans of time, which a step of the time of day must not
 // change.
-var monotonicPackages = []string{"backend", "customer", "directory", "findings", "gossip", "objects", "quota", "retry", "routing", "watcher"}
+var monotonicPackages = []string{"backend", "customer", "directory", "failurereport", "gossip", "objects", "quota", "retry", "routing", "storepoller"}
 
 // timeOfDay are the methods of time.Time that read the time of day where the monotonic
 // clock is to be read. Windows of repeats and of shifts were counted by it: a step ahead
