--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -23,8 +23,8 @@
 
 // Clock is a steady clock.
 type Clock struct {
-	// Woke is told of each suspension that is found, and how long it was.
-	Woke func(away time.Duration)
+	// OnResume is told of each suspension that is found, and how long it was.
+	OnResume func(away time.Duration)
 	// boottime reads a clock that counts suspensions.
 	boottime func() (time.Duration, error)
 	started  time.Time
@@ -41,7 +41,7 @@
 
 // NewOn makes a clock that finds suspensions by another clock's running ahead.
 func NewOn(boottime func() (time.Duration, error)) *Clock {
-	c := &Clock{Woke: func(time.Duration) {}, boottime: boottime, started: time.Now()}
+	c := &Clock{OnResume: func(time.Duration) {}, boottime: boottime, started: time.Now()}
 	c.base, c.broken = boottime()
 	return c
 }
@@ -74,7 +74,7 @@
 			return
 		}
 		if c.away.CompareAndSwap(known, int64(away)) {
-			c.Woke(away - time.Duration(known))
+			c.OnResume(away - time.Duration(known))
 			return
 		}
 	}
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -38,7 +38,7 @@
 	m := newMachine()
 	c := NewOn(m.boottime)
 	var woke []time.Duration
-	c.Woke = func(away time.Duration) { woke = append(woke, away) }
+	c.OnResume = func(away time.Duration) { woke = append(woke, away) }
 	before := c.Now()
 	for range 100 {
 		c.Sync()
--- a/pkg/node/node_clock.go
+++ b/pkg/node/node_clock.go
@@ -16,7 +16,7 @@
 		n.log.Warn("suspensions of the machine cannot be detected", map[string]any{"error": err.Error()})
 	}
 	n.Timers.OnPause(n.handlePause)
-	n.Clock.Woke = func(away time.Duration) {
+	n.Clock.OnResume = func(away time.Duration) {
 		n.handlePause(away)
 		metrics.GetOrRegisterCounter("suspended", n.Metrics).Inc(away.Milliseconds())
 		n.log.Warn("the machine was suspended", map[string]any{"away_ms": away.Milliseconds()})
