--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -172,7 +172,7 @@
 
 // maySend reports whether this box's part of the slots is certainly its own.
 func (b *Box) maySend() bool {
-	return b.Timers.Silence() < standstill && b.confirmed.Load()
+	return b.Timers.SinceLastStep() < standstill && b.confirmed.Load()
 }
 
 // ----------------------------------------------------------------
--- a/pkg/timer/timer.go
+++ b/pkg/timer/timer.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Silence returns for how long the service has not made a step. It falls only
+// SinceLastStep returns for how long the service has not made a step. It falls only
 // when those who asked have been told of a pause.
-func (s *Service) Silence() time.Duration {
+func (s *Service) SinceLastStep() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.last.IsZero() {
--- a/pkg/timer/timer_test.go
+++ b/pkg/timer/timer_test.go
@@ -50,12 +50,12 @@
 	s := New()
 	s.Now = func() time.Time { return now }
 	var told time.Duration
-	s.OnPause(func(time.Duration) { told = s.Silence() })
-	is.Equal(s.Silence(), time.Duration(0))
+	s.OnPause(func(time.Duration) { told = s.SinceLastStep() })
+	is.Equal(s.SinceLastStep(), time.Duration(0))
 	s.Step(func(f func()) { f() })
 	now = now.Add(9 * time.Second)
-	is.Equal(s.Silence(), 9*time.Second)
+	is.Equal(s.SinceLastStep(), 9*time.Second)
 	s.Step(func(f func()) { f() })
 	is.Equal(told, 9*time.Second)
-	is.Equal(s.Silence(), time.Duration(0))
+	is.Equal(s.SinceLastStep(), time.Duration(0))
 }
