--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -36,7 +36,7 @@
 }
 
 // Wire packs messages.
-var Wire = packet.Codec[Message]{Kind: "findings", First: wireVersion}
+var Wire = packet.Codec[Message]{Kind: "findings", FirstByte: wireVersion}
 
 // Outbox gathers what this box finds until it is sent.
 type Outbox struct {
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -63,4 +63,4 @@
 }
 
 // Wire packs heartbeats.
-var Wire = packet.Codec[Message]{Kind: "heartbeat", First: wireVersion}
+var Wire = packet.Codec[Message]{Kind: "heartbeat", FirstByte: wireVersion}
--- a/pkg/packet/packet.go
+++ b/pkg/packet/packet.go
@@ -15,8 +15,8 @@
 type Codec[T any] struct {
 	// Kind names the messages in errors.
 	Kind string
-	// First is the first byte of their datagrams.
-	First byte
+	// FirstByte is the first byte of their datagrams.
+	FirstByte byte
 }
 
 // Error says that a datagram is not a message of a kind, or that a message cannot be packed.
@@ -29,12 +29,12 @@
 func (e *Error) Error() string { return e.Kind + ": " + e.Problem }
 
 // Is reports whether a datagram claims to be a message of the kind.
-func (c Codec[T]) Is(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == c.First }
+func (c Codec[T]) Is(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == c.FirstByte }
 
 // Encode returns the message as a datagram. The error is an *Error.
 func (c Codec[T]) Encode(m *T) ([]byte, error) {
 	var b bytes.Buffer
-	b.WriteByte(c.First)
+	b.WriteByte(c.FirstByte)
 	e := msgpack.NewEncoder(&b)
 	e.UseArrayEncodedStructs(true)
 	e.UseCompactInts(true)
--- a/pkg/packet/packet_test.go
+++ b/pkg/packet/packet_test.go
@@ -12,7 +12,7 @@
 	Count int
 }
 
-var codec = Codec[message]{Kind: "test", First: 0x77}
+var codec = Codec[message]{Kind: "test", FirstByte: 0x77}
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	is := is.New(t)
--- a/pkg/quarantine/wire.go
+++ b/pkg/quarantine/wire.go
@@ -21,7 +21,7 @@
 }
 
 // Wire packs messages.
-var Wire = packet.Codec[Message]{Kind: "quarantine", First: wireVersion}
+var Wire = packet.Codec[Message]{Kind: "quarantine", FirstByte: wireVersion}
 
 // Messages divides records into messages that fit a packet each.
 func Messages(box string, records []Record) []Message {
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -250,7 +250,7 @@
 }
 
 // Wire packs reports.
-var Wire = packet.Codec[Report]{Kind: "rollout reports", First: wireVersion}
+var Wire = packet.Codec[Report]{Kind: "rollout reports", FirstByte: wireVersion}
 
 // Reports returns what those that judge are to know.
 func (t *Table) Reports() []Report {
--- a/pkg/serverstatus/wire.go
+++ b/pkg/serverstatus/wire.go
@@ -19,7 +19,7 @@
 }
 
 // Wire packs messages.
-var Wire = packet.Codec[Message]{Kind: "server statuses", First: wireVersion}
+var Wire = packet.Codec[Message]{Kind: "server statuses", FirstByte: wireVersion}
 
 // Messages divides records into messages that fit a packet each.
 func Messages(box string, records []Record) []Message {
