--- a/pkg/node/node_heartbeats.go
+++ b/pkg/node/node_heartbeats.go
@@ -151,19 +151,19 @@
 			continue
 		}
 		n.Clock.Sync()
-		if failurereport.Wire.Is(buffer[:size]) {
+		if failurereport.Wire.IsMessage(buffer[:size]) {
 			n.receiveFailureReports(buffer[:size], from)
 			continue
 		}
-		if quarantine.Wire.Is(buffer[:size]) {
+		if quarantine.Wire.IsMessage(buffer[:size]) {
 			n.receiveQuarantine(buffer[:size], from)
 			continue
 		}
-		if serverstatus.Wire.Is(buffer[:size]) {
+		if serverstatus.Wire.IsMessage(buffer[:size]) {
 			n.receiveStatuses(buffer[:size], from)
 			continue
 		}
-		if rollout.Wire.Is(buffer[:size]) {
+		if rollout.Wire.IsMessage(buffer[:size]) {
 			n.receiveRolloutReport(buffer[:size], from)
 			continue
 		}
--- a/pkg/packet/packet.go
+++ b/pkg/packet/packet.go
@@ -28,8 +28,10 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Kind + ": " + e.Problem }
 
-// Is reports whether a datagram claims to be a message of the kind.
-func (c Codec[T]) Is(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == c.FirstByte }
+// IsMessage reports whether a datagram claims to be a message of the kind.
+func (c Codec[T]) IsMessage(datagram []byte) bool {
+	return len(datagram) > 0 && datagram[0] == c.FirstByte
+}
 
 // Encode returns the message as a datagram. The error is an *Error.
 func (c Codec[T]) Encode(m *T) ([]byte, error) {
@@ -46,7 +48,7 @@
 
 // Decode reads a datagram. The error is an *Error.
 func (c Codec[T]) Decode(datagram []byte) (*T, error) {
-	if !c.Is(datagram) {
+	if !c.IsMessage(datagram) {
 		return nil, &Error{Kind: c.Kind, Problem: fmt.Sprintf("%d bytes of another kind or version", len(datagram))}
 	}
 	m := new(T)
--- a/pkg/packet/packet_test.go
+++ b/pkg/packet/packet_test.go
@@ -19,7 +19,7 @@
 	m := &message{Name: "box-1", Count: 7}
 	datagram, err := codec.Encode(m)
 	is.NoErr(err)
-	is.True(codec.Is(datagram))
+	is.True(codec.IsMessage(datagram))
 	is.True(len(datagram) < 12) // no names of fields
 	back, err := codec.Decode(datagram)
 	is.NoErr(err)
