--- a/pkg/customer/keyring.go
+++ b/pkg/customer/keyring.go
@@ -2,8 +2,8 @@
 
 // Credential is what a request brings to prove whose it is.
 type Credential struct {
-	// Given: the request names a key, in whatever form.
-	Given bool
+	// Present: the request names a key, in whatever form.
+	Present bool
 	// Malformed: what it names can be no key, or it names several.
 	Malformed bool
 	// Digest is that of the key.
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -14,7 +14,7 @@
 		return nil
 	}
 	credential := &c.meta.Credential
-	if !credential.Given || credential.Malformed {
+	if !credential.Present || credential.Malformed {
 		if c.route.AllowAnonymous {
 			return nil
 		}
