--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -167,20 +167,20 @@
 	}
 }
 
-// Figure is one figure in a form for reading.
-type Figure struct {
+// Parameter is one figure in a form for reading.
+type Parameter struct {
 	Name  string
 	Value string
 	Unit  string
 }
 
 // Figures lists all figures in the order in which they are declared.
-func (p *Policy) Figures() []Figure {
+func (p *Policy) Figures() []Parameter {
 	v := reflect.ValueOf(p).Elem()
-	list := make([]Figure, 0, v.NumField())
+	list := make([]Parameter, 0, v.NumField())
 	for i := range v.NumField() {
 		tag := v.Type().Field(i).Tag
-		list = append(list, Figure{
+		list = append(list, Parameter{
 			Name: tag.Get("yaml"), Value: fmt.Sprint(v.Field(i).Interface()), Unit: tag.Get("unit"),
 		})
 	}
