--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -88,7 +88,7 @@
 	}
 	if *check {
 		fmt.Fprintln(stdout, "settings: ok")
-		for _, f := range s.Policy.Figures() {
+		for _, f := range s.Policy.Parameters() {
 			fmt.Fprintf(stdout, "policy.%s: %s (%s)\n", f.Name, f.Value, f.Unit)
 		}
 		return ExitOK
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -174,8 +174,8 @@
 	Unit  string
 }
 
-// Figures lists all figures in the order in which they are declared.
-func (p *Policy) Figures() []Parameter {
+// Parameters lists all figures in the order in which they are declared.
+func (p *Policy) Parameters() []Parameter {
 	v := reflect.ValueOf(p).Elem()
 	list := make([]Parameter, 0, v.NumField())
 	for i := range v.NumField() {
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -33,8 +33,8 @@
 		names[f.Tag.Get("yaml")] = true
 	}
 	p := Default()
-	if len(p.Figures()) != kind.NumField() {
-		t.Errorf("%d figures of %d are listed", len(p.Figures()), kind.NumField())
+	if len(p.Parameters()) != kind.NumField() {
+		t.Errorf("%d figures of %d are listed", len(p.Parameters()), kind.NumField())
 	}
 }
 
