--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -36,9 +36,9 @@
 )
 
 func (n *Node) newQuarantine(log *logging.Part) {
-	n.Quarantine = quarantine.NewTable(func() quarantine.Terms {
+	n.Quarantine = quarantine.NewTable(func() quarantine.Config {
 		p := n.policy.Load()
-		return quarantine.Terms{Crashes: p.QuarantineAfter, Hold: p.QuarantineHold}
+		return quarantine.Config{Crashes: p.QuarantineAfter, Hold: p.QuarantineHold}
 	}, n.Clock.Now)
 	n.Quarantine.Changed = func(r quarantine.Record, what string) {
 		log.Warn("request "+what, map[string]any{
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Terms say when a request is held.
-type Terms struct {
+// Config say when a request is held.
+type Config struct {
 	// Crashes is under how many backend servers' ends a request is held, and Hold for how
 	// long. Each further end under it doubles that.
 	Crashes int
@@ -57,7 +57,7 @@
 
 // Table is what one box knows of requests that were at servers when they crashed.
 type Table struct {
-	Terms func() Terms
+	Terms func() Config
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Changed is told when a request is held or released, or what is known of it is
@@ -85,7 +85,7 @@
 }
 
 // NewTable makes an empty table.
-func NewTable(terms func() Terms, now func() time.Time) *Table {
+func NewTable(terms func() Config, now func() time.Time) *Table {
 	return &Table{Terms: terms, Now: now, Changed: func(Record, string) {}, records: map[Fingerprint]*record{}}
 }
 
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -19,10 +19,10 @@
 
 func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
 
-var terms = Terms{Crashes: 3, Hold: time.Minute}
+var terms = Config{Crashes: 3, Hold: time.Minute}
 
 func newTable(c *clock) *Table {
-	return NewTable(func() Terms { return terms }, c.Now)
+	return NewTable(func() Config { return terms }, c.Now)
 }
 
 func newClock() *clock { return &clock{now: time.Unix(1000, 0)} }
