--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -57,7 +57,7 @@
 
 // Table is what one box knows of requests that were at servers when they crashed.
 type Table struct {
-	Terms func() Config
+	Config func() Config
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
 	// Changed is told when a request is held or released, or what is known of it is
@@ -86,7 +86,7 @@
 
 // NewTable makes an empty table.
 func NewTable(terms func() Config, now func() time.Time) *Table {
-	return &Table{Terms: terms, Now: now, Changed: func(Record, string) {}, records: map[Fingerprint]*record{}}
+	return &Table{Config: terms, Now: now, Changed: func(Record, string) {}, records: map[Fingerprint]*record{}}
 }
 
 // Empty reports whether nothing is known of any request.
@@ -140,7 +140,7 @@
 		return
 	}
 	t.join(told.Request, r, told)
-	if told.Left > 0 && r.counted() < t.Terms().Crashes {
+	if told.Left > 0 && r.counted() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
 		t.tell(r)
 	}
@@ -203,7 +203,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	for f, r := range t.records {
-		if now.Sub(r.fresh()) > t.Terms().Hold {
+		if now.Sub(r.fresh()) > t.Config().Hold {
 			t.drop(f)
 		}
 	}
@@ -257,7 +257,7 @@
 // and releases it if fewer do than are needed. A hold that another box has begun ends as it
 // does there: counted anew by each that hears of it, it would never end.
 func (t *Table) judge(f Fingerprint, r *record, left time.Duration) {
-	now, terms := t.Now(), t.Terms()
+	now, terms := t.Now(), t.Config()
 	n := r.counted()
 	switch {
 	case n < terms.Crashes:
