--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -53,7 +53,7 @@
 
 // noteCrash counts a crash against a request, at this box and soon at all boxes.
 func (n *Node) noteCrash(f quarantine.Fingerprint, server string) {
-	if begun := n.Quarantine.Crashed(f, server); begun != nil {
+	if begun := n.Quarantine.ObserveCrash(f, server); begun != nil {
 		n.background.Go(func() { n.storeHold(begun) })
 	}
 	if n.crashSendPending.Swap(true) {
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -180,7 +180,7 @@
 		if r.life != r.box.table {
 			continue // the box has started anew meanwhile
 		}
-		if begun := r.box.table.Crashed(modelRequest, fmt.Sprint("i-", f.servers)); begun != nil {
+		if begun := r.box.table.ObserveCrash(modelRequest, fmt.Sprint("i-", f.servers)); begun != nil {
 			f.callStore(r.box, begun)
 		}
 		if r.tries < 2 {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -92,9 +92,9 @@
 // Empty reports whether nothing is known of any request.
 func (t *Table) Empty() bool { return t.known.Load() == 0 }
 
-// Crashed notes that a server crashed while it had the request, and returns what is known of
+// ObserveCrash notes that a server crashed while it had the request, and returns what is known of
 // the request if that began to be held by it, nil if not.
-func (t *Table) Crashed(f Fingerprint, server string) (begun *Record) {
+func (t *Table) ObserveCrash(f Fingerprint, server string) (begun *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordOf(f)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -38,14 +38,14 @@
 	table := newTable(newClock())
 	is.True(table.Empty())
 	for range 5 {
-		table.Crashed(1, "i-1")
+		table.ObserveCrash(1, "i-1")
 	}
-	table.Crashed(1, "i-2")
-	table.Crashed(2, "i-3")
+	table.ObserveCrash(1, "i-2")
+	table.ObserveCrash(2, "i-3")
 	is.True(!held(table, 1))
 	is.True(table.Suspected(1))
 	is.True(!table.Suspected(3))
-	table.Crashed(1, "i-3")
+	table.ObserveCrash(1, "i-3")
 	left, isHeld := table.Held(1)
 	is.True(isHeld)
 	is.Equal(left, terms.Hold)
@@ -59,7 +59,7 @@
 	c := newClock()
 	here, there := newTable(c), newTable(c)
 	for _, server := range []string{"i-1", "i-2", "i-3"} {
-		here.Crashed(1, server)
+		here.ObserveCrash(1, server)
 	}
 	exchange(here, there)
 	is.True(held(there, 1))
@@ -71,7 +71,7 @@
 	// The same crashes, told once more by one that has not heard, count no more.
 	there.Learn(Record{Request: 1, Crashed: []string{"i-3"}, Left: time.Second})
 	is.True(!there.Suspected(1))
-	here.Crashed(1, "i-4")
+	here.ObserveCrash(1, "i-4")
 	is.True(here.Suspected(1))
 	is.True(!held(here, 1))
 }
@@ -90,7 +90,7 @@
 	c := newClock()
 	a, b := newTable(c), newTable(c)
 	for _, server := range []string{"i-1", "i-2", "i-3"} {
-		a.Crashed(1, server)
+		a.ObserveCrash(1, server)
 	}
 	spread := func(from, to *Table) {
 		records := from.Holds()
@@ -108,7 +108,7 @@
 	is.True(!held(a, 1))
 	is.True(!held(b, 1))
 	is.True(a.Suspected(1))
-	a.Crashed(1, "i-4")
+	a.ObserveCrash(1, "i-4")
 	left, isHeld := a.Held(1)
 	is.True(isHeld)
 	is.Equal(left, 2*terms.Hold)
@@ -122,7 +122,7 @@
 	is := is.New(t)
 	c := newClock()
 	table := newTable(c)
-	table.Crashed(1, "i-1")
+	table.ObserveCrash(1, "i-1")
 	is.Equal(len(table.Due()), 1)
 	is.Equal(len(table.Due()), 0)
 	c.pass(tellAgain)
@@ -139,11 +139,11 @@
 	c := newClock()
 	table := newTable(c)
 	for i := range mostServers + 3 {
-		table.Crashed(1, fmt.Sprint("i-", i))
+		table.ObserveCrash(1, fmt.Sprint("i-", i))
 	}
 	for i := range 3 * mostRecords {
 		c.pass(time.Millisecond)
-		table.Crashed(Fingerprint(2+i), "i-1")
+		table.ObserveCrash(Fingerprint(2+i), "i-1")
 	}
 	is.Equal(len(table.records), mostRecords)
 	is.Equal(len(table.records[1].crashed), mostServers)
@@ -152,7 +152,7 @@
 	is.True(table.Suspected(Fingerprint(1 + 3*mostRecords)))
 	for i := range 2 * mostRecords {
 		for _, server := range []string{"i-1", "i-2", "i-3"} {
-			table.Crashed(Fingerprint(10_000+i), server)
+			table.ObserveCrash(Fingerprint(10_000+i), server)
 		}
 	}
 	is.Equal(len(table.records), mostRecords)
@@ -175,7 +175,7 @@
 			at := tables[box.Draw(t, "at")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				at.Crashed(request.Draw(t, "f"), fmt.Sprint("i-", rapid.IntRange(1, 5).Draw(t, "server")))
+				at.ObserveCrash(request.Draw(t, "f"), fmt.Sprint("i-", rapid.IntRange(1, 5).Draw(t, "server")))
 			case 1:
 				at.Answered(request.Draw(t, "f"))
 			case 2:
@@ -275,7 +275,7 @@
 	for i, table := range tables {
 		table.Changed = func(Record, string) { changes++ }
 		for k := range 2 * mostServers {
-			table.Crashed(1, fmt.Sprintf("i-%d-%d", (i+k)%3, k))
+			table.ObserveCrash(1, fmt.Sprintf("i-%d-%d", (i+k)%3, k))
 		}
 	}
 	spread := func() {
@@ -305,6 +305,6 @@
 	// One more crash after the hold has ended holds the request again.
 	c.now = ends.Add(time.Second)
 	is.True(!held(tables[0], 1))
-	is.True(tables[0].Crashed(1, "z-last") != nil)
+	is.True(tables[0].ObserveCrash(1, "z-last") != nil)
 	is.True(held(tables[0], 1))
 }
