--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -86,7 +86,7 @@
 	if !verdict.Signed || c.server.Quarantine.Empty() {
 		return
 	}
-	if c.server.Quarantine.Answered(c.fingerprint()) {
+	if c.server.Quarantine.ObserveAnswer(c.fingerprint()) {
 		c.server.Released(c.fingerprint())
 	}
 }
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -141,7 +141,7 @@
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
-	case !n.Quarantine.Answered(f):
+	case !n.Quarantine.ObserveAnswer(f):
 		http.Error(w, f.String()+" is not held", http.StatusNotFound)
 	default:
 		n.log.Info("request released by an operator", map[string]any{"fingerprint": f.String(), "from": r.RemoteAddr})
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -116,9 +116,9 @@
 	return &known
 }
 
-// Answered notes that a server has answered the request: it crashes no servers. What held
+// ObserveAnswer notes that a server has answered the request: it crashes no servers. What held
 // against it is excused, at all boxes. It reports whether the request was held.
-func (t *Table) Answered(f Fingerprint) (released bool) {
+func (t *Table) ObserveAnswer(f Fingerprint) (released bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -63,7 +63,7 @@
 	}
 	exchange(here, there)
 	is.True(held(there, 1))
-	there.Answered(1) // an attempt that was on its way
+	there.ObserveAnswer(1) // an attempt that was on its way
 	is.True(!held(there, 1))
 	is.True(!there.Suspected(1))
 	exchange(there, here)
@@ -177,7 +177,7 @@
 			case 0:
 				at.ObserveCrash(request.Draw(t, "f"), fmt.Sprint("i-", rapid.IntRange(1, 5).Draw(t, "server")))
 			case 1:
-				at.Answered(request.Draw(t, "f"))
+				at.ObserveAnswer(request.Draw(t, "f"))
 			case 2:
 				late = append(late, at.Due()...)
 				c.pass(tellAgain)
