--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -107,6 +107,6 @@
 		n.removeHold(f)
 		return
 	}
-	n.Quarantine.Learn(r)
+	n.Quarantine.Merge(r)
 	n.log.Info("hold read from the store", map[string]any{"fingerprint": f.String(), "crashed": r.Crashed, "left_ms": r.Left.Milliseconds()})
 }
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -120,7 +120,7 @@
 		return
 	}
 	for i := range m.Records {
-		n.Quarantine.Learn(m.Records[i])
+		n.Quarantine.Merge(m.Records[i])
 	}
 	metrics.GetOrRegisterCounter("quarantine.received", n.Metrics).Inc(int64(len(m.Records)))
 }
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -94,7 +94,7 @@
 		case c.write != nil:
 			f.stored = c.write
 		case f.stored != nil:
-			c.box.table.Learn(*f.stored)
+			c.box.table.Merge(*f.stored)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		if now.Before(d.at) {
 			kept = append(kept, d)
 		} else if !f.isCut(d.to) {
-			d.to.table.Learn(d.record)
+			d.to.table.Merge(d.record)
 		}
 	}
 	f.inFlight = kept
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -131,8 +131,8 @@
 	return released
 }
 
-// Learn takes in what another box knows.
-func (t *Table) Learn(told Record) {
+// Merge takes in what another box knows.
+func (t *Table) Merge(told Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordOf(told.Request)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -69,7 +69,7 @@
 	exchange(there, here)
 	is.True(!held(here, 1))
 	// The same crashes, told once more by one that has not heard, count no more.
-	there.Learn(Record{Request: 1, Crashed: []string{"i-3"}, Left: time.Second})
+	there.Merge(Record{Request: 1, Crashed: []string{"i-3"}, Left: time.Second})
 	is.True(!there.Suspected(1))
 	here.ObserveCrash(1, "i-4")
 	is.True(here.Suspected(1))
@@ -79,7 +79,7 @@
 // exchange hands all that one table is to tell to the other one.
 func exchange(from, to *Table) {
 	for _, r := range from.Due() {
-		to.Learn(r)
+		to.Merge(r)
 	}
 }
 
@@ -96,7 +96,7 @@
 		records := from.Holds()
 		c.pass(20 * time.Millisecond) // on its way
 		for _, r := range records {
-			to.Learn(r)
+			to.Merge(r)
 		}
 	}
 	for range 30 {
@@ -129,7 +129,7 @@
 	is.Equal(len(table.Due()), 1)
 	c.pass(tellAgain)
 	is.Equal(len(table.Due()), 0)
-	table.Learn(Record{Request: 2, Crashed: []string{"i-1"}})
+	table.Merge(Record{Request: 2, Crashed: []string{"i-1"}})
 	is.Equal(len(table.Due()), 0) // what was heard is told on by nobody
 }
 
@@ -183,7 +183,7 @@
 				c.pass(tellAgain)
 			case 3:
 				if len(late) > 0 {
-					at.Learn(late[rapid.IntRange(0, len(late)-1).Draw(t, "datagram")])
+					at.Merge(late[rapid.IntRange(0, len(late)-1).Draw(t, "datagram")])
 				}
 			}
 		}
@@ -192,7 +192,7 @@
 				for f, r := range from.records {
 					for _, to := range tables {
 						if to != from {
-							to.Learn(r.export(f, c.now))
+							to.Merge(r.export(f, c.now))
 						}
 					}
 				}
@@ -257,7 +257,7 @@
 		}
 		table := newTable(newClock())
 		for i := range m.Records {
-			table.Learn(m.Records[i])
+			table.Merge(m.Records[i])
 		}
 		if len(table.records) > mostRecords {
 			t.Fatal("more records than there is room for")
@@ -286,7 +286,7 @@
 		c.pass(20 * time.Millisecond)
 		for i, to := range tables {
 			for k := range told {
-				to.Learn(told[(i+k)%len(told)])
+				to.Merge(told[(i+k)%len(told)])
 			}
 		}
 	}
