--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -40,7 +40,7 @@
 		p := n.policy.Load()
 		return quarantine.Config{Crashes: p.QuarantineAfter, Hold: p.QuarantineHold}
 	}, n.Clock.Now)
-	n.Quarantine.Changed = func(r quarantine.Record, what string) {
+	n.Quarantine.OnChange = func(r quarantine.Record, what string) {
 		log.Warn("request "+what, map[string]any{
 			"fingerprint": r.Request.String(), "crashed": r.Crashed, "excused": r.Excused, "left_ms": r.Left.Milliseconds(),
 		})
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -60,9 +60,9 @@
 	Config func() Config
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Changed is told when a request is held or released, or what is known of it is
+	// OnChange is told when a request is held or released, or what is known of it is
 	// dropped for want of room. It runs under the table's lock and must not call it.
-	Changed func(r Record, what string)
+	OnChange func(r Record, what string)
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
@@ -86,7 +86,7 @@
 
 // NewTable makes an empty table.
 func NewTable(terms func() Config, now func() time.Time) *Table {
-	return &Table{Config: terms, Now: now, Changed: func(Record, string) {}, records: map[Fingerprint]*record{}}
+	return &Table{Config: terms, Now: now, OnChange: func(Record, string) {}, records: map[Fingerprint]*record{}}
 }
 
 // Empty reports whether nothing is known of any request.
@@ -264,7 +264,7 @@
 		r.heldAt = 0
 		if now.Before(r.until) {
 			r.until = now
-			t.Changed(r.export(f, now), "released")
+			t.OnChange(r.export(f, now), "released")
 		}
 	case n > r.heldAt:
 		hold := terms.Hold << min(n-terms.Crashes, mostDoublings)
@@ -275,7 +275,7 @@
 		if until := now.Add(hold); until.After(r.until) {
 			r.until = until
 		}
-		t.Changed(r.export(f, now), "held")
+		t.OnChange(r.export(f, now), "held")
 	}
 }
 
@@ -296,7 +296,7 @@
 		return r
 	}
 	if len(t.records) >= mostRecords && !t.makeRoom() {
-		t.Changed(Record{Request: f}, "not noted")
+		t.OnChange(Record{Request: f}, "not noted")
 		return nil
 	}
 	r := &record{changed: t.Now()}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -273,7 +273,7 @@
 	changes := 0
 	tables := []*Table{newTable(c), newTable(c), newTable(c)}
 	for i, table := range tables {
-		table.Changed = func(Record, string) { changes++ }
+		table.OnChange = func(Record, string) { changes++ }
 		for k := range 2 * mostServers {
 			table.ObserveCrash(1, fmt.Sprintf("i-%d-%d", (i+k)%3, k))
 		}
