--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -79,7 +79,7 @@
 	}
 	var repeated, single []quarantine.Record
 	for _, r := range records {
-		if r.Counted() > 1 {
+		if r.CountedCrashes() > 1 {
 			repeated = append(repeated, r)
 		} else {
 			single = append(single, r)
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -42,8 +42,8 @@
 	Left time.Duration
 }
 
-// Counted is how many crashes count against the request.
-func (r *Record) Counted() int { return counted(r.Crashed, r.Excused) }
+// CountedCrashes is how many crashes count against the request.
+func (r *Record) CountedCrashes() int { return counted(r.Crashed, r.Excused) }
 
 func counted(crashed, excused []string) int {
 	n := 0
