--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -108,5 +108,5 @@
 		return
 	}
 	n.Quarantine.Merge(r)
-	n.log.Info("hold read from the store", map[string]any{"fingerprint": f.String(), "crashed": r.Crashed, "left_ms": r.Left.Milliseconds()})
+	n.log.Info("hold read from the store", map[string]any{"fingerprint": f.String(), "crashed": r.Crashed, "left_ms": r.Remaining.Milliseconds()})
 }
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -42,7 +42,7 @@
 	}, n.Clock.Now)
 	n.Quarantine.OnChange = func(r quarantine.Record, what string) {
 		log.Warn("request "+what, map[string]any{
-			"fingerprint": r.Request.String(), "crashed": r.Crashed, "excused": r.Excused, "left_ms": r.Left.Milliseconds(),
+			"fingerprint": r.Request.String(), "crashed": r.Crashed, "excused": r.Excused, "left_ms": r.Remaining.Milliseconds(),
 		})
 	}
 	held := metrics.NewFunctionalGauge(func() int64 { return int64(len(n.Quarantine.Holds())) })
--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -33,7 +33,7 @@
 func HeldOf(records []Record) []Held {
 	list := []Held{}
 	for _, r := range records {
-		list = append(list, Held{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Left.Milliseconds()})
+		list = append(list, Held{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Remaining.Milliseconds()})
 	}
 	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return list
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -11,8 +11,8 @@
 func TestOperatorsAreToldWhatIsHeld(t *testing.T) {
 	is := is.New(t)
 	held := HeldOf([]Record{
-		{Request: 0xb, Crashed: []string{"i-1", "i-2", "i-3"}, Left: 90 * time.Second},
-		{Request: 0xa, Crashed: []string{"i-4@1770320509021"}, Left: time.Second},
+		{Request: 0xb, Crashed: []string{"i-1", "i-2", "i-3"}, Remaining: 90 * time.Second},
+		{Request: 0xa, Crashed: []string{"i-4@1770320509021"}, Remaining: time.Second},
 	})
 	var text strings.Builder
 	is.NoErr(Print(&text, []Box{{Box: "box-1", Held: held}, {Box: "box-2"}}))
@@ -40,11 +40,11 @@
 func TestStoredHoldsAreReadBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_770_320_509, 0)
-	r := Record{Request: 7, Crashed: []string{"i-1", "i-2@1770320509021", "i-3"}, Left: time.Minute}
+	r := Record{Request: 7, Crashed: []string{"i-1", "i-2@1770320509021", "i-3"}, Remaining: time.Minute}
 	stored := StoredOf(&r, now)
 	back, ok := stored.Record(7, now.Add(10*time.Second))
 	is.True(ok)
-	is.Equal(back, Record{Request: 7, Crashed: r.Crashed, Left: 50 * time.Second})
+	is.Equal(back, Record{Request: 7, Crashed: r.Crashed, Remaining: 50 * time.Second})
 	for _, s := range []Stored{
 		{}, {Crashed: r.Crashed}, {UntilMS: stored.UntilMS}, {Crashed: []string{""}, UntilMS: stored.UntilMS},
 		{Crashed: []string{strings.Repeat("i", 200)}, UntilMS: stored.UntilMS}, {Crashed: make([]string, 100), UntilMS: stored.UntilMS},
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -12,7 +12,7 @@
 
 // StoredOf returns a record as it is kept, given the time of day.
 func StoredOf(r *Record, now time.Time) Stored {
-	return Stored{Crashed: r.Crashed, UntilMS: now.Add(r.Left).UnixMilli()}
+	return Stored{Crashed: r.Crashed, UntilMS: now.Add(r.Remaining).UnixMilli()}
 }
 
 // longestName bounds the name of a server's life in what is read, in bytes.
@@ -30,5 +30,5 @@
 			return Record{}, false
 		}
 	}
-	return Record{Request: f, Crashed: s.Crashed, Left: left}, true
+	return Record{Request: f, Crashed: s.Crashed, Remaining: left}, true
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -38,8 +38,8 @@
 	// Excused are those of them that do not count any more, since a server has answered
 	// the request later: it had been at servers that crashed under other requests.
 	Excused []string
-	// Left is for how long the request is held yet, 0 if it is not.
-	Left time.Duration
+	// Remaining is for how long the request is held yet, 0 if it is not.
+	Remaining time.Duration
 }
 
 // CountedCrashes is how many crashes count against the request.
@@ -140,7 +140,7 @@
 		return
 	}
 	t.join(told.Request, r, told)
-	if told.Left > 0 && r.counted() < t.Config().Crashes {
+	if told.Remaining > 0 && r.counted() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
 		t.tell(r)
 	}
@@ -225,7 +225,7 @@
 
 func (r *record) export(f Fingerprint, now time.Time) Record {
 	return Record{
-		Request: f, Crashed: slices.Clone(r.crashed), Excused: slices.Clone(r.excused), Left: max(0, r.until.Sub(now)),
+		Request: f, Crashed: slices.Clone(r.crashed), Excused: slices.Clone(r.excused), Remaining: max(0, r.until.Sub(now)),
 	}
 }
 
@@ -250,7 +250,7 @@
 		return
 	}
 	r.changed = t.Now()
-	t.judge(f, r, told.Left)
+	t.judge(f, r, told.Remaining)
 }
 
 // judge holds the request if more crashes count against it than when it was last held,
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -69,7 +69,7 @@
 	exchange(there, here)
 	is.True(!held(here, 1))
 	// The same crashes, told once more by one that has not heard, count no more.
-	there.Merge(Record{Request: 1, Crashed: []string{"i-3"}, Left: time.Second})
+	there.Merge(Record{Request: 1, Crashed: []string{"i-3"}, Remaining: time.Second})
 	is.True(!there.Suspected(1))
 	here.ObserveCrash(1, "i-4")
 	is.True(here.Suspected(1))
@@ -212,7 +212,7 @@
 	is := is.New(t)
 	var records []Record
 	for i := range 60 {
-		r := Record{Request: Fingerprint(i), Left: time.Second}
+		r := Record{Request: Fingerprint(i), Remaining: time.Second}
 		for k := range i % (mostServers + 1) {
 			r.Crashed = append(r.Crashed, fmt.Sprintf("i-%010d@%d", k, 1770320509021))
 			r.Excused = append(r.Excused, fmt.Sprintf("i-%010d@%d", k, 1770320509021))
@@ -234,7 +234,7 @@
 	for i := range back {
 		is.Equal(back[i].Request, records[i].Request)
 		is.Equal(back[i].Crashed, records[i].Crashed)
-		is.Equal(back[i].Left, records[i].Left)
+		is.Equal(back[i].Remaining, records[i].Remaining)
 	}
 }
 
