--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -29,8 +29,8 @@
 	LeftMS int64 `json:"left_ms"`
 }
 
-// HeldOf returns records as operators are told them, in the order of fingerprints.
-func HeldOf(records []Record) []Held {
+// HeldRequests returns records as operators are told them, in the order of fingerprints.
+func HeldRequests(records []Record) []Held {
 	list := []Held{}
 	for _, r := range records {
 		list = append(list, Held{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Remaining.Milliseconds()})
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -10,7 +10,7 @@
 
 func TestOperatorsAreToldWhatIsHeld(t *testing.T) {
 	is := is.New(t)
-	held := HeldOf([]Record{
+	held := HeldRequests([]Record{
 		{Request: 0xb, Crashed: []string{"i-1", "i-2", "i-3"}, Remaining: 90 * time.Second},
 		{Request: 0xa, Crashed: []string{"i-4@1770320509021"}, Remaining: time.Second},
 	})
