--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -17,12 +17,12 @@
 
 // Box is what one box tells operators.
 type Box struct {
-	Box  string `json:"box"`
-	Held []Held `json:"held"`
+	Box  string        `json:"box"`
+	Held []HeldRequest `json:"held"`
 }
 
-// Held is a request that is kept from servers.
-type Held struct {
+// HeldRequest is a request that is kept from servers.
+type HeldRequest struct {
 	Fingerprint string   `json:"fingerprint"`
 	Crashed     []string `json:"crashed"`
 	// LeftMS is for how long yet, in milliseconds.
@@ -30,12 +30,12 @@
 }
 
 // HeldRequests returns records as operators are told them, in the order of fingerprints.
-func HeldRequests(records []Record) []Held {
-	list := []Held{}
+func HeldRequests(records []Record) []HeldRequest {
+	list := []HeldRequest{}
 	for _, r := range records {
-		list = append(list, Held{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Remaining.Milliseconds()})
+		list = append(list, HeldRequest{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Remaining.Milliseconds()})
 	}
-	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(list, func(a, b HeldRequest) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return list
 }
 
