--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -128,7 +128,7 @@
 // serveQuarantine returns to operators the requests that this box keeps from servers.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	body := quarantine.Box{Box: n.Settings.Box, Held: quarantine.HeldRequests(n.Quarantine.Holds())}
+	body := quarantine.BoxHolds{Box: n.Settings.Box, Held: quarantine.HeldRequests(n.Quarantine.Holds())}
 	if err := json.NewEncoder(w).Encode(body); err != nil {
 		n.log.Debug("list of held requests could not be sent", map[string]any{"error": err.Error()})
 	}
--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -15,8 +15,8 @@
 // deleted, is released.
 const Path = "/v1/quarantine"
 
-// Box is what one box tells operators.
-type Box struct {
+// BoxHolds is what one box tells operators.
+type BoxHolds struct {
 	Box  string        `json:"box"`
 	Held []HeldRequest `json:"held"`
 }
@@ -59,7 +59,7 @@
 }
 
 // Print writes a table of what boxes hold. The error is the writer's.
-func Print(w io.Writer, boxes []Box) error {
+func Print(w io.Writer, boxes []BoxHolds) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "FINGERPRINT\tBOX\tLEFT\tSERVERS THAT CRASHED"); err != nil {
 		return err
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -15,7 +15,7 @@
 		{Request: 0xa, Crashed: []string{"i-4@1770320509021"}, Remaining: time.Second},
 	})
 	var text strings.Builder
-	is.NoErr(Print(&text, []Box{{Box: "box-1", Held: held}, {Box: "box-2"}}))
+	is.NoErr(Print(&text, []BoxHolds{{Box: "box-1", Held: held}, {Box: "box-2"}}))
 	is.Equal(text.String(), strings.Join([]string{
 		"FINGERPRINT       BOX    LEFT   SERVERS THAT CRASHED",
 		"000000000000000a  box-1  1s     i-4@1770320509021",
--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -329,7 +329,7 @@
 	admin := f.Boxes[1].Settings.Listen.Admin
 	var out, problems strings.Builder
 	is.Equal(ctl.Main([]string{"quarantine", "--output", "json", admin}, nil, &out, &problems), 0)
-	var boxes []quarantine.Box
+	var boxes []quarantine.BoxHolds
 	is.NoErr(json.Unmarshal([]byte(out.String()), &boxes))
 	is.Equal(len(boxes[0].Held), 1)
 	is.Equal(ctl.Main([]string{"release", "7", admin}, nil, &out, &problems), 2)
