--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -94,7 +94,7 @@
 // loadHold loads one object. It removes an object whose hold has ended.
 func (n *Node) loadHold(o objects.Object) {
 	f, err := quarantine.ParseFingerprint(o.Name)
-	var stored quarantine.Stored
+	var stored quarantine.StoredHold
 	if err == nil {
 		err = json.Unmarshal(o.Spec, &stored)
 	}
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -45,7 +45,7 @@
 	back, ok := stored.Record(7, now.Add(10*time.Second))
 	is.True(ok)
 	is.Equal(back, Record{Request: 7, Crashed: r.Crashed, Remaining: 50 * time.Second})
-	for _, s := range []Stored{
+	for _, s := range []StoredHold{
 		{}, {Crashed: r.Crashed}, {UntilMS: stored.UntilMS}, {Crashed: []string{""}, UntilMS: stored.UntilMS},
 		{Crashed: []string{strings.Repeat("i", 200)}, UntilMS: stored.UntilMS}, {Crashed: make([]string, 100), UntilMS: stored.UntilMS},
 	} {
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Stored is a held request as the platform's store keeps it, under its fingerprint.
-type Stored struct {
+// StoredHold is a held request as the platform's store keeps it, under its fingerprint.
+type StoredHold struct {
 	Crashed []string `json:"crashed"`
 	// UntilMS is when the hold ends, in milliseconds since 1970. Boxes' clocks of the time of
 	// day are some seconds apart at most, a hundredth of a hold.
@@ -11,8 +11,8 @@
 }
 
 // StoredOf returns a record as it is kept, given the time of day.
-func StoredOf(r *Record, now time.Time) Stored {
-	return Stored{Crashed: r.Crashed, UntilMS: now.Add(r.Remaining).UnixMilli()}
+func StoredOf(r *Record, now time.Time) StoredHold {
+	return StoredHold{Crashed: r.Crashed, UntilMS: now.Add(r.Remaining).UnixMilli()}
 }
 
 // longestName bounds the name of a server's life in what is read, in bytes.
@@ -20,7 +20,7 @@
 
 // Record returns what is kept of a request, given the time of day; ok is false if it is over, or
 // nothing that a box would have written.
-func (s *Stored) Record(f Fingerprint, now time.Time) (r Record, ok bool) {
+func (s *StoredHold) Record(f Fingerprint, now time.Time) (r Record, ok bool) {
 	left := time.UnixMilli(s.UntilMS).Sub(now)
 	if left <= 0 || len(s.Crashed) == 0 || len(s.Crashed) > mostServers {
 		return Record{}, false
