--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -53,7 +53,7 @@
 				return err
 			}
 		}
-		return n.store.Create(ctx, n.adapter.HoldsKind, r.Request.String(), quarantine.StoredOf(r, time.Now()))
+		return n.store.Create(ctx, n.adapter.HoldsKind, r.Request.String(), quarantine.NewStoredHold(r, time.Now()))
 	})
 }
 
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	now := time.Unix(1_770_320_509, 0)
 	r := Record{Request: 7, Crashed: []string{"i-1", "i-2@1770320509021", "i-3"}, Remaining: time.Minute}
-	stored := StoredOf(&r, now)
+	stored := NewStoredHold(&r, now)
 	back, ok := stored.Record(7, now.Add(10*time.Second))
 	is.True(ok)
 	is.Equal(back, Record{Request: 7, Crashed: r.Crashed, Remaining: 50 * time.Second})
--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -10,8 +10,8 @@
 	UntilMS int64 `json:"until_ms"`
 }
 
-// StoredOf returns a record as it is kept, given the time of day.
-func StoredOf(r *Record, now time.Time) StoredHold {
+// NewStoredHold returns a record as it is kept, given the time of day.
+func NewStoredHold(r *Record, now time.Time) StoredHold {
 	return StoredHold{Crashed: r.Crashed, UntilMS: now.Add(r.Remaining).UnixMilli()}
 }
 
