--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -170,7 +170,7 @@
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
 	body := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
 	for _, r := range n.Statuses.All() {
-		if !r.Named {
+		if !r.HasLimit {
 			continue
 		}
 		s := n.Quota.Stats(quota.ServerIDOf(r.Server))
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -168,7 +168,7 @@
 	body := serverstatus.SaidBox{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
 	for _, r := range records {
 		said := serverstatus.Said{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
-		if r.Named {
+		if r.HasLimit {
 			said.PerSecond = &r.PerSecond
 		}
 		body.Servers = append(body.Servers, said)
--- a/pkg/serverstatus/serverstatus.go
+++ b/pkg/serverstatus/serverstatus.go
@@ -19,8 +19,8 @@
 	// Server names the life, see backend.Server.Life, and Zone is where it runs.
 	Server string
 	Zone   string
-	// Named: it names a limit, PerSecond in requests a second.
-	Named     bool
+	// HasLimit: it names a limit, PerSecond in requests a second.
+	HasLimit  bool
 	PerSecond float64
 	// Number orders the changes of the limit.
 	Number uint32
@@ -37,8 +37,8 @@
 }
 
 func (r *Record) isStricter(other *Record) bool {
-	if r.Named != other.Named {
-		return r.Named
+	if r.HasLimit != other.HasLimit {
+		return r.HasLimit
 	}
-	return r.Named && r.PerSecond < other.PerSecond
+	return r.HasLimit && r.PerSecond < other.PerSecond
 }
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -96,8 +96,8 @@
 	e := t.records[life]
 	switch {
 	case limit.Present:
-		t.namedBy(e, Record{Server: life, Zone: server.Zone, Named: true, PerSecond: limit.PerSecond})
-	case e != nil && e.Named && ran && sent.After(e.heard):
+		t.namedBy(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
+	case e != nil && e.HasLimit && ran && sent.After(e.heard):
 		t.set(e, Record{Server: life, Zone: server.Zone, Number: e.Number + 1})
 		e.tell()
 	}
@@ -141,7 +141,7 @@
 		}
 	}
 	e.heard = t.Now()
-	if e.Named && e.PerSecond == r.PerSecond {
+	if e.HasLimit && e.PerSecond == r.PerSecond {
 		return
 	}
 	r.Number = e.Number + 1
@@ -168,14 +168,14 @@
 		t.setLeaving(e)
 	}
 	if !told.holdsOver(&e.Record) {
-		if told.Named && !e.Named {
+		if told.HasLimit && !e.HasLimit {
 			// The other box has started since, and counts from the beginning: once it knows this
 			// record, what the server names next gets a number that holds.
 			e.tell()
 		}
 		return
 	}
-	if told.Named {
+	if told.HasLimit {
 		e.heard = t.Now()
 	}
 	t.set(e, told)
@@ -192,7 +192,7 @@
 	if e == nil {
 		return 0, false
 	}
-	return e.PerSecond, e.Named
+	return e.PerSecond, e.HasLimit
 }
 
 // Due returns the records that all boxes are to be told now.
@@ -220,7 +220,7 @@
 // within the time.
 func (t *Table) InForce(within time.Duration) []Record {
 	now := t.Now()
-	return t.list(func(e *entry) bool { return e.Named || e.Leaving || now.Sub(e.changed) < within })
+	return t.list(func(e *entry) bool { return e.HasLimit || e.Leaving || now.Sub(e.changed) < within })
 }
 
 func (t *Table) list(wanted func(e *entry) bool) []Record {
@@ -276,12 +276,12 @@
 	r.Leaving = before.Leaving
 	e.Record, e.changed = r, t.Now()
 	switch {
-	case r.Named && !before.Named:
+	case r.HasLimit && !before.HasLimit:
 		t.named.Add(1)
 		t.Changed(r, Begun)
-	case r.Named && before.PerSecond != r.PerSecond:
+	case r.HasLimit && before.PerSecond != r.PerSecond:
 		t.Changed(r, Changed)
-	case !r.Named && before.Named:
+	case !r.HasLimit && before.HasLimit:
 		t.named.Add(-1)
 		t.Changed(r, Ended)
 	}
@@ -300,7 +300,7 @@
 // makeRoom drops a record of a server that neither names a limit nor leaves.
 func (t *Table) makeRoom() bool {
 	for life, e := range t.records {
-		if !e.Named && !e.Leaving {
+		if !e.HasLimit && !e.Leaving {
 			t.drop(life)
 			return true
 		}
@@ -311,7 +311,7 @@
 func (t *Table) drop(life string) {
 	e := t.records[life]
 	delete(t.records, life)
-	if e.Named {
+	if e.HasLimit {
 		t.named.Add(-1)
 	}
 	if e.Leaving {
