--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -37,7 +37,7 @@
 		}
 		n.applyLimit(&r, what)
 		log.Info("limit of server "+what.String(), map[string]any{
-			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.Number,
+			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.LimitVersion,
 		})
 	}
 	n.Set.AnyLimited = func() bool { return !n.Statuses.Empty() }
--- a/pkg/serverstatus/serverstatus.go
+++ b/pkg/serverstatus/serverstatus.go
@@ -22,16 +22,16 @@
 	// HasLimit: it names a limit, PerSecond in requests a second.
 	HasLimit  bool
 	PerSecond float64
-	// Number orders the changes of the limit.
-	Number uint32
+	// LimitVersion orders the changes of the limit.
+	LimitVersion uint32
 	// Leaving: it leaves.
 	Leaving bool
 }
 
 // holdsOver reports whether the record's limit holds and not that of the other one, of the same server.
 func (r *Record) holdsOver(other *Record) bool {
-	if r.Number != other.Number {
-		return r.Number > other.Number
+	if r.LimitVersion != other.LimitVersion {
+		return r.LimitVersion > other.LimitVersion
 	}
 	return r.isStricter(other)
 }
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -98,7 +98,7 @@
 	case limit.Present:
 		t.namedBy(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
 	case e != nil && e.HasLimit && ran && sent.After(e.heard):
-		t.set(e, Record{Server: life, Zone: server.Zone, Number: e.Number + 1})
+		t.set(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
 		e.tell()
 	}
 }
@@ -144,7 +144,7 @@
 	if e.HasLimit && e.PerSecond == r.PerSecond {
 		return
 	}
-	r.Number = e.Number + 1
+	r.LimitVersion = e.LimitVersion + 1
 	t.set(e, r)
 	e.tell()
 }
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -125,7 +125,7 @@
 		c.advance(100 * time.Millisecond)
 	}
 	is.True(told >= 10 && told <= 20)
-	l.Learn(Record{Server: "i-2", HasLimit: true, PerSecond: 1, Number: 1})
+	l.Learn(Record{Server: "i-2", HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	for _, r := range l.Due() {
 		is.True(r.Server != "i-2") // who heard it first tells it
 	}
@@ -137,8 +137,8 @@
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
 	old, anew := NewTable(c.now), NewTable(c.now)
-	old.Learn(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, Number: 3})
-	old.Learn(Record{Server: server.Incarnation(), Number: 4})
+	old.Learn(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
+	old.Learn(Record{Server: server.Incarnation(), LimitVersion: 4})
 	is.Equal(len(old.Due()), 0)
 	anew.Answered(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
@@ -161,8 +161,8 @@
 func TestEndsAreSpreadForAWhile(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: 3, Number: 1})
-	l.Learn(Record{Server: "i-2", Number: 2})
+	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: 3, LimitVersion: 1})
+	l.Learn(Record{Server: "i-2", LimitVersion: 2})
 	is.Equal(len(l.InForce(time.Minute)), 2)
 	c.advance(time.Minute)
 	is.Equal(len(l.InForce(time.Minute)), 1)
@@ -176,7 +176,7 @@
 	l.Answered(server, names(3), true, c.at)
 	l.Answered(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
 	for i := range mostRecords + 10 {
-		l.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, Number: 1})
+		l.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	is.Equal(len(l.All()), mostRecords)
 	_, named := l.Of("j-0")
@@ -245,7 +245,7 @@
 	l.Answered(server, names(3), true, c.at)
 	c.advance(time.Second)
 	l.Answered(server, backend.RateLimit{}, true, c.at)
-	l.Learn(Record{Server: server.Incarnation(), Number: 9})
+	l.Learn(Record{Server: server.Incarnation(), LimitVersion: 9})
 	is.True(l.IsLeaving(server.Incarnation()))
 	again := *server
 	again.StartedAtMs = 8
@@ -284,7 +284,7 @@
 	l, _, _ := newTestTable()
 	l.Leave(server)
 	for i := range mostRecords + 10 {
-		l.Learn(Record{Server: fmt.Sprint("j-", i), Number: 1})
+		l.Learn(Record{Server: fmt.Sprint("j-", i), LimitVersion: 1})
 	}
 	is.True(l.IsLeaving(server.Incarnation()))
 	is.Equal(len(l.All()), mostRecords)
@@ -295,7 +295,7 @@
 	is := is.New(t)
 	var records []Record
 	for i := range 50 {
-		records = append(records, Record{Server: fmt.Sprintf("i-%010d@1780457620123", i), Zone: "ths-sud", HasLimit: true, PerSecond: 2.7, Number: uint32(i), Leaving: i%2 == 0})
+		records = append(records, Record{Server: fmt.Sprintf("i-%010d@1780457620123", i), Zone: "ths-sud", HasLimit: true, PerSecond: 2.7, LimitVersion: uint32(i), Leaving: i%2 == 0})
 	}
 	var back []Record
 	for _, m := range Messages("edge-stl-sor-1", records) {
@@ -318,8 +318,8 @@
 func TestWhatIsNoLimitIsNotLearnt(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
-	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: math.NaN(), Number: 9})
-	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: -1, Number: 9})
+	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: math.NaN(), LimitVersion: 9})
+	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: -1, LimitVersion: 9})
 	is.True(l.Empty())
 }
 
@@ -336,7 +336,7 @@
 func BenchmarkOf(b *testing.B) {
 	t := NewTable(time.Now)
 	for i := range 1000 {
-		t.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, Number: 1})
+		t.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	for b.Loop() {
 		t.Of("j-500")
