--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -30,7 +30,7 @@
 
 func (n *Node) newLimits(log *logging.Part) {
 	n.Statuses = serverstatus.NewTable(n.Clock.Now)
-	n.Statuses.Changed = func(r serverstatus.Record, what serverstatus.Change) {
+	n.Statuses.OnChange = func(r serverstatus.Record, what serverstatus.Change) {
 		if what == serverstatus.Leaves {
 			n.statusChanged.Store(true)
 			return
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -27,9 +27,9 @@
 type Table struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Changed is told when a server's limit begins, changes or ends, when a server leaves, and when
+	// OnChange is told when a server's limit begins, changes or ends, when a server leaves, and when
 	// one is forgotten since it has gone. It runs under the table's lock and must not call it.
-	Changed func(r Record, what Change)
+	OnChange func(r Record, what Change)
 
 	mu      sync.Mutex
 	records map[string]*entry
@@ -77,7 +77,7 @@
 
 // NewTable makes an empty table.
 func NewTable(now func() time.Time) *Table {
-	return &Table{Now: now, Changed: func(Record, Change) {}, records: map[string]*entry{}}
+	return &Table{Now: now, OnChange: func(Record, Change) {}, records: map[string]*entry{}}
 }
 
 // Empty reports whether no server is known to name a limit.
@@ -267,7 +267,7 @@
 func (t *Table) setLeaving(e *entry) {
 	e.Leaving = true
 	t.leaving.Add(1)
-	t.Changed(e.Record, Leaves)
+	t.OnChange(e.Record, Leaves)
 }
 
 // set puts a limit in force.
@@ -278,12 +278,12 @@
 	switch {
 	case r.HasLimit && !before.HasLimit:
 		t.named.Add(1)
-		t.Changed(r, Begun)
+		t.OnChange(r, Begun)
 	case r.HasLimit && before.PerSecond != r.PerSecond:
-		t.Changed(r, Changed)
+		t.OnChange(r, Changed)
 	case !r.HasLimit && before.HasLimit:
 		t.named.Add(-1)
-		t.Changed(r, Ended)
+		t.OnChange(r, Ended)
 	}
 }
 
@@ -317,5 +317,5 @@
 	if e.Leaving {
 		t.leaving.Add(-1)
 	}
-	t.Changed(e.Record, Forgotten)
+	t.OnChange(e.Record, Forgotten)
 }
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -26,7 +26,7 @@
 	c := &clock{at: time.Unix(1000, 0)}
 	t := NewTable(c.now)
 	var changes []string
-	t.Changed = func(r Record, what Change) { changes = append(changes, fmt.Sprint(what, " ", r.PerSecond)) }
+	t.OnChange = func(r Record, what Change) { changes = append(changes, fmt.Sprint(what, " ", r.PerSecond)) }
 	return t, c, &changes
 }
 
