--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -43,8 +43,8 @@
 
 // The changes.
 const (
-	// Begun: the server names a limit, and did not before.
-	Begun Change = iota
+	// LimitBegun: the server names a limit, and did not before.
+	LimitBegun Change = iota
 	// Changed: it names another one.
 	Changed
 	// Ended: it names none any more.
@@ -278,7 +278,7 @@
 	switch {
 	case r.HasLimit && !before.HasLimit:
 		t.named.Add(1)
-		t.OnChange(r, Begun)
+		t.OnChange(r, LimitBegun)
 	case r.HasLimit && before.PerSecond != r.PerSecond:
 		t.OnChange(r, Changed)
 	case !r.HasLimit && before.HasLimit:
