--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -45,8 +45,8 @@
 const (
 	// LimitBegun: the server names a limit, and did not before.
 	LimitBegun Change = iota
-	// Changed: it names another one.
-	Changed
+	// LimitChanged: it names another one.
+	LimitChanged
 	// Ended: it names none any more.
 	Ended
 	// Leaves: the server leaves.
@@ -280,7 +280,7 @@
 		t.named.Add(1)
 		t.OnChange(r, LimitBegun)
 	case r.HasLimit && before.PerSecond != r.PerSecond:
-		t.OnChange(r, Changed)
+		t.OnChange(r, LimitChanged)
 	case !r.HasLimit && before.HasLimit:
 		t.named.Add(-1)
 		t.OnChange(r, Ended)
