--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -54,7 +54,7 @@
 func (n *Node) applyLimit(r *serverstatus.Record, what serverstatus.Change) {
 	id := quota.ServerIDOf(r.Server)
 	switch what {
-	case serverstatus.Ended:
+	case serverstatus.LimitEnded:
 		n.Quota.DropServer(id)
 	case serverstatus.Forgotten:
 		n.Quota.ForgetServer(id)
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -47,8 +47,8 @@
 	LimitBegun Change = iota
 	// LimitChanged: it names another one.
 	LimitChanged
-	// Ended: it names none any more.
-	Ended
+	// LimitEnded: it names none any more.
+	LimitEnded
 	// Leaves: the server leaves.
 	Leaves
 	// Forgotten: it has gone, and is not heard of again.
@@ -283,7 +283,7 @@
 		t.OnChange(r, LimitChanged)
 	case !r.HasLimit && before.HasLimit:
 		t.named.Add(-1)
-		t.OnChange(r, Ended)
+		t.OnChange(r, LimitEnded)
 	}
 }
 
