--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -31,7 +31,7 @@
 func (n *Node) newLimits(log *logging.Part) {
 	n.Statuses = serverstatus.NewTable(n.Clock.Now)
 	n.Statuses.OnChange = func(r serverstatus.Record, what serverstatus.Change) {
-		if what == serverstatus.Leaves {
+		if what == serverstatus.ServerLeaving {
 			n.statusChanged.Store(true)
 			return
 		}
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -49,8 +49,8 @@
 	LimitChanged
 	// LimitEnded: it names none any more.
 	LimitEnded
-	// Leaves: the server leaves.
-	Leaves
+	// ServerLeaving: the server leaves.
+	ServerLeaving
 	// Forgotten: it has gone, and is not heard of again.
 	Forgotten
 )
@@ -267,7 +267,7 @@
 func (t *Table) setLeaving(e *entry) {
 	e.Leaving = true
 	t.leaving.Add(1)
-	t.OnChange(e.Record, Leaves)
+	t.OnChange(e.Record, ServerLeaving)
 }
 
 // set puts a limit in force.
