--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -56,7 +56,7 @@
 	switch what {
 	case serverstatus.LimitEnded:
 		n.Quota.DropServer(id)
-	case serverstatus.Forgotten:
+	case serverstatus.ServerForgotten:
 		n.Quota.ForgetServer(id)
 	default:
 		n.Quota.SetServer(id, r.PerSecond, n.zonesOfRegion(r.Zone))
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -51,8 +51,8 @@
 	LimitEnded
 	// ServerLeaving: the server leaves.
 	ServerLeaving
-	// Forgotten: it has gone, and is not heard of again.
-	Forgotten
+	// ServerForgotten: it has gone, and is not heard of again.
+	ServerForgotten
 )
 
 // changeNames are the changes' names in logs, by value.
@@ -317,5 +317,5 @@
 	if e.Leaving {
 		t.leaving.Add(-1)
 	}
-	t.OnChange(e.Record, Forgotten)
+	t.OnChange(e.Record, ServerForgotten)
 }
