--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -94,7 +94,7 @@
 	if v.Limit.Present {
 		metrics.GetOrRegisterCounter("limits.answers", n.Metrics).Inc(1)
 	}
-	n.Statuses.Answered(server, v.Limit, v.Signed, sent)
+	n.Statuses.ObserveAnswer(server, v.Limit, v.Signed, sent)
 }
 
 // allocators returns the datagram addresses of the boxes that may grant tokens.
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -83,10 +83,10 @@
 // Empty reports whether no server is known to name a limit.
 func (t *Table) Empty() bool { return t.named.Load() == 0 }
 
-// Answered takes in an answer of a server to a request of this box that was sent at some time.
+// ObserveAnswer takes in an answer of a server to a request of this box that was sent at some time.
 // With ran false the server has not run the request; that such an answer names no limit says
 // nothing.
-func (t *Table) Answered(server *backend.Server, limit backend.RateLimit, ran bool, sent time.Time) {
+func (t *Table) ObserveAnswer(server *backend.Server, limit backend.RateLimit, ran bool, sent time.Time) {
 	if !limit.Present && t.Empty() {
 		return
 	}
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -39,25 +39,25 @@
 	is := is.New(t)
 	l, c, changes := newTestTable()
 	is.True(l.Empty())
-	l.Answered(server, backend.RateLimit{}, true, c.at)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
 	_, named := l.Of(server.Incarnation())
 	is.True(!named)
-	l.Answered(server, names(2.7), true, c.at)
-	l.Answered(server, names(2.7), true, c.at)
+	l.ObserveAnswer(server, names(2.7), true, c.at)
+	l.ObserveAnswer(server, names(2.7), true, c.at)
 	perSecond, named := l.Of(server.Incarnation())
 	is.True(named)
 	is.Equal(perSecond, 2.7)
 	is.True(!l.Empty())
-	l.Answered(server, names(0), true, c.at)
+	l.ObserveAnswer(server, names(0), true, c.at)
 	perSecond, named = l.Of(server.Incarnation())
 	is.True(named && perSecond == 0) // it takes none
 	c.advance(time.Second)
 	sent := c.at
 	c.advance(time.Second)
-	l.Answered(server, backend.RateLimit{}, false, sent)
+	l.ObserveAnswer(server, backend.RateLimit{}, false, sent)
 	_, named = l.Of(server.Incarnation())
 	is.True(named) // one that was not run says nothing
-	l.Answered(server, backend.RateLimit{}, true, sent)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
 	_, named = l.Of(server.Incarnation())
 	is.True(!named)
 	is.True(l.Empty())
@@ -71,14 +71,14 @@
 	l, c, _ := newTestTable()
 	sent := c.at
 	c.advance(100 * time.Millisecond)
-	l.Answered(server, names(3), true, sent)
-	l.Answered(server, backend.RateLimit{}, true, sent)
+	l.ObserveAnswer(server, names(3), true, sent)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
 	_, named := l.Of(server.Incarnation())
 	is.True(named)
-	l.Answered(server, backend.RateLimit{}, true, c.at)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
 	_, named = l.Of(server.Incarnation())
 	is.True(named) // sent in the same moment
-	l.Answered(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
 	_, named = l.Of(server.Incarnation())
 	is.True(!named)
 }
@@ -87,7 +87,7 @@
 func TestAnotherLifeNamesNothing(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, names(3), true, c.at)
 	again := *server
 	again.StartedAtMs = 8
 	_, named := l.Of(again.Incarnation())
@@ -109,18 +109,18 @@
 func TestChangesAreToldTwiceAndNotTooOften(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, names(3), true, c.at)
 	is.Equal(len(l.Due()), 1)
 	is.Equal(len(l.Due()), 0)
 	c.advance(tellAgain)
 	is.Equal(len(l.Due()), 1)
 	c.advance(10 * time.Second)
 	is.Equal(len(l.Due()), 0)
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, names(3), true, c.at)
 	is.Equal(len(l.Due()), 0) // nothing has changed
 	told := 0
 	for i := range 100 {
-		l.Answered(server, names(float64(i)), true, c.at)
+		l.ObserveAnswer(server, names(float64(i)), true, c.at)
 		told += len(l.Due())
 		c.advance(100 * time.Millisecond)
 	}
@@ -140,7 +140,7 @@
 	old.Learn(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
 	old.Learn(Record{Server: server.Incarnation(), LimitVersion: 4})
 	is.Equal(len(old.Due()), 0)
-	anew.Answered(server, names(2), true, c.at)
+	anew.ObserveAnswer(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
 		old.Learn(r)
 	}
@@ -149,7 +149,7 @@
 		anew.Learn(r)
 	}
 	c.advance(tellPause)
-	anew.Answered(server, names(2), true, c.at)
+	anew.ObserveAnswer(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
 		old.Learn(r)
 	}
@@ -173,8 +173,8 @@
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Answered(server, names(3), true, c.at)
-	l.Answered(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
+	l.ObserveAnswer(server, names(3), true, c.at)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
 	for i := range mostRecords + 10 {
 		l.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
@@ -197,10 +197,10 @@
 			case 3:
 				b.Leave(server)
 			case 0:
-				b.Answered(server, names(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
+				b.ObserveAnswer(server, names(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
 			case 1:
 				ago := time.Duration(rapid.IntRange(0, 100).Draw(t, "ago")) * time.Millisecond
-				b.Answered(server, backend.RateLimit{}, rapid.Bool().Draw(t, "ran"), c.at.Add(-ago))
+				b.ObserveAnswer(server, backend.RateLimit{}, rapid.Bool().Draw(t, "ran"), c.at.Add(-ago))
 			case 2:
 				told = append(told, b.All()...)
 				if len(told) > 0 {
@@ -242,9 +242,9 @@
 	l.Leave(server)
 	is.True(l.IsLeaving(server.Incarnation()))
 	is.True(l.Empty()) // it names no limit
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, names(3), true, c.at)
 	c.advance(time.Second)
-	l.Answered(server, backend.RateLimit{}, true, c.at)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
 	l.Learn(Record{Server: server.Incarnation(), LimitVersion: 9})
 	is.True(l.IsLeaving(server.Incarnation()))
 	again := *server
@@ -328,7 +328,7 @@
 	t := NewTable(time.Now)
 	at := time.Now()
 	for b.Loop() {
-		t.Answered(server, backend.RateLimit{}, true, at)
+		t.ObserveAnswer(server, backend.RateLimit{}, true, at)
 	}
 }
 
