--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -72,7 +72,7 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
-	n.Statuses.Leave(server)
+	n.Statuses.MarkLeaving(server)
 	n.Set.MarkLeaving(server.Incarnation())
 }
 
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Leave takes in that a server says that it leaves.
-func (t *Table) Leave(server *backend.Server) {
+// MarkLeaving takes in that a server says that it leaves.
+func (t *Table) MarkLeaving(server *backend.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	life := server.Incarnation()
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -195,7 +195,7 @@
 			b := boxes[rapid.IntRange(0, 2).Draw(t, "box")]
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 3:
-				b.Leave(server)
+				b.MarkLeaving(server)
 			case 0:
 				b.ObserveAnswer(server, names(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
 			case 1:
@@ -238,8 +238,8 @@
 	is := is.New(t)
 	l, c, changes := newTestTable()
 	is.True(!l.IsLeaving(server.Incarnation()))
-	l.Leave(server)
-	l.Leave(server)
+	l.MarkLeaving(server)
+	l.MarkLeaving(server)
 	is.True(l.IsLeaving(server.Incarnation()))
 	is.True(l.Empty()) // it names no limit
 	l.ObserveAnswer(server, names(3), true, c.at)
@@ -262,7 +262,7 @@
 func TestLeavingIsTold(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Leave(server)
+	l.MarkLeaving(server)
 	due := l.Due()
 	is.Equal(len(due), 1)
 	is.True(due[0].Leaving)
@@ -282,7 +282,7 @@
 func TestServersThatLeaveAreKeptInAFullTable(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
-	l.Leave(server)
+	l.MarkLeaving(server)
 	for i := range mostRecords + 10 {
 		l.Learn(Record{Server: fmt.Sprint("j-", i), LimitVersion: 1})
 	}
