--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -137,7 +137,7 @@
 		return
 	}
 	for _, r := range m.Records {
-		n.Statuses.Learn(r)
+		n.Statuses.Merge(r)
 		if r.Leaving {
 			n.Set.MarkLeaving(r.Server)
 		}
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -149,8 +149,8 @@
 	e.tell()
 }
 
-// Learn takes in what another box knows.
-func (t *Table) Learn(told Record) {
+// Merge takes in what another box knows.
+func (t *Table) Merge(told Record) {
 	if !(told.PerSecond >= 0) {
 		// No box tells that; whatever it came from says nothing of a limit.
 		return
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -125,7 +125,7 @@
 		c.advance(100 * time.Millisecond)
 	}
 	is.True(told >= 10 && told <= 20)
-	l.Learn(Record{Server: "i-2", HasLimit: true, PerSecond: 1, LimitVersion: 1})
+	l.Merge(Record{Server: "i-2", HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	for _, r := range l.Due() {
 		is.True(r.Server != "i-2") // who heard it first tells it
 	}
@@ -137,21 +137,21 @@
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
 	old, anew := NewTable(c.now), NewTable(c.now)
-	old.Learn(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
-	old.Learn(Record{Server: server.Incarnation(), LimitVersion: 4})
+	old.Merge(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
+	old.Merge(Record{Server: server.Incarnation(), LimitVersion: 4})
 	is.Equal(len(old.Due()), 0)
 	anew.ObserveAnswer(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
-		old.Learn(r)
+		old.Merge(r)
 	}
 	is.True(old.Empty()) // what it knows is later, for all it can tell
 	for _, r := range old.Due() {
-		anew.Learn(r)
+		anew.Merge(r)
 	}
 	c.advance(tellPause)
 	anew.ObserveAnswer(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
-		old.Learn(r)
+		old.Merge(r)
 	}
 	perSecond, named := old.Of(server.Incarnation())
 	is.True(named && perSecond == 2)
@@ -161,8 +161,8 @@
 func TestEndsAreSpreadForAWhile(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: 3, LimitVersion: 1})
-	l.Learn(Record{Server: "i-2", LimitVersion: 2})
+	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: 3, LimitVersion: 1})
+	l.Merge(Record{Server: "i-2", LimitVersion: 2})
 	is.Equal(len(l.InForce(time.Minute)), 2)
 	c.advance(time.Minute)
 	is.Equal(len(l.InForce(time.Minute)), 1)
@@ -176,7 +176,7 @@
 	l.ObserveAnswer(server, names(3), true, c.at)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
 	for i := range mostRecords + 10 {
-		l.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
+		l.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	is.Equal(len(l.All()), mostRecords)
 	_, named := l.Of("j-0")
@@ -204,7 +204,7 @@
 			case 2:
 				told = append(told, b.All()...)
 				if len(told) > 0 {
-					b.Learn(told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
+					b.Merge(told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
 				}
 			}
 		}
@@ -212,8 +212,8 @@
 			for _, from := range boxes {
 				for _, r := range from.All() {
 					for _, to := range boxes {
-						to.Learn(r)
-						to.Learn(r)
+						to.Merge(r)
+						to.Merge(r)
 					}
 				}
 			}
@@ -245,7 +245,7 @@
 	l.ObserveAnswer(server, names(3), true, c.at)
 	c.advance(time.Second)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
-	l.Learn(Record{Server: server.Incarnation(), LimitVersion: 9})
+	l.Merge(Record{Server: server.Incarnation(), LimitVersion: 9})
 	is.True(l.IsLeaving(server.Incarnation()))
 	again := *server
 	again.StartedAtMs = 8
@@ -272,7 +272,7 @@
 	is.Equal(len(l.Due()), 0)
 	is.Equal(len(l.InForce(time.Minute)), 1)
 	other := NewTable(c.now)
-	other.Learn(due[0])
+	other.Merge(due[0])
 	is.True(other.IsLeaving(server.Incarnation()))
 	is.Equal(len(other.Due()), 0)
 	is.Equal(len(other.InForce(time.Minute)), 1)
@@ -284,7 +284,7 @@
 	l, _, _ := newTestTable()
 	l.MarkLeaving(server)
 	for i := range mostRecords + 10 {
-		l.Learn(Record{Server: fmt.Sprint("j-", i), LimitVersion: 1})
+		l.Merge(Record{Server: fmt.Sprint("j-", i), LimitVersion: 1})
 	}
 	is.True(l.IsLeaving(server.Incarnation()))
 	is.Equal(len(l.All()), mostRecords)
@@ -318,8 +318,8 @@
 func TestWhatIsNoLimitIsNotLearnt(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
-	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: math.NaN(), LimitVersion: 9})
-	l.Learn(Record{Server: "i-1", HasLimit: true, PerSecond: -1, LimitVersion: 9})
+	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: math.NaN(), LimitVersion: 9})
+	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: -1, LimitVersion: 9})
 	is.True(l.Empty())
 }
 
@@ -336,7 +336,7 @@
 func BenchmarkOf(b *testing.B) {
 	t := NewTable(time.Now)
 	for i := range 1000 {
-		t.Learn(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
+		t.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	for b.Loop() {
 		t.Of("j-500")
