--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -42,7 +42,7 @@
 	}
 	n.Set.AnyLimited = func() bool { return !n.Statuses.Empty() }
 	n.Set.HasLimit = func(v *backend.Server) bool {
-		_, named := n.Statuses.Of(v.Incarnation())
+		_, named := n.Statuses.LimitOf(v.Incarnation())
 		return named
 	}
 	n.Set.Admit = n.admitToServer
@@ -119,7 +119,7 @@
 // more urgent ones.
 func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, retryAfter time.Duration) {
 	life := server.Incarnation()
-	if _, named := n.Statuses.Of(life); !named {
+	if _, named := n.Statuses.LimitOf(life); !named {
 		return backend.Unlimited, 0
 	}
 	if yield {
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -181,8 +181,8 @@
 	t.set(e, told)
 }
 
-// Of returns the limit of a life of a server, and whether it names one.
-func (t *Table) Of(life string) (perSecond float64, named bool) {
+// LimitOf returns the limit of a life of a server, and whether it names one.
+func (t *Table) LimitOf(life string) (perSecond float64, named bool) {
 	if t.Empty() {
 		return 0, false
 	}
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -40,25 +40,25 @@
 	l, c, changes := newTestTable()
 	is.True(l.Empty())
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
-	_, named := l.Of(server.Incarnation())
+	_, named := l.LimitOf(server.Incarnation())
 	is.True(!named)
 	l.ObserveAnswer(server, names(2.7), true, c.at)
 	l.ObserveAnswer(server, names(2.7), true, c.at)
-	perSecond, named := l.Of(server.Incarnation())
+	perSecond, named := l.LimitOf(server.Incarnation())
 	is.True(named)
 	is.Equal(perSecond, 2.7)
 	is.True(!l.Empty())
 	l.ObserveAnswer(server, names(0), true, c.at)
-	perSecond, named = l.Of(server.Incarnation())
+	perSecond, named = l.LimitOf(server.Incarnation())
 	is.True(named && perSecond == 0) // it takes none
 	c.advance(time.Second)
 	sent := c.at
 	c.advance(time.Second)
 	l.ObserveAnswer(server, backend.RateLimit{}, false, sent)
-	_, named = l.Of(server.Incarnation())
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(named) // one that was not run says nothing
 	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
-	_, named = l.Of(server.Incarnation())
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(!named)
 	is.True(l.Empty())
 	is.Equal(*changes, []string{"begun 2.7", "changed 0", "ended 0"})
@@ -73,13 +73,13 @@
 	c.advance(100 * time.Millisecond)
 	l.ObserveAnswer(server, names(3), true, sent)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
-	_, named := l.Of(server.Incarnation())
+	_, named := l.LimitOf(server.Incarnation())
 	is.True(named)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
-	_, named = l.Of(server.Incarnation())
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(named) // sent in the same moment
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
-	_, named = l.Of(server.Incarnation())
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(!named)
 }
 
@@ -90,7 +90,7 @@
 	l.ObserveAnswer(server, names(3), true, c.at)
 	again := *server
 	again.StartedAtMs = 8
-	_, named := l.Of(again.Incarnation())
+	_, named := l.LimitOf(again.Incarnation())
 	is.True(!named)
 	listed := func(life string) bool { return life == again.Incarnation() }
 	l.Expire(listed, time.Minute)
@@ -153,7 +153,7 @@
 	for _, r := range anew.Due() {
 		old.Merge(r)
 	}
-	perSecond, named := old.Of(server.Incarnation())
+	perSecond, named := old.LimitOf(server.Incarnation())
 	is.True(named && perSecond == 2)
 }
 
@@ -179,7 +179,7 @@
 		l.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	is.Equal(len(l.All()), mostRecords)
-	_, named := l.Of("j-0")
+	_, named := l.LimitOf("j-0")
 	is.True(named)
 }
 
@@ -339,6 +339,6 @@
 		t.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	for b.Loop() {
-		t.Of("j-500")
+		t.LimitOf("j-500")
 	}
 }
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -23,7 +23,7 @@
 func allHold(f *Fleet, s *Server, limit string) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
-			perSecond, named := b.Statuses.Of(lifeOf(s))
+			perSecond, named := b.Statuses.LimitOf(lifeOf(s))
 			if named != (limit != "") || named && strconv.FormatFloat(perSecond, 'g', -1, 64) != limit {
 				return false
 			}
