--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -118,7 +118,7 @@
 		listed[known[i].Server] = n.Set.HasIncarnation(known[i].Server)
 	}
 	n.Statuses.Expire(func(life string) bool { return listed[life] }, unlistedTime)
-	records := n.Statuses.InForce(endedLimitSpreadTime)
+	records := n.Statuses.Active(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(maxSpreadRecords, len(records))])
@@ -156,7 +156,7 @@
 // box knows.
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
-	records := n.Statuses.InForce(0)
+	records := n.Statuses.Active(0)
 	for _, r := range n.Set.BackedOff() {
 		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -216,9 +216,9 @@
 // All returns all records, in the order of servers.
 func (t *Table) All() []Record { return t.list(func(*entry) bool { return true }) }
 
-// InForce returns the records of servers that name limits or leave, or whose limit has changed
+// Active returns the records of servers that name limits or leave, or whose limit has changed
 // within the time.
-func (t *Table) InForce(within time.Duration) []Record {
+func (t *Table) Active(within time.Duration) []Record {
 	now := t.Now()
 	return t.list(func(e *entry) bool { return e.HasLimit || e.Leaving || now.Sub(e.changed) < within })
 }
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -163,9 +163,9 @@
 	l, c, _ := newTestTable()
 	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: 3, LimitVersion: 1})
 	l.Merge(Record{Server: "i-2", LimitVersion: 2})
-	is.Equal(len(l.InForce(time.Minute)), 2)
+	is.Equal(len(l.Active(time.Minute)), 2)
 	c.advance(time.Minute)
-	is.Equal(len(l.InForce(time.Minute)), 1)
+	is.Equal(len(l.Active(time.Minute)), 1)
 	is.Equal(len(l.All()), 2)
 }
 
@@ -270,12 +270,12 @@
 	is.Equal(len(l.Due()), 1)
 	c.advance(time.Hour)
 	is.Equal(len(l.Due()), 0)
-	is.Equal(len(l.InForce(time.Minute)), 1)
+	is.Equal(len(l.Active(time.Minute)), 1)
 	other := NewTable(c.now)
 	other.Merge(due[0])
 	is.True(other.IsLeaving(server.Incarnation()))
 	is.Equal(len(other.Due()), 0)
-	is.Equal(len(other.InForce(time.Minute)), 1)
+	is.Equal(len(other.Active(time.Minute)), 1)
 }
 
 // TestServersThatLeaveAreKeptInAFullTable: what makes room for others is a limit that has ended.
