--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -69,8 +69,8 @@
 	PerSecond *float64 `json:"per_s,omitempty"`
 }
 
-// PrintSaid writes what servers say as a table, a line a server and box.
-func PrintSaid(w io.Writer, boxes []SaidBox) error {
+// PrintStatuses writes what servers say as a table, a line a server and box.
+func PrintStatuses(w io.Writer, boxes []SaidBox) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tLEAVES\tREST\tPER S\tBOX"); err != nil {
 		return err
