--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -165,7 +165,7 @@
 			records = append(records, serverstatus.Record{Server: life, Zone: r.Server.Zone})
 		}
 	}
-	body := serverstatus.SaidBox{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
+	body := serverstatus.BoxStatuses{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
 	for _, r := range records {
 		said := serverstatus.Said{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
 		if r.HasLimit {
--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -50,8 +50,8 @@
 	return t.Flush()
 }
 
-// SaidBox is what backend servers say of themselves, as one box knows it.
-type SaidBox struct {
+// BoxStatuses is what backend servers say of themselves, as one box knows it.
+type BoxStatuses struct {
 	Box     string `json:"box"`
 	Servers []Said `json:"servers"`
 }
@@ -70,7 +70,7 @@
 }
 
 // PrintStatuses writes what servers say as a table, a line a server and box.
-func PrintStatuses(w io.Writer, boxes []SaidBox) error {
+func PrintStatuses(w io.Writer, boxes []BoxStatuses) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tLEAVES\tREST\tPER S\tBOX"); err != nil {
 		return err
