--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -165,9 +165,9 @@
 			records = append(records, serverstatus.Record{Server: life, Zone: r.Server.Zone})
 		}
 	}
-	body := serverstatus.BoxStatuses{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
+	body := serverstatus.BoxStatuses{Box: n.Settings.Box, Servers: []serverstatus.Status{}}
 	for _, r := range records {
-		said := serverstatus.Said{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
+		said := serverstatus.Status{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
 		if r.HasLimit {
 			said.PerSecond = &r.PerSecond
 		}
--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -52,12 +52,12 @@
 
 // BoxStatuses is what backend servers say of themselves, as one box knows it.
 type BoxStatuses struct {
-	Box     string `json:"box"`
-	Servers []Said `json:"servers"`
+	Box     string   `json:"box"`
+	Servers []Status `json:"servers"`
 }
 
-// Said is what one server says.
-type Said struct {
+// Status is what one server says.
+type Status struct {
 	// Server names the server's life, see backend.Server.Life.
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
