--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -168,7 +168,7 @@
 // serveLimits returns to operators the limits that this box knows of and the counts of its
 // requests under them.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
-	body := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
+	body := serverstatus.BoxLimits{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
 	for _, r := range n.Statuses.All() {
 		if !r.HasLimit {
 			continue
--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -14,8 +14,8 @@
 	PathSaid   = "/v1/server-words"
 )
 
-// Box is what one box tells operators.
-type Box struct {
+// BoxLimits is what one box tells operators.
+type BoxLimits struct {
 	Box    string  `json:"box"`
 	Limits []Limit `json:"limits"`
 }
@@ -35,7 +35,7 @@
 }
 
 // Print writes the limits as a table, a line a server and box.
-func Print(w io.Writer, boxes []Box) error {
+func Print(w io.Writer, boxes []BoxLimits) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tPER S\tBOX\tASKED PER S\tADMITTED\tDENIED"); err != nil {
 		return err
