--- a/pkg/ctl/ctl_limits.go
+++ b/pkg/ctl/ctl_limits.go
@@ -13,7 +13,7 @@
 
 // verbServers shows what backend servers say of themselves, as boxes know it.
 func verbServers(p *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
-	return showBoxes(p, serverstatus.PathSaid, serverstatus.PrintStatuses)
+	return showBoxes(p, serverstatus.PathStatuses, serverstatus.PrintStatuses)
 }
 
 // verbFleet shows what boxes know of all boxes.
--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -189,7 +189,7 @@
 	admin.HandleFunc("GET /metrics", n.serveMetrics)
 	admin.HandleFunc("GET "+standing.Path, n.serveCustomers)
 	admin.HandleFunc("GET "+serverstatus.PathLimits, n.serveLimits)
-	admin.HandleFunc("GET "+serverstatus.PathSaid, n.serveSaid)
+	admin.HandleFunc("GET "+serverstatus.PathStatuses, n.serveSaid)
 	admin.HandleFunc("GET "+gossip.PathFleet, n.serveFleet)
 	admin.HandleFunc("GET "+quarantine.Path, n.serveQuarantine)
 	admin.HandleFunc("DELETE "+quarantine.Path+"/{fingerprint}", n.serveRelease)
--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -8,10 +8,10 @@
 )
 
 // PathLimits is where a box tells operators what it knows of servers' limits, on its admin address, and
-// PathSaid all that servers say of themselves.
+// PathStatuses all that servers say of themselves.
 const (
-	PathLimits = "/v1/server-limits"
-	PathSaid   = "/v1/server-words"
+	PathLimits   = "/v1/server-limits"
+	PathStatuses = "/v1/server-words"
 )
 
 // BoxLimits is what one box tells operators.
