--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -16,9 +16,9 @@
 }
 
 const (
-	// mostRecords bounds the requests of which something is known: a few hundred were at
+	// maxRecords bounds the requests of which something is known: a few hundred were at
 	// some server when it crashed, on a day with 89 crashes.
-	mostRecords = 1024
+	maxRecords = 1024
 	// mostServers bounds the servers that a record names, so that it fits one packet.
 	mostServers = 16
 	// mostDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
@@ -295,7 +295,7 @@
 	if r := t.records[f]; r != nil {
 		return r
 	}
-	if len(t.records) >= mostRecords && !t.makeRoom() {
+	if len(t.records) >= maxRecords && !t.makeRoom() {
 		t.OnChange(Record{Request: f}, "not noted")
 		return nil
 	}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -141,21 +141,21 @@
 	for i := range mostServers + 3 {
 		table.ObserveCrash(1, fmt.Sprint("i-", i))
 	}
-	for i := range 3 * mostRecords {
+	for i := range 3 * maxRecords {
 		c.pass(time.Millisecond)
 		table.ObserveCrash(Fingerprint(2+i), "i-1")
 	}
-	is.Equal(len(table.records), mostRecords)
+	is.Equal(len(table.records), maxRecords)
 	is.Equal(len(table.records[1].crashed), mostServers)
 	is.True(held(table, 1))
 	is.True(!table.Suspected(2))
-	is.True(table.Suspected(Fingerprint(1 + 3*mostRecords)))
-	for i := range 2 * mostRecords {
+	is.True(table.Suspected(Fingerprint(1 + 3*maxRecords)))
+	for i := range 2 * maxRecords {
 		for _, server := range []string{"i-1", "i-2", "i-3"} {
 			table.ObserveCrash(Fingerprint(10_000+i), server)
 		}
 	}
-	is.Equal(len(table.records), mostRecords)
+	is.Equal(len(table.records), maxRecords)
 	is.True(held(table, 1))
 }
 
@@ -259,7 +259,7 @@
 		for i := range m.Records {
 			table.Merge(m.Records[i])
 		}
-		if len(table.records) > mostRecords {
+		if len(table.records) > maxRecords {
 			t.Fatal("more records than there is room for")
 		}
 	})
