--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -22,7 +22,7 @@
 // nothing that a box would have written.
 func (s *StoredHold) Record(f Fingerprint, now time.Time) (r Record, ok bool) {
 	left := time.UnixMilli(s.UntilMS).Sub(now)
-	if left <= 0 || len(s.Crashed) == 0 || len(s.Crashed) > mostServers {
+	if left <= 0 || len(s.Crashed) == 0 || len(s.Crashed) > maxServers {
 		return Record{}, false
 	}
 	for _, name := range s.Crashed {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -19,8 +19,8 @@
 	// maxRecords bounds the requests of which something is known: a few hundred were at
 	// some server when it crashed, on a day with 89 crashes.
 	maxRecords = 1024
-	// mostServers bounds the servers that a record names, so that it fits one packet.
-	mostServers = 16
+	// maxServers bounds the servers that a record names, so that it fits one packet.
+	maxServers = 16
 	// mostDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
 	mostDoublings = 8
 	// tellTimes is how often a change is told to all boxes, and tellAgain after what time
@@ -102,7 +102,7 @@
 		return nil
 	}
 	before := t.Now().Before(r.until)
-	if len(r.crashed) == mostServers && !before {
+	if len(r.crashed) == maxServers && !before {
 		// The list may have no room for this one, which counts all the same.
 		r.heldAt--
 		r.crashed = r.crashed[1:]
@@ -237,7 +237,7 @@
 	joined = slices.Concat(list, names)
 	slices.Sort(joined)
 	joined = slices.Compact(joined)
-	joined = joined[:min(len(joined), mostServers)]
+	joined = joined[:min(len(joined), maxServers)]
 	return joined, !slices.Equal(joined, list)
 }
 
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	c := newClock()
 	table := newTable(c)
-	for i := range mostServers + 3 {
+	for i := range maxServers + 3 {
 		table.ObserveCrash(1, fmt.Sprint("i-", i))
 	}
 	for i := range 3 * maxRecords {
@@ -146,7 +146,7 @@
 		table.ObserveCrash(Fingerprint(2+i), "i-1")
 	}
 	is.Equal(len(table.records), maxRecords)
-	is.Equal(len(table.records[1].crashed), mostServers)
+	is.Equal(len(table.records[1].crashed), maxServers)
 	is.True(held(table, 1))
 	is.True(!table.Suspected(2))
 	is.True(table.Suspected(Fingerprint(1 + 3*maxRecords)))
@@ -213,7 +213,7 @@
 	var records []Record
 	for i := range 60 {
 		r := Record{Request: Fingerprint(i), Remaining: time.Second}
-		for k := range i % (mostServers + 1) {
+		for k := range i % (maxServers + 1) {
 			r.Crashed = append(r.Crashed, fmt.Sprintf("i-%010d@%d", k, 1770320509021))
 			r.Excused = append(r.Excused, fmt.Sprintf("i-%010d@%d", k, 1770320509021))
 		}
@@ -274,7 +274,7 @@
 	tables := []*Table{newTable(c), newTable(c), newTable(c)}
 	for i, table := range tables {
 		table.OnChange = func(Record, string) { changes++ }
-		for k := range 2 * mostServers {
+		for k := range 2 * maxServers {
 			table.ObserveCrash(1, fmt.Sprintf("i-%d-%d", (i+k)%3, k))
 		}
 	}
