--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -21,8 +21,8 @@
 	maxRecords = 1024
 	// maxServers bounds the servers that a record names, so that it fits one packet.
 	maxServers = 16
-	// mostDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
-	mostDoublings = 8
+	// maxDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
+	maxDoublings = 8
 	// tellTimes is how often a change is told to all boxes, and tellAgain after what time
 	// again: a datagram in a hundred is lost on a good day.
 	tellTimes = 2
@@ -267,7 +267,7 @@
 			t.OnChange(r.export(f, now), "released")
 		}
 	case n > r.heldAt:
-		hold := terms.Hold << min(n-terms.Crashes, mostDoublings)
+		hold := terms.Hold << min(n-terms.Crashes, maxDoublings)
 		if left > 0 {
 			hold = min(hold, left)
 		}
