--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -23,10 +23,10 @@
 	maxServers = 16
 	// maxDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
 	maxDoublings = 8
-	// tellTimes is how often a change is told to all boxes, and tellAgain after what time
+	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time
 	// again: a datagram in a hundred is lost on a good day.
-	tellTimes = 2
-	tellAgain = 300 * time.Millisecond
+	broadcastCount = 2
+	tellAgain      = 300 * time.Millisecond
 )
 
 // Record is what a box knows of a request, as it tells others. Both lists only grow, and
@@ -281,7 +281,7 @@
 
 // tell has all boxes told of the record.
 func (t *Table) tell(r *record) {
-	r.tells = tellTimes
+	r.tells = broadcastCount
 	r.tellAt = time.Time{}
 }
 
