--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -79,9 +79,9 @@
 	// until is the end of the hold, and heldAt how many crashes counted when it began.
 	until  time.Time
 	heldAt int
-	// tells is how often the record is to be told yet, from tellAt on.
-	tells  int
-	tellAt time.Time
+	// broadcastsLeft is how often the record is to be told yet, from tellAt on.
+	broadcastsLeft int
+	tellAt         time.Time
 }
 
 // NewTable makes an empty table.
@@ -173,10 +173,10 @@
 	now := t.Now()
 	var due []Record
 	for f, r := range t.records {
-		if r.tells == 0 || now.Before(r.tellAt) {
+		if r.broadcastsLeft == 0 || now.Before(r.tellAt) {
 			continue
 		}
-		r.tells--
+		r.broadcastsLeft--
 		r.tellAt = now.Add(tellAgain)
 		due = append(due, r.export(f, now))
 	}
@@ -281,7 +281,7 @@
 
 // tell has all boxes told of the record.
 func (t *Table) tell(r *record) {
-	r.tells = broadcastCount
+	r.broadcastsLeft = broadcastCount
 	r.tellAt = time.Time{}
 }
 
