--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -108,7 +108,7 @@
 		r.crashed = r.crashed[1:]
 	}
 	t.join(f, r, Record{Request: f, Crashed: []string{server}})
-	t.tell(r)
+	t.scheduleBroadcast(r)
 	if before || !t.Now().Before(r.until) {
 		return nil
 	}
@@ -127,7 +127,7 @@
 	}
 	released = t.Now().Before(r.until)
 	t.join(f, r, Record{Request: f, Excused: r.crashed})
-	t.tell(r)
+	t.scheduleBroadcast(r)
 	return released
 }
 
@@ -142,7 +142,7 @@
 	t.join(told.Request, r, told)
 	if told.Remaining > 0 && r.counted() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
-		t.tell(r)
+		t.scheduleBroadcast(r)
 	}
 }
 
@@ -279,8 +279,8 @@
 	}
 }
 
-// tell has all boxes told of the record.
-func (t *Table) tell(r *record) {
+// scheduleBroadcast has all boxes told of the record.
+func (t *Table) scheduleBroadcast(r *record) {
 	r.broadcastsLeft = broadcastCount
 	r.tellAt = time.Time{}
 }
