--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -77,8 +77,8 @@
 	// changed is when anything was last learnt.
 	changed time.Time
 	// until is the end of the hold, and heldAt how many crashes counted when it began.
-	until  time.Time
-	heldAt int
+	until       time.Time
+	heldCrashes int
 	// broadcastsLeft is how often the record is to be told yet, from tellAt on.
 	broadcastsLeft int
 	tellAt         time.Time
@@ -104,7 +104,7 @@
 	before := t.Now().Before(r.until)
 	if len(r.crashed) == maxServers && !before {
 		// The list may have no room for this one, which counts all the same.
-		r.heldAt--
+		r.heldCrashes--
 		r.crashed = r.crashed[1:]
 	}
 	t.join(f, r, Record{Request: f, Crashed: []string{server}})
@@ -261,17 +261,17 @@
 	n := r.counted()
 	switch {
 	case n < terms.Crashes:
-		r.heldAt = 0
+		r.heldCrashes = 0
 		if now.Before(r.until) {
 			r.until = now
 			t.OnChange(r.export(f, now), "released")
 		}
-	case n > r.heldAt:
+	case n > r.heldCrashes:
 		hold := terms.Hold << min(n-terms.Crashes, maxDoublings)
 		if left > 0 {
 			hold = min(hold, left)
 		}
-		r.heldAt = n
+		r.heldCrashes = n
 		if until := now.Add(hold); until.After(r.until) {
 			r.until = until
 		}
