--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -250,13 +250,13 @@
 		return
 	}
 	r.changed = t.Now()
-	t.judge(f, r, told.Remaining)
+	t.updateHold(f, r, told.Remaining)
 }
 
-// judge holds the request if more crashes count against it than when it was last held,
+// updateHold holds the request if more crashes count against it than when it was last held,
 // and releases it if fewer do than are needed. A hold that another box has begun ends as it
 // does there: counted anew by each that hears of it, it would never end.
-func (t *Table) judge(f Fingerprint, r *record, left time.Duration) {
+func (t *Table) updateHold(f Fingerprint, r *record, left time.Duration) {
 	now, terms := t.Now(), t.Config()
 	n := r.counted()
 	switch {
