--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -107,7 +107,7 @@
 		r.heldCrashes--
 		r.crashed = r.crashed[1:]
 	}
-	t.join(f, r, Record{Request: f, Crashed: []string{server}})
+	t.mergeRecord(f, r, Record{Request: f, Crashed: []string{server}})
 	t.scheduleBroadcast(r)
 	if before || !t.Now().Before(r.until) {
 		return nil
@@ -126,7 +126,7 @@
 		return false
 	}
 	released = t.Now().Before(r.until)
-	t.join(f, r, Record{Request: f, Excused: r.crashed})
+	t.mergeRecord(f, r, Record{Request: f, Excused: r.crashed})
 	t.scheduleBroadcast(r)
 	return released
 }
@@ -139,7 +139,7 @@
 	if r == nil {
 		return
 	}
-	t.join(told.Request, r, told)
+	t.mergeRecord(told.Request, r, told)
 	if told.Remaining > 0 && r.counted() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
 		t.scheduleBroadcast(r)
@@ -241,8 +241,8 @@
 	return joined, !slices.Equal(joined, list)
 }
 
-// join puts what was told together with what is known.
-func (t *Table) join(f Fingerprint, r *record, told Record) {
+// mergeRecord puts what was told together with what is known.
+func (t *Table) mergeRecord(f Fingerprint, r *record, told Record) {
 	var crashed, excused bool
 	r.excused, excused = add(r.excused, told.Excused)
 	r.crashed, crashed = add(r.crashed, told.Crashed)
