--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -229,11 +229,11 @@
 	}
 }
 
-// add puts names into a list that is in order and bounded, and reports whether it has changed.
+// mergeNames puts names into a list that is in order and bounded, and reports whether it has changed.
 // The first names in order stay, whichever came first: boxes that know of more crashes than a
 // list names come to name the same ones. If the latest stayed, boxes whose datagrams cross
 // would tell each other of them without end, and prolong their holds.
-func add(list, names []string) (joined []string, changed bool) {
+func mergeNames(list, names []string) (joined []string, changed bool) {
 	joined = slices.Concat(list, names)
 	slices.Sort(joined)
 	joined = slices.Compact(joined)
@@ -244,8 +244,8 @@
 // mergeRecord puts what was told together with what is known.
 func (t *Table) mergeRecord(f Fingerprint, r *record, told Record) {
 	var crashed, excused bool
-	r.excused, excused = add(r.excused, told.Excused)
-	r.crashed, crashed = add(r.crashed, told.Crashed)
+	r.excused, excused = mergeNames(r.excused, told.Excused)
+	r.crashed, crashed = mergeNames(r.crashed, told.Crashed)
 	if !crashed && !excused {
 		return
 	}
