--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -203,7 +203,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	for f, r := range t.records {
-		if now.Sub(r.fresh()) > t.Config().Hold {
+		if now.Sub(r.lastActive()) > t.Config().Hold {
 			t.drop(f)
 		}
 	}
@@ -215,8 +215,8 @@
 
 func (r *record) counted() int { return counted(r.crashed, r.excused) }
 
-// fresh is since when nothing has been learnt and nothing held.
-func (r *record) fresh() time.Time {
+// lastActive is since when nothing has been learnt and nothing held.
+func (r *record) lastActive() time.Time {
 	if r.until.After(r.changed) {
 		return r.until
 	}
