--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -122,7 +122,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	if r == nil || r.counted() == 0 {
+	if r == nil || r.countedCrashes() == 0 {
 		return false
 	}
 	released = t.Now().Before(r.until)
@@ -140,7 +140,7 @@
 		return
 	}
 	t.mergeRecord(told.Request, r, told)
-	if told.Remaining > 0 && r.counted() < t.Config().Crashes {
+	if told.Remaining > 0 && r.countedCrashes() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
 		t.scheduleBroadcast(r)
 	}
@@ -163,7 +163,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	return r != nil && r.counted() > 0
+	return r != nil && r.countedCrashes() > 0
 }
 
 // Due returns the records that all boxes are to be told now.
@@ -213,7 +213,7 @@
 // One record
 // ----------------------------------------------------------------
 
-func (r *record) counted() int { return counted(r.crashed, r.excused) }
+func (r *record) countedCrashes() int { return counted(r.crashed, r.excused) }
 
 // lastActive is since when nothing has been learnt and nothing held.
 func (r *record) lastActive() time.Time {
@@ -258,7 +258,7 @@
 // does there: counted anew by each that hears of it, it would never end.
 func (t *Table) updateHold(f Fingerprint, r *record, left time.Duration) {
 	now, terms := t.Now(), t.Config()
-	n := r.counted()
+	n := r.countedCrashes()
 	switch {
 	case n < terms.Crashes:
 		r.heldCrashes = 0
