--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -43,9 +43,9 @@
 }
 
 // CountedCrashes is how many crashes count against the request.
-func (r *Record) CountedCrashes() int { return counted(r.Crashed, r.Excused) }
+func (r *Record) CountedCrashes() int { return countCrashes(r.Crashed, r.Excused) }
 
-func counted(crashed, excused []string) int {
+func countCrashes(crashed, excused []string) int {
 	n := 0
 	for _, server := range crashed {
 		if !slices.Contains(excused, server) {
@@ -213,7 +213,7 @@
 // One record
 // ----------------------------------------------------------------
 
-func (r *record) countedCrashes() int { return counted(r.crashed, r.excused) }
+func (r *record) countedCrashes() int { return countCrashes(r.crashed, r.excused) }
 
 // lastActive is since when nothing has been learnt and nothing held.
 func (r *record) lastActive() time.Time {
