--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -66,9 +66,9 @@
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// known is the number of records, read without the lock: on a day without crashes a
+	// recordCount is the number of records, read without the lock: on a day without crashes a
 	// request costs no more than that.
-	known atomic.Int64
+	recordCount atomic.Int64
 }
 
 // record is a Record with what this box makes of it.
@@ -90,7 +90,7 @@
 }
 
 // Empty reports whether nothing is known of any request.
-func (t *Table) Empty() bool { return t.known.Load() == 0 }
+func (t *Table) Empty() bool { return t.recordCount.Load() == 0 }
 
 // ObserveCrash notes that a server crashed while it had the request, and returns what is known of
 // the request if that began to be held by it, nil if not.
@@ -301,7 +301,7 @@
 	}
 	r := &record{changed: t.Now()}
 	t.records[f] = r
-	t.known.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 	return r
 }
 
@@ -327,5 +327,5 @@
 
 func (t *Table) drop(f Fingerprint) {
 	delete(t.records, f)
-	t.known.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 }
