--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -132,15 +132,15 @@
 }
 
 // Merge takes in what another box knows.
-func (t *Table) Merge(told Record) {
+func (t *Table) Merge(other Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.recordOf(told.Request)
+	r := t.recordOf(other.Request)
 	if r == nil {
 		return
 	}
-	t.mergeRecord(told.Request, r, told)
-	if told.Remaining > 0 && r.countedCrashes() < t.Config().Crashes {
+	t.mergeRecord(other.Request, r, other)
+	if other.Remaining > 0 && r.countedCrashes() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
 		t.scheduleBroadcast(r)
 	}
