--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -242,15 +242,15 @@
 }
 
 // mergeRecord puts what was told together with what is known.
-func (t *Table) mergeRecord(f Fingerprint, r *record, told Record) {
+func (t *Table) mergeRecord(f Fingerprint, r *record, other Record) {
 	var crashed, excused bool
-	r.excused, excused = mergeNames(r.excused, told.Excused)
-	r.crashed, crashed = mergeNames(r.crashed, told.Crashed)
+	r.excused, excused = mergeNames(r.excused, other.Excused)
+	r.crashed, crashed = mergeNames(r.crashed, other.Crashed)
 	if !crashed && !excused {
 		return
 	}
 	r.changed = t.Now()
-	t.updateHold(f, r, told.Remaining)
+	t.updateHold(f, r, other.Remaining)
 }
 
 // updateHold holds the request if more crashes count against it than when it was last held,
