--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -85,8 +85,8 @@
 }
 
 // NewTable makes an empty table.
-func NewTable(terms func() Config, now func() time.Time) *Table {
-	return &Table{Config: terms, Now: now, OnChange: func(Record, string) {}, records: map[Fingerprint]*record{}}
+func NewTable(config func() Config, now func() time.Time) *Table {
+	return &Table{Config: config, Now: now, OnChange: func(Record, string) {}, records: map[Fingerprint]*record{}}
 }
 
 // Empty reports whether nothing is known of any request.
