--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -257,17 +257,17 @@
 // and releases it if fewer do than are needed. A hold that another box has begun ends as it
 // does there: counted anew by each that hears of it, it would never end.
 func (t *Table) updateHold(f Fingerprint, r *record, left time.Duration) {
-	now, terms := t.Now(), t.Config()
+	now, config := t.Now(), t.Config()
 	n := r.countedCrashes()
 	switch {
-	case n < terms.Crashes:
+	case n < config.Crashes:
 		r.heldCrashes = 0
 		if now.Before(r.until) {
 			r.until = now
 			t.OnChange(r.export(f, now), "released")
 		}
 	case n > r.heldCrashes:
-		hold := terms.Hold << min(n-terms.Crashes, maxDoublings)
+		hold := config.Hold << min(n-config.Crashes, maxDoublings)
 		if left > 0 {
 			hold = min(hold, left)
 		}
