--- a/pkg/quarantine/stored.go
+++ b/pkg/quarantine/stored.go
@@ -15,8 +15,8 @@
 	return StoredHold{Crashed: r.Crashed, UntilMS: now.Add(r.Remaining).UnixMilli()}
 }
 
-// longestName bounds the name of a server's life in what is read, in bytes.
-const longestName = 128
+// maxNameBytes bounds the name of a server's life in what is read, in bytes.
+const maxNameBytes = 128
 
 // Record returns what is kept of a request, given the time of day; ok is false if it is over, or
 // nothing that a box would have written.
@@ -26,7 +26,7 @@
 		return Record{}, false
 	}
 	for _, name := range s.Crashed {
-		if name == "" || len(name) > longestName {
+		if name == "" || len(name) > maxNameBytes {
 			return Record{}, false
 		}
 	}
