--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -19,10 +19,10 @@
 
 func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
 
-var terms = Config{Crashes: 3, Hold: time.Minute}
+var testConfig = Config{Crashes: 3, Hold: time.Minute}
 
 func newTable(c *clock) *Table {
-	return NewTable(func() Config { return terms }, c.Now)
+	return NewTable(func() Config { return testConfig }, c.Now)
 }
 
 func newClock() *clock { return &clock{now: time.Unix(1000, 0)} }
@@ -48,7 +48,7 @@
 	table.ObserveCrash(1, "i-3")
 	left, isHeld := table.Held(1)
 	is.True(isHeld)
-	is.Equal(left, terms.Hold)
+	is.Equal(left, testConfig.Hold)
 	is.True(!held(table, 2))
 }
 
@@ -111,8 +111,8 @@
 	a.ObserveCrash(1, "i-4")
 	left, isHeld := a.Held(1)
 	is.True(isHeld)
-	is.Equal(left, 2*terms.Hold)
-	c.pass(3*terms.Hold + time.Second)
+	is.Equal(left, 2*testConfig.Hold)
+	c.pass(3*testConfig.Hold + time.Second)
 	a.Expire()
 	is.True(a.Empty())
 }
