--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -137,7 +137,7 @@
 
 // step lets one step of time pass.
 func (f *modelFleet) step(number int) {
-	f.clock.pass(modelStep)
+	f.clock.advance(modelStep)
 	now := f.clock.now
 	kept := f.inFlight[:0]
 	for _, d := range f.inFlight {
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -17,7 +17,7 @@
 
 func (c *clock) Now() time.Time { return c.now }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *clock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
 var testConfig = Config{Crashes: 3, Hold: time.Minute}
 
@@ -94,7 +94,7 @@
 	}
 	spread := func(from, to *Table) {
 		records := from.Holds()
-		c.pass(20 * time.Millisecond) // on its way
+		c.advance(20 * time.Millisecond) // on its way
 		for _, r := range records {
 			to.Merge(r)
 		}
@@ -102,9 +102,9 @@
 	for range 30 {
 		spread(a, b)
 		spread(b, a)
-		c.pass(2 * time.Second)
+		c.advance(2 * time.Second)
 	}
-	c.pass(100 * time.Millisecond)
+	c.advance(100 * time.Millisecond)
 	is.True(!held(a, 1))
 	is.True(!held(b, 1))
 	is.True(a.Suspected(1))
@@ -112,7 +112,7 @@
 	left, isHeld := a.Held(1)
 	is.True(isHeld)
 	is.Equal(left, 2*testConfig.Hold)
-	c.pass(3*testConfig.Hold + time.Second)
+	c.advance(3*testConfig.Hold + time.Second)
 	a.Expire()
 	is.True(a.Empty())
 }
@@ -125,9 +125,9 @@
 	table.ObserveCrash(1, "i-1")
 	is.Equal(len(table.Due()), 1)
 	is.Equal(len(table.Due()), 0)
-	c.pass(tellAgain)
+	c.advance(tellAgain)
 	is.Equal(len(table.Due()), 1)
-	c.pass(tellAgain)
+	c.advance(tellAgain)
 	is.Equal(len(table.Due()), 0)
 	table.Merge(Record{Request: 2, Crashed: []string{"i-1"}})
 	is.Equal(len(table.Due()), 0) // what was heard is told on by nobody
@@ -142,7 +142,7 @@
 		table.ObserveCrash(1, fmt.Sprint("i-", i))
 	}
 	for i := range 3 * maxRecords {
-		c.pass(time.Millisecond)
+		c.advance(time.Millisecond)
 		table.ObserveCrash(Fingerprint(2+i), "i-1")
 	}
 	is.Equal(len(table.records), maxRecords)
@@ -180,7 +180,7 @@
 				at.ObserveAnswer(request.Draw(t, "f"))
 			case 2:
 				late = append(late, at.Due()...)
-				c.pass(tellAgain)
+				c.advance(tellAgain)
 			case 3:
 				if len(late) > 0 {
 					at.Merge(late[rapid.IntRange(0, len(late)-1).Draw(t, "datagram")])
@@ -283,7 +283,7 @@
 		for _, from := range tables {
 			told = append(told, from.Holds()...)
 		}
-		c.pass(20 * time.Millisecond)
+		c.advance(20 * time.Millisecond)
 		for i, to := range tables {
 			for k := range told {
 				to.Merge(told[(i+k)%len(told)])
