--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -13,8 +13,8 @@
 // ================================================================
 
 const (
-	modelStep    = 5 * time.Millisecond
-	modelContact = 4 * time.Second
+	modelStep          = 5 * time.Millisecond
+	modelContactWindow = 4 * time.Second
 	// modelWay is the longest way of a datagram.
 	modelWay    = 60 * time.Millisecond
 	modelLength = 40 * time.Second
@@ -105,7 +105,9 @@
 	f.callStore(b, nil)
 }
 
-func (f *modelFleet) inTouch(b *modelBox) bool { return f.clock.now.Sub(b.struck) >= modelContact }
+func (f *modelFleet) inTouch(b *modelBox) bool {
+	return f.clock.now.Sub(b.struck) >= modelContactWindow
+}
 
 func (f *modelFleet) isCut(b *modelBox) bool { return f.clock.now.Before(b.cutUntil) }
 
@@ -114,7 +116,7 @@
 	if held(b.table, modelRequest) {
 		return
 	}
-	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContact && f.inTouch(b) {
+	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContactWindow && f.inTouch(b) {
 		f.late++
 	}
 	took := 40*time.Millisecond + time.Duration(f.random.Intn(90))*time.Millisecond
@@ -197,7 +199,7 @@
 	for range 2 + random.Intn(24) {
 		b := &modelBox{}
 		f.start(b)
-		b.struck = f.clock.now.Add(-modelContact)
+		b.struck = f.clock.now.Add(-modelContactWindow)
 		f.boxes = append(f.boxes, b)
 	}
 	pause := 50*time.Millisecond + time.Duration(random.Intn(3000))*time.Millisecond
