--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -15,9 +15,9 @@
 const (
 	modelStep          = 5 * time.Millisecond
 	modelContactWindow = 4 * time.Second
-	// modelWay is the longest way of a datagram.
-	modelWay    = 60 * time.Millisecond
-	modelLength = 40 * time.Second
+	// modelMaxDelay is the longest way of a datagram.
+	modelMaxDelay = 60 * time.Millisecond
+	modelLength   = 40 * time.Second
 	// modelCall is the longest time until a call of the store is answered.
 	modelCall   = 300 * time.Millisecond
 	modelSpread = 500 * time.Millisecond
@@ -132,7 +132,7 @@
 		if f.random.Float64() < f.loss {
 			continue
 		}
-		way := time.Duration(1 + f.random.Int63n(int64(modelWay)))
+		way := time.Duration(1 + f.random.Int63n(int64(modelMaxDelay)))
 		f.inFlight = append(f.inFlight, modelDatagram{to: to, at: f.clock.now.Add(way), record: r})
 	}
 }
