--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -18,10 +18,10 @@
 	// modelMaxDelay is the longest way of a datagram.
 	modelMaxDelay = 60 * time.Millisecond
 	modelLength   = 40 * time.Second
-	// modelCall is the longest time until a call of the store is answered.
-	modelCall   = 300 * time.Millisecond
-	modelSpread = 500 * time.Millisecond
-	modelFanOut = 3
+	// modelMaxStoreDelay is the longest time until a call of the store is answered.
+	modelMaxStoreDelay = 300 * time.Millisecond
+	modelSpread        = 500 * time.Millisecond
+	modelFanOut        = 3
 )
 
 // modelFleet is what is drawn, and what came of it.
@@ -75,7 +75,7 @@
 
 // callStore has a box call the store.
 func (f *modelFleet) callStore(b *modelBox, write *Record) {
-	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelCall))))
+	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelMaxStoreDelay))))
 	f.calls = append(f.calls, modelCallTo{at: at, write: write, box: b, life: b.table})
 }
 
