--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -40,7 +40,7 @@
 	loss    float64
 	// stored is what the store keeps of the request, and calls what is on its way there and back.
 	stored *Record
-	calls  []modelCallTo
+	calls  []modelStoreCall
 }
 
 type modelBox struct {
@@ -63,8 +63,8 @@
 	life  *Table
 }
 
-// modelCallTo is a call of the store: a write of what a box holds, or a read of one that starts.
-type modelCallTo struct {
+// modelStoreCall is a call of the store: a write of what a box holds, or a read of one that starts.
+type modelStoreCall struct {
 	at    time.Time
 	write *Record
 	box   *modelBox
@@ -76,7 +76,7 @@
 // callStore has a box call the store.
 func (f *modelFleet) callStore(b *modelBox, write *Record) {
 	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelMaxStoreDelay))))
-	f.calls = append(f.calls, modelCallTo{at: at, write: write, box: b, life: b.table})
+	f.calls = append(f.calls, modelStoreCall{at: at, write: write, box: b, life: b.table})
 }
 
 // endCalls has the calls take effect whose time has come. One of a box that is cut off from
