--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -45,8 +45,8 @@
 
 type modelBox struct {
 	table *Table
-	// struck is when the box was last cut off or started.
-	struck, cutUntil time.Time
+	// disturbedAt is when the box was last cut off or started.
+	disturbedAt, cutUntil time.Time
 }
 
 type modelDatagram struct {
@@ -101,12 +101,12 @@
 
 func (f *modelFleet) start(b *modelBox) {
 	b.table = newTable(f.clock)
-	b.struck = f.clock.now
+	b.disturbedAt = f.clock.now
 	f.callStore(b, nil)
 }
 
 func (f *modelFleet) inTouch(b *modelBox) bool {
-	return f.clock.now.Sub(b.struck) >= modelContactWindow
+	return f.clock.now.Sub(b.disturbedAt) >= modelContactWindow
 }
 
 func (f *modelFleet) isCut(b *modelBox) bool { return f.clock.now.Before(b.cutUntil) }
@@ -199,7 +199,7 @@
 	for range 2 + random.Intn(24) {
 		b := &modelBox{}
 		f.start(b)
-		b.struck = f.clock.now.Add(-modelContactWindow)
+		b.disturbedAt = f.clock.now.Add(-modelContactWindow)
 		f.boxes = append(f.boxes, b)
 	}
 	pause := 50*time.Millisecond + time.Duration(random.Intn(3000))*time.Millisecond
@@ -222,7 +222,7 @@
 				f.start(b)
 			} else {
 				b.cutUntil = now.Add(time.Duration(random.Int63n(int64(5 * time.Second))))
-				b.struck = b.cutUntil
+				b.disturbedAt = b.cutUntil
 			}
 		}
 		if losesPower && !now.Before(powerLoss) {
