--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -46,7 +46,7 @@
 type modelBox struct {
 	table *Table
 	// disturbedAt is when the box was last cut off or started.
-	disturbedAt, cutUntil time.Time
+	disturbedAt, disconnectedUntil time.Time
 }
 
 type modelDatagram struct {
@@ -109,7 +109,7 @@
 	return f.clock.now.Sub(b.disturbedAt) >= modelContactWindow
 }
 
-func (f *modelFleet) isCut(b *modelBox) bool { return f.clock.now.Before(b.cutUntil) }
+func (f *modelFleet) isCut(b *modelBox) bool { return f.clock.now.Before(b.disconnectedUntil) }
 
 // send hands the request to a server unless the box holds it.
 func (f *modelFleet) send(b *modelBox, tries int) {
@@ -221,8 +221,8 @@
 			if random.Intn(2) == 0 {
 				f.start(b)
 			} else {
-				b.cutUntil = now.Add(time.Duration(random.Int63n(int64(5 * time.Second))))
-				b.disturbedAt = b.cutUntil
+				b.disconnectedUntil = now.Add(time.Duration(random.Int63n(int64(5 * time.Second))))
+				b.disturbedAt = b.disconnectedUntil
 			}
 		}
 		if losesPower && !now.Before(powerLoss) {
