--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -89,7 +89,7 @@
 		case now.Before(c.at):
 			f.calls = append(f.calls, c)
 		case c.life != c.box.table: // the box has started anew meanwhile
-		case f.isCut(c.box):
+		case f.isDisconnected(c.box):
 			f.callStore(c.box, c.write)
 		case c.write != nil:
 			f.stored = c.write
@@ -109,7 +109,7 @@
 	return f.clock.now.Sub(b.disturbedAt) >= modelContactWindow
 }
 
-func (f *modelFleet) isCut(b *modelBox) bool { return f.clock.now.Before(b.disconnectedUntil) }
+func (f *modelFleet) isDisconnected(b *modelBox) bool { return f.clock.now.Before(b.disconnectedUntil) }
 
 // send hands the request to a server unless the box holds it.
 func (f *modelFleet) send(b *modelBox, tries int) {
@@ -125,7 +125,7 @@
 
 // tell sends records to a box, some of them in vain.
 func (f *modelFleet) tell(from, to *modelBox, records []Record) {
-	if f.isCut(from) || f.isCut(to) {
+	if f.isDisconnected(from) || f.isDisconnected(to) {
 		return
 	}
 	for _, r := range records {
@@ -145,7 +145,7 @@
 	for _, d := range f.inFlight {
 		if now.Before(d.at) {
 			kept = append(kept, d)
-		} else if !f.isCut(d.to) {
+		} else if !f.isDisconnected(d.to) {
 			d.to.table.Merge(d.record)
 		}
 	}
