--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -105,7 +105,7 @@
 	f.callStore(b, nil)
 }
 
-func (f *modelFleet) inTouch(b *modelBox) bool {
+func (f *modelFleet) inContact(b *modelBox) bool {
 	return f.clock.now.Sub(b.disturbedAt) >= modelContactWindow
 }
 
@@ -116,7 +116,7 @@
 	if held(b.table, modelRequest) {
 		return
 	}
-	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContactWindow && f.inTouch(b) {
+	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContactWindow && f.inContact(b) {
 		f.late++
 	}
 	took := 40*time.Millisecond + time.Duration(f.random.Intn(90))*time.Millisecond
