--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -60,7 +60,7 @@
 	ends time.Time
 	// tries is how many servers the attempt has met, and life the box's table when it began.
 	tries int
-	life  *Table
+	table *Table
 }
 
 // modelStoreCall is a call of the store: a write of what a box holds, or a read of one that starts.
@@ -120,7 +120,7 @@
 		f.late++
 	}
 	took := 40*time.Millisecond + time.Duration(f.random.Intn(90))*time.Millisecond
-	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, life: b.table})
+	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, table: b.table})
 }
 
 // tell sends records to a box, some of them in vain.
@@ -179,7 +179,7 @@
 		}
 		f.servers++
 		f.crashes = append(f.crashes, now)
-		if r.life != r.box.table {
+		if r.table != r.box.table {
 			continue // the box has started anew meanwhile
 		}
 		if begun := r.box.table.ObserveCrash(modelRequest, fmt.Sprint("i-", f.servers)); begun != nil {
