--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -68,7 +68,7 @@
 	at    time.Time
 	write *Record
 	box   *modelBox
-	life  *Table
+	table *Table
 }
 
 const modelRequest Fingerprint = 7
@@ -76,7 +76,7 @@
 // callStore has a box call the store.
 func (f *modelFleet) callStore(b *modelBox, write *Record) {
 	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelMaxStoreDelay))))
-	f.calls = append(f.calls, modelStoreCall{at: at, write: write, box: b, life: b.table})
+	f.calls = append(f.calls, modelStoreCall{at: at, write: write, box: b, table: b.table})
 }
 
 // endCalls has the calls take effect whose time has come. One of a box that is cut off from
@@ -88,7 +88,7 @@
 		switch {
 		case now.Before(c.at):
 			f.calls = append(f.calls, c)
-		case c.life != c.box.table: // the box has started anew meanwhile
+		case c.table != c.box.table: // the box has started anew meanwhile
 		case f.isDisconnected(c.box):
 			f.callStore(c.box, c.write)
 		case c.write != nil:
