--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -35,9 +35,9 @@
 	servers  int
 	// crashes are the moments at which servers ended under the request, and late the sends of
 	// boxes in touch later than the time of contact after the third.
-	crashes []time.Time
-	late    int
-	loss    float64
+	crashes   []time.Time
+	lateSends int
+	loss      float64
 	// stored is what the store keeps of the request, and calls what is on its way there and back.
 	stored *Record
 	calls  []modelStoreCall
@@ -117,7 +117,7 @@
 		return
 	}
 	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContactWindow && f.inContact(b) {
-		f.late++
+		f.lateSends++
 	}
 	took := 40*time.Millisecond + time.Duration(f.random.Intn(90))*time.Millisecond
 	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, table: b.table})
@@ -232,7 +232,7 @@
 			}
 		}
 	}
-	return f.late, len(f.crashes)
+	return f.lateSends, len(f.crashes)
 }
 
 // TestFleetsKeepTheRequestFromServers: whatever datagrams are lost, and whichever boxes are cut
