--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// playFleet draws a fleet and 40 seconds of its life, and returns how often boxes in touch sent
+// simulateFleet draws a fleet and 40 seconds of its life, and returns how often boxes in touch sent
 // the request late, and how many servers ended.
-func playFleet(seed int64, losesPower bool) (late, ended int) {
+func simulateFleet(seed int64, losesPower bool) (late, ended int) {
 	random := rand.New(rand.NewSource(seed))
 	f := &modelFleet{random: random, clock: newClock(), loss: random.Float64() * 0.1}
 	for range 2 + random.Intn(24) {
@@ -243,7 +243,7 @@
 func TestFleetsKeepTheRequestFromServers(t *testing.T) {
 	for _, losesPower := range []bool{false, true} {
 		for _, seed := range seeds(100) {
-			if late, ended := playFleet(seed, losesPower); late > 3 {
+			if late, ended := simulateFleet(seed, losesPower); late > 3 {
 				t.Errorf("seed %d, all lose power %v: sent %d times late, %d servers ended", seed, losesPower, late, ended)
 			}
 		}
