--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOperatorsAreToldWhatIsHeld(t *testing.T) {
+func TestPrintHeldRequests(t *testing.T) {
 	is := is.New(t)
 	held := HeldRequests([]Record{
 		{Request: 0xb, Crashed: []string{"i-1", "i-2", "i-3"}, Remaining: 90 * time.Second},
