--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -24,7 +24,7 @@
 	}, "\n"))
 }
 
-func TestFingerprintsAreRead(t *testing.T) {
+func TestParseFingerprint(t *testing.T) {
 	is := is.New(t)
 	f, err := ParseFingerprint(Fingerprint(0xcf299eaf).String())
 	is.NoErr(err)
