--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -265,9 +265,9 @@
 	})
 }
 
-// TestManyCrashesAreToldOnce: boxes that each know of more crashes than a record names come to
+// TestRecordsWithManyCrashesConverge: boxes that each know of more crashes than a record names come to
 // name the same ones; what they go on telling each other changes nothing and prolongs nothing.
-func TestManyCrashesAreToldOnce(t *testing.T) {
+func TestRecordsWithManyCrashesConverge(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	changes := 0
