--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -117,8 +117,8 @@
 	is.True(a.Empty())
 }
 
-// TestChangesAreToldTwice: a datagram that is lost is made good for by the next one.
-func TestChangesAreToldTwice(t *testing.T) {
+// TestChangesAreBroadcastTwice: a datagram that is lost is made good for by the next one.
+func TestChangesAreBroadcastTwice(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	table := newTable(c)
