--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -208,7 +208,7 @@
 	})
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var records []Record
 	for i := range 60 {
