--- a/pkg/packet/packet_test.go
+++ b/pkg/packet/packet_test.go
@@ -14,7 +14,7 @@
 
 var codec = Codec[message]{Kind: "test", FirstByte: 0x77}
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	m := &message{Name: "box-1", Count: 7}
 	datagram, err := codec.Encode(m)
