--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// mostRecords bounds the servers of which something is known: of a fleet's 1,400 servers
+	// maxRecords bounds the servers of which something is known: of a fleet's 1,400 servers
 	// all may name limits at once.
-	mostRecords = 4096
+	maxRecords = 4096
 	// tellTimes is how often a change is told to all boxes, and tellAgain after what time again:
 	// a datagram in a hundred is lost on a good day.
 	tellTimes = 2
@@ -289,7 +289,7 @@
 
 // add makes a record for a server; nil if there is no room.
 func (t *Table) add(server string) *entry {
-	if len(t.records) >= mostRecords && !t.makeRoom() {
+	if len(t.records) >= maxRecords && !t.makeRoom() {
 		return nil
 	}
 	e := &entry{Record: Record{Server: server}}
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -175,10 +175,10 @@
 	l, c, _ := newTestTable()
 	l.ObserveAnswer(server, names(3), true, c.at)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
-	for i := range mostRecords + 10 {
+	for i := range maxRecords + 10 {
 		l.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
-	is.Equal(len(l.All()), mostRecords)
+	is.Equal(len(l.All()), maxRecords)
 	_, named := l.LimitOf("j-0")
 	is.True(named)
 }
@@ -283,11 +283,11 @@
 	is := is.New(t)
 	l, _, _ := newTestTable()
 	l.MarkLeaving(server)
-	for i := range mostRecords + 10 {
+	for i := range maxRecords + 10 {
 		l.Merge(Record{Server: fmt.Sprint("j-", i), LimitVersion: 1})
 	}
 	is.True(l.IsLeaving(server.Incarnation()))
-	is.Equal(len(l.All()), mostRecords)
+	is.Equal(len(l.All()), maxRecords)
 }
 
 // TestMessagesSurviveTheWire, in as many packets as they need.
