--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -14,10 +14,10 @@
 	// maxRecords bounds the servers of which something is known: of a fleet's 1,400 servers
 	// all may name limits at once.
 	maxRecords = 4096
-	// tellTimes is how often a change is told to all boxes, and tellAgain after what time again:
+	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time again:
 	// a datagram in a hundred is lost on a good day.
-	tellTimes = 2
-	tellAgain = 300 * time.Millisecond
+	broadcastCount = 2
+	tellAgain      = 300 * time.Millisecond
 	// tellPause is the least time between two changes of a server that are told: one may name
 	// another limit in each answer.
 	tellPause = time.Second
@@ -202,7 +202,7 @@
 	now := t.Now()
 	var due []Record
 	for _, e := range t.records {
-		first := e.tells == tellTimes
+		first := e.tells == broadcastCount
 		if e.tells == 0 || now.Before(e.tellAt) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < tellPause {
 			continue
 		}
@@ -259,7 +259,7 @@
 
 // tell has all boxes told of the record.
 func (e *entry) tell() {
-	e.tells = tellTimes
+	e.tells = broadcastCount
 	e.tellAt = time.Time{}
 }
 
