--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -18,9 +18,9 @@
 	// a datagram in a hundred is lost on a good day.
 	broadcastCount = 2
 	tellAgain      = 300 * time.Millisecond
-	// tellPause is the least time between two changes of a server that are told: one may name
+	// minBroadcastInterval is the least time between two changes of a server that are told: one may name
 	// another limit in each answer.
-	tellPause = time.Second
+	minBroadcastInterval = time.Second
 )
 
 // Table is what one box knows of what servers say.
@@ -203,7 +203,7 @@
 	var due []Record
 	for _, e := range t.records {
 		first := e.tells == broadcastCount
-		if e.tells == 0 || now.Before(e.tellAt) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < tellPause {
+		if e.tells == 0 || now.Before(e.tellAt) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < minBroadcastInterval {
 			continue
 		}
 		e.tells--
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -148,7 +148,7 @@
 	for _, r := range old.Due() {
 		anew.Merge(r)
 	}
-	c.advance(tellPause)
+	c.advance(minBroadcastInterval)
 	anew.ObserveAnswer(server, names(2), true, c.at)
 	for _, r := range anew.Due() {
 		old.Merge(r)
