--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -66,8 +66,8 @@
 	Record
 	// heard is when an answer to this box last named the limit, or another box told of it first.
 	heard time.Time
-	// tells is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
-	tells          int
+	// broadcastsLeft is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
+	broadcastsLeft int
 	tellAt, toldAt time.Time
 	// changed is when the record last did.
 	changed time.Time
@@ -202,11 +202,11 @@
 	now := t.Now()
 	var due []Record
 	for _, e := range t.records {
-		first := e.tells == broadcastCount
-		if e.tells == 0 || now.Before(e.tellAt) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < minBroadcastInterval {
+		first := e.broadcastsLeft == broadcastCount
+		if e.broadcastsLeft == 0 || now.Before(e.tellAt) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < minBroadcastInterval {
 			continue
 		}
-		e.tells--
+		e.broadcastsLeft--
 		e.tellAt, e.toldAt = now.Add(tellAgain), now
 		due = append(due, e.Record)
 	}
@@ -259,7 +259,7 @@
 
 // tell has all boxes told of the record.
 func (e *entry) tell() {
-	e.tells = broadcastCount
+	e.broadcastsLeft = broadcastCount
 	e.tellAt = time.Time{}
 }
 
