--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -67,8 +67,8 @@
 	// heard is when an answer to this box last named the limit, or another box told of it first.
 	heard time.Time
 	// broadcastsLeft is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
-	broadcastsLeft        int
-	nextBroadcast, toldAt time.Time
+	broadcastsLeft               int
+	nextBroadcast, lastBroadcast time.Time
 	// changed is when the record last did.
 	changed time.Time
 	// missing is since when the server is not listed, zero while it is.
@@ -203,11 +203,11 @@
 	var due []Record
 	for _, e := range t.records {
 		first := e.broadcastsLeft == broadcastCount
-		if e.broadcastsLeft == 0 || now.Before(e.nextBroadcast) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < minBroadcastInterval {
+		if e.broadcastsLeft == 0 || now.Before(e.nextBroadcast) || first && !e.lastBroadcast.IsZero() && now.Sub(e.lastBroadcast) < minBroadcastInterval {
 			continue
 		}
 		e.broadcastsLeft--
-		e.nextBroadcast, e.toldAt = now.Add(tellAgain), now
+		e.nextBroadcast, e.lastBroadcast = now.Add(tellAgain), now
 		due = append(due, e.Record)
 	}
 	return due
