--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -99,7 +99,7 @@
 		t.namedBy(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
 	case e != nil && e.HasLimit && ran && sent.After(e.heard):
 		t.set(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
-		e.tell()
+		e.scheduleBroadcast()
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	e.Zone = server.Zone
 	t.setLeaving(e)
-	e.tell()
+	e.scheduleBroadcast()
 }
 
 // IsLeaving reports whether a life of a server is known to leave.
@@ -146,7 +146,7 @@
 	}
 	r.LimitVersion = e.LimitVersion + 1
 	t.set(e, r)
-	e.tell()
+	e.scheduleBroadcast()
 }
 
 // Merge takes in what another box knows.
@@ -171,7 +171,7 @@
 		if told.HasLimit && !e.HasLimit {
 			// The other box has started since, and counts from the beginning: once it knows this
 			// record, what the server names next gets a number that holds.
-			e.tell()
+			e.scheduleBroadcast()
 		}
 		return
 	}
@@ -257,8 +257,8 @@
 // One record
 // ----------------------------------------------------------------
 
-// tell has all boxes told of the record.
-func (e *entry) tell() {
+// scheduleBroadcast has all boxes told of the record.
+func (e *entry) scheduleBroadcast() {
 	e.broadcastsLeft = broadcastCount
 	e.nextBroadcast = time.Time{}
 }
