--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -33,9 +33,9 @@
 
 	mu      sync.Mutex
 	records map[string]*entry
-	// named is how many servers name a limit, and leaving how many leave, read without the lock: on
+	// limitCount is how many servers name a limit, and leaving how many leave, read without the lock: on
 	// a day without limits a request costs no more than that.
-	named, leaving atomic.Int64
+	limitCount, leaving atomic.Int64
 }
 
 // Change is what becomes of a server's limit.
@@ -81,7 +81,7 @@
 }
 
 // Empty reports whether no server is known to name a limit.
-func (t *Table) Empty() bool { return t.named.Load() == 0 }
+func (t *Table) Empty() bool { return t.limitCount.Load() == 0 }
 
 // ObserveAnswer takes in an answer of a server to a request of this box that was sent at some time.
 // With ran false the server has not run the request; that such an answer names no limit says
@@ -277,12 +277,12 @@
 	e.Record, e.changed = r, t.Now()
 	switch {
 	case r.HasLimit && !before.HasLimit:
-		t.named.Add(1)
+		t.limitCount.Add(1)
 		t.OnChange(r, LimitBegun)
 	case r.HasLimit && before.PerSecond != r.PerSecond:
 		t.OnChange(r, LimitChanged)
 	case !r.HasLimit && before.HasLimit:
-		t.named.Add(-1)
+		t.limitCount.Add(-1)
 		t.OnChange(r, LimitEnded)
 	}
 }
@@ -312,7 +312,7 @@
 	e := t.records[life]
 	delete(t.records, life)
 	if e.HasLimit {
-		t.named.Add(-1)
+		t.limitCount.Add(-1)
 	}
 	if e.Leaving {
 		t.leaving.Add(-1)
