--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -33,9 +33,9 @@
 
 	mu      sync.Mutex
 	records map[string]*entry
-	// limitCount is how many servers name a limit, and leaving how many leave, read without the lock: on
+	// limitCount is how many servers name a limit, and leavingCount how many leave, read without the lock: on
 	// a day without limits a request costs no more than that.
-	limitCount, leaving atomic.Int64
+	limitCount, leavingCount atomic.Int64
 }
 
 // Change is what becomes of a server's limit.
@@ -124,7 +124,7 @@
 
 // IsLeaving reports whether a life of a server is known to leave.
 func (t *Table) IsLeaving(life string) bool {
-	if t.leaving.Load() == 0 {
+	if t.leavingCount.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
@@ -266,7 +266,7 @@
 // setLeaving notes that a server leaves.
 func (t *Table) setLeaving(e *entry) {
 	e.Leaving = true
-	t.leaving.Add(1)
+	t.leavingCount.Add(1)
 	t.OnChange(e.Record, ServerLeaving)
 }
 
@@ -315,7 +315,7 @@
 		t.limitCount.Add(-1)
 	}
 	if e.Leaving {
-		t.leaving.Add(-1)
+		t.leavingCount.Add(-1)
 	}
 	t.OnChange(e.Record, ServerForgotten)
 }
