--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -64,8 +64,8 @@
 // entry is a Record with what this box makes of it.
 type entry struct {
 	Record
-	// heard is when an answer to this box last named the limit, or another box told of it first.
-	heard time.Time
+	// limitSeen is when an answer to this box last named the limit, or another box told of it first.
+	limitSeen time.Time
 	// broadcastsLeft is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
 	broadcastsLeft               int
 	nextBroadcast, lastBroadcast time.Time
@@ -97,7 +97,7 @@
 	switch {
 	case limit.Present:
 		t.namedBy(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
-	case e != nil && e.HasLimit && ran && sent.After(e.heard):
+	case e != nil && e.HasLimit && ran && sent.After(e.limitSeen):
 		t.set(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
 		e.scheduleBroadcast()
 	}
@@ -140,7 +140,7 @@
 			return
 		}
 	}
-	e.heard = t.Now()
+	e.limitSeen = t.Now()
 	if e.HasLimit && e.PerSecond == r.PerSecond {
 		return
 	}
@@ -176,7 +176,7 @@
 		return
 	}
 	if told.HasLimit {
-		e.heard = t.Now()
+		e.limitSeen = t.Now()
 	}
 	t.set(e, told)
 }
