--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -71,8 +71,8 @@
 	nextBroadcast, lastBroadcast time.Time
 	// changed is when the record last did.
 	changed time.Time
-	// missing is since when the server is not listed, zero while it is.
-	missing time.Time
+	// unlistedSince is since when the server is not listed, zero while it is.
+	unlistedSince time.Time
 }
 
 // NewTable makes an empty table.
@@ -244,10 +244,10 @@
 	for life, e := range t.records {
 		switch {
 		case listed(life):
-			e.missing = time.Time{}
-		case e.missing.IsZero():
-			e.missing = now
-		case now.Sub(e.missing) > after:
+			e.unlistedSince = time.Time{}
+		case e.unlistedSince.IsZero():
+			e.unlistedSince = now
+		case now.Sub(e.unlistedSince) > after:
 			t.drop(life)
 		}
 	}
