--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -96,7 +96,7 @@
 	e := t.records[life]
 	switch {
 	case limit.Present:
-		t.namedBy(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
+		t.applyAnswer(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
 	case e != nil && e.HasLimit && ran && sent.After(e.limitSeen):
 		t.set(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
 		e.scheduleBroadcast()
@@ -133,8 +133,8 @@
 	return e != nil && e.Leaving
 }
 
-// namedBy takes in a limit that an answer names.
-func (t *Table) namedBy(e *entry, r Record) {
+// applyAnswer takes in a limit that an answer names.
+func (t *Table) applyAnswer(e *entry, r Record) {
 	if e == nil {
 		if e = t.add(r.Server); e == nil {
 			return
