--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -98,7 +98,7 @@
 	case limit.Present:
 		t.applyAnswer(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
 	case e != nil && e.HasLimit && ran && sent.After(e.limitSeen):
-		t.set(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
+		t.setLimit(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
 		e.scheduleBroadcast()
 	}
 }
@@ -145,7 +145,7 @@
 		return
 	}
 	r.LimitVersion = e.LimitVersion + 1
-	t.set(e, r)
+	t.setLimit(e, r)
 	e.scheduleBroadcast()
 }
 
@@ -178,7 +178,7 @@
 	if told.HasLimit {
 		e.limitSeen = t.Now()
 	}
-	t.set(e, told)
+	t.setLimit(e, told)
 }
 
 // LimitOf returns the limit of a life of a server, and whether it names one.
@@ -270,8 +270,8 @@
 	t.OnChange(e.Record, ServerLeaving)
 }
 
-// set puts a limit in force.
-func (t *Table) set(e *entry, r Record) {
+// setLimit puts a limit in force.
+func (t *Table) setLimit(e *entry, r Record) {
 	before := e.Record
 	r.Leaving = before.Leaving
 	e.Record, e.changed = r, t.Now()
