--- a/pkg/serverstatus/serverstatus.go
+++ b/pkg/serverstatus/serverstatus.go
@@ -28,8 +28,8 @@
 	Leaving bool
 }
 
-// holdsOver reports whether the record's limit holds and not that of the other one, of the same server.
-func (r *Record) holdsOver(other *Record) bool {
+// supersedes reports whether the record's limit holds and not that of the other one, of the same server.
+func (r *Record) supersedes(other *Record) bool {
 	if r.LimitVersion != other.LimitVersion {
 		return r.LimitVersion > other.LimitVersion
 	}
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -167,7 +167,7 @@
 		e.Zone = told.Zone
 		t.setLeaving(e)
 	}
-	if !told.holdsOver(&e.Record) {
+	if !told.supersedes(&e.Record) {
 		if told.HasLimit && !e.HasLimit {
 			// The other box has started since, and counts from the beginning: once it knows this
 			// record, what the server names next gets a number that holds.
