--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -150,35 +150,35 @@
 }
 
 // Merge takes in what another box knows.
-func (t *Table) Merge(told Record) {
-	if !(told.PerSecond >= 0) {
+func (t *Table) Merge(other Record) {
+	if !(other.PerSecond >= 0) {
 		// No box tells that; whatever it came from says nothing of a limit.
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.records[told.Server]
+	e := t.records[other.Server]
 	if e == nil {
-		if e = t.add(told.Server); e == nil {
+		if e = t.add(other.Server); e == nil {
 			return
 		}
 	}
-	if told.Leaving && !e.Leaving {
-		e.Zone = told.Zone
+	if other.Leaving && !e.Leaving {
+		e.Zone = other.Zone
 		t.setLeaving(e)
 	}
-	if !told.supersedes(&e.Record) {
-		if told.HasLimit && !e.HasLimit {
+	if !other.supersedes(&e.Record) {
+		if other.HasLimit && !e.HasLimit {
 			// The other box has started since, and counts from the beginning: once it knows this
 			// record, what the server names next gets a number that holds.
 			e.scheduleBroadcast()
 		}
 		return
 	}
-	if told.HasLimit {
+	if other.HasLimit {
 		e.limitSeen = t.Now()
 	}
-	t.setLimit(e, told)
+	t.setLimit(e, other)
 }
 
 // LimitOf returns the limit of a life of a server, and whether it names one.
