--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -92,13 +92,13 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	life := server.Incarnation()
-	e := t.records[life]
+	incarnation := server.Incarnation()
+	e := t.records[incarnation]
 	switch {
 	case limit.Present:
-		t.applyAnswer(e, Record{Server: life, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
+		t.applyAnswer(e, Record{Server: incarnation, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
 	case e != nil && e.HasLimit && ran && sent.After(e.limitSeen):
-		t.setLimit(e, Record{Server: life, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
+		t.setLimit(e, Record{Server: incarnation, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
 		e.scheduleBroadcast()
 	}
 }
