--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -107,10 +107,10 @@
 func (t *Table) MarkLeaving(server *backend.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	life := server.Incarnation()
-	e := t.records[life]
+	incarnation := server.Incarnation()
+	e := t.records[incarnation]
 	if e == nil {
-		if e = t.add(life); e == nil {
+		if e = t.add(incarnation); e == nil {
 			return
 		}
 	}
