--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -123,13 +123,13 @@
 }
 
 // IsLeaving reports whether a life of a server is known to leave.
-func (t *Table) IsLeaving(life string) bool {
+func (t *Table) IsLeaving(incarnation string) bool {
 	if t.leavingCount.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.records[life]
+	e := t.records[incarnation]
 	return e != nil && e.Leaving
 }
 
