--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -182,13 +182,13 @@
 }
 
 // LimitOf returns the limit of a life of a server, and whether it names one.
-func (t *Table) LimitOf(life string) (perSecond float64, named bool) {
+func (t *Table) LimitOf(incarnation string) (perSecond float64, named bool) {
 	if t.Empty() {
 		return 0, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.records[life]
+	e := t.records[incarnation]
 	if e == nil {
 		return 0, false
 	}
