--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -241,14 +241,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	for life, e := range t.records {
+	for incarnation, e := range t.records {
 		switch {
-		case listed(life):
+		case listed(incarnation):
 			e.unlistedSince = time.Time{}
 		case e.unlistedSince.IsZero():
 			e.unlistedSince = now
 		case now.Sub(e.unlistedSince) > after:
-			t.drop(life)
+			t.drop(incarnation)
 		}
 	}
 }
