--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -299,9 +299,9 @@
 
 // makeRoom drops a record of a server that neither names a limit nor leaves.
 func (t *Table) makeRoom() bool {
-	for life, e := range t.records {
+	for incarnation, e := range t.records {
 		if !e.HasLimit && !e.Leaving {
-			t.drop(life)
+			t.drop(incarnation)
 			return true
 		}
 	}
