--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -308,9 +308,9 @@
 	return false
 }
 
-func (t *Table) drop(life string) {
-	e := t.records[life]
-	delete(t.records, life)
+func (t *Table) drop(incarnation string) {
+	e := t.records[incarnation]
+	delete(t.records, incarnation)
 	if e.HasLimit {
 		t.limitCount.Add(-1)
 	}
