--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -182,7 +182,7 @@
 }
 
 // LimitOf returns the limit of a life of a server, and whether it names one.
-func (t *Table) LimitOf(incarnation string) (perSecond float64, named bool) {
+func (t *Table) LimitOf(incarnation string) (perSecond float64, limited bool) {
 	if t.Empty() {
 		return 0, false
 	}
