--- a/pkg/serverstatus/wire.go
+++ b/pkg/serverstatus/wire.go
@@ -6,9 +6,9 @@
 	// wireVersion is the first byte of a message; what else comes to the same port begins
 	// with others.
 	wireVersion = 0xc2
-	// together bounds the records of one message, so that it fits one packet: a record takes
+	// maxMessageRecords bounds the records of one message, so that it fits one packet: a record takes
 	// some 50 bytes.
-	together = 20
+	maxMessageRecords = 20
 )
 
 // Message is what one box knows of some servers.
@@ -25,7 +25,7 @@
 func Messages(box string, records []Record) []Message {
 	var messages []Message
 	for len(records) > 0 {
-		n := min(len(records), together)
+		n := min(len(records), maxMessageRecords)
 		messages = append(messages, Message{Box: box, Records: records[:n:n]})
 		records = records[n:]
 	}
