--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -30,7 +30,7 @@
 	return t, c, &changes
 }
 
-func names(perSecond float64) backend.RateLimit {
+func rateLimit(perSecond float64) backend.RateLimit {
 	return backend.RateLimit{Present: true, PerSecond: perSecond}
 }
 
@@ -42,13 +42,13 @@
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
 	_, named := l.LimitOf(server.Incarnation())
 	is.True(!named)
-	l.ObserveAnswer(server, names(2.7), true, c.at)
-	l.ObserveAnswer(server, names(2.7), true, c.at)
+	l.ObserveAnswer(server, rateLimit(2.7), true, c.at)
+	l.ObserveAnswer(server, rateLimit(2.7), true, c.at)
 	perSecond, named := l.LimitOf(server.Incarnation())
 	is.True(named)
 	is.Equal(perSecond, 2.7)
 	is.True(!l.Empty())
-	l.ObserveAnswer(server, names(0), true, c.at)
+	l.ObserveAnswer(server, rateLimit(0), true, c.at)
 	perSecond, named = l.LimitOf(server.Incarnation())
 	is.True(named && perSecond == 0) // it takes none
 	c.advance(time.Second)
@@ -71,7 +71,7 @@
 	l, c, _ := newTestTable()
 	sent := c.at
 	c.advance(100 * time.Millisecond)
-	l.ObserveAnswer(server, names(3), true, sent)
+	l.ObserveAnswer(server, rateLimit(3), true, sent)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
 	_, named := l.LimitOf(server.Incarnation())
 	is.True(named)
@@ -87,7 +87,7 @@
 func TestAnotherLifeNamesNothing(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
-	l.ObserveAnswer(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	again := *server
 	again.StartedAtMs = 8
 	_, named := l.LimitOf(again.Incarnation())
@@ -109,18 +109,18 @@
 func TestChangesAreToldTwiceAndNotTooOften(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.ObserveAnswer(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	is.Equal(len(l.Due()), 1)
 	is.Equal(len(l.Due()), 0)
 	c.advance(tellAgain)
 	is.Equal(len(l.Due()), 1)
 	c.advance(10 * time.Second)
 	is.Equal(len(l.Due()), 0)
-	l.ObserveAnswer(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	is.Equal(len(l.Due()), 0) // nothing has changed
 	told := 0
 	for i := range 100 {
-		l.ObserveAnswer(server, names(float64(i)), true, c.at)
+		l.ObserveAnswer(server, rateLimit(float64(i)), true, c.at)
 		told += len(l.Due())
 		c.advance(100 * time.Millisecond)
 	}
@@ -140,7 +140,7 @@
 	old.Merge(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
 	old.Merge(Record{Server: server.Incarnation(), LimitVersion: 4})
 	is.Equal(len(old.Due()), 0)
-	anew.ObserveAnswer(server, names(2), true, c.at)
+	anew.ObserveAnswer(server, rateLimit(2), true, c.at)
 	for _, r := range anew.Due() {
 		old.Merge(r)
 	}
@@ -149,7 +149,7 @@
 		anew.Merge(r)
 	}
 	c.advance(minBroadcastInterval)
-	anew.ObserveAnswer(server, names(2), true, c.at)
+	anew.ObserveAnswer(server, rateLimit(2), true, c.at)
 	for _, r := range anew.Due() {
 		old.Merge(r)
 	}
@@ -173,7 +173,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.ObserveAnswer(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
 	for i := range maxRecords + 10 {
 		l.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
@@ -197,7 +197,7 @@
 			case 3:
 				b.MarkLeaving(server)
 			case 0:
-				b.ObserveAnswer(server, names(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
+				b.ObserveAnswer(server, rateLimit(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
 			case 1:
 				ago := time.Duration(rapid.IntRange(0, 100).Draw(t, "ago")) * time.Millisecond
 				b.ObserveAnswer(server, backend.RateLimit{}, rapid.Bool().Draw(t, "ran"), c.at.Add(-ago))
@@ -242,7 +242,7 @@
 	l.MarkLeaving(server)
 	is.True(l.IsLeaving(server.Incarnation()))
 	is.True(l.Empty()) // it names no limit
-	l.ObserveAnswer(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	c.advance(time.Second)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
 	l.Merge(Record{Server: server.Incarnation(), LimitVersion: 9})
