--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -258,8 +258,8 @@
 	is.Equal(*changes, []string{"leaves 0", "begun 3", "ended 0", "forgotten 0"})
 }
 
-// TestLeavingIsTold: twice by who heard it, and spread for as long as the server is listed.
-func TestLeavingIsTold(t *testing.T) {
+// TestLeavingIsBroadcast: twice by who heard it, and spread for as long as the server is listed.
+func TestLeavingIsBroadcast(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
 	l.MarkLeaving(server)
