--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -290,8 +290,8 @@
 	is.Equal(len(l.All()), maxRecords)
 }
 
-// TestMessagesSurviveTheWire, in as many packets as they need.
-func TestMessagesSurviveTheWire(t *testing.T) {
+// TestMessagesRoundTrip, in as many packets as they need.
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var records []Record
 	for i := range 50 {
