--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -314,8 +314,8 @@
 	}
 }
 
-// TestWhatIsNoLimitIsNotLearnt: a datagram may hold any number.
-func TestWhatIsNoLimitIsNotLearnt(t *testing.T) {
+// TestInvalidLimitsAreIgnored: a datagram may hold any number.
+func TestInvalidLimitsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
 	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: math.NaN(), LimitVersion: 9})
