--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -104,9 +104,9 @@
 	is.Equal(*changes, []string{"begun 3", "forgotten 3"})
 }
 
-// TestChangesAreToldTwiceAndNotTooOften: others are told of each change twice, and of a server
+// TestChangesAreBroadcastTwiceAndNotTooOften: others are told of each change twice, and of a server
 // that names another limit in each answer once a second.
-func TestChangesAreToldTwiceAndNotTooOften(t *testing.T) {
+func TestChangesAreBroadcastTwiceAndNotTooOften(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
 	l.ObserveAnswer(server, rateLimit(3), true, c.at)
