--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestBoxThatStartsAnewIsHeard: a box that has started since a limit ended counts from the beginning;
+// TestRestartedBoxIsBelieved: a box that has started since a limit ended counts from the beginning;
 // it is told what others know, and then others hear it.
-func TestBoxThatStartsAnewIsHeard(t *testing.T) {
+func TestRestartedBoxIsBelieved(t *testing.T) {
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
 	old, anew := NewTable(c.now), NewTable(c.now)
