--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -17,9 +17,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastSuspension is what counts as a suspension: reading two clocks one after the other
+// minSuspension is what counts as a suspension: reading two clocks one after the other
 // takes far less, and nothing is decided by so little.
-const leastSuspension = time.Millisecond
+const minSuspension = time.Millisecond
 
 // Clock is a steady clock.
 type Clock struct {
@@ -70,7 +70,7 @@
 	away := at - c.base - time.Since(c.started)
 	for {
 		known := c.away.Load()
-		if away-time.Duration(known) < leastSuspension {
+		if away-time.Duration(known) < minSuspension {
 			return
 		}
 		if c.away.CompareAndSwap(known, int64(away)) {
