--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -29,8 +29,8 @@
 	boottime func() (time.Duration, error)
 	started  time.Time
 	base     time.Duration
-	// broken is why there is no such clock, nil if there is.
-	broken error
+	// err is why there is no such clock, nil if there is.
+	err error
 	// away is for how long the machine has been suspended since the start, in nanoseconds.
 	away atomic.Int64
 }
@@ -42,12 +42,12 @@
 // NewOn makes a clock that finds suspensions by another clock's running ahead.
 func NewOn(boottime func() (time.Duration, error)) *Clock {
 	c := &Clock{OnResume: func(time.Duration) {}, boottime: boottime, started: time.Now()}
-	c.base, c.broken = boottime()
+	c.base, c.err = boottime()
 	return c
 }
 
 // Err returns why suspensions cannot be found, nil if they can.
-func (c *Clock) Err() error { return c.broken }
+func (c *Clock) Err() error { return c.err }
 
 // Now returns the time. It counts a suspension once Sync has found it.
 func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.away.Load())) }
@@ -59,7 +59,7 @@
 // by what is held for a time: at the beginning of each request, with each message of another
 // box, and some times a second. It takes one system call.
 func (c *Clock) Sync() {
-	if c.broken != nil {
+	if c.err != nil {
 		return
 	}
 	at, err := c.boottime()
