--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -31,8 +31,8 @@
 	base     time.Duration
 	// err is why there is no such clock, nil if there is.
 	err error
-	// away is for how long the machine has been suspended since the start, in nanoseconds.
-	away atomic.Int64
+	// suspended is for how long the machine has been suspended since the start, in nanoseconds.
+	suspended atomic.Int64
 }
 
 // New makes a clock. Where the system has none that counts suspensions, Err tells, and the
@@ -50,7 +50,7 @@
 func (c *Clock) Err() error { return c.err }
 
 // Now returns the time. It counts a suspension once Sync has found it.
-func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.away.Load())) }
+func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
 
 // Since returns how long ago a time of this clock was.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
@@ -69,11 +69,11 @@
 	// Whatever passes between the two readings makes this less, never more.
 	away := at - c.base - time.Since(c.started)
 	for {
-		known := c.away.Load()
+		known := c.suspended.Load()
 		if away-time.Duration(known) < minSuspension {
 			return
 		}
-		if c.away.CompareAndSwap(known, int64(away)) {
+		if c.suspended.CompareAndSwap(known, int64(away)) {
 			c.OnResume(away - time.Duration(known))
 			return
 		}
