--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -67,14 +67,14 @@
 		return // it could be read before, and will be again
 	}
 	// Whatever passes between the two readings makes this less, never more.
-	away := at - c.base - time.Since(c.started)
+	suspended := at - c.base - time.Since(c.started)
 	for {
 		known := c.suspended.Load()
-		if away-time.Duration(known) < minSuspension {
+		if suspended-time.Duration(known) < minSuspension {
 			return
 		}
-		if c.suspended.CompareAndSwap(known, int64(away)) {
-			c.OnResume(away - time.Duration(known))
+		if c.suspended.CompareAndSwap(known, int64(suspended)) {
+			c.OnResume(suspended - time.Duration(known))
 			return
 		}
 	}
