--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -37,10 +37,10 @@
 
 // New makes a clock. Where the system has none that counts suspensions, Err tells, and the
 // clock is the runtime's.
-func New() *Clock { return NewOn(boottime) }
+func New() *Clock { return NewWithBoottime(boottime) }
 
-// NewOn makes a clock that finds suspensions by another clock's running ahead.
-func NewOn(boottime func() (time.Duration, error)) *Clock {
+// NewWithBoottime makes a clock that finds suspensions by another clock's running ahead.
+func NewWithBoottime(boottime func() (time.Duration, error)) *Clock {
 	c := &Clock{OnResume: func(time.Duration) {}, boottime: boottime, started: time.Now()}
 	c.base, c.err = boottime()
 	return c
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -36,7 +36,7 @@
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
-	c := NewOn(m.boottime)
+	c := NewWithBoottime(m.boottime)
 	var woke []time.Duration
 	c.OnResume = func(away time.Duration) { woke = append(woke, away) }
 	before := c.Now()
@@ -72,7 +72,7 @@
 	is := is.New(t)
 	m := newMachine()
 	m.err = errors.New("no such clock")
-	c := NewOn(m.boottime)
+	c := NewWithBoottime(m.boottime)
 	is.True(c.Err() != nil)
 	m.err = nil
 	m.suspend(time.Hour)
@@ -96,7 +96,7 @@
 // TestClockNeverGoesBack, whoever looks at the same time.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newMachine()
-	c := NewOn(m.boottime)
+	c := NewWithBoottime(m.boottime)
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Add(1)
--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -187,7 +187,7 @@
 	logContext, endLog := context.WithCancel(context.Background())
 	go handler.Run(logContext)
 	m := newMachine()
-	node := node.New(&s, platform.Adapter(), handler, clock.NewOn(m.boottime))
+	node := node.New(&s, platform.Adapter(), handler, clock.NewWithBoottime(m.boottime))
 	if err := node.Start(); err != nil {
 		endLog()
 		node.Stop()
