--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -67,8 +67,8 @@
 // much less a suspension is found to be, and what one look misses the next one finds.
 const busy = 200 * time.Millisecond
 
-// TestClockGoesOnWithoutTheSystems: it is then the runtime's.
-func TestClockGoesOnWithoutTheSystems(t *testing.T) {
+// TestClockWithoutBoottime: it is then the runtime's.
+func TestClockWithoutBoottime(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
 	m.err = errors.New("no such clock")
