--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -80,8 +80,8 @@
 	is.True(time.Since(c.Now()) < time.Second)
 }
 
-// TestSystemHasSuchAClock, which this machine's kernel moves on.
-func TestSystemHasSuchAClock(t *testing.T) {
+// TestSystemHasBoottimeClock, which this machine's kernel moves on.
+func TestSystemHasBoottimeClock(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	is.NoErr(c.Err())
