--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -48,7 +48,7 @@
 	m.suspend(5 * time.Second)
 	is.True(c.Since(before) < time.Second)
 	c.Sync()
-	is.True(c.Since(before) >= 5*time.Second-busy)
+	is.True(c.Since(before) >= 5*time.Second-maxSchedulingDelay)
 	is.True(c.Since(before) < 6*time.Second)
 	m.suspend(2 * time.Second)
 	for range 100 {
@@ -60,12 +60,12 @@
 		sum += away
 	}
 	is.True(sum <= 7*time.Second) // never more than there was
-	is.True(sum > 7*time.Second-busy)
+	is.True(sum > 7*time.Second-maxSchedulingDelay)
 }
 
-// busy is for how long this machine may stop a test between two readings of its clocks: by as
+// maxSchedulingDelay is for how long this machine may stop a test between two readings of its clocks: by as
 // much less a suspension is found to be, and what one look misses the next one finds.
-const busy = 200 * time.Millisecond
+const maxSchedulingDelay = 200 * time.Millisecond
 
 // TestClockWithoutBoottime: it is then the runtime's.
 func TestClockWithoutBoottime(t *testing.T) {
