--- a/pkg/timer/timer.go
+++ b/pkg/timer/timer.go
@@ -91,7 +91,7 @@
 	for _, f := range s.pauseCalls(now) {
 		f()
 	}
-	s.stepped(now)
+	s.markStep(now)
 	for _, sub := range s.due(now) {
 		spawn(func() {
 			defer s.finished(sub)
@@ -115,7 +115,7 @@
 	return calls
 }
 
-func (s *Service) stepped(now time.Time) {
+func (s *Service) markStep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = now
