--- a/pkg/timer/timer.go
+++ b/pkg/timer/timer.go
@@ -94,7 +94,7 @@
 	s.markStep(now)
 	for _, sub := range s.due(now) {
 		spawn(func() {
-			defer s.finished(sub)
+			defer s.markFinished(sub)
 			sub.call()
 		})
 	}
@@ -136,7 +136,7 @@
 	return due
 }
 
-func (s *Service) finished(sub *subscription) {
+func (s *Service) markFinished(sub *subscription) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub.running = false
