--- a/pkg/timer/timer_test.go
+++ b/pkg/timer/timer_test.go
@@ -42,9 +42,9 @@
 	is.Equal(len(held), 1)
 }
 
-// TestSilenceFallsOnlyAfterAPauseWasTold is the failure in which a process that
+// TestSinceLastStepResetsAfterOnPause is the failure in which a process that
 // woke from a freeze took itself for awake before it had noticed the freeze.
-func TestSilenceFallsOnlyAfterAPauseWasTold(t *testing.T) {
+func TestSinceLastStepResetsAfterOnPause(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	s := New()
