--- a/pkg/timer/timer_test.go
+++ b/pkg/timer/timer_test.go
@@ -49,13 +49,13 @@
 	now := time.Unix(1000, 0)
 	s := New()
 	s.Now = func() time.Time { return now }
-	var told time.Duration
-	s.OnPause(func(time.Duration) { told = s.SinceLastStep() })
+	var duringPause time.Duration
+	s.OnPause(func(time.Duration) { duringPause = s.SinceLastStep() })
 	is.Equal(s.SinceLastStep(), time.Duration(0))
 	s.Step(func(f func()) { f() })
 	now = now.Add(9 * time.Second)
 	is.Equal(s.SinceLastStep(), 9*time.Second)
 	s.Step(func(f func()) { f() })
-	is.Equal(told, 9*time.Second)
+	is.Equal(duringPause, 9*time.Second)
 	is.Equal(s.SinceLastStep(), time.Duration(0))
 }
