--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -201,7 +201,7 @@
 	v := reflect.ValueOf(p).Elem()
 	for i := range v.NumField() {
 		tag := v.Type().Field(i).Tag
-		if !within(v.Field(i), tag.Get("least"), tag.Get("most")) {
+		if !withinBounds(v.Field(i), tag.Get("least"), tag.Get("most")) {
 			faults = append(faults, Fault{
 				Name: tag.Get("yaml"), Value: fmt.Sprint(v.Field(i).Interface()),
 				Allowed: fmt.Sprintf("%s to %s (%s)", tag.Get("least"), tag.Get("most"), tag.Get("unit")),
@@ -230,8 +230,8 @@
 // shifts together. It is above 1, since both at once in one direction is rare.
 const maxShiftShare = 1.2
 
-// within reports whether a figure lies within its bounds.
-func within(v reflect.Value, least, most string) bool {
+// withinBounds reports whether a figure lies withinBounds its bounds.
+func withinBounds(v reflect.Value, least, most string) bool {
 	if d, ok := v.Interface().(time.Duration); ok {
 		return d >= duration(least) && d <= duration(most)
 	}
