--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -233,14 +233,14 @@
 // withinBounds reports whether a figure lies withinBounds its bounds.
 func withinBounds(v reflect.Value, least, most string) bool {
 	if d, ok := v.Interface().(time.Duration); ok {
-		return d >= duration(least) && d <= duration(most)
+		return d >= mustDuration(least) && d <= mustDuration(most)
 	}
 	f := v.Convert(reflect.TypeFor[float64]()).Float()
 	return f >= number(least) && f <= number(most)
 }
 
-// duration reads a bound of this package's own tags.
-func duration(text string) time.Duration {
+// mustDuration reads a bound of this package's own tags.
+func mustDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		panic("policy: bound " + strconv.Quote(text))
