--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -236,7 +236,7 @@
 		return d >= mustDuration(least) && d <= mustDuration(most)
 	}
 	f := v.Convert(reflect.TypeFor[float64]()).Float()
-	return f >= number(least) && f <= number(most)
+	return f >= mustNumber(least) && f <= mustNumber(most)
 }
 
 // mustDuration reads a bound of this package's own tags.
@@ -248,8 +248,8 @@
 	return d
 }
 
-// number reads a bound of this package's own tags.
-func number(text string) float64 {
+// mustNumber reads a bound of this package's own tags.
+func mustNumber(text string) float64 {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic("policy: bound " + strconv.Quote(text))
