--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAllFaultsAreToldAtOnce(t *testing.T) {
+func TestCheckReturnsAllFaults(t *testing.T) {
 	is := is.New(t)
 	p := Default()
 	p.SpeedAnswers = 0
