--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -15,9 +15,9 @@
 	is.Equal(len(p.Check()), 0)
 }
 
-// TestEachFigureIsDescribed: a field without a name, unit or bounds could not
+// TestEachParameterIsDescribed: a field without a name, unit or bounds could not
 // be set, or not be checked.
-func TestEachFigureIsDescribed(t *testing.T) {
+func TestEachParameterIsDescribed(t *testing.T) {
 	kind := reflect.TypeFor[Policy]()
 	names := map[string]bool{}
 	for i := range kind.NumField() {
