--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -24,7 +24,7 @@
 	is.Equal(k.Owner(DigestOf("")), nil)
 }
 
-func TestSharedKeyIsATypedErrorThatDoesNotTellIt(t *testing.T) {
+func TestSharedKeyErrorDoesNotRevealTheKey(t *testing.T) {
 	is := is.New(t)
 	_, err := NewKeyring([]Customer{
 		{Name: "studio", Keys: []Digest{DigestOf("shared-secret")}},
