--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -17,40 +17,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastSuspension is what counts as a suspension: reading two clocks one after the other
+// minSuspension is what counts as a suspension: reading two clocks one after the other
 // takes far less, and nothing is decided by so little.
-const leastSuspension = time.Millisecond
+const minSuspension = time.Millisecond
 
 // Clock is a steady clock.
 type Clock struct {
-	// Woke is told of each suspension that is found, and how long it was.
-	Woke func(away time.Duration)
+	// OnResume is told of each suspension that is found, and how long it was.
+	OnResume func(away time.Duration)
 	// boottime reads a clock that counts suspensions.
 	boottime func() (time.Duration, error)
 	started  time.Time
 	base     time.Duration
-	// broken is why there is no such clock, nil if there is.
-	broken error
-	// away is for how long the machine has been suspended since the start, in nanoseconds.
-	away atomic.Int64
+	// err is why there is no such clock, nil if there is.
+	err error
+	// suspended is for how long the machine has been suspended since the start, in nanoseconds.
+	suspended atomic.Int64
 }
 
 // New makes a clock. Where the system has none that counts suspensions, Err tells, and the
 // clock is the runtime's.
-func New() *Clock { return NewOn(boottime) }
+func New() *Clock { return NewWithBoottime(boottime) }
 
-// NewOn makes a clock that finds suspensions by another clock's running ahead.
-func NewOn(boottime func() (time.Duration, error)) *Clock {
-	c := &Clock{Woke: func(time.Duration) {}, boottime: boottime, started: time.Now()}
-	c.base, c.broken = boottime()
+// NewWithBoottime makes a clock that finds suspensions by another clock's running ahead.
+func NewWithBoottime(boottime func() (time.Duration, error)) *Clock {
+	c := &Clock{OnResume: func(time.Duration) {}, boottime: boottime, started: time.Now()}
+	c.base, c.err = boottime()
 	return c
 }
 
 // Err returns why suspensions cannot be found, nil if they can.
-func (c *Clock) Err() error { return c.broken }
+func (c *Clock) Err() error { return c.err }
 
 // Now returns the time. It counts a suspension once Sync has found it.
-func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.away.Load())) }
+func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
 
 // Since returns how long ago a time of this clock was.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
@@ -59,7 +59,7 @@
 // by what is held for a time: at the beginning of each request, with each message of another
 // box, and some times a second. It takes one system call.
 func (c *Clock) Sync() {
-	if c.broken != nil {
+	if c.err != nil {
 		return
 	}
 	at, err := c.boottime()
@@ -67,14 +67,14 @@
 		return // it could be read before, and will be again
 	}
 	// Whatever passes between the two readings makes this less, never more.
-	away := at - c.base - time.Since(c.started)
+	suspended := at - c.base - time.Since(c.started)
 	for {
-		known := c.away.Load()
-		if away-time.Duration(known) < leastSuspension {
+		known := c.suspended.Load()
+		if suspended-time.Duration(known) < minSuspension {
 			return
 		}
-		if c.away.CompareAndSwap(known, int64(away)) {
-			c.Woke(away - time.Duration(known))
+		if c.suspended.CompareAndSwap(known, int64(suspended)) {
+			c.OnResume(suspended - time.Duration(known))
 			return
 		}
 	}
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -36,9 +36,9 @@
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
-	c := NewOn(m.boottime)
+	c := NewWithBoottime(m.boottime)
 	var woke []time.Duration
-	c.Woke = func(away time.Duration) { woke = append(woke, away) }
+	c.OnResume = func(away time.Duration) { woke = append(woke, away) }
 	before := c.Now()
 	for range 100 {
 		c.Sync()
@@ -48,7 +48,7 @@
 	m.suspend(5 * time.Second)
 	is.True(c.Since(before) < time.Second)
 	c.Sync()
-	is.True(c.Since(before) >= 5*time.Second-busy)
+	is.True(c.Since(before) >= 5*time.Second-maxSchedulingDelay)
 	is.True(c.Since(before) < 6*time.Second)
 	m.suspend(2 * time.Second)
 	for range 100 {
@@ -60,19 +60,19 @@
 		sum += away
 	}
 	is.True(sum <= 7*time.Second) // never more than there was
-	is.True(sum > 7*time.Second-busy)
+	is.True(sum > 7*time.Second-maxSchedulingDelay)
 }
 
-// busy is for how long this machine may stop a test between two readings of its clocks: by as
+// maxSchedulingDelay is for how long this machine may stop a test between two readings of its clocks: by as
 // much less a suspension is found to be, and what one look misses the next one finds.
-const busy = 200 * time.Millisecond
+const maxSchedulingDelay = 200 * time.Millisecond
 
-// TestClockGoesOnWithoutTheSystems: it is then the runtime's.
-func TestClockGoesOnWithoutTheSystems(t *testing.T) {
+// TestClockWithoutBoottime: it is then the runtime's.
+func TestClockWithoutBoottime(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
 	m.err = errors.New("no such clock")
-	c := NewOn(m.boottime)
+	c := NewWithBoottime(m.boottime)
 	is.True(c.Err() != nil)
 	m.err = nil
 	m.suspend(time.Hour)
@@ -80,8 +80,8 @@
 	is.True(time.Since(c.Now()) < time.Second)
 }
 
-// TestSystemHasSuchAClock, which this machine's kernel moves on.
-func TestSystemHasSuchAClock(t *testing.T) {
+// TestSystemHasBoottimeClock, which this machine's kernel moves on.
+func TestSystemHasBoottimeClock(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	is.NoErr(c.Err())
@@ -96,7 +96,7 @@
 // TestClockNeverGoesBack, whoever looks at the same time.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newMachine()
-	c := NewOn(m.boottime)
+	c := NewWithBoottime(m.boottime)
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Add(1)
--- a/pkg/ctl/ctl_limits.go
+++ b/pkg/ctl/ctl_limits.go
@@ -13,7 +13,7 @@
 
 // verbServers shows what backend servers report about themselves, as known to boxes.
 func verbServers(p *program, _ *flag.FlagSet) func(ctx context.Context, args []string) error {
-	return showBoxes(p, serverstatus.PathSaid, serverstatus.PrintSaid)
+	return showBoxes(p, serverstatus.PathStatuses, serverstatus.PrintStatuses)
 }
 
 // verbFleet shows what boxes know of all boxes.
--- a/pkg/failurereport/failurereport.go
+++ b/pkg/failurereport/failurereport.go
@@ -36,7 +36,7 @@
 }
 
 // Wire encodes and decodes messages.
-var Wire = packet.Codec[Message]{Kind: "failure report", First: wireVersion}
+var Wire = packet.Codec[Message]{Kind: "failure report", FirstByte: wireVersion}
 
 // Outbox collects this box's reports until they are sent.
 type Outbox struct {
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -64,4 +64,4 @@
 }
 
 // Wire encodes and decodes heartbeats.
-var Wire = packet.Codec[Message]{Kind: "heartbeat", First: wireVersion}
+var Wire = packet.Codec[Message]{Kind: "heartbeat", FirstByte: wireVersion}
--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -15,27 +15,27 @@
 // deleted, is released.
 const Path = "/v1/quarantine"
 
-// Box is what one box tells operators.
-type Box struct {
-	Box  string `json:"box"`
-	Held []Held `json:"held"`
+// BoxHolds is what one box tells operators.
+type BoxHolds struct {
+	Box  string        `json:"box"`
+	Held []HeldRequest `json:"held"`
 }
 
-// Held is a request that is kept from servers.
-type Held struct {
+// HeldRequest is a request that is kept from servers.
+type HeldRequest struct {
 	Fingerprint string   `json:"fingerprint"`
 	Crashed     []string `json:"crashed"`
 	// LeftMS is for how long yet, in milliseconds.
 	LeftMS int64 `json:"left_ms"`
 }
 
-// HeldOf returns records as operators are told them, in the order of fingerprints.
-func HeldOf(records []Record) []Held {
-	list := []Held{}
+// HeldRequests returns records as operators are told them, in the order of fingerprints.
+func HeldRequests(records []Record) []HeldRequest {
+	list := []HeldRequest{}
 	for _, r := range records {
-		list = append(list, Held{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Left.Milliseconds()})
+		list = append(list, HeldRequest{Fingerprint: r.Request.String(), Crashed: r.Crashed, LeftMS: r.Remaining.Milliseconds()})
 	}
-	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(list, func(a, b HeldRequest) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return list
 }
 
@@ -59,7 +59,7 @@
 }
 
 // Print writes a table of what boxes hold. The error is the writer's.
-func Print(w io.Writer, boxes []Box) error {
+func Print(w io.Writer, boxes []BoxHolds) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "FINGERPRINT\tBOX\tLEFT\tSERVERS THAT CRASHED"); err != nil {
 		return err
--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -8,14 +8,14 @@
 )
 
 // PathLimits is where a box tells operators what it knows of servers' limits, on its admin address, and
-// PathSaid all that servers say of themselves.
+// PathStatuses all that servers say of themselves.
 const (
-	PathLimits = "/v1/server-limits"
-	PathSaid   = "/v1/server-words"
+	PathLimits   = "/v1/server-limits"
+	PathStatuses = "/v1/server-words"
 )
 
-// Box is what one box tells operators.
-type Box struct {
+// BoxLimits is what one box tells operators.
+type BoxLimits struct {
 	Box    string  `json:"box"`
 	Limits []Limit `json:"limits"`
 }
@@ -35,7 +35,7 @@
 }
 
 // Print writes the limits as a table, a line a server and box.
-func Print(w io.Writer, boxes []Box) error {
+func Print(w io.Writer, boxes []BoxLimits) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tPER S\tBOX\tASKED PER S\tADMITTED\tDENIED"); err != nil {
 		return err
@@ -50,14 +50,14 @@
 	return t.Flush()
 }
 
-// SaidBox is what backend servers say of themselves, as one box knows it.
-type SaidBox struct {
-	Box     string `json:"box"`
-	Servers []Said `json:"servers"`
+// BoxStatuses is what backend servers say of themselves, as one box knows it.
+type BoxStatuses struct {
+	Box     string   `json:"box"`
+	Servers []Status `json:"servers"`
 }
 
-// Said is what one server says.
-type Said struct {
+// Status is what one server says.
+type Status struct {
 	// Server names the server's life, see backend.Server.Life.
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
@@ -69,8 +69,8 @@
 	PerSecond *float64 `json:"per_s,omitempty"`
 }
 
-// PrintSaid writes what servers say as a table, a line a server and box.
-func PrintSaid(w io.Writer, boxes []SaidBox) error {
+// PrintStatuses writes what servers say as a table, a line a server and box.
+func PrintStatuses(w io.Writer, boxes []BoxStatuses) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tLEAVES\tREST\tPER S\tBOX"); err != nil {
 		return err
--- a/pkg/timer/timer.go
+++ b/pkg/timer/timer.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Silence returns for how long the service has not made a step. It falls only
+// SinceLastStep returns for how long the service has not made a step. It falls only
 // when those who asked have been told of a pause.
-func (s *Service) Silence() time.Duration {
+func (s *Service) SinceLastStep() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.last.IsZero() {
@@ -91,10 +91,10 @@
 	for _, f := range s.pauseCalls(now) {
 		f()
 	}
-	s.stepped(now)
+	s.markStep(now)
 	for _, sub := range s.due(now) {
 		spawn(func() {
-			defer s.finished(sub)
+			defer s.markFinished(sub)
 			sub.call()
 		})
 	}
@@ -115,7 +115,7 @@
 	return calls
 }
 
-func (s *Service) stepped(now time.Time) {
+func (s *Service) markStep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = now
@@ -136,7 +136,7 @@
 	return due
 }
 
-func (s *Service) finished(sub *subscription) {
+func (s *Service) markFinished(sub *subscription) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub.running = false
