--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -35,8 +35,8 @@
 	Credential customer.Credential
 }
 
-// Verdict is what a backend server's headers say of its answer.
-type Verdict struct {
+// AnswerMeta is what a backend server's headers say of its answer.
+type AnswerMeta struct {
 	// NotRun: the backend server did not run the request and will not.
 	NotRun bool
 	// Stale: the backend server is not the one that was expected.
@@ -71,7 +71,7 @@
 	// and which backend server is expected.
 	WriteRequest func(h *fasthttp.RequestHeader, m *Meta, left time.Duration, server *backend.Server)
 	// ReadAnswer reads a backend server's headers.
-	ReadAnswer func(h *fasthttp.ResponseHeader) Verdict
+	ReadAnswer func(h *fasthttp.ResponseHeader) AnswerMeta
 	// Belongs reports whether an answer is the one to the request.
 	Belongs func(h *fasthttp.ResponseHeader, m *Meta) bool
 	// Unread reports whether a header of that name of an answer of some status may say something
@@ -134,7 +134,7 @@
 	Quarantine *quarantine.Table
 	// Heard takes in what an answer says of its server besides its load. Sent is when the
 	// request was sent.
-	Heard func(server *backend.Server, verdict *Verdict, sent time.Time)
+	Heard func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
 	// Attempted notes how a server has dealt with a request that reached it.
 	Attempted func(route string, lease *backend.Lease, a Attempt)
 	// Unread notes an answer's header that the platform's adapter does not know.
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -19,7 +19,7 @@
 
 // receive reads the answer and passes it on. A large one is passed on while
 // it comes; if it breaks off, the client's connection does too.
-func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict Verdict) *outcome.Failure {
+func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
 	c.cleared(verdict)
 	status := answer.Header.StatusCode()
 	c.server.Attempted(c.route.Name, lease, Attempt{
@@ -55,7 +55,7 @@
 	return &exchange.Error{Stage: exchange.StageBody, Sent: true, Cause: err}
 }
 
-func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, verdict Verdict) {
+func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, verdict AnswerMeta) {
 	if answer.Length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.Itoa(answer.Length))
 	}
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -82,7 +82,7 @@
 }
 
 // cleared notes that a backend server lived to answer the request.
-func (c *call) cleared(verdict Verdict) {
+func (c *call) cleared(verdict AnswerMeta) {
 	if !verdict.Signed || c.server.Quarantine.Empty() {
 		return
 	}
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -200,7 +200,7 @@
 }
 
 // rejected handles a backend server's word that it did not run the request.
-func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict Verdict) *outcome.Failure {
+func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
 	c.noteRefusal(answer)
 	// The body is read so that the connection can be used again.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 4<<10))
--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -86,7 +86,7 @@
 // ----------------------------------------------------------------
 
 // noteLimit records what an answer says about its server's limit.
-func (n *Node) noteLimit(server *backend.Server, v *ingress.Verdict, sent time.Time) {
+func (n *Node) noteLimit(server *backend.Server, v *ingress.AnswerMeta, sent time.Time) {
 	if v.Limit.Malformed {
 		metrics.GetOrRegisterCounter("limits.unread", n.Metrics).Inc(1)
 		return
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -43,7 +43,7 @@
 
 // noteAnswer processes what an answer says about its server. An answer that another server gave
 // in place of the expected one says nothing about it.
-func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
+func (n *Node) noteAnswer(server *backend.Server, v *ingress.AnswerMeta, sent time.Time) {
 	for _, problem := range v.Problems {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
 		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
@@ -67,7 +67,7 @@
 // to all boxes: otherwise each box would send it requests until the server told that box as well.
 
 // noteLeaving records that a server says that it leaves.
-func (n *Node) noteLeaving(server *backend.Server, v *ingress.Verdict) {
+func (n *Node) noteLeaving(server *backend.Server, v *ingress.AnswerMeta) {
 	if !v.Leaving {
 		return
 	}
@@ -78,7 +78,7 @@
 
 // noteBackoff records that a server asks this box to back off for a time. What it asks of one
 // box does not apply to others, so they are not informed.
-func (n *Node) noteBackoff(server *backend.Server, v *ingress.Verdict) {
+func (n *Node) noteBackoff(server *backend.Server, v *ingress.AnswerMeta) {
 	if v.Rest == 0 {
 		return
 	}
