--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -49,8 +49,8 @@
 	Limit backend.RateLimit
 	// Leaving: it says that it leaves.
 	Leaving bool
-	// Rest is for how long it wants no requests from this box, 0 if it has not asked for that.
-	Rest time.Duration
+	// Backoff is for how long it wants no requests from this box, 0 if it has not asked for that.
+	Backoff time.Duration
 	// Problems are headers that cannot be read. What they would have said is not known.
 	Problems []error
 }
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -79,12 +79,12 @@
 // noteBackoff records that a server asks this box to back off for a time. What it asks of one
 // box does not apply to others, so they are not informed.
 func (n *Node) noteBackoff(server *backend.Server, v *ingress.AnswerMeta) {
-	if v.Rest == 0 {
+	if v.Backoff == 0 {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.BackOff(server.Incarnation(), v.Rest) {
-		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
+	if n.Set.BackOff(server.Incarnation(), v.Backoff) {
+		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Backoff.Milliseconds()})
 	}
 }
 
