--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -51,8 +51,8 @@
 	Leaving bool
 	// Backoff is for how long it wants no requests from this box, 0 if it has not asked for that.
 	Backoff time.Duration
-	// Problems are headers that cannot be read. What they would have said is not known.
-	Problems []error
+	// HeaderErrors are headers that cannot be read. What they would have said is not known.
+	HeaderErrors []error
 }
 
 // Attempt is how a server has dealt with a request that was sent to it.
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -44,7 +44,7 @@
 // noteAnswer processes what an answer says about its server. An answer that another server gave
 // in place of the expected one says nothing about it.
 func (n *Node) noteAnswer(server *backend.Server, v *ingress.AnswerMeta, sent time.Time) {
-	for _, problem := range v.Problems {
+	for _, problem := range v.HeaderErrors {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
 		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
 			n.log.Warn("malformed header in an answer", map[string]any{"server": server.ID, "error": problem.Error()})
