--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -58,9 +58,9 @@
 // Attempt is how a server has dealt with a request that was sent to it.
 type Attempt struct {
 	// Failed: it failed the request, or broke its answer off; Late: it gave none in time.
-	Failed bool
-	Late   bool
-	Took   time.Duration
+	Failed   bool
+	TimedOut bool
+	Took     time.Duration
 }
 
 // Dialect names the headers of a deployment. All fields are needed.
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -23,8 +23,8 @@
 	c.cleared(verdict)
 	status := answer.Header.StatusCode()
 	c.server.Attempted(c.route.Name, lease, Attempt{
-		Failed: status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
-		Late:   status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
+		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
+		TimedOut: status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
 	})
 	held, err := io.ReadAll(io.LimitReader(answer.Body, bufferedAnswer+1))
 	if err != nil {
--- a/pkg/node/node_rollouts.go
+++ b/pkg/node/node_rollouts.go
@@ -50,7 +50,7 @@
 // noteAttempt counts the outcome of a request at a server.
 func (n *Node) noteAttempt(route string, lease *backend.Lease, a ingress.Attempt) {
 	n.Rollouts.Observe(rollout.Outcome{
-		Service: lease.Service, Route: route, Version: lease.Version, Failed: a.Failed, Late: a.Late, Known: lease.KeyKnown, Took: a.Took,
+		Service: lease.Service, Route: route, Version: lease.Version, Failed: a.Failed, Late: a.TimedOut, Known: lease.KeyKnown, Took: a.Took,
 	})
 }
 
