--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -72,8 +72,8 @@
 	WriteRequest func(h *fasthttp.RequestHeader, m *Meta, left time.Duration, server *backend.Server)
 	// ReadAnswer reads a backend server's headers.
 	ReadAnswer func(h *fasthttp.ResponseHeader) AnswerMeta
-	// Belongs reports whether an answer is the one to the request.
-	Belongs func(h *fasthttp.ResponseHeader, m *Meta) bool
+	// IsAnswerTo reports whether an answer is the one to the request.
+	IsAnswerTo func(h *fasthttp.ResponseHeader, m *Meta) bool
 	// Unread reports whether a header of that name of an answer of some status may say something
 	// of the server, and ReadAnswer does not read it.
 	Unread func(name string, status int) bool
