--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -74,9 +74,9 @@
 	ReadAnswer func(h *fasthttp.ResponseHeader) AnswerMeta
 	// IsAnswerTo reports whether an answer is the one to the request.
 	IsAnswerTo func(h *fasthttp.ResponseHeader, m *Meta) bool
-	// Unread reports whether a header of that name of an answer of some status may say something
+	// IsUnknownHeader reports whether a header of that name of an answer of some status may say something
 	// of the server, and ReadAnswer does not read it.
-	Unread func(name string, status int) bool
+	IsUnknownHeader func(name string, status int) bool
 	// Internal reports whether a client's header of that name is not passed on.
 	Internal func(name string) bool
 	// CarriesKey reports whether a header of that name may carry a customer's key,
