--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -137,8 +137,8 @@
 	Heard func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
 	// Attempted notes how a server has dealt with a request that reached it.
 	Attempted func(route string, lease *backend.Lease, a Attempt)
-	// Unread notes an answer's header that the platform's adapter does not know.
-	Unread func(name string)
+	// ObserveUnknownHeader notes an answer's header that the platform's adapter does not know.
+	ObserveUnknownHeader func(name string)
 	// Background runs work that outlasts its request.
 	Background func(work func())
 	// Pool returns the connections to a backend server.
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -108,7 +108,7 @@
 // noteUnread notes a header of an answer that the platform's adapter does not know.
 func (c *call) noteUnread(name string, answer *exchange.Answer) {
 	if c.server.Dialect.IsUnknownHeader(name, answer.Header.StatusCode()) {
-		c.server.Unread(name)
+		c.server.ObserveUnknownHeader(name)
 	}
 }
 
