--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -108,8 +108,8 @@
 	Splitter *routing.Splitter
 	Set      *backend.Set
 	Budget   *retry.Budget
-	// KeysHold reports whether the customers' keys may still be trusted.
-	KeysHold func() bool
+	// KeysTrusted reports whether the customers' keys may still be trusted.
+	KeysTrusted func() bool
 	// Admit decides whether a request is within its customer's limit, or when it may
 	// come back. It may wait a moment to find out.
 	Admit func(ctx context.Context, c *customer.Customer) (admitted bool, retryAfter time.Duration)
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -24,7 +24,7 @@
 	if c.customer == nil {
 		return c.unauthorized("the key is not known")
 	}
-	if !c.server.KeysHold() {
+	if !c.server.KeysTrusted() {
 		return outcome.NewNotRun(outcome.ReasonNotReady, "the key may have been taken away").WithRetryAfter(notReadyRetry)
 	}
 	return nil
