--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -113,9 +113,9 @@
 	// Admit decides whether a request is within its customer's limit, or when it may
 	// come back. It may wait a moment to find out.
 	Admit func(ctx context.Context, c *customer.Customer) (admitted bool, retryAfter time.Duration)
-	// GiveBack returns what an admitted request took of the limit, since it has not
+	// ReturnAdmission returns what an admitted request took of the limit, since it has not
 	// run.
-	GiveBack func(c *customer.Customer)
+	ReturnAdmission func(c *customer.Customer)
 	// AwaitRoom asks whether the limit that a backend server names leaves room for a request,
 	// which then has taken it, and ReleaseRoom gives that back. AwaitRoom may take a moment.
 	AwaitRoom   func(ctx context.Context, server *backend.Server) bool
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -55,7 +55,7 @@
 // giveBack returns what a request that has not run took of its customer's limit.
 func (c *call) giveBack(f *outcome.Failure) {
 	if c.customer != nil && c.customer.Rate > 0 && f.Outcome == outcome.NotRun {
-		c.server.GiveBack(c.customer)
+		c.server.ReturnAdmission(c.customer)
 	}
 }
 
