--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -116,10 +116,10 @@
 	// ReturnAdmission returns what an admitted request took of the limit, since it has not
 	// run.
 	ReturnAdmission func(c *customer.Customer)
-	// AwaitRoom asks whether the limit that a backend server names leaves room for a request,
-	// which then has taken it, and ReleaseRoom gives that back. AwaitRoom may take a moment.
-	AwaitRoom   func(ctx context.Context, server *backend.Server) bool
-	ReleaseRoom func(server *backend.Server)
+	// AwaitServerLimit asks whether the limit that a backend server names leaves room for a request,
+	// which then has taken it, and ReleaseRoom gives that back. AwaitServerLimit may take a moment.
+	AwaitServerLimit func(ctx context.Context, server *backend.Server) bool
+	ReleaseRoom      func(server *backend.Server)
 	// Settle notes whether a request of a customer, within its limit and not left by its
 	// client, was answered within its route's target.
 	Settle func(c *customer.Customer, inTime bool)
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -87,7 +87,7 @@
 // or another one.
 func (c *call) chooseAsking(r *backend.Request, server *backend.Server) (*backend.Lease, error) {
 	r.AdmissionAsked = true
-	if c.server.AwaitRoom(c.ctx, server) {
+	if c.server.AwaitServerLimit(c.ctx, server) {
 		r.GrantedBy = server.Incarnation()
 	}
 	lease, err := c.server.Set.Choose(r)
