--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -118,8 +118,8 @@
 	ReturnAdmission func(c *customer.Customer)
 	// AwaitServerLimit asks whether the limit that a backend server names leaves room for a request,
 	// which then has taken it, and ReleaseRoom gives that back. AwaitServerLimit may take a moment.
-	AwaitServerLimit func(ctx context.Context, server *backend.Server) bool
-	ReleaseRoom      func(server *backend.Server)
+	AwaitServerLimit   func(ctx context.Context, server *backend.Server) bool
+	ReleaseServerLimit func(server *backend.Server)
 	// Settle notes whether a request of a customer, within its limit and not left by its
 	// client, was answered within its route's target.
 	Settle func(c *customer.Customer, inTime bool)
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -93,7 +93,7 @@
 	lease, err := c.server.Set.Choose(r)
 	if r.GrantedBy != "" && (lease == nil || lease.Incarnation() != r.GrantedBy) {
 		// Something has changed while it was asked for.
-		c.server.ReleaseRoom(server)
+		c.server.ReleaseServerLimit(server)
 	}
 	return lease, err
 }
