--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -120,9 +120,9 @@
 	// which then has taken it, and ReleaseRoom gives that back. AwaitServerLimit may take a moment.
 	AwaitServerLimit   func(ctx context.Context, server *backend.Server) bool
 	ReleaseServerLimit func(server *backend.Server)
-	// Settle notes whether a request of a customer, within its limit and not left by its
+	// ObserveTarget notes whether a request of a customer, within its limit and not left by its
 	// client, was answered within its route's target.
-	Settle func(c *customer.Customer, inTime bool)
+	ObserveTarget func(c *customer.Customer, inTime bool)
 	// HasCrashed finds out whether a backend server, which has closed a connection without
 	// an answer, has ended. It takes one way there and back.
 	HasCrashed func(server *backend.Server) bool
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -74,7 +74,7 @@
 	}
 	target := c.route.TargetLatency
 	took := c.server.Now().Sub(c.start)
-	c.server.Settle(c.customer, answered && (target <= 0 || took <= target))
+	c.server.ObserveTarget(c.customer, answered && (target <= 0 || took <= target))
 }
 
 // isBound reports whether the request may not run in all regions.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -332,7 +332,7 @@
 		KeysTrusted:      n.keysTrusted,
 		ReturnAdmission:  func(c *customer.Customer) { n.Quota.GiveBack(quota.IDOf(c.Name)) },
 		AwaitServerLimit: n.awaitRoom, ReleaseServerLimit: n.releaseRoom,
-		Settle:               func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
+		ObserveTarget:        func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
 		Pool:                 n.pool,
 		HasCrashed:           n.hasCrashed,
 		Crashed:              n.noteCrash,
