--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -126,10 +126,10 @@
 	// HasCrashed finds out whether a backend server, which has closed a connection without
 	// an answer, has ended. It takes one way there and back.
 	HasCrashed func(server *backend.Server) bool
-	// Crashed has the crash of a server that had a request count against that, and Released
+	// ObserveCrash has the crash of a server that had a request count against that, and Released
 	// is told of a request that was held and that a server has answered.
-	Crashed  func(f quarantine.Fingerprint, server string)
-	Released func(f quarantine.Fingerprint)
+	ObserveCrash func(f quarantine.Fingerprint, server string)
+	Released     func(f quarantine.Fingerprint)
 	// Quarantine is what is known of requests that crash backend servers.
 	Quarantine *quarantine.Table
 	// Heard takes in what an answer says of its server besides its load. Sent is when the
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -40,7 +40,7 @@
 		f, server := c.fingerprint(), lease.Server
 		c.server.Background(func() {
 			if c.server.HasCrashed(&server) {
-				c.server.Crashed(f, server.Incarnation())
+				c.server.ObserveCrash(f, server.Incarnation())
 			}
 		})
 		return backend.Broken
@@ -49,7 +49,7 @@
 		return backend.Broken
 	}
 	c.crashes++
-	c.server.Crashed(c.fingerprint(), lease.Incarnation())
+	c.server.ObserveCrash(c.fingerprint(), lease.Incarnation())
 	return backend.Crashed
 }
 
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -335,7 +335,7 @@
 		ObserveTarget:        func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
 		Pool:                 n.pool,
 		HasCrashed:           n.hasCrashed,
-		Crashed:              n.noteCrash,
+		ObserveCrash:         n.noteCrash,
 		Released:             n.removeHold,
 		Quarantine:           n.Quarantine,
 		Heard:                n.noteAnswer,
