--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -128,8 +128,8 @@
 	HasCrashed func(server *backend.Server) bool
 	// ObserveCrash has the crash of a server that had a request count against that, and Released
 	// is told of a request that was held and that a server has answered.
-	ObserveCrash func(f quarantine.Fingerprint, server string)
-	Released     func(f quarantine.Fingerprint)
+	ObserveCrash   func(f quarantine.Fingerprint, server string)
+	ObserveRelease func(f quarantine.Fingerprint)
 	// Quarantine is what is known of requests that crash backend servers.
 	Quarantine *quarantine.Table
 	// Heard takes in what an answer says of its server besides its load. Sent is when the
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if c.server.Quarantine.Answered(c.fingerprint()) {
-		c.server.Released(c.fingerprint())
+		c.server.ObserveRelease(c.fingerprint())
 	}
 }
 
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -336,7 +336,7 @@
 		Pool:                 n.pool,
 		HasCrashed:           n.hasCrashed,
 		ObserveCrash:         n.noteCrash,
-		Released:             n.removeHold,
+		ObserveRelease:       n.removeHold,
 		Quarantine:           n.Quarantine,
 		Heard:                n.noteAnswer,
 		Attempted:            n.noteAttempt,
