--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -132,9 +132,9 @@
 	ObserveRelease func(f quarantine.Fingerprint)
 	// Quarantine is what is known of requests that crash backend servers.
 	Quarantine *quarantine.Table
-	// Heard takes in what an answer says of its server besides its load. Sent is when the
+	// ObserveAnswer takes in what an answer says of its server besides its load. Sent is when the
 	// request was sent.
-	Heard func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
+	ObserveAnswer func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
 	// Attempted notes how a server has dealt with a request that reached it.
 	Attempted func(route string, lease *backend.Lease, a Attempt)
 	// ObserveUnknownHeader notes an answer's header that the platform's adapter does not know.
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -187,7 +187,7 @@
 	}
 	c.sent++
 	verdict := s.Dialect.ReadAnswer(&answer.Header)
-	s.Heard(&lease.Server, &verdict, start)
+	s.ObserveAnswer(&lease.Server, &verdict, start)
 	switch {
 	case verdict.Stale, verdict.NotRun:
 		return c.rejected(lease, start, answer, verdict)
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -338,7 +338,7 @@
 		ObserveCrash:         n.noteCrash,
 		ObserveRelease:       n.removeHold,
 		Quarantine:           n.Quarantine,
-		Heard:                n.noteAnswer,
+		ObserveAnswer:        n.noteAnswer,
 		Attempted:            n.noteAttempt,
 		ObserveUnknownHeader: n.logUnreadHeader,
 		Background:           n.background.Go,
