--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -135,8 +135,8 @@
 	// ObserveAnswer takes in what an answer says of its server besides its load. Sent is when the
 	// request was sent.
 	ObserveAnswer func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
-	// Attempted notes how a server has dealt with a request that reached it.
-	Attempted func(route string, lease *backend.Lease, a Attempt)
+	// ObserveAttempt notes how a server has dealt with a request that reached it.
+	ObserveAttempt func(route string, lease *backend.Lease, a Attempt)
 	// ObserveUnknownHeader notes an answer's header that the platform's adapter does not know.
 	ObserveUnknownHeader func(name string)
 	// Background runs work that outlasts its request.
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -22,7 +22,7 @@
 func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
 	c.cleared(verdict)
 	status := answer.Header.StatusCode()
-	c.server.Attempted(c.route.Name, lease, Attempt{
+	c.server.ObserveAttempt(c.route.Name, lease, Attempt{
 		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
 		TimedOut: status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
 	})
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -223,7 +223,7 @@
 	late := errors.Is(err, context.DeadlineExceeded)
 	gone := c.r.Context().Err() != nil
 	if sent && !gone {
-		c.server.Attempted(c.route.Name, lease, Attempt{Failed: !late, TimedOut: late, Took: c.server.Now().Sub(start)})
+		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !late, TimedOut: late, Took: c.server.Now().Sub(start)})
 	}
 	switch {
 	case gone:
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -339,7 +339,7 @@
 		ObserveRelease:       n.removeHold,
 		Quarantine:           n.Quarantine,
 		ObserveAnswer:        n.noteAnswer,
-		Attempted:            n.noteAttempt,
+		ObserveAttempt:       n.noteAttempt,
 		ObserveUnknownHeader: n.logUnreadHeader,
 		Background:           n.background.Go,
 		Now:                  n.Clock.Now,
