--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -81,9 +81,9 @@
 	// MaxIdle is the longest time for which a connection that is used again
 	// may have been idle. The other side may just be closing it.
 	MaxIdle time.Duration
-	// Once: the request may run only once, so that it must not meet a
+	// NonIdempotent: the request may run only once, so that it must not meet a
 	// connection that the peer has closed without a word; see IdleLimit.
-	Once bool
+	NonIdempotent bool
 	// Match reports whether an answer belongs to this request; nil takes any.
 	// An answer that does not is read to its end and left out.
 	Match func(*fasthttp.ResponseHeader) bool
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -28,7 +28,7 @@
 		return nil, &Error{Stage: StageConnect, Cause: err}
 	}
 	maxIdle := req.MaxIdle
-	if req.Once {
+	if req.NonIdempotent {
 		maxIdle = p.Idle.Bound(maxIdle)
 	}
 	c, err := p.get(ctx, maxIdle)
--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -171,7 +171,7 @@
 	failed := 0
 	for range 6 {
 		r := newRequest("")
-		r.Once = true
+		r.NonIdempotent = true
 		answer, err := pool.Do(context.Background(), r)
 		if err != nil {
 			failed++
