--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -56,7 +56,7 @@
 	pool := e.ServerPool(permit.Server.Address, permit.Server.Share)
 	x := r.exchangeRequest(h, idle)
 	// Asked as late as can be: the box may stand still at any moment.
-	x.Wanted = e.MaySend
+	x.MaySend = e.MaySend
 	got, err := pool.Do(r.ctx, x)
 	var withdrawn *exchange.WithdrawnError
 	if errors.As(err, &withdrawn) {
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -87,9 +87,9 @@
 	// Match reports whether an answer belongs to this request; nil takes any.
 	// An answer that does not is read to its end and left out.
 	Match func(*fasthttp.ResponseHeader) bool
-	// Wanted reports whether the request is still to be sent, once there is a
+	// MaySend reports whether the request is still to be sent, once there is a
 	// connection, which may have taken a while; nil means that it is.
-	Wanted func() bool
+	MaySend func() bool
 }
 
 // WithdrawnError says that a request was no longer to be sent.
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, &Error{Stage: StageConnect, Cause: err}
 	}
-	if req.Wanted != nil && !req.Wanted() {
+	if req.MaySend != nil && !req.MaySend() {
 		p.put(c)
 		return nil, &Error{Stage: StageConnect, Cause: &WithdrawnError{}}
 	}
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -291,7 +291,7 @@
 		c.server.Dialect.WriteCustomer(h, c.customer.Name)
 	}
 	x := &exchange.Request{Header: h, Body: c.body.whole, MaxIdle: idleOnce, NonIdempotent: !c.route.Idempotent()}
-	x.Wanted = func() bool { return lease.MaySend() && c.outOfTime() == nil }
+	x.MaySend = func() bool { return lease.MaySend() && c.outOfTime() == nil }
 	x.Match = func(h *fasthttp.ResponseHeader) bool { return c.server.Dialect.IsAnswerTo(h, &c.meta) }
 	if c.route.Idempotent() {
 		x.MaxIdle = idleRepeatable
