--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -123,8 +123,8 @@
 	// Reusable reports whether a connection may carry another exchange after
 	// one that ended so; Quiet whether it is still fit for it later. Both are
 	// seams for tests.
-	Reusable func(End) bool
-	Quiet    func(net.Conn) bool
+	Reusable    func(End) bool
+	StillUsable func(net.Conn) bool
 
 	mu     sync.Mutex
 	idle   []*connection
@@ -155,7 +155,7 @@
 		Now:          time.Now,
 		MaxIdleConns: maxIdle,
 		Reusable:     reusable,
-		Quiet:        quiet,
+		StillUsable:  quiet,
 	}
 }
 
@@ -224,7 +224,7 @@
 		if c == nil {
 			break
 		}
-		if c.fresh(p.Now(), maxIdle) && p.Quiet(c.Conn) {
+		if c.fresh(p.Now(), maxIdle) && p.StillUsable(c.Conn) {
 			c.used = true
 			c.rested = p.Now().Sub(c.idleSince)
 			c.written = 0
--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -166,7 +166,7 @@
 		return (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	})
 	// The other side's end is not seen before the next request is sent.
-	pool.Quiet = func(net.Conn) bool { return true }
+	pool.StillUsable = func(net.Conn) bool { return true }
 	pool.Idle = NewIdleLimit(time.Now)
 	failed := 0
 	for range 6 {
--- a/test/control/control.go
+++ b/test/control/control.go
@@ -32,7 +32,7 @@
 		b.NewPool = func(address string, maxIdle int) *exchange.Pool {
 			p := newPool(address, maxIdle)
 			p.Reusable = func(exchange.End) bool { return true }
-			p.Quiet = func(net.Conn) bool { return true }
+			p.StillUsable = func(net.Conn) bool { return true }
 			return p
 		}
 	},
