--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -133,8 +133,8 @@
 
 // End is how an exchange ended, as far as its connection is concerned.
 type End struct {
-	// Whole: request and answer both went through to their last byte.
-	Whole bool
+	// Complete: request and answer both went through to their last byte.
+	Complete bool
 	// CloseAsked: the other side announced that it closes.
 	CloseAsked bool
 	// Interrupted: the context ended before the exchange did.
@@ -144,7 +144,7 @@
 }
 
 func reusable(e End) bool {
-	return e.Whole && !e.CloseAsked && !e.Interrupted && !e.Leftover
+	return e.Complete && !e.CloseAsked && !e.Interrupted && !e.Leftover
 }
 
 // NewPool makes an empty pool.
