--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -135,8 +135,8 @@
 type End struct {
 	// Complete: request and answer both went through to their last byte.
 	Complete bool
-	// CloseAsked: the other side announced that it closes.
-	CloseAsked bool
+	// CloseAnnounced: the other side announced that it closes.
+	CloseAnnounced bool
 	// Interrupted: the context ended before the exchange did.
 	Interrupted bool
 	// Leftover: bytes followed the answer that nobody asked for.
@@ -144,7 +144,7 @@
 }
 
 func reusable(e End) bool {
-	return e.Complete && !e.CloseAsked && !e.Interrupted && !e.Leftover
+	return e.Complete && !e.CloseAnnounced && !e.Interrupted && !e.Leftover
 }
 
 // NewPool makes an empty pool.
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -296,7 +296,7 @@
 		}
 		x.sending.Wait()
 	}
-	end := End{Complete: whole, CloseAsked: x.closeAsked, Interrupted: interrupted, Leftover: x.conn.r.Buffered() > 0}
+	end := End{Complete: whole, CloseAnnounced: x.closeAsked, Interrupted: interrupted, Leftover: x.conn.r.Buffered() > 0}
 	switch {
 	case x.pool.Reusable(end):
 		x.pool.put(x.conn)
