--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -214,11 +214,11 @@
 // maxForeign bounds the answers to other requests that are left out.
 const maxForeign = 4
 
-// ForeignError says that only answers to other requests came.
-type ForeignError struct{}
+// MismatchError says that only answers to other requests came.
+type MismatchError struct{}
 
 // Error implements error.
-func (e *ForeignError) Error() string { return "the answers belong to other requests" }
+func (e *MismatchError) Error() string { return "the answers belong to other requests" }
 
 // readOwnHeader reads up to the header of the answer to this request. An
 // answer that came too late for the request before may stand in its place.
@@ -234,7 +234,7 @@
 			return err
 		}
 	}
-	return &ForeignError{}
+	return &MismatchError{}
 }
 
 // skipBody reads the body of an answer to another request. A body that ends
@@ -251,7 +251,7 @@
 		}
 		return b.readTrailer()
 	}
-	return &ForeignError{}
+	return &MismatchError{}
 }
 
 func (x *running) openBody(req *Request, a *Answer) {
