--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -190,17 +190,17 @@
 	learnt := 0
 	l.Learnt = func(_, _ time.Duration) { learnt++ }
 	is.Equal(l.Bound(4*time.Second), 4*time.Second)
-	l.Lost(time.Second)
+	l.ObserveClosed(time.Second)
 	is.Equal(l.Bound(4*time.Second), 500*time.Millisecond)
-	l.Lost(3 * time.Second) // says nothing new
+	l.ObserveClosed(3 * time.Second) // says nothing new
 	is.Equal(l.Bound(4*time.Second), 500*time.Millisecond)
-	l.Lost(time.Millisecond)
+	l.ObserveClosed(time.Millisecond)
 	is.Equal(l.Bound(4*time.Second), leastIdle)
 	is.Equal(learnt, 2)
 	now = now.Add(lostCounts)
 	is.Equal(l.Bound(4*time.Second), 4*time.Second)
 	var none *IdleLimit
-	none.Lost(time.Second)
+	none.ObserveClosed(time.Second)
 	is.Equal(none.Bound(time.Second), time.Second)
 }
 
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -47,8 +47,8 @@
 	return &IdleLimit{Now: now, Learnt: func(_, _ time.Duration) {}}
 }
 
-// Lost notes a connection that was closed by the peer after it had rested.
-func (l *IdleLimit) Lost(idle time.Duration) {
+// ObserveClosed notes a connection that was closed by the peer after it had rested.
+func (l *IdleLimit) ObserveClosed(idle time.Duration) {
 	if l == nil {
 		return
 	}
