--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -29,7 +29,7 @@
 	}
 	maxIdle := req.MaxIdle
 	if req.NonIdempotent {
-		maxIdle = p.Idle.Bound(maxIdle)
+		maxIdle = p.Idle.Cap(maxIdle)
 	}
 	c, err := p.get(ctx, maxIdle)
 	if err != nil {
--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -189,19 +189,19 @@
 	l := NewIdleLimit(func() time.Time { return now })
 	learnt := 0
 	l.Learnt = func(_, _ time.Duration) { learnt++ }
-	is.Equal(l.Bound(4*time.Second), 4*time.Second)
+	is.Equal(l.Cap(4*time.Second), 4*time.Second)
 	l.ObserveClosed(time.Second)
-	is.Equal(l.Bound(4*time.Second), 500*time.Millisecond)
+	is.Equal(l.Cap(4*time.Second), 500*time.Millisecond)
 	l.ObserveClosed(3 * time.Second) // says nothing new
-	is.Equal(l.Bound(4*time.Second), 500*time.Millisecond)
+	is.Equal(l.Cap(4*time.Second), 500*time.Millisecond)
 	l.ObserveClosed(time.Millisecond)
-	is.Equal(l.Bound(4*time.Second), leastIdle)
+	is.Equal(l.Cap(4*time.Second), leastIdle)
 	is.Equal(learnt, 2)
 	now = now.Add(lostCounts)
-	is.Equal(l.Bound(4*time.Second), 4*time.Second)
+	is.Equal(l.Cap(4*time.Second), 4*time.Second)
 	var none *IdleLimit
 	none.ObserveClosed(time.Second)
-	is.Equal(none.Bound(time.Second), time.Second)
+	is.Equal(none.Cap(time.Second), time.Second)
 }
 
 // forgetful is a server that closes connections that rest.
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -67,9 +67,9 @@
 	l.until = now.Add(lostCounts)
 }
 
-// Bound returns for how long a connection may have rested that otherwise may
+// Cap returns for how long a connection may have rested that otherwise may
 // have rested for the given time.
-func (l *IdleLimit) Bound(most time.Duration) time.Duration {
+func (l *IdleLimit) Cap(most time.Duration) time.Duration {
 	if l == nil {
 		return most
 	}
