--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -188,7 +188,7 @@
 	now := time.Unix(1000, 0)
 	l := NewIdleLimit(func() time.Time { return now })
 	learnt := 0
-	l.Learnt = func(_, _ time.Duration) { learnt++ }
+	l.OnChange = func(_, _ time.Duration) { learnt++ }
 	is.Equal(l.Cap(4*time.Second), 4*time.Second)
 	l.ObserveClosed(time.Second)
 	is.Equal(l.Cap(4*time.Second), 500*time.Millisecond)
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -33,9 +33,9 @@
 type IdleLimit struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Learnt is told of a limit that has changed, and after which rest a
+	// OnChange is told of a limit that has changed, and after which rest a
 	// connection was closed by the peer.
-	Learnt func(limit, rested time.Duration)
+	OnChange func(limit, rested time.Duration)
 
 	mu    sync.Mutex
 	limit time.Duration
@@ -44,7 +44,7 @@
 
 // NewIdleLimit makes a limit that has learnt nothing.
 func NewIdleLimit(now func() time.Time) *IdleLimit {
-	return &IdleLimit{Now: now, Learnt: func(_, _ time.Duration) {}}
+	return &IdleLimit{Now: now, OnChange: func(_, _ time.Duration) {}}
 }
 
 // ObserveClosed notes a connection that was closed by the peer after it had rested.
@@ -61,7 +61,7 @@
 		limit = min(limit, l.limit)
 	}
 	if !known || limit != l.limit {
-		l.Learnt(limit, idle)
+		l.OnChange(limit, idle)
 	}
 	l.limit = limit
 	l.until = now.Add(lostCounts)
--- a/pkg/node/node_dial.go
+++ b/pkg/node/node_dial.go
@@ -66,7 +66,7 @@
 // logIdleLimits logs how long connections may stay idle when a backend server has closed one
 // that was idle.
 func (n *Node) logIdleLimits(log *logging.Part) {
-	n.idle.Learnt = func(limit, rested time.Duration) {
+	n.idle.OnChange = func(limit, rested time.Duration) {
 		log.Info("a server closed an idle connection", map[string]any{
 			"rested_ms": rested.Milliseconds(), "may_rest_ms": limit.Milliseconds(),
 		})
