--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -93,7 +93,7 @@
 	resp.Header.Set(HeaderZone, a.Zone)
 	resp.Header.Set(HeaderBox, e.Self)
 	if r.body.aborted.Load() || (r.body.stream != nil && !r.body.started.Load()) {
-		linger.Ask(ctx.Conn())
+		linger.Enable(ctx.Conn())
 		resp.SetConnectionClose()
 	}
 	if a.Stream == nil {
@@ -139,7 +139,7 @@
 	WriteFailure(ctx, r.ID, f)
 	ctx.Response.Header.Set(HeaderBox, e.Self)
 	if closeConnection {
-		linger.Ask(ctx.Conn())
+		linger.Enable(ctx.Conn())
 		ctx.Response.SetConnectionClose()
 	}
 }
--- a/pkg/linger/linger.go
+++ b/pkg/linger/linger.go
@@ -50,9 +50,9 @@
 	linger   atomic.Bool
 }
 
-// Ask makes the connection linger when it is closed; other connections than
+// Enable makes the connection linger when it is closed; other connections than
 // this package's are left as they are.
-func Ask(c net.Conn) {
+func Enable(c net.Conn) {
 	if own, ok := c.(*Conn); ok {
 		own.linger.Store(true)
 	}
