--- a/pkg/linger/linger.go
+++ b/pkg/linger/linger.go
@@ -16,8 +16,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Longest is how long a connection is read on after the last answer.
-const Longest = time.Second
+// Timeout is how long a connection is read on after the last answer.
+const Timeout = time.Second
 
 // Listener makes connections that can linger.
 type Listener struct {
@@ -66,7 +66,7 @@
 	if err := c.CloseWrite(); err != nil {
 		return c.TCPConn.Close()
 	}
-	_ = c.SetReadDeadline(time.Now().Add(Longest))
+	_ = c.SetReadDeadline(time.Now().Add(Timeout))
 	c.listener.closing.Go(func() {
 		_, _ = io.Copy(io.Discard, c.TCPConn)
 		_ = c.TCPConn.Close()
