--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	h := &Handler{
-		Next: handler, MayRunAhead: func(r *http.Request) bool { return r.URL.Path == "/ahead" },
+		Next: handler, MayServeAhead: func(r *http.Request) bool { return r.URL.Path == "/ahead" },
 		Count: func(name string) { t.Log(name) },
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second, ConnContext: ConnContext}
--- a/pkg/pipeline/pipeline.go
+++ b/pkg/pipeline/pipeline.go
@@ -21,9 +21,9 @@
 type Handler struct {
 	// Next serves a request.
 	Next http.Handler
-	// MayRunAhead reports whether a request may be served while those in front of it are, and
+	// MayServeAhead reports whether a request may be served while those in front of it are, and
 	// those behind it while it is.
-	MayRunAhead func(r *http.Request) bool
+	MayServeAhead func(r *http.Request) bool
 	// Count counts an event.
 	Count func(name string)
 
@@ -54,7 +54,7 @@
 		return
 	}
 	a := c.take(r)
-	if a != nil || isPlain(r) && h.MayRunAhead(r) {
+	if a != nil || isPlain(r) && h.MayServeAhead(r) {
 		c.open()
 		defer c.shut()
 	}
@@ -73,7 +73,7 @@
 // begin serves a request ahead. It returns nil if it may not be.
 func (h *Handler) begin(ctx context.Context, head []byte) *answer {
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
-	if err != nil || !isPlain(r) || !h.MayRunAhead(r) {
+	if err != nil || !isPlain(r) || !h.MayServeAhead(r) {
 		// net/http says what is wrong with it.
 		return nil
 	}
