--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -242,9 +242,9 @@
 	}
 }
 
-// MayRunAhead reports whether a request may be served at the same time as others of its
+// MayServeAhead reports whether a request may be served at the same time as others of its
 // connection: if it may be repeated, and the box is not stopping, since then its connection closes.
-func (s *Server) MayRunAhead(r *http.Request) bool {
+func (s *Server) MayServeAhead(r *http.Request) bool {
 	table := s.Table()
 	if table == nil || s.Leaving() {
 		return false
--- a/pkg/node/node_ports.go
+++ b/pkg/node/node_ports.go
@@ -224,7 +224,7 @@
 // concurrently.
 func (n *Node) clientHandler() *pipeline.Handler {
 	return &pipeline.Handler{
-		Next: n.countRequests(n.Ingress), MayServeAhead: n.Ingress.MayRunAhead, Count: n.Ingress.Count,
+		Next: n.countRequests(n.Ingress), MayServeAhead: n.Ingress.MayServeAhead, Count: n.Ingress.Count,
 	}
 }
 
