--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -263,7 +263,7 @@
 	}
 	table := s.Table()
 	if table == nil {
-		return outcome.NewNotRun(outcome.ReasonNotReady, "no configuration yet").WithRetryAfter(c.comeBackStarted())
+		return outcome.NewNotRun(outcome.ReasonNotReady, "no configuration yet").WithRetryAfter(c.startRetryAfter())
 	}
 	c.version = table.Configuration.Version
 	c.route = table.Find(c.r.Host, c.r.URL.EscapedPath())
@@ -296,9 +296,9 @@
 	mostStartRetry = 4 * time.Second
 )
 
-// comeBackStarted is when a client may come back to a box that starts: its start is expected to take as long
+// startRetryAfter is when a client may come back to a box that starts: its start is expected to take as long
 // again as it has taken, since that follows the fleet and its list of servers. Sooner the client is refused again.
-func (c *call) comeBackStarted() time.Duration {
+func (c *call) startRetryAfter() time.Duration {
 	return max(notReadyRetry, min(c.server.Starting(), mostStartRetry))
 }
 
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -114,7 +114,7 @@
 		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	}
 	if c.server.Starting() > 0 {
-		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.comeBackStarted())
+		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.startRetryAfter())
 	}
 	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may take it").WithRetryAfter(c.comeBack())
 }
