--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -105,9 +105,9 @@
 	switch choice.Reason {
 	case backend.Full:
 		c.full = choice
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.Limited:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.BackingOff:
 		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
 	case backend.Failing:
@@ -119,9 +119,9 @@
 	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may take it").WithRetryAfter(c.comeBack())
 }
 
-// comeBackTo is when a server is expected to have room, spread by half of that either
+// roomRetryAfter is when a server is expected to have room, spread by half of that either
 // way, so that those who were refused together do not return together.
-func (c *call) comeBackTo(room time.Duration) time.Duration {
+func (c *call) roomRetryAfter(room time.Duration) time.Duration {
 	if room <= 0 {
 		return c.comeBack()
 	}
