--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -109,9 +109,9 @@
 	case backend.Limited:
 		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.BackingOff:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
 	case backend.Failing:
-		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
 	}
 	if c.server.Starting() > 0 {
 		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.startRetryAfter())
@@ -130,9 +130,9 @@
 	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(room))))
 }
 
-// comeBackAfter is when a server is sent requests again that has asked for rest, or failed, spread by a
+// backoffRetryAfter is when a server is sent requests again that has asked for rest, or failed, spread by a
 // quarter of that: sooner nobody is served.
-func (c *call) comeBackAfter(rest time.Duration) time.Duration {
+func (c *call) backoffRetryAfter(rest time.Duration) time.Duration {
 	if rest <= 0 {
 		return c.comeBack()
 	}
