--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -116,14 +116,14 @@
 	if c.server.Starting() > 0 {
 		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.startRetryAfter())
 	}
-	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may take it").WithRetryAfter(c.comeBack())
+	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may take it").WithRetryAfter(c.spreadRetryAfter())
 }
 
 // roomRetryAfter is when a server is expected to have room, spread by half of that either
 // way, so that those who were refused together do not return together.
 func (c *call) roomRetryAfter(room time.Duration) time.Duration {
 	if room <= 0 {
-		return c.comeBack()
+		return c.spreadRetryAfter()
 	}
 	p := c.server.Policy()
 	chance := float64(c.server.Random()%1024) / 1024
@@ -134,15 +134,15 @@
 // quarter of that: sooner nobody is served.
 func (c *call) backoffRetryAfter(rest time.Duration) time.Duration {
 	if rest <= 0 {
-		return c.comeBack()
+		return c.spreadRetryAfter()
 	}
 	chance := float64(c.server.Random()%1024) / 1024
 	return rest + time.Duration(chance*float64(min(rest/4, c.server.Policy().ReturnMost)))
 }
 
-// comeBack spreads refused clients over a while, so that they do not return
+// spreadRetryAfter spreads refused clients over a while, so that they do not return
 // all at once.
-func (c *call) comeBack() time.Duration {
+func (c *call) spreadRetryAfter() time.Duration {
 	p := c.server.Policy()
 	return p.ReturnLeast + time.Duration(c.server.Random()%uint64(p.ReturnMost-p.ReturnLeast))
 }
@@ -214,7 +214,7 @@
 	if result == backend.Shed && verdict.Load.HasRoom() {
 		return failure.WithRetryAfter(c.server.Policy().ReturnRoom)
 	}
-	return failure.WithRetryAfter(c.comeBack())
+	return failure.WithRetryAfter(c.spreadRetryAfter())
 }
 
 // failed says what may be told of an exchange that failed.
