--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -91,11 +91,11 @@
 	}
 }
 
-// placement is the key by which the request's server is chosen: that of its affinity, but
+// placementKey is the key by which the request's server is chosen: that of its affinity, but
 // for a request against which a crash counts. Those that lost a server together have the
 // same next one by affinity, and would lose that together too; each by its own fingerprint,
 // all but the one that crashes servers are answered and are clear.
-func (c *call) placement() uint64 {
+func (c *call) placementKey() uint64 {
 	if c.server.Quarantine.Empty() || !c.server.Quarantine.Suspected(c.fingerprint()) {
 		return c.key
 	}
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -70,7 +70,7 @@
 // room, but that is not known here, it is asked for once.
 func (c *call) choose() (*backend.Lease, *outcome.Failure) {
 	r := &backend.Request{
-		Service: c.service, Key: c.placement(), Priority: c.priority(), LargeBody: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
+		Service: c.service, Key: c.placementKey(), Priority: c.priority(), LargeBody: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
 	}
 	lease, err := c.server.Set.Choose(r)
 	var choice *backend.ChoiceError
