--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -231,7 +231,7 @@
 	}
 	failure := c.readBody()
 	if failure == nil {
-		failure = c.keptBack()
+		failure = c.checkQuarantine()
 	}
 	if failure == nil {
 		failure = c.forward()
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -68,9 +68,9 @@
 	return held || c.crashes >= crashesPerAttempt
 }
 
-// keptBack rejects a request under which several backend servers have crashed. It comes again, at
+// checkQuarantine rejects a request under which several backend servers have crashed. It comes again, at
 // all boxes in turn, and would end one server after the other.
-func (c *call) keptBack() *outcome.Failure {
+func (c *call) checkQuarantine() *outcome.Failure {
 	if c.server.Quarantine.Empty() {
 		return nil
 	}
