--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -20,7 +20,7 @@
 // receive reads the answer and passes it on. A large one is passed on while
 // it comes; if it breaks off, the client's connection does too.
 func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
-	c.cleared(verdict)
+	c.noteSurvival(verdict)
 	status := answer.Header.StatusCode()
 	c.server.ObserveAttempt(c.route.Name, lease, Attempt{
 		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -81,8 +81,8 @@
 	return outcome.NewNotRun(outcome.ReasonCrashesServers, c.fingerprint().String()).WithRetryAfter(left)
 }
 
-// cleared notes that a backend server lived to answer the request.
-func (c *call) cleared(verdict AnswerMeta) {
+// noteSurvival notes that a backend server lived to answer the request.
+func (c *call) noteSurvival(verdict AnswerMeta) {
 	if !verdict.Signed || c.server.Quarantine.Empty() {
 		return
 	}
