--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -29,10 +29,10 @@
 	return f
 }
 
-// lost tells a backend server that has ended from a connection that was closed, and has the
+// classifyLoss tells a backend server that has ended from a connection that was closed, and has the
 // end count against the request. One that is known to leave ends as planned. Where the
 // request is not to be sent again, its client need not wait for that.
-func (c *call) lost(lease *backend.Lease, err error) backend.Result {
+func (c *call) classifyLoss(lease *backend.Lease, err error) backend.Result {
 	if !exchange.ClosedUnanswered(err) || !lease.Usable() {
 		return backend.Broken
 	}
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -237,7 +237,7 @@
 	case late:
 		c.finish(lease, backend.TimedOut, nil, start, err)
 	default:
-		c.finish(lease, c.lost(lease, err), nil, start, err)
+		c.finish(lease, c.classifyLoss(lease, err), nil, start, err)
 	}
 	return classify(sent, late, gone, err)
 }
