--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -58,9 +58,9 @@
 // a repeat; two in a row hardly happen to others.
 const crashesPerAttempt = 2
 
-// crashesTooMany reports whether the request is not to be sent on for what has crashed
+// tooManyCrashes reports whether the request is not to be sent on for what has crashed
 // under it, in this attempt or in others.
-func (c *call) crashesTooMany() bool {
+func (c *call) tooManyCrashes() bool {
 	if c.crashes == 0 {
 		return false
 	}
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -161,7 +161,7 @@
 		// Nothing has reached a backend server, so this is no repeat.
 		return true
 	}
-	if c.sent >= max(1, c.route.MaxAttempts) || c.crashesTooMany() {
+	if c.sent >= max(1, c.route.MaxAttempts) || c.tooManyCrashes() {
 		return false
 	}
 	if !c.server.Budget.Spend(c.service) {
