--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -220,7 +220,7 @@
 		fields["home_fill"] = math.Round(c.full.HomeFill*10) / 10
 		fields["free_slots"] = c.full.FreeSlots
 	}
-	if c.lostAny() {
+	if c.anyUnanswered() {
 		fields["fingerprint"] = c.fingerprint().String()
 	}
 	for i, t := range c.steps {
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -102,8 +102,8 @@
 	return uint64(c.fingerprint())
 }
 
-// lostAny reports whether the request was at a backend server that did not answer it.
-func (c *call) lostAny() bool {
+// anyUnanswered reports whether the request was at a backend server that did not answer it.
+func (c *call) anyUnanswered() bool {
 	return slices.ContainsFunc(c.steps, func(t step) bool {
 		return t.result == backend.Broken || t.result == backend.Crashed
 	})
