--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -237,7 +237,7 @@
 		failure = c.forward()
 	}
 	if failure != nil {
-		c.giveBack(failure)
+		c.returnAdmission(failure)
 		c.fail(failure)
 	}
 }
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -52,8 +52,8 @@
 	return outcome.NewNotRun(outcome.ReasonOverLimit, c.customer.Name).WithRetryAfter(retryAfter)
 }
 
-// giveBack returns what a request that has not run took of its customer's limit.
-func (c *call) giveBack(f *outcome.Failure) {
+// returnAdmission returns what a request that has not run took of its customer's limit.
+func (c *call) returnAdmission(f *outcome.Failure) {
 	if c.customer != nil && c.customer.Rate > 0 && f.Outcome == outcome.NotRun {
 		c.server.ReturnAdmission(c.customer)
 	}
