--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -123,7 +123,7 @@
 	s.Count("failed." + string(f.Reason))
 	c.log("not answered: "+f.Detail, f.Reason, f.Status(), 1)
 	if f.Reason != outcome.ReasonCancelled && f.Reason != outcome.ReasonOverLimit {
-		c.settle(false)
+		c.observeTarget(false)
 	}
 	if f.Reason == outcome.ReasonCancelled {
 		// Nobody reads an answer.
@@ -174,7 +174,7 @@
 
 func (c *call) answered(status int) {
 	s := c.server
-	c.settle(status < http.StatusInternalServerError)
+	c.observeTarget(status < http.StatusInternalServerError)
 	s.Observe("request."+c.service, s.Now().Sub(c.start))
 	s.Count("answered")
 	clean := len(c.steps) == 1 && status < 500
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -67,8 +67,8 @@
 	return c.route.Priority
 }
 
-// settle notes how the request of a customer has ended.
-func (c *call) settle(answered bool) {
+// observeTarget notes how the request of a customer has ended.
+func (c *call) observeTarget(answered bool) {
 	if c.customer == nil {
 		return
 	}
