--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -210,7 +210,7 @@
 			fields["rate_per_s"], fields["burst"] = c.customer.Rate, c.customer.Burst
 		}
 	}
-	if c.isBound() {
+	if c.isRegionRestricted() {
 		fields["bound"] = true
 	}
 	if requests > 1 {
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -77,8 +77,8 @@
 	c.server.ObserveTarget(c.customer, answered && (target <= 0 || took <= target))
 }
 
-// isBound reports whether the request may not run in all regions.
-func (c *call) isBound() bool {
+// isRegionRestricted reports whether the request may not run in all regions.
+func (c *call) isRegionRestricted() bool {
 	return c.route != nil && len(c.route.AllowedRegions) > 0 || c.customer != nil && len(c.customer.AllowedRegions) > 0
 }
 
