--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -149,7 +149,7 @@
 // which may take long. What it returns is to be called when the answer is written: it
 // reads the rest, so that the connection can be used again.
 func (c *call) answerFirst() (drain func()) {
-	if c.isBodyRead || c.r.ContentLength <= 0 || c.r.ContentLength > mostDrained {
+	if c.isBodyRead || c.r.ContentLength <= 0 || c.r.ContentLength > maxDrained {
 		return func() {}
 	}
 	control := http.NewResponseController(c.w)
@@ -166,10 +166,10 @@
 }
 
 const (
-	// mostDrained bounds the body of a refused request that is read so that its
+	// maxDrained bounds the body of a refused request that is read so that its
 	// connection can be used again, in bytes, and drainTime for how long.
-	mostDrained = 256 << 10
-	drainTime   = 2 * time.Second
+	maxDrained = 256 << 10
+	drainTime  = 2 * time.Second
 )
 
 func (c *call) answered(status int) {
