--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -139,16 +139,16 @@
 	h.Set("Content-Type", "text/plain")
 	text := string(f.Reason) + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	drain := c.answerFirst()
+	drain := c.answerBeforeBody()
 	c.w.WriteHeader(f.Status())
 	_, _ = io.WriteString(c.w, text)
 	drain()
 }
 
-// answerFirst makes an answer go out before the rest of the request's body has come,
+// answerBeforeBody makes an answer go out before the rest of the request's body has come,
 // which may take long. What it returns is to be called when the answer is written: it
 // reads the rest, so that the connection can be used again.
-func (c *call) answerFirst() (drain func()) {
+func (c *call) answerBeforeBody() (drain func()) {
 	if c.isBodyRead || c.r.ContentLength <= 0 || c.r.ContentLength > maxDrained {
 		return func() {}
 	}
