--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -80,7 +80,7 @@
 	if err == nil {
 		return lease, nil
 	}
-	return nil, c.notChosen(err)
+	return nil, c.choiceFailure(err)
 }
 
 // chooseAsking asks for room by a server's limit and chooses anew: that server, if it has room,
@@ -98,8 +98,8 @@
 	return lease, err
 }
 
-// notChosen says why no server was chosen, and when the client may come back.
-func (c *call) notChosen(err error) *outcome.Failure {
+// choiceFailure says why no server was chosen, and when the client may come back.
+func (c *call) choiceFailure(err error) *outcome.Failure {
 	choice := &backend.ChoiceError{}
 	errors.As(err, &choice)
 	switch choice.Reason {
