--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -162,8 +162,8 @@
 	// maxTries bounds how often one request looks for a backend server, those that
 	// could not be reached included.
 	maxTries = 4
-	// leastTime is the least time that must be left to send a request.
-	leastTime = 20 * time.Millisecond
+	// minTimeLeft is the least time that must be left to send a request.
+	minTimeLeft = 20 * time.Millisecond
 	// defaultTimeout bounds requests for which neither the client nor the
 	// route names a time.
 	defaultTimeout = 30 * time.Second
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -60,7 +60,7 @@
 	if c.r.Context().Err() != nil {
 		return outcome.NewNotRun(outcome.ReasonCancelled, "the client left")
 	}
-	if c.deadline.Sub(c.server.Now()) < leastTime {
+	if c.deadline.Sub(c.server.Now()) < minTimeLeft {
 		return outcome.NewNotRun(outcome.ReasonDeadline, "").WithRetryAfter(notReadyRetry)
 	}
 	return nil
