--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -292,14 +292,14 @@
 const (
 	// notReadyRetry is the least time after which a client may come back to a box that is not ready, and
 	// mostStartRetry the most for one that starts.
-	notReadyRetry  = 200 * time.Millisecond
-	mostStartRetry = 4 * time.Second
+	notReadyRetry = 200 * time.Millisecond
+	maxStartRetry = 4 * time.Second
 )
 
 // startRetryAfter is when a client may come back to a box that starts: its start is expected to take as long
 // again as it has taken, since that follows the fleet and its list of servers. Sooner the client is refused again.
 func (c *call) startRetryAfter() time.Duration {
-	return max(notReadyRetry, min(c.server.Starting(), mostStartRetry))
+	return max(notReadyRetry, min(c.server.Starting(), maxStartRetry))
 }
 
 // timeout is the lesser of what the client and the route allow.
