--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -197,9 +197,9 @@
 	sent       int
 	// crashes is how many backend servers have crashed under this attempt.
 	crashes int
-	// print is the request's fingerprint once it is asked for.
-	print *quarantine.Fingerprint
-	steps []step
+	// cachedFingerprint is the request's fingerprint once it is asked for.
+	cachedFingerprint *quarantine.Fingerprint
+	steps             []step
 	// full is why no server was chosen, if all were full.
 	full *backend.ChoiceError
 }
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -12,8 +12,8 @@
 // fingerprint names the request, whatever attempt at it this is. It is worked out only
 // where it is asked for, since it takes in the whole body.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	if c.print != nil {
-		return *c.print
+	if c.cachedFingerprint != nil {
+		return *c.cachedFingerprint
 	}
 	i := &quarantine.Identity{
 		Method: c.r.Method, Host: c.r.Host, Target: c.r.RequestURI, Body: c.body.whole, Length: int64(len(c.body.whole)),
@@ -25,7 +25,7 @@
 		i.Body, i.Length = c.body.head, int64(c.body.length)
 	}
 	f := quarantine.FingerprintOf(i)
-	c.print = &f
+	c.cachedFingerprint = &f
 	return f
 }
 
