--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -169,8 +169,8 @@
 	defaultTimeout = 30 * time.Second
 	// idleRepeatable and idleOnce bound the idle time of connections that are
 	// used again: what may not be repeated must not meet a closing connection.
-	idleRepeatable = 8 * time.Second
-	idleOnce       = 4 * time.Second
+	idleRepeatable    = 8 * time.Second
+	idleNonIdempotent = 4 * time.Second
 )
 
 // call is one client's request on its way.
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -290,7 +290,7 @@
 	if c.customer != nil {
 		c.server.Dialect.WriteCustomer(h, c.customer.Name)
 	}
-	x := &exchange.Request{Header: h, Body: c.body.whole, MaxIdle: idleOnce, NonIdempotent: !c.route.Idempotent()}
+	x := &exchange.Request{Header: h, Body: c.body.whole, MaxIdle: idleNonIdempotent, NonIdempotent: !c.route.Idempotent()}
 	x.MaySend = func() bool { return lease.MaySend() && c.outOfTime() == nil }
 	x.Match = func(h *fasthttp.ResponseHeader) bool { return c.server.Dialect.IsAnswerTo(h, &c.meta) }
 	if c.route.Idempotent() {
