--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -167,9 +167,9 @@
 	// defaultTimeout bounds requests for which neither the client nor the
 	// route names a time.
 	defaultTimeout = 30 * time.Second
-	// idleRepeatable and idleOnce bound the idle time of connections that are
+	// idleIdempotent and idleOnce bound the idle time of connections that are
 	// used again: what may not be repeated must not meet a closing connection.
-	idleRepeatable    = 8 * time.Second
+	idleIdempotent    = 8 * time.Second
 	idleNonIdempotent = 4 * time.Second
 )
 
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -294,7 +294,7 @@
 	x.MaySend = func() bool { return lease.MaySend() && c.outOfTime() == nil }
 	x.Match = func(h *fasthttp.ResponseHeader) bool { return c.server.Dialect.IsAnswerTo(h, &c.meta) }
 	if c.route.Idempotent() {
-		x.MaxIdle = idleRepeatable
+		x.MaxIdle = idleIdempotent
 	}
 	if c.body.stream != nil {
 		x.Stream, x.Length = c.body.stream, c.body.length
