--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -182,14 +182,14 @@
 	route  *routing.Route
 	// customer is whose request it is, nil if it needs no key and brings none.
 	customer *customer.Customer
-	// keyed: there are customers, so the request may carry a key.
-	keyed    bool
-	version  uint64
-	service  string
-	key      uint64
-	start    time.Time
-	deadline time.Time
-	body     body
+	// hasCustomers: there are customers, so the request may carry a key.
+	hasCustomers bool
+	version      uint64
+	service      string
+	key          uint64
+	start        time.Time
+	deadline     time.Time
+	body         body
 	// isBodyRead: reading the body has begun.
 	isBodyRead bool
 	ctx        context.Context
--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -9,8 +9,8 @@
 // configuration is known to be fresh says that a key is needed or not known: it may
 // have been added meanwhile, and the route may have been opened.
 func (c *call) authenticate(table *routing.Table) *outcome.Failure {
-	c.keyed = table.HasCustomers()
-	if !c.keyed {
+	c.hasCustomers = table.HasCustomers()
+	if !c.hasCustomers {
 		return nil
 	}
 	credential := &c.meta.Credential
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -279,7 +279,7 @@
 	h.SetHost(c.r.Host)
 	listed := connectionListed(c.r.Header["Connection"])
 	for name, values := range c.r.Header {
-		if isHopByHop(name, listed) || c.server.Dialect.Internal(name) || c.keyed && c.server.Dialect.CarriesKey(name) {
+		if isHopByHop(name, listed) || c.server.Dialect.Internal(name) || c.hasCustomers && c.server.Dialect.CarriesKey(name) {
 			continue
 		}
 		for _, v := range values {
