--- a/pkg/pipeline/answer.go
+++ b/pkg/pipeline/answer.go
@@ -10,9 +10,9 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// mostHeld bounds an answer that is held until its turn comes, in bytes; the rest of a longer one
+// maxHeld bounds an answer that is held until its turn comes, in bytes; the rest of a longer one
 // is written when it has come.
-const mostHeld = 256 << 10
+const maxHeld = 256 << 10
 
 // answer is the answer to a request that is served ahead. It is the http.ResponseWriter of its
 // handler, and holds what that writes until the connection's turn comes to it.
@@ -103,7 +103,7 @@
 func (a *answer) hold(p []byte) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.w != nil || a.held.Len()+len(p) > mostHeld {
+	if a.w != nil || a.held.Len()+len(p) > maxHeld {
 		return false
 	}
 	a.held.Write(p)
--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -121,7 +121,7 @@
 	var stream strings.Builder
 	sizes := make([]int, requests)
 	for i := range requests {
-		sizes[i] = 2 * r.IntN(mostHeld)
+		sizes[i] = 2 * r.IntN(maxHeld)
 		path := []string{"/ahead", "/ahead", "/ahead", "/one"}[r.IntN(4)]
 		fmt.Fprintf(&stream, "GET %s HTTP/1.1\r\nHost: h\r\nId: %d\r\nWant: %d %d\r\n\r\n", path, i, r.IntN(30), sizes[i])
 	}
