--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// mostPending bounds what is read of a connection beyond the request that is served, in
+	// maxPending bounds what is read of a connection beyond the request that is served, in
 	// bytes. A client that has sent more is seen to leave only when its request is answered.
-	mostPending = 16 << 10
+	maxPending = 16 << 10
 	// readSize is how much is read at a time of a connection that carries further requests, in bytes.
 	readSize = 4 << 10
 	// mostAhead bounds the requests of a connection that are served ahead.
@@ -115,7 +115,7 @@
 		c.mu.Lock()
 		held := len(c.pending)
 		c.mu.Unlock()
-		if held >= mostPending {
+		if held >= maxPending {
 			return c.handOut(p), nil
 		}
 		if held > 0 && len(chunk) == 1 {
--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -65,7 +65,7 @@
 	c := dial(t, address)
 	const requests = 1000
 	request := "GET /a HTTP/1.1\r\nHost: h\r\n" + "X: " + strings.Repeat("x", 40) + "\r\n\r\n"
-	is.True(requests*len(request) > 4*mostPending)
+	is.True(requests*len(request) > 4*maxPending)
 	go func() { _, _ = io.WriteString(c, strings.Repeat(request, requests)) }()
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got := 0
