--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -15,8 +15,8 @@
 	maxPending = 16 << 10
 	// readSize is how much is read at a time of a connection that carries further requests, in bytes.
 	readSize = 4 << 10
-	// mostAhead bounds the requests of a connection that are served ahead.
-	mostAhead = 8
+	// maxAhead bounds the requests of a connection that are served ahead.
+	maxAhead = 8
 )
 
 // Conn is a client's connection as net/http reads it. Reads hand out no byte of a request before
@@ -165,7 +165,7 @@
 // startAhead serves the requests that have come whole, up to the first that may not be served
 // ahead.
 func (c *Conn) startAhead() {
-	for c.isOpen && len(c.ahead) < mostAhead {
+	for c.isOpen && len(c.ahead) < maxAhead {
 		head := nextHead(c.pending[c.started:])
 		if head == nil {
 			return
