--- a/pkg/pipeline/framing.go
+++ b/pkg/pipeline/framing.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// mostHeader bounds a header that is looked at here, in bytes. The server has its own limit.
-const mostHeader = 64 << 10
+// maxHeader bounds a header that is looked at here, in bytes. The server has its own limit.
+const maxHeader = 64 << 10
 
 // framing follows where the requests of a connection begin and end. It takes a form only where there
 // is no doubt about it; what a connection carries from the first doubt on is not looked at.
@@ -53,7 +53,7 @@
 	}
 	end := headerEnd(head)
 	switch {
-	case end > mostHeader || end < 0 && len(head) > mostHeader:
+	case end > maxHeader || end < 0 && len(head) > maxHeader:
 		f.opaque = true
 		return len(data)
 	case end < 0:
--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -58,7 +58,7 @@
 		"GET /b HTTP/1.1\r\nA: b\r\n folded\r\n\r\n",
 		"GET /b HTTP/1.1\r\nUpgrade: x\r\n\r\n",
 		"\r\n\r\n",
-		strings.Repeat("x", mostHeader+1),
+		strings.Repeat("x", maxHeader+1),
 	} {
 		f := &framing{}
 		data := []byte(doubtful + get + get)
