--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -148,8 +148,8 @@
 // Serving ahead
 // ----------------------------------------------------------------
 
-// open lets requests behind the one that is served be served too; shut ends that.
-func (c *Conn) open() {
+// allowAhead lets requests behind the one that is served be served too; shut ends that.
+func (c *Conn) allowAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isOpen = c.context.Err() == nil
--- a/pkg/pipeline/pipeline.go
+++ b/pkg/pipeline/pipeline.go
@@ -55,7 +55,7 @@
 	}
 	a := c.take(r)
 	if a != nil || isPlain(r) && h.MayServeAhead(r) {
-		c.open()
+		c.allowAhead()
 		defer c.shut()
 	}
 	if a != nil {
