--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -156,7 +156,7 @@
 	c.startAhead()
 }
 
-func (c *Conn) shut() {
+func (c *Conn) forbidAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isOpen = false
--- a/pkg/pipeline/pipeline.go
+++ b/pkg/pipeline/pipeline.go
@@ -56,7 +56,7 @@
 	a := c.take(r)
 	if a != nil || isPlain(r) && h.MayServeAhead(r) {
 		c.allowAhead()
-		defer c.shut()
+		defer c.forbidAhead()
 	}
 	if a != nil {
 		a.deliver(w)
