--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -35,8 +35,8 @@
 	pending []byte
 	started int
 	ahead   []*answer
-	// isOpen: those behind the request that is served may be served too.
-	isOpen bool
+	// aheadAllowed: those behind the request that is served may be served too.
+	aheadAllowed bool
 	// failure ended the connection's stream.
 	failure error
 }
@@ -52,7 +52,7 @@
 // drop ends what is served ahead.
 func (c *Conn) drop() {
 	c.cancel()
-	c.isOpen = false
+	c.aheadAllowed = false
 	c.handler.running.Add(-int64(len(c.ahead)))
 	c.ahead = nil
 }
@@ -152,20 +152,20 @@
 func (c *Conn) allowAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isOpen = c.context.Err() == nil
+	c.aheadAllowed = c.context.Err() == nil
 	c.startAhead()
 }
 
 func (c *Conn) forbidAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isOpen = false
+	c.aheadAllowed = false
 }
 
 // startAhead serves the requests that have come whole, up to the first that may not be served
 // ahead.
 func (c *Conn) startAhead() {
-	for c.isOpen && len(c.ahead) < maxAhead {
+	for c.aheadAllowed && len(c.ahead) < maxAhead {
 		head := nextHead(c.pending[c.started:])
 		if head == nil {
 			return
