--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// take returns the answer to a request that was served ahead, nil if it was not.
-func (c *Conn) take(r *http.Request) *answer {
+// takeAhead returns the answer to a request that was served ahead, nil if it was not.
+func (c *Conn) takeAhead(r *http.Request) *answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.ahead) == 0 {
--- a/pkg/pipeline/pipeline.go
+++ b/pkg/pipeline/pipeline.go
@@ -53,7 +53,7 @@
 		h.Next.ServeHTTP(w, r)
 		return
 	}
-	a := c.take(r)
+	a := c.takeAhead(r)
 	if a != nil || isPlain(r) && h.MayServeAhead(r) {
 		c.allowAhead()
 		defer c.forbidAhead()
