--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -44,13 +44,13 @@
 // Close implements net.Conn.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	c.drop()
+	c.cancelAhead()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// drop ends what is served ahead.
-func (c *Conn) drop() {
+// cancelAhead ends what is served ahead.
+func (c *Conn) cancelAhead() {
 	c.cancel()
 	c.aheadAllowed = false
 	c.handler.running.Add(-int64(len(c.ahead)))
@@ -138,7 +138,7 @@
 		c.mu.Lock()
 		c.failure = err
 		c.pending = nil
-		c.drop()
+		c.cancelAhead()
 		c.mu.Unlock()
 	}
 	return err
@@ -190,7 +190,7 @@
 	if !a.isTo(r) {
 		// net/http has read another request than framing has found.
 		c.handler.Count("pipeline.mismatch")
-		c.drop()
+		c.cancelAhead()
 		return nil
 	}
 	c.ahead = c.ahead[1:]
