--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -82,7 +82,7 @@
 		return c.handOut(p), nil
 	}
 	n, err := c.Conn.Read(p)
-	return c.keep(p[:n]), c.note(err)
+	return c.keep(p[:n]), c.noteError(err)
 }
 
 // keep keeps what lies behind the request that has come, and returns how much that one has.
@@ -127,13 +127,13 @@
 		c.startAhead()
 		c.mu.Unlock()
 		if err != nil {
-			return 0, c.note(err)
+			return 0, c.noteError(err)
 		}
 	}
 }
 
-// note keeps an error that ends the stream, and returns it. A deadline does not end it.
-func (c *Conn) note(err error) error {
+// noteError keeps an error that ends the stream, and returns it. A deadline does not end it.
+func (c *Conn) noteError(err error) error {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.mu.Lock()
 		c.failure = err
