--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -82,11 +82,11 @@
 		return c.handOut(p), nil
 	}
 	n, err := c.Conn.Read(p)
-	return c.keep(p[:n]), c.noteError(err)
+	return c.keepPending(p[:n]), c.noteError(err)
 }
 
-// keep keeps what lies behind the request that has come, and returns how much that one has.
-func (c *Conn) keep(data []byte) int {
+// keepPending keeps what lies behind the request that has come, and returns how much that one has.
+func (c *Conn) keepPending(data []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	own := c.framing.advance(data)
