--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -77,7 +77,7 @@
 	case len(p) == 1 && isBetween:
 		// Only its look-out for a client that leaves reads a single byte there; what begins a
 		// request reads as much as fits its buffer.
-		return c.watch(p)
+		return c.watchForClose(p)
 	case held > 0:
 		return c.handOut(p), nil
 	}
@@ -107,9 +107,9 @@
 	return n
 }
 
-// watch reads until the client leaves, or until net/http stops it by a deadline. It returns a
+// watchForClose reads until the client leaves, or until net/http stops it by a deadline. It returns a
 // byte only when no more may be held.
-func (c *Conn) watch(p []byte) (int, error) {
+func (c *Conn) watchForClose(p []byte) (int, error) {
 	chunk := p
 	for {
 		c.mu.Lock()
