--- a/pkg/pipeline/framing.go
+++ b/pkg/pipeline/framing.go
@@ -33,7 +33,7 @@
 	}
 	taken := 0
 	if f.bodyLeft == 0 {
-		taken = f.header(data)
+		taken = f.advanceHeader(data)
 	}
 	if f.opaque {
 		return len(data)
@@ -43,8 +43,8 @@
 	return taken + int(part)
 }
 
-// header takes bytes of a header, and returns how many there were.
-func (f *framing) header(data []byte) int {
+// advanceHeader takes bytes of a advanceHeader, and returns how many there were.
+func (f *framing) advanceHeader(data []byte) int {
 	before := len(f.head)
 	head := data
 	if before > 0 {
