--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -26,17 +26,17 @@
 		Count: func(name string) { t.Log(name) },
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second, ConnContext: ConnContext}
-	go func() { _ = s.Serve(&wrapping{l, h}) }()
+	go func() { _ = s.Serve(&wrappingListener{l, h}) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
 
-type wrapping struct {
+type wrappingListener struct {
 	net.Listener
 	handler *Handler
 }
 
-func (l *wrapping) Accept() (net.Conn, error) {
+func (l *wrappingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
