--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -10,11 +10,11 @@
 
 // Tuning of IdleLimit.
 const (
-	// lostWithin is how soon after a request was sent its connection must break
+	// closeWithin is how soon after a request was sent its connection must break
 	// to count as one that the peer had closed without a word: the way to another
 	// region and back. A server that fails while it works takes longer as a
 	// rule.
-	lostWithin = 120 * time.Millisecond
+	closeWithin = 120 * time.Millisecond
 	// leastRested is how long a connection must have rested to be closed by the peer while idle.
 	leastRested = 100 * time.Millisecond
 	// lostShare is which part of the idle time of a connection closed by the peer
@@ -84,7 +84,7 @@
 // closedByPeer reports whether the failure of an exchange is that of a connection
 // which the peer had closed without a word.
 func closedByPeer(c *connection, err *Error, took time.Duration) bool {
-	if !c.used || c.rested < leastRested || err.Stage != StageSend && err.Stage != StageHeader || took > lostWithin {
+	if !c.used || c.rested < leastRested || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
 		return false
 	}
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
