--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -15,8 +15,8 @@
 	// region and back. A server that fails while it works takes longer as a
 	// rule.
 	closeWithin = 120 * time.Millisecond
-	// leastRested is how long a connection must have rested to be closed by the peer while idle.
-	leastRested = 100 * time.Millisecond
+	// minIdle is how long a connection must have rested to be closed by the peer while idle.
+	minIdle = 100 * time.Millisecond
 	// lostShare is which part of the idle time of a connection closed by the peer
 	// others may rest from then on.
 	lostShare = 0.5
@@ -84,7 +84,7 @@
 // closedByPeer reports whether the failure of an exchange is that of a connection
 // which the peer had closed without a word.
 func closedByPeer(c *connection, err *Error, took time.Duration) bool {
-	if !c.used || c.rested < leastRested || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
+	if !c.used || c.rested < minIdle || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
 		return false
 	}
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
