--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -17,9 +17,9 @@
 	closeWithin = 120 * time.Millisecond
 	// minIdle is how long a connection must have rested to be closed by the peer while idle.
 	minIdle = 100 * time.Millisecond
-	// lostShare is which part of the idle time of a connection closed by the peer
+	// capShare is which part of the idle time of a connection closed by the peer
 	// others may rest from then on.
-	lostShare = 0.5
+	capShare = 0.5
 	// lostCounts is for how long a connection closed by the peer counts.
 	lostCounts = 10 * time.Second
 	// leastIdle is the least that connections may rest.
@@ -55,7 +55,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	limit := max(leastIdle, time.Duration(lostShare*float64(idle)))
+	limit := max(leastIdle, time.Duration(capShare*float64(idle)))
 	known := now.Before(l.until)
 	if known {
 		limit = min(limit, l.limit)
