--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -197,7 +197,7 @@
 	l.ObserveClosed(time.Millisecond)
 	is.Equal(l.Cap(4*time.Second), leastIdle)
 	is.Equal(learnt, 2)
-	now = now.Add(lostCounts)
+	now = now.Add(capTTL)
 	is.Equal(l.Cap(4*time.Second), 4*time.Second)
 	var none *IdleLimit
 	none.ObserveClosed(time.Second)
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -20,8 +20,8 @@
 	// capShare is which part of the idle time of a connection closed by the peer
 	// others may rest from then on.
 	capShare = 0.5
-	// lostCounts is for how long a connection closed by the peer counts.
-	lostCounts = 10 * time.Second
+	// capTTL is for how long a connection closed by the peer counts.
+	capTTL = 10 * time.Second
 	// leastIdle is the least that connections may rest.
 	leastIdle = 50 * time.Millisecond
 )
@@ -64,7 +64,7 @@
 		l.OnChange(limit, idle)
 	}
 	l.limit = limit
-	l.until = now.Add(lostCounts)
+	l.until = now.Add(capTTL)
 }
 
 // Cap returns for how long a connection may have rested that otherwise may
