--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -195,7 +195,7 @@
 	l.ObserveClosed(3 * time.Second) // says nothing new
 	is.Equal(l.Cap(4*time.Second), 500*time.Millisecond)
 	l.ObserveClosed(time.Millisecond)
-	is.Equal(l.Cap(4*time.Second), leastIdle)
+	is.Equal(l.Cap(4*time.Second), minCap)
 	is.Equal(learnt, 2)
 	now = now.Add(capTTL)
 	is.Equal(l.Cap(4*time.Second), 4*time.Second)
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -22,8 +22,8 @@
 	capShare = 0.5
 	// capTTL is for how long a connection closed by the peer counts.
 	capTTL = 10 * time.Second
-	// leastIdle is the least that connections may rest.
-	leastIdle = 50 * time.Millisecond
+	// minCap is the least that connections may rest.
+	minCap = 50 * time.Millisecond
 )
 
 // IdleLimit learns for how long connections may rest. Peers close idle
@@ -55,7 +55,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	limit := max(leastIdle, time.Duration(capShare*float64(idle)))
+	limit := max(minCap, time.Duration(capShare*float64(idle)))
 	known := now.Before(l.until)
 	if known {
 		limit = min(limit, l.limit)
