--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -9,7 +9,7 @@
 // body reads an answer's body and checks it against its framing: an end that
 // comes too early is an error, never io.EOF.
 type body struct {
-	running *running
+	running *roundTrip
 	left    int64
 	chunks  io.Reader
 	// toEnd: the body ends with its connection.
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -39,7 +39,7 @@
 		p.put(c)
 		return nil, &Error{Stage: StageConnect, Cause: &WithdrawnError{}}
 	}
-	x := &running{pool: p, conn: c, ctx: ctx, abort: func() {}}
+	x := &roundTrip{pool: p, conn: c, ctx: ctx, abort: func() {}}
 	if req.AbortStream != nil {
 		x.abort = req.AbortStream
 	}
@@ -56,8 +56,8 @@
 	return answer, nil
 }
 
-// running is an exchange on its way.
-type running struct {
+// roundTrip is an exchange on its way.
+type roundTrip struct {
 	pool       *Pool
 	conn       *connection
 	ctx        context.Context
@@ -73,12 +73,12 @@
 }
 
 // interrupt makes all reading and writing of the exchange return.
-func (x *running) interrupt() {
+func (x *roundTrip) interrupt() {
 	_ = x.conn.SetDeadline(past)
 	x.abort()
 }
 
-func (x *running) start(req *Request) (*Answer, *Error) {
+func (x *roundTrip) start(req *Request) (*Answer, *Error) {
 	if err := ended(x.ctx); err != nil {
 		// The process may have stood still since the connection was taken.
 		return nil, &Error{Stage: StageSend, Cause: err}
@@ -124,7 +124,7 @@
 
 // cause prefers the reason for which the context ended over the error that it
 // made the connection return.
-func (x *running) cause(err error) error {
+func (x *roundTrip) cause(err error) error {
 	if ctxErr := x.ctx.Err(); ctxErr != nil {
 		return ctxErr
 	}
@@ -135,7 +135,7 @@
 // Sending
 // ----------------------------------------------------------------
 
-func (x *running) send(req *Request) error {
+func (x *roundTrip) send(req *Request) error {
 	if req.Stream == nil {
 		req.Header.SetContentLength(len(req.Body))
 		if len(req.Body) == 0 && req.Header.IsGet() {
@@ -163,7 +163,7 @@
 
 // sendStream sends a body while the answer is awaited, since a backend server
 // may refuse an upload without reading it.
-func (x *running) sendStream(req *Request) {
+func (x *roundTrip) sendStream(req *Request) {
 	if err := x.copyStream(req); err != nil {
 		// Half a request is on its way; only closing tells the other side.
 		_ = x.conn.SetDeadline(past)
@@ -172,7 +172,7 @@
 	x.sentWhole.Store(true)
 }
 
-func (x *running) copyStream(req *Request) error {
+func (x *roundTrip) copyStream(req *Request) error {
 	if req.Length >= 0 {
 		n, err := io.Copy(x.conn.w, io.LimitReader(req.Stream, int64(req.Length)))
 		if err != nil {
@@ -200,7 +200,7 @@
 // Reading
 // ----------------------------------------------------------------
 
-func (x *running) readHeader(h *fasthttp.ResponseHeader) error {
+func (x *roundTrip) readHeader(h *fasthttp.ResponseHeader) error {
 	for {
 		if err := h.Read(x.conn.r); err != nil {
 			return err
@@ -222,7 +222,7 @@
 
 // readOwnHeader reads up to the header of the answer to this request. An
 // answer that came too late for the request before may stand in its place.
-func (x *running) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
+func (x *roundTrip) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
 	for range maxForeign {
 		if err := x.readHeader(h); err != nil {
 			return err
@@ -239,7 +239,7 @@
 
 // skipBody reads the body of an answer to another request. A body that ends
 // with its connection leaves no room for another answer.
-func (x *running) skipBody(h *fasthttp.ResponseHeader) error {
+func (x *roundTrip) skipBody(h *fasthttp.ResponseHeader) error {
 	switch length := h.ContentLength(); {
 	case length >= 0:
 		_, err := io.CopyN(io.Discard, x.conn.r, int64(length))
@@ -254,7 +254,7 @@
 	return &MismatchError{}
 }
 
-func (x *running) openBody(req *Request, a *Answer) {
+func (x *roundTrip) openBody(req *Request, a *Answer) {
 	status := a.Header.StatusCode()
 	length := a.Header.ContentLength()
 	switch {
@@ -281,7 +281,7 @@
 
 // end gives the connection back, or closes it if the exchange is not whole.
 // It returns only when the sender no longer reads the request's stream.
-func (x *running) end(whole bool) {
+func (x *roundTrip) end(whole bool) {
 	if x.ended {
 		return
 	}
