--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -9,9 +9,9 @@
 // body reads an answer's body and checks it against its framing: an end that
 // comes too early is an error, never io.EOF.
 type body struct {
-	running *roundTrip
-	left    int64
-	chunks  io.Reader
+	trip   *roundTrip
+	left   int64
+	chunks io.Reader
 	// toEnd: the body ends with its connection.
 	toEnd   bool
 	whole   bool
@@ -37,7 +37,7 @@
 	if int64(len(p)) > b.left {
 		p = p[:b.left]
 	}
-	n, err := b.running.conn.r.Read(p)
+	n, err := b.trip.conn.r.Read(p)
 	b.left -= int64(n)
 	if b.left == 0 {
 		b.finish()
@@ -50,7 +50,7 @@
 }
 
 func (b *body) readToEnd(p []byte) (int, error) {
-	n, err := b.running.conn.r.Read(p)
+	n, err := b.trip.conn.r.Read(p)
 	if errors.Is(err, io.EOF) {
 		b.finish()
 		return n, io.EOF
@@ -79,7 +79,7 @@
 // readTrailer reads the lines after the last chunk up to the empty one.
 func (b *body) readTrailer() error {
 	for {
-		line, err := b.running.conn.r.ReadString('\n')
+		line, err := b.trip.conn.r.ReadString('\n')
 		if err != nil {
 			return err
 		}
@@ -91,20 +91,20 @@
 
 func (b *body) finish() {
 	b.whole = true
-	b.running.end(true)
+	b.trip.end(true)
 }
 
 func (b *body) fail(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
-	b.failure = &Error{Stage: StageBody, Sent: true, Cause: b.running.cause(err)}
-	b.running.end(false)
+	b.failure = &Error{Stage: StageBody, Sent: true, Cause: b.trip.cause(err)}
+	b.trip.end(false)
 	return b.failure
 }
 
 // Close gives up what has not been read.
 func (b *body) Close() error {
-	b.running.end(b.whole)
+	b.trip.end(b.whole)
 	return nil
 }
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -245,7 +245,7 @@
 		_, err := io.CopyN(io.Discard, x.conn.r, int64(length))
 		return err
 	case length == -1:
-		b := &body{running: x, chunks: httputil.NewChunkedReader(x.conn.r)}
+		b := &body{trip: x, chunks: httputil.NewChunkedReader(x.conn.r)}
 		if _, err := io.Copy(io.Discard, b.chunks); err != nil {
 			return err
 		}
@@ -260,21 +260,21 @@
 	switch {
 	case req.Header.IsHead(), status == fasthttp.StatusNoContent, status == fasthttp.StatusNotModified:
 		a.Length = 0
-		a.Body = &body{running: x, whole: true}
+		a.Body = &body{trip: x, whole: true}
 		x.end(true)
 	case length >= 0:
 		a.Length = length
-		a.Body = &body{running: x, left: int64(length), whole: length == 0}
+		a.Body = &body{trip: x, left: int64(length), whole: length == 0}
 		if length == 0 {
 			x.end(true)
 		}
 	case length == -1:
 		a.Length = -1
-		a.Body = &body{running: x, chunks: httputil.NewChunkedReader(x.conn.r)}
+		a.Body = &body{trip: x, chunks: httputil.NewChunkedReader(x.conn.r)}
 	default:
 		// The end of the connection is the end of the body; a reset is not.
 		a.Length = -1
-		a.Body = &body{running: x, toEnd: true}
+		a.Body = &body{trip: x, toEnd: true}
 		x.closeAsked = true
 	}
 }
