--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -170,8 +170,8 @@
 	// if it did not say.
 	keepAlive time.Duration
 	// used: it has carried an exchange before, and then rested for rested.
-	used   bool
-	rested time.Duration
+	used    bool
+	idleFor time.Duration
 }
 
 // keepAliveMargin is how much sooner than the other side this side gives an
@@ -226,7 +226,7 @@
 		}
 		if c.fresh(p.Now(), maxIdle) && p.StillUsable(c.Conn) {
 			c.used = true
-			c.rested = p.Now().Sub(c.idleSince)
+			c.idleFor = p.Now().Sub(c.idleSince)
 			c.written = 0
 			return c, nil
 		}
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -48,7 +48,7 @@
 	answer, failure := x.start(req)
 	if failure != nil {
 		if closedByPeer(c, failure, time.Since(sent)) {
-			p.Idle.ObserveClosed(c.rested)
+			p.Idle.ObserveClosed(c.idleFor)
 		}
 		x.end(false)
 		return nil, failure
