--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -169,8 +169,8 @@
 	// keepAlive is for how long the other side keeps the connection idle, 0
 	// if it did not say.
 	keepAlive time.Duration
-	// used: it has carried an exchange before, and then rested for rested.
-	used    bool
+	// reused: it has carried an exchange before, and then rested for rested.
+	reused  bool
 	idleFor time.Duration
 }
 
@@ -225,7 +225,7 @@
 			break
 		}
 		if c.fresh(p.Now(), maxIdle) && p.StillUsable(c.Conn) {
-			c.used = true
+			c.reused = true
 			c.idleFor = p.Now().Sub(c.idleSince)
 			c.written = 0
 			return c, nil
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -86,7 +86,7 @@
 	if err := x.send(req); err != nil {
 		return nil, &Error{Stage: StageSend, Sent: x.conn.written > 0, Cause: x.cause(err)}
 	}
-	answer := &Answer{Reused: x.conn.used}
+	answer := &Answer{Reused: x.conn.reused}
 	if err := x.readOwnHeader(req, &answer.Header); err != nil {
 		return nil, &Error{Stage: StageHeader, Sent: true, Cause: x.cause(err)}
 	}
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -84,7 +84,7 @@
 // closedByPeer reports whether the failure of an exchange is that of a connection
 // which the peer had closed without a word.
 func closedByPeer(c *connection, err *Error, took time.Duration) bool {
-	if !c.used || c.idleFor < minIdle || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
+	if !c.reused || c.idleFor < minIdle || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
 		return false
 	}
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
