--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -155,7 +155,7 @@
 		Now:          time.Now,
 		MaxIdleConns: maxIdle,
 		Reusable:     reusable,
-		StillUsable:  quiet,
+		StillUsable:  stillUsable,
 	}
 }
 
--- a/pkg/exchange/quiet.go
+++ b/pkg/exchange/quiet.go
@@ -7,9 +7,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read.
+// stillUsable reports whether an idle connection is open and has nothing to read.
 // A byte that nobody asked for makes a connection unfit as much as its end.
-func quiet(c net.Conn) bool {
+func stillUsable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
