--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -79,7 +79,7 @@
 }
 
 func (x *roundTrip) start(req *Request) (*Answer, *Error) {
-	if err := ended(x.ctx); err != nil {
+	if err := contextError(x.ctx); err != nil {
 		// The process may have stood still since the connection was taken.
 		return nil, &Error{Stage: StageSend, Cause: err}
 	}
@@ -96,9 +96,9 @@
 	return answer, nil
 }
 
-// ended returns why the context has ended, nil if it has not. In a process that
+// contextError returns why the context has contextError, nil if it has not. In a process that
 // wakes from a freeze, a context may not have noticed that its time is over.
-func ended(ctx context.Context) error {
+func contextError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
