--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// maxForeign bounds the answers to other requests that are left out.
-const maxForeign = 4
+// maxMismatches bounds the answers to other requests that are left out.
+const maxMismatches = 4
 
 // MismatchError says that only answers to other requests came.
 type MismatchError struct{}
@@ -223,7 +223,7 @@
 // readOwnHeader reads up to the header of the answer to this request. An
 // answer that came too late for the request before may stand in its place.
 func (x *roundTrip) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
-	for range maxForeign {
+	for range maxMismatches {
 		if err := x.readHeader(h); err != nil {
 			return err
 		}
