--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -12,10 +12,10 @@
 	trip   *roundTrip
 	left   int64
 	chunks io.Reader
-	// toEnd: the body ends with its connection.
-	toEnd   bool
-	whole   bool
-	failure error
+	// untilClose: the body ends with its connection.
+	untilClose bool
+	whole      bool
+	failure    error
 }
 
 // Read implements io.Reader.
@@ -27,7 +27,7 @@
 		return 0, io.EOF
 	case b.chunks != nil:
 		return b.readChunks(p)
-	case b.toEnd:
+	case b.untilClose:
 		return b.readToEnd(p)
 	}
 	return b.readLength(p)
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -274,7 +274,7 @@
 	default:
 		// The end of the connection is the end of the body; a reset is not.
 		a.Length = -1
-		a.Body = &body{trip: x, toEnd: true}
+		a.Body = &body{trip: x, untilClose: true}
 		x.closeAsked = true
 	}
 }
