--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -14,7 +14,7 @@
 	chunks io.Reader
 	// untilClose: the body ends with its connection.
 	untilClose bool
-	whole      bool
+	complete   bool
 	failure    error
 }
 
@@ -23,7 +23,7 @@
 	switch {
 	case b.failure != nil:
 		return 0, b.failure
-	case b.whole:
+	case b.complete:
 		return 0, io.EOF
 	case b.chunks != nil:
 		return b.readChunks(p)
@@ -90,7 +90,7 @@
 }
 
 func (b *body) finish() {
-	b.whole = true
+	b.complete = true
 	b.trip.end(true)
 }
 
@@ -105,6 +105,6 @@
 
 // Close gives up what has not been read.
 func (b *body) Close() error {
-	b.trip.end(b.whole)
+	b.trip.end(b.complete)
 	return nil
 }
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -260,11 +260,11 @@
 	switch {
 	case req.Header.IsHead(), status == fasthttp.StatusNoContent, status == fasthttp.StatusNotModified:
 		a.Length = 0
-		a.Body = &body{trip: x, whole: true}
+		a.Body = &body{trip: x, complete: true}
 		x.end(true)
 	case length >= 0:
 		a.Length = length
-		a.Body = &body{trip: x, left: int64(length), whole: length == 0}
+		a.Body = &body{trip: x, left: int64(length), complete: length == 0}
 		if length == 0 {
 			x.end(true)
 		}
