--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -15,9 +15,9 @@
 	"pgregory.net/rapid"
 )
 
-// scripted is a connection that answers what it was given, and fails to write
+// scriptedConn is a connection that answers what it was given, and fails to write
 // after so many bytes.
-type scripted struct {
+type scriptedConn struct {
 	net.Conn
 	answer io.Reader
 	// room is how many bytes may be written; -1 for any number.
@@ -28,9 +28,9 @@
 
 var errBroken = errors.New("the connection broke")
 
-func (c *scripted) Read(p []byte) (int, error) { return c.answer.Read(p) }
+func (c *scriptedConn) Read(p []byte) (int, error) { return c.answer.Read(p) }
 
-func (c *scripted) Write(p []byte) (int, error) {
+func (c *scriptedConn) Write(p []byte) (int, error) {
 	if c.room >= 0 && c.wrote+len(p) > c.room {
 		n := max(0, c.room-c.wrote)
 		c.wrote += n
@@ -40,9 +40,9 @@
 	return len(p), nil
 }
 
-func (c *scripted) Close() error                    { c.closed = true; return nil }
-func (c *scripted) SetDeadline(time.Time) error     { return nil }
-func (c *scripted) SetReadDeadline(time.Time) error { return nil }
+func (c *scriptedConn) Close() error                    { c.closed = true; return nil }
+func (c *scriptedConn) SetDeadline(time.Time) error     { return nil }
+func (c *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
 func poolOf(conns ...net.Conn) *Pool {
 	return NewPool("nowhere", len(conns), func(context.Context, string) (net.Conn, error) {
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.IntRange(0, 20_000).Draw(t, "room")
 		body := rapid.IntRange(0, 20_000).Draw(t, "body")
-		c := &scripted{answer: bytes.NewReader(nil), room: room}
+		c := &scriptedConn{answer: bytes.NewReader(nil), room: room}
 		_, err := poolOf(c).Do(context.Background(), newRequest(string(make([]byte, body))))
 		var failure *Error
 		if !errors.As(err, &failure) {
@@ -86,7 +86,7 @@
 
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
-	c := &scripted{answer: bytes.NewReader(nil), room: -1}
+	c := &scriptedConn{answer: bytes.NewReader(nil), room: -1}
 	pool := poolOf(c)
 	dial := pool.Dial
 	pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -130,7 +130,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\nto the end"))
 	f.Add([]byte("these bytes are no answer\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := &scripted{answer: bytes.NewReader(text), room: -1}
+		c := &scriptedConn{answer: bytes.NewReader(text), room: -1}
 		pool := poolOf(c)
 		answer, err := pool.Do(context.Background(), newRequest(""))
 		if err != nil {
