--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -20,10 +20,10 @@
 type scriptedConn struct {
 	net.Conn
 	answer io.Reader
-	// room is how many bytes may be written; -1 for any number.
-	room   int
-	wrote  int
-	closed bool
+	// writeLimit is how many bytes may be written; -1 for any number.
+	writeLimit int
+	wrote      int
+	closed     bool
 }
 
 var errBroken = errors.New("the connection broke")
@@ -31,8 +31,8 @@
 func (c *scriptedConn) Read(p []byte) (int, error) { return c.answer.Read(p) }
 
 func (c *scriptedConn) Write(p []byte) (int, error) {
-	if c.room >= 0 && c.wrote+len(p) > c.room {
-		n := max(0, c.room-c.wrote)
+	if c.writeLimit >= 0 && c.wrote+len(p) > c.writeLimit {
+		n := max(0, c.writeLimit-c.wrote)
 		c.wrote += n
 		return n, errBroken
 	}
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.IntRange(0, 20_000).Draw(t, "room")
 		body := rapid.IntRange(0, 20_000).Draw(t, "body")
-		c := &scriptedConn{answer: bytes.NewReader(nil), room: room}
+		c := &scriptedConn{answer: bytes.NewReader(nil), writeLimit: room}
 		_, err := poolOf(c).Do(context.Background(), newRequest(string(make([]byte, body))))
 		var failure *Error
 		if !errors.As(err, &failure) {
@@ -86,7 +86,7 @@
 
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
-	c := &scriptedConn{answer: bytes.NewReader(nil), room: -1}
+	c := &scriptedConn{answer: bytes.NewReader(nil), writeLimit: -1}
 	pool := poolOf(c)
 	dial := pool.Dial
 	pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -130,7 +130,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\nto the end"))
 	f.Add([]byte("these bytes are no answer\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := &scriptedConn{answer: bytes.NewReader(text), room: -1}
+		c := &scriptedConn{answer: bytes.NewReader(text), writeLimit: -1}
 		pool := poolOf(c)
 		answer, err := pool.Do(context.Background(), newRequest(""))
 		if err != nil {
