--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -160,7 +160,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
-	server := &forgetful{after: 80 * time.Millisecond}
+	server := &idleClosingServer{after: 80 * time.Millisecond}
 	go server.serve(l)
 	pool := NewPool(l.Addr().String(), 4, func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp4", address)
@@ -204,10 +204,10 @@
 	is.Equal(none.Cap(time.Second), time.Second)
 }
 
-// forgetful is a server that closes connections that rest.
-type forgetful struct{ after time.Duration }
+// idleClosingServer is a server that closes connections that rest.
+type idleClosingServer struct{ after time.Duration }
 
-func (s *forgetful) serve(l net.Listener) {
+func (s *idleClosingServer) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
