--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -160,7 +160,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
-	server := &idleClosingServer{after: 80 * time.Millisecond}
+	server := &idleClosingServer{idleTimeout: 80 * time.Millisecond}
 	go server.serve(l)
 	pool := NewPool(l.Addr().String(), 4, func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp4", address)
@@ -205,7 +205,7 @@
 }
 
 // idleClosingServer is a server that closes connections that rest.
-type idleClosingServer struct{ after time.Duration }
+type idleClosingServer struct{ idleTimeout time.Duration }
 
 func (s *idleClosingServer) serve(l net.Listener) {
 	for {
@@ -217,7 +217,7 @@
 			defer func() { _ = c.Close() }()
 			buffer := make([]byte, 4096)
 			for {
-				_ = c.SetReadDeadline(time.Now().Add(s.after))
+				_ = c.SetReadDeadline(time.Now().Add(s.idleTimeout))
 				if n, err := c.Read(buffer); n == 0 || err != nil {
 					_ = c.(*net.TCPConn).SetLinger(0)
 					return
