--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -1,9 +1,8 @@
-// Package ingress is the request path of a box: it reads a client's request,
-// finds its route, chooses a backend server, sends the request there, and
-// passes the answer back. The decisions are those of packages routing,
-// backend and retry; the wire to backend servers is package exchange's; what
-// headers are called is a Dialect's. This package puts the steps in order and
-// says what a client may be told when one of them fails.
+// Package ingress is the request path of a box. It reads a client's request, finds its route,
+// chooses a backend server, sends the request there and passes the answer back. Packages
+// routing, backend and retry make the decisions, package exchange speaks to the backend
+// servers, and a Dialect names the headers. This package runs the steps in order and
+// determines what a client is told when one of them fails.
 package ingress
 
 import (
@@ -24,165 +23,171 @@
 	"github.com/stoneworks/stoneworks/pkg/routing"
 )
 
-// Meta is what a client's headers say of a request.
+// Meta is what the headers of a client's request state.
 type Meta struct {
 	ID string
-	// Key is the affinity key, empty for none.
+	// Key is the affinity key, empty if there is none.
 	Key string
-	// Timeout is how long the client waits; 0 if it did not say.
+	// Timeout is how long the client waits, 0 if the request does not state it.
 	Timeout time.Duration
-	// Credential is the key of the customer whose request it is.
+	// Credential is the customer's key that the request carries.
 	Credential customer.Credential
 }
 
-// AnswerMeta is what a backend server's headers say of its answer.
+// AnswerMeta is what the headers of a backend server's answer state.
 type AnswerMeta struct {
-	// NotRun: the backend server did not run the request and will not.
+	// NotRun is set if the backend server did not run the request and will not.
 	NotRun bool
-	// Stale: the backend server is not the one that was expected.
+	// Stale is set if the backend server is not the expected one.
 	Stale bool
-	// Signed: the answer is a backend server's own.
+	// Signed is set if the answer comes from a backend server itself.
 	Signed bool
-	// Load is what it said of its load, or nil.
+	// Load is the load that the server reports, nil if it reports none.
 	Load *backend.Load
-	// Limit is what it said of how many requests it takes.
+	// Limit is the rate of requests that the server states it accepts.
 	Limit backend.RateLimit
-	// Leaving: it says that it leaves.
+	// Leaving is set if the server announces that it is leaving.
 	Leaving bool
-	// Backoff is for how long it wants no requests from this box, 0 if it has not asked for that.
+	// Backoff is for how long the server asks this box to send no requests, 0 if it does not
+	// ask.
 	Backoff time.Duration
-	// HeaderErrors are headers that cannot be read. What they would have said is not known.
+	// HeaderErrors are the errors of headers that cannot be parsed, whose content is unknown.
 	HeaderErrors []error
 }
 
-// Attempt is how a server has dealt with a request that was sent to it.
+// Attempt is how a server handled a request that was sent to it.
 type Attempt struct {
-	// Failed: it failed the request, or broke its answer off; Late: it gave none in time.
+	// Failed is set if the server failed the request or its answer broke off, TimedOut if it
+	// did not answer in time.
 	Failed   bool
 	TimedOut bool
 	Took     time.Duration
 }
 
-// Dialect names the headers of a deployment. All fields are needed.
+// Dialect reads and writes the headers of a deployment. All fields are required.
 type Dialect struct {
-	// ReadRequest reads a client's headers; the error names a malformed one.
+	// ReadRequest reads the headers of a client's request. The error names a malformed one.
 	ReadRequest func(h http.Header) (Meta, error)
-	// WriteRequest sets the headers for a backend server: what is left of the time,
-	// and which backend server is expected.
+	// WriteRequest sets the headers for a backend server: the time left and the expected
+	// backend server.
 	WriteRequest func(h *fasthttp.RequestHeader, m *Meta, left time.Duration, server *backend.Server)
-	// ReadAnswer reads a backend server's headers.
+	// ReadAnswer reads the headers of a backend server's answer.
 	ReadAnswer func(h *fasthttp.ResponseHeader) AnswerMeta
-	// IsAnswerTo reports whether an answer is the one to the request.
+	// IsAnswerTo reports whether an answer belongs to the request.
 	IsAnswerTo func(h *fasthttp.ResponseHeader, m *Meta) bool
-	// IsUnknownHeader reports whether a header of that name of an answer of some status may say something
-	// of the server, and ReadAnswer does not read it.
+	// IsUnknownHeader reports whether a header of that name, in an answer with that status,
+	// may describe the server but is not read by ReadAnswer.
 	IsUnknownHeader func(name string, status int) bool
-	// Internal reports whether a client's header of that name is not passed on.
+	// Internal reports whether a client's header of that name is not forwarded.
 	Internal func(name string) bool
-	// CarriesKey reports whether a header of that name may carry a customer's key,
-	// which no backend server gets to see.
+	// CarriesKey reports whether a header of that name may carry a customer's key, which must
+	// not reach a backend server.
 	CarriesKey func(name string) bool
-	// WriteCustomer sets the header that tells a backend server whose request it is.
+	// WriteCustomer sets the header that names the customer to a backend server.
 	WriteCustomer func(h *fasthttp.RequestHeader, name string)
-	// WriteFailure sets the headers of an answer of the box's own.
+	// WriteFailure sets the headers of an answer that the box itself generates.
 	WriteFailure func(h http.Header, m *Meta, f *outcome.Failure)
 }
 
-// Server serves clients. All fields are needed.
+// Server serves clients. All fields are required.
 type Server struct {
 	Dialect *Dialect
 	// Table returns the configuration in force, nil if there is none yet.
 	Table func() *routing.Table
-	// Current reports whether the configuration is known to be fresh.
+	// Current reports whether the configuration is known to be up to date.
 	Current func() bool
-	// Leaving reports whether the box is stopping, Closed whether it takes
-	// nothing new any more.
+	// Leaving reports whether the box is stopping, Closed whether it accepts no new requests.
 	Leaving func() bool
 	Closed  func() bool
 
-	// Starting returns for how long the box has been starting, 0 if it has been ready.
+	// Starting returns for how long the box has been starting, 0 once it has been ready.
 	Starting func() time.Duration
 
-	// Policy returns the figures in force.
+	// Policy returns the policy parameters in force.
 	Policy   func() *policy.Policy
 	Splitter *routing.Splitter
 	Set      *backend.Set
 	Budget   *retry.Budget
 	// KeysTrusted reports whether the customers' keys may still be trusted.
 	KeysTrusted func() bool
-	// Admit decides whether a request is within its customer's limit, or when it may
-	// come back. It may wait a moment to find out.
+	// Admit decides whether a request is within its customer's limit, and if not, when the
+	// client may retry. It may block briefly to find out.
 	Admit func(ctx context.Context, c *customer.Customer) (admitted bool, retryAfter time.Duration)
-	// ReturnAdmission returns what an admitted request took of the limit, since it has not
-	// run.
+	// ReturnAdmission returns what an admitted request took of its customer's limit, because
+	// the request was not run.
 	ReturnAdmission func(c *customer.Customer)
-	// AwaitServerLimit asks whether the limit that a backend server names leaves room for a request,
-	// which then has taken it, and ReleaseRoom gives that back. AwaitServerLimit may take a moment.
+	// AwaitServerLimit asks whether the limit that a backend server states allows another
+	// request and counts the request if so; ReleaseServerLimit takes that back.
+	// AwaitServerLimit may block briefly.
 	AwaitServerLimit   func(ctx context.Context, server *backend.Server) bool
 	ReleaseServerLimit func(server *backend.Server)
-	// ObserveTarget notes whether a request of a customer, within its limit and not left by its
-	// client, was answered within its route's target.
+	// ObserveTarget records whether a customer's request, which was within its limit and not
+	// cancelled by its client, was answered within the target latency of its route.
 	ObserveTarget func(c *customer.Customer, inTime bool)
-	// HasCrashed finds out whether a backend server, which has closed a connection without
-	// an answer, has ended. It takes one way there and back.
+	// HasCrashed determines whether a backend server that closed a connection without an
+	// answer has ended. It takes one network round trip.
 	HasCrashed func(server *backend.Server) bool
-	// ObserveCrash has the crash of a server that had a request count against that, and Released
-	// is told of a request that was held and that a server has answered.
+	// ObserveCrash counts the crash of a server against a request that was at the server.
+	// ObserveRelease is called when a server has answered a request that was held in
+	// quarantine.
 	ObserveCrash   func(f quarantine.Fingerprint, server string)
 	ObserveRelease func(f quarantine.Fingerprint)
-	// Quarantine is what is known of requests that crash backend servers.
+	// Quarantine holds what is known of requests that crash backend servers.
 	Quarantine *quarantine.Table
-	// ObserveAnswer takes in what an answer says of its server besides its load. Sent is when the
-	// request was sent.
+	// ObserveAnswer processes what an answer states about its server other than its load. sent
+	// is when the request was sent.
 	ObserveAnswer func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
-	// ObserveAttempt notes how a server has dealt with a request that reached it.
+	// ObserveAttempt records how a server handled a request that reached it.
 	ObserveAttempt func(route string, lease *backend.Lease, a Attempt)
-	// ObserveUnknownHeader notes an answer's header that the platform's adapter does not know.
+	// ObserveUnknownHeader records a header of an answer that the platform's adapter does not
+	// know.
 	ObserveUnknownHeader func(name string)
-	// Background runs work that outlasts its request.
+	// Background runs work that outlives its request.
 	Background func(work func())
 	// Pool returns the connections to a backend server.
 	Pool func(server *backend.Server) *exchange.Pool
 	Now  func() time.Time
-	// SyncClock has Now count what the machine was suspended for.
+	// SyncClock makes Now include the time for which the machine was suspended.
 	SyncClock func()
-	// Random returns a random number, for requests without a key.
+	// Random returns a random number, which is the key of a request that has none.
 	Random func() uint64
 	Log    *logging.Part
-	// Count counts an event; Observe a request's time by service and outcome.
+	// Count counts an event, Observe records the duration of a request.
 	Count   func(name string)
 	Observe func(name string, d time.Duration)
 }
 
-// Tuning of the request path.
+// Parameters of the request path.
 const (
-	// bufferedBody bounds a body that is held whole, so that it can be sent
-	// again; a larger one is passed on as it comes. In bytes.
+	// bufferedBody is the size in bytes up to which a body is buffered whole, so that the
+	// request can be sent again. A larger body is streamed.
 	bufferedBody = 1 << 20
-	// maxTries bounds how often one request looks for a backend server, those that
-	// could not be reached included.
+	// maxTries bounds how many backend servers are chosen for one request, including those
+	// that could not be reached.
 	maxTries = 4
-	// minTimeLeft is the least time that must be left to send a request.
+	// minTimeLeft is the minimum time that must be left to send a request.
 	minTimeLeft = 20 * time.Millisecond
-	// defaultTimeout bounds requests for which neither the client nor the
-	// route names a time.
+	// defaultTimeout bounds requests for which neither the client nor the route sets a
+	// timeout.
 	defaultTimeout = 30 * time.Second
-	// idleIdempotent and idleOnce bound the idle time of connections that are
-	// used again: what may not be repeated must not meet a closing connection.
+	// idleIdempotent and idleNonIdempotent bound for how long a reused connection may have
+	// been idle. A request that must not be repeated must not meet a connection that is
+	// closing.
 	idleIdempotent    = 8 * time.Second
 	idleNonIdempotent = 4 * time.Second
 )
 
-// call is one client's request on its way.
+// call is the processing of one client's request.
 type call struct {
 	server *Server
 	w      http.ResponseWriter
 	r      *http.Request
 	meta   Meta
 	route  *routing.Route
-	// customer is whose request it is, nil if it needs no key and brings none.
+	// customer is the customer whose request it is, nil if the request needs no key and
+	// carries none.
 	customer *customer.Customer
-	// hasCustomers: there are customers, so the request may carry a key.
+	// hasCustomers is set if there are customers, so that the request may carry a key.
 	hasCustomers bool
 	version      uint64
 	service      string
@@ -190,21 +195,21 @@
 	start        time.Time
 	deadline     time.Time
 	body         body
-	// isBodyRead: reading the body has begun.
+	// isBodyRead is set once reading the body has begun.
 	isBodyRead bool
 	ctx        context.Context
 	tried      []string
 	sent       int
-	// crashes is how many backend servers have crashed under this attempt.
+	// crashes is how many backend servers have crashed with this request during this call.
 	crashes int
-	// cachedFingerprint is the request's fingerprint once it is asked for.
+	// cachedFingerprint is the request's fingerprint once it has been computed.
 	cachedFingerprint *quarantine.Fingerprint
 	steps             []step
-	// full is why no server was chosen, if all were full.
+	// full is the error of choosing a server if all servers were full.
 	full *backend.ChoiceError
 }
 
-// step is one try, for the log.
+// step is one try, recorded for the log.
 type step struct {
 	lease   *backend.Lease
 	result  backend.Result
@@ -242,8 +247,9 @@
 	}
 }
 
-// MayServeAhead reports whether a request may be served at the same time as others of its
-// connection: if it may be repeated, and the box is not stopping, since then its connection closes.
+// MayServeAhead reports whether a request may be served concurrently with others of its
+// connection. It must be idempotent, and the box must not be stopping, because then the
+// connection closes.
 func (s *Server) MayServeAhead(r *http.Request) bool {
 	table := s.Table()
 	if table == nil || s.Leaving() {
@@ -253,7 +259,7 @@
 	return route != nil && route.Idempotent()
 }
 
-// prepare reads the request's header and finds its route.
+// prepare reads the request's headers and finds its route.
 func (c *call) prepare() *outcome.Failure {
 	s := c.server
 	meta, err := s.Dialect.ReadRequest(c.r.Header)
@@ -269,7 +275,7 @@
 	c.route = table.Find(c.r.Host, c.r.URL.EscapedPath())
 	if c.route == nil {
 		if !s.Current() {
-			return outcome.NewNotRun(outcome.ReasonNotReady, "the configuration may be old").WithRetryAfter(notReadyRetry)
+			return outcome.NewNotRun(outcome.ReasonNotReady, "the configuration may be out of date").WithRetryAfter(notReadyRetry)
 		}
 		return outcome.NewNotRun(outcome.ReasonNoRoute, c.r.Host)
 	}
@@ -290,19 +296,20 @@
 }
 
 const (
-	// notReadyRetry is the least time after which a client may come back to a box that is not ready, and
-	// mostStartRetry the most for one that starts.
+	// notReadyRetry is the minimum time after which a client may return to a box that is not
+	// ready, and maxStartRetry the maximum for a box that is starting.
 	notReadyRetry = 200 * time.Millisecond
 	maxStartRetry = 4 * time.Second
 )
 
-// startRetryAfter is when a client may come back to a box that starts: its start is expected to take as long
-// again as it has taken, since that follows the fleet and its list of servers. Sooner the client is refused again.
+// startRetryAfter returns when a client may return to a box that is starting. The start is
+// expected to take as long again as it has taken so far, because its duration depends on the
+// fleet and its list of servers. A client that returns sooner is refused again.
 func (c *call) startRetryAfter() time.Duration {
 	return max(notReadyRetry, min(c.server.Starting(), maxStartRetry))
 }
 
-// timeout is the lesser of what the client and the route allow.
+// timeout returns the shorter of the timeouts that the client and the route allow.
 func (c *call) timeout() time.Duration {
 	d := c.meta.Timeout
 	if d <= 0 {
