--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -13,12 +13,12 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// bufferedAnswer bounds an answer that is held whole before any of it is
-// passed on, so that one that breaks off can still be replaced. In bytes.
+// bufferedAnswer is the size in bytes up to which an answer is buffered whole before any of it
+// is passed on, so that the request can still be retried if the answer breaks off.
 const bufferedAnswer = 256 << 10
 
-// receive reads the answer and passes it on. A large one is passed on while
-// it comes; if it breaks off, the client's connection does too.
+// receive reads the answer and passes it on. A large answer is streamed; if it breaks off, the
+// client's connection is aborted.
 func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
 	c.noteSurvival(verdict)
 	status := answer.Header.StatusCode()
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// sentError makes sure that the failure of an answer's body counts as one
-// after the request was sent.
+// sentError makes sure that a failure of an answer's body counts as one after the request was
+// sent.
 func sentError(err error) error {
 	var x *exchange.Error
 	if errors.As(err, &x) {
@@ -72,7 +72,8 @@
 		}
 		c.finish(lease, result, verdict.Load, start, err)
 		c.log("answer broke off", outcome.ReasonTruncated, http.StatusBadGateway, 1)
-		// The only way to tell the client that the answer is not whole.
+		// Aborting the connection is the only way to show the client that the answer is
+		// incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	c.finish(lease, backend.Answered, verdict.Load, start, nil)
@@ -81,7 +82,7 @@
 
 func (c *call) copyHeader(answer *exchange.Answer) {
 	out := c.w.Header()
-	// The library would guess a type, and add a date.
+	// Otherwise net/http would guess a content type and add a date.
 	out["Content-Type"] = nil
 	out["Date"] = nil
 	listed := connectionListed([]string{string(answer.Header.Peek("Connection"))})
@@ -95,7 +96,7 @@
 	}
 }
 
-// noteRefusal notes the headers of an answer that is not passed on.
+// noteRefusal reports the unknown headers of an answer that is not passed on.
 func (c *call) noteRefusal(answer *exchange.Answer) {
 	for name := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
@@ -105,19 +106,19 @@
 	}
 }
 
-// noteUnread notes a header of an answer that the platform's adapter does not know.
+// noteUnread reports a header of an answer if the platform's adapter does not know it.
 func (c *call) noteUnread(name string, answer *exchange.Answer) {
 	if c.server.Dialect.IsUnknownHeader(name, answer.Header.StatusCode()) {
 		c.server.ObserveUnknownHeader(name)
 	}
 }
 
-// abortBody makes reading the client's body return.
+// abortBody makes reads of the client's body return.
 func (c *call) abortBody() {
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Unix(1, 0))
 }
 
-// fail answers in the box's own name.
+// fail sends the client an answer that the box itself generates.
 func (c *call) fail(f *outcome.Failure) {
 	s := c.server
 	s.Count("failed." + string(f.Reason))
@@ -126,7 +127,7 @@
 		c.observeTarget(false)
 	}
 	if f.Reason == outcome.ReasonCancelled {
-		// Nobody reads an answer.
+		// The client is gone, so nobody reads an answer.
 		panic(http.ErrAbortHandler)
 	}
 	h := c.w.Header()
@@ -145,16 +146,16 @@
 	drain()
 }
 
-// answerBeforeBody makes an answer go out before the rest of the request's body has come,
-// which may take long. What it returns is to be called when the answer is written: it
-// reads the rest, so that the connection can be used again.
+// answerBeforeBody allows an answer to be sent before the rest of the request's body has
+// arrived, which may take long. The returned function is called once the answer is written: it
+// reads the rest, so that the connection can be reused.
 func (c *call) answerBeforeBody() (drain func()) {
 	if c.isBodyRead || c.r.ContentLength <= 0 || c.r.ContentLength > maxDrained {
 		return func() {}
 	}
 	control := http.NewResponseController(c.w)
 	if err := control.EnableFullDuplex(); err != nil {
-		c.server.Log.Debug("answer waits for the body", map[string]any{"request": c.meta.ID, "error": err.Error()})
+		c.server.Log.Debug("answer is not sent before the body has arrived", map[string]any{"request": c.meta.ID, "error": err.Error()})
 		return func() {}
 	}
 	return func() {
@@ -166,8 +167,8 @@
 }
 
 const (
-	// maxDrained bounds the body of a refused request that is read so that its
-	// connection can be used again, in bytes, and drainTime for how long.
+	// maxDrained bounds, in bytes, the body of a refused request that is read so that its
+	// connection can be reused, and drainTime for how long it is read.
 	maxDrained = 256 << 10
 	drainTime  = 2 * time.Second
 )
@@ -188,9 +189,9 @@
 	}
 }
 
-// log writes the one line of a request: what came in, which configuration
-// decided, and each backend server that was tried with what was known of it.
-// The line stands for as many requests like it as are given.
+// log writes the one log line of a request: what was received, which configuration was used,
+// and each backend server that was tried with what was known of it. The line stands for the
+// given number of similar requests.
 func (c *call) log(text string, reason outcome.Reason, status, requests int) {
 	fields := map[string]any{
 		"request": c.meta.ID, "status": status, "took_ms": c.server.Now().Sub(c.start).Milliseconds(),
@@ -229,7 +230,7 @@
 	c.server.Log.Info(text, fields)
 }
 
-// log adds what is told of a try to the fields of a request's line.
+// log adds the fields of a try to those of a request's log line.
 func (t *step) log(name string, fields map[string]any) {
 	l := t.lease
 	fields[name] = l.ID + " " + t.result.String()
