--- a/pkg/ingress/ingress_body.go
+++ b/pkg/ingress/ingress_body.go
@@ -10,12 +10,12 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// body is a request's body: held whole, or its beginning with the rest still
-// to come.
+// body is a request's body: either the whole body, or its beginning with the rest still to be
+// read.
 type body struct {
 	whole  []byte
 	stream io.Reader
-	// head is the beginning of a streamed body, and length its length, -1 if unknown.
+	// head is the beginning of a streamed body, and length is its length, -1 if unknown.
 	head   []byte
 	length int
 }
@@ -23,7 +23,7 @@
 // replayable reports whether the body can be sent again.
 func (b *body) replayable() bool { return b.stream == nil }
 
-// readBody reads the body as far as it is held whole.
+// readBody reads the body up to the size that is buffered whole.
 func (c *call) readBody() *outcome.Failure {
 	c.isBodyRead = true
 	limit := c.server.Table().Configuration.Limits.BodyBytes
@@ -33,7 +33,7 @@
 	if c.r.ContentLength == 0 || c.r.Body == nil || c.r.Body == http.NoBody {
 		return nil
 	}
-	// A client that stops sending must not hold the request past its time.
+	// A client that stops sending must not block the request beyond its deadline.
 	control := http.NewResponseController(c.w)
 	_ = control.SetReadDeadline(time.Now().Add(c.deadline.Sub(c.server.Now())))
 	reader := http.MaxBytesReader(nil, c.r.Body, limit)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// bodyFailure says what went wrong with a body of which nothing was sent on.
+// bodyFailure classifies the error of reading a body of which nothing has been forwarded.
 func (c *call) bodyFailure(err error) *outcome.Failure {
 	var tooLarge *http.MaxBytesError
 	switch {
