--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -9,8 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
 )
 
-// fingerprint names the request, whatever attempt at it this is. It is worked out only
-// where it is asked for, since it takes in the whole body.
+// fingerprint returns the fingerprint of the request, which is the same for every attempt at
+// it. It is computed only when needed, because it covers the whole body.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.cachedFingerprint != nil {
 		return *c.cachedFingerprint
@@ -29,9 +29,10 @@
 	return f
 }
 
-// classifyLoss tells a backend server that has ended from a connection that was closed, and has the
-// end count against the request. One that is known to leave ends as planned. Where the
-// request is not to be sent again, its client need not wait for that.
+// classifyLoss returns the result of an exchange whose connection was lost. It determines
+// whether the backend server has crashed or only closed the connection, and counts a crash
+// against the request. A server that is known to be leaving ends as planned. If the request is
+// not sent again, the check runs in the background, so that the client need not wait for it.
 func (c *call) classifyLoss(lease *backend.Lease, err error) backend.Result {
 	if !exchange.ClosedUnanswered(err) || !lease.Usable() {
 		return backend.Broken
@@ -53,13 +54,13 @@
 	return backend.Crashed
 }
 
-// crashesPerAttempt is how many backend servers may crash under one attempt. Most requests
-// that were at a server when it crashed did not crash it, so the first crash is followed by
-// a repeat; two in a row hardly happen to others.
+// crashesPerAttempt is how many backend servers may crash during one attempt. Most requests
+// that were at a server when it crashed did not cause the crash, so the first crash is
+// followed by a retry; two crashes in a row are unlikely for other requests.
 const crashesPerAttempt = 2
 
-// tooManyCrashes reports whether the request is not to be sent on for what has crashed
-// under it, in this attempt or in others.
+// tooManyCrashes reports whether the request must not be sent on because of the servers that
+// have crashed under it, in this attempt or in others.
 func (c *call) tooManyCrashes() bool {
 	if c.crashes == 0 {
 		return false
@@ -68,8 +69,8 @@
 	return held || c.crashes >= crashesPerAttempt
 }
 
-// checkQuarantine rejects a request under which several backend servers have crashed. It comes again, at
-// all boxes in turn, and would end one server after the other.
+// checkQuarantine rejects a request under which several backend servers have crashed. Such a
+// request is retried at all boxes in turn, and would crash one server after another.
 func (c *call) checkQuarantine() *outcome.Failure {
 	if c.server.Quarantine.Empty() {
 		return nil
@@ -81,7 +82,7 @@
 	return outcome.NewNotRun(outcome.ReasonCrashesServers, c.fingerprint().String()).WithRetryAfter(left)
 }
 
-// noteSurvival notes that a backend server lived to answer the request.
+// noteSurvival records that a backend server answered the request without crashing.
 func (c *call) noteSurvival(verdict AnswerMeta) {
 	if !verdict.Signed || c.server.Quarantine.Empty() {
 		return
@@ -91,10 +92,11 @@
 	}
 }
 
-// placementKey is the key by which the request's server is chosen: that of its affinity, but
-// for a request against which a crash counts. Those that lost a server together have the
-// same next one by affinity, and would lose that together too; each by its own fingerprint,
-// all but the one that crashes servers are answered and are clear.
+// placementKey returns the key by which the request's server is chosen: the affinity key,
+// unless a crash counts against the request. Requests that were at the same server when it
+// crashed have the same next server by affinity, and would lose that one together too. Placed
+// by their own fingerprints, all but the one that crashes servers are answered and thereby
+// cleared.
 func (c *call) placementKey() uint64 {
 	if c.server.Quarantine.Empty() || !c.server.Quarantine.Suspected(c.fingerprint()) {
 		return c.key
