--- a/pkg/ingress/ingress_customer.go
+++ b/pkg/ingress/ingress_customer.go
@@ -5,9 +5,9 @@
 	"github.com/stoneworks/stoneworks/pkg/routing"
 )
 
-// authenticate finds the customer whose request it is. Only a box whose
-// configuration is known to be fresh says that a key is needed or not known: it may
-// have been added meanwhile, and the route may have been opened.
+// authenticate finds the customer whose request it is. A box answers that a key is required or
+// unknown only if its configuration is known to be up to date; otherwise the key may have been
+// added since, or the route opened to requests without a key.
 func (c *call) authenticate(table *routing.Table) *outcome.Failure {
 	c.hasCustomers = table.HasCustomers()
 	if !c.hasCustomers {
@@ -18,26 +18,26 @@
 		if c.route.AllowAnonymous {
 			return nil
 		}
-		return c.unauthorized("no key, or not exactly one")
+		return c.unauthorized("the request carries no key, or not exactly one")
 	}
 	c.customer = table.Owner(credential.Digest)
 	if c.customer == nil {
-		return c.unauthorized("the key is not known")
+		return c.unauthorized("the key is unknown")
 	}
 	if !c.server.KeysTrusted() {
-		return outcome.NewNotRun(outcome.ReasonNotReady, "the key may have been taken away").WithRetryAfter(notReadyRetry)
+		return outcome.NewNotRun(outcome.ReasonNotReady, "the key may have been revoked").WithRetryAfter(notReadyRetry)
 	}
 	return nil
 }
 
 func (c *call) unauthorized(why string) *outcome.Failure {
 	if !c.server.Current() {
-		return outcome.NewNotRun(outcome.ReasonNotReady, why+", but the configuration may be old").WithRetryAfter(notReadyRetry)
+		return outcome.NewNotRun(outcome.ReasonNotReady, why+", but the configuration may be out of date").WithRetryAfter(notReadyRetry)
 	}
 	return outcome.NewNotRun(outcome.ReasonUnauthorized, why)
 }
 
-// admit refuses what is over the customer's limit, before its body is read.
+// admit refuses a request over its customer's limit before the body is read.
 func (c *call) admit() *outcome.Failure {
 	if c.customer == nil || c.customer.Rate <= 0 {
 		return nil
@@ -59,7 +59,8 @@
 	}
 }
 
-// priority is the rank of the request: its customer's goes before its route's.
+// priority returns the priority of the request. The customer's takes precedence over the
+// route's.
 func (c *call) priority() int {
 	if c.customer != nil {
 		return c.customer.Priority
@@ -67,7 +68,7 @@
 	return c.route.Priority
 }
 
-// observeTarget notes how the request of a customer has ended.
+// observeTarget records how a customer's request has ended.
 func (c *call) observeTarget(answered bool) {
 	if c.customer == nil {
 		return
@@ -82,8 +83,8 @@
 	return c.route != nil && len(c.route.AllowedRegions) > 0 || c.customer != nil && len(c.customer.AllowedRegions) > 0
 }
 
-// regionAllowed reports whether the request may run in the region: its route and
-// its customer both bind.
+// regionAllowed reports whether the request may run in the region. Both its route and its
+// customer must allow it.
 func (c *call) regionAllowed(region string) bool {
 	return c.route.RegionAllowed(region) && (c.customer == nil || c.customer.RegionAllowed(region))
 }
