--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -16,7 +16,7 @@
 	"github.com/stoneworks/stoneworks/pkg/routing"
 )
 
-// hopByHop lists headers that concern one connection only.
+// hopByHop lists headers that apply to a single connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -53,8 +53,8 @@
 	return failure
 }
 
-// outOfTime says that nothing can be sent any more. The machine may have been suspended since
-// the last server was asked.
+// outOfTime returns a failure if nothing can be sent any more. It synchronizes the clock
+// first, because the machine may have been suspended since the last server was asked.
 func (c *call) outOfTime() *outcome.Failure {
 	c.server.SyncClock()
 	if c.r.Context().Err() != nil {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// choose takes a server for the request. Where the limit that the preferred one names may leave
-// room, but that is not known here, it is asked for once.
+// choose takes a server for the request. If it is not known here whether the limit that the
+// preferred server states allows another request, that is asked once.
 func (c *call) choose() (*backend.Lease, *outcome.Failure) {
 	r := &backend.Request{
 		Service: c.service, Key: c.placementKey(), Priority: c.priority(), LargeBody: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
@@ -83,8 +83,8 @@
 	return nil, c.choiceFailure(err)
 }
 
-// chooseAsking asks for room by a server's limit and chooses anew: that server, if it has room,
-// or another one.
+// chooseAsking asks whether the server's limit allows another request and chooses again: that
+// server if it does, or another one.
 func (c *call) chooseAsking(r *backend.Request, server *backend.Server) (*backend.Lease, error) {
 	r.AdmissionAsked = true
 	if c.server.AwaitServerLimit(c.ctx, server) {
@@ -92,13 +92,13 @@
 	}
 	lease, err := c.server.Set.Choose(r)
 	if r.GrantedBy != "" && (lease == nil || lease.Incarnation() != r.GrantedBy) {
-		// Something has changed while it was asked for.
+		// The candidates changed while the limit was being asked for.
 		c.server.ReleaseServerLimit(server)
 	}
 	return lease, err
 }
 
-// choiceFailure says why no server was chosen, and when the client may come back.
+// choiceFailure returns why no server was chosen, and when the client may return.
 func (c *call) choiceFailure(err error) *outcome.Failure {
 	choice := &backend.ChoiceError{}
 	errors.As(err, &choice)
@@ -107,20 +107,20 @@
 		c.full = choice
 		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.Limited:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may serve it are at the rate limits that they state").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.BackingOff:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may serve it have asked this box to back off").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
 	case backend.Failing:
-		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may serve it have failed recently").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
 	}
 	if c.server.Starting() > 0 {
 		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.startRetryAfter())
 	}
-	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may take it").WithRetryAfter(c.spreadRetryAfter())
+	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may serve it").WithRetryAfter(c.spreadRetryAfter())
 }
 
-// roomRetryAfter is when a server is expected to have room, spread by half of that either
-// way, so that those who were refused together do not return together.
+// roomRetryAfter returns when a server is expected to have a free slot, randomized by half of
+// that time either way, so that clients that were refused together do not return together.
 func (c *call) roomRetryAfter(room time.Duration) time.Duration {
 	if room <= 0 {
 		return c.spreadRetryAfter()
@@ -130,8 +130,9 @@
 	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(room))))
 }
 
-// backoffRetryAfter is when a server is sent requests again that has asked for rest, or failed, spread by a
-// quarter of that: sooner nobody is served.
+// backoffRetryAfter returns when requests are sent again to a server that has asked for a
+// backoff or has failed, plus a random part of up to a quarter of that time. A client that
+// returns sooner is not served.
 func (c *call) backoffRetryAfter(rest time.Duration) time.Duration {
 	if rest <= 0 {
 		return c.spreadRetryAfter()
@@ -140,16 +141,16 @@
 	return rest + time.Duration(chance*float64(min(rest/4, c.server.Policy().ReturnMost)))
 }
 
-// spreadRetryAfter spreads refused clients over a while, so that they do not return
-// all at once.
+// spreadRetryAfter returns a random time, so that refused clients do not all return at once.
 func (c *call) spreadRetryAfter() time.Duration {
 	p := c.server.Policy()
 	return p.ReturnLeast + time.Duration(c.server.Random()%uint64(p.ReturnMost-p.ReturnLeast))
 }
 
-// mayTryAgain reports whether the request may be sent to another backend server.
-// What was certainly not run may; what may have run only if it may run more
-// than once. A repeat that reaches a backend server is taken from the budget.
+// mayTryAgain reports whether the request may be sent to another backend server. A request
+// that certainly did not run may be sent again; one that may have run, only if it is
+// idempotent. A retry of a request that has reached a backend server is taken from the retry
+// budget.
 func (c *call) mayTryAgain(f *outcome.Failure) bool {
 	if f.Reason == outcome.ReasonCancelled || !c.body.replayable() {
 		return false
@@ -158,7 +159,7 @@
 		return false
 	}
 	if c.sent == 0 {
-		// Nothing has reached a backend server, so this is no repeat.
+		// Nothing has reached a backend server, so this is not a retry.
 		return true
 	}
 	if c.sent >= max(1, c.route.MaxAttempts) || c.tooManyCrashes() {
@@ -194,15 +195,15 @@
 	case answer.Header.StatusCode() < 300 && !verdict.Signed:
 		_ = answer.Body.Close()
 		c.finish(lease, backend.Broken, nil, start, nil)
-		return outcome.NewUnknown(outcome.ReasonMalformed, "a success without a signature")
+		return outcome.NewUnknown(outcome.ReasonMalformed, "a successful answer without a signature")
 	}
 	return c.receive(lease, start, answer, verdict)
 }
 
-// rejected handles a backend server's word that it did not run the request.
+// rejected handles an answer that states that the backend server did not run the request.
 func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
 	c.noteRefusal(answer)
-	// The body is read so that the connection can be used again.
+	// The body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 4<<10))
 	_ = answer.Body.Close()
 	result := backend.Shed
@@ -217,7 +218,7 @@
 	return failure.WithRetryAfter(c.spreadRetryAfter())
 }
 
-// failed says what may be told of an exchange that failed.
+// failed records a failed exchange and returns what the client is told.
 func (c *call) failed(lease *backend.Lease, start time.Time, err error) *outcome.Failure {
 	sent := wasSent(err)
 	late := errors.Is(err, context.DeadlineExceeded)
@@ -242,8 +243,7 @@
 	return classify(sent, late, gone, err)
 }
 
-// wasSent reports whether any byte of the request may have reached the
-// backend server.
+// wasSent reports whether any byte of the request may have reached the backend server.
 func wasSent(err error) bool {
 	var x *exchange.Error
 	return !errors.As(err, &x) || x.Sent
@@ -270,7 +270,7 @@
 	return outcome.NewUnknown(outcome.ReasonConnectionLost, err.Error())
 }
 
-// request prepares the exchange.
+// request builds the request that is sent to the backend server.
 func (c *call) request(lease *backend.Lease, now time.Time) *exchange.Request {
 	h := &fasthttp.RequestHeader{}
 	h.SetMethod(c.r.Method)
@@ -328,7 +328,7 @@
 	return false
 }
 
-// finish ends the use of the backend server and notes it for the log.
+// finish ends the use of the backend server and records it for the log.
 func (c *call) finish(lease *backend.Lease, result backend.Result, load *backend.Load, start time.Time, err error) {
 	lease.Done(result, load)
 	c.server.Count("backend." + result.String())
