--- a/pkg/pipeline/answer.go
+++ b/pkg/pipeline/answer.go
@@ -10,21 +10,21 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// maxHeld bounds an answer that is held until its turn comes, in bytes; the rest of a longer one
-// is written when it has come.
+// maxHeld is the size in bytes up to which an answer is held until its turn. The rest of a
+// longer answer is written once its turn has come.
 const maxHeld = 256 << 10
 
 // answer is the answer to a request that is served ahead. It is the http.ResponseWriter of its
-// handler, and holds what that writes until the connection's turn comes to it.
+// handler and holds what the handler writes until the connection gets to it.
 type answer struct {
 	request *http.Request
 	header  http.Header
-	// done closes when the handler has ended; panicked is how, if it panicked.
+	// done is closed when the handler has returned; panicked is its panic, if it panicked.
 	done     chan struct{}
 	panicked *panics.Recovered
 
 	mu sync.Mutex
-	// turn closes when w is set, to which the answer then goes.
+	// turn is closed once w, which then receives the answer, is set.
 	turn   chan struct{}
 	w      http.ResponseWriter
 	status int
@@ -35,7 +35,7 @@
 	return &answer{request: r, header: http.Header{}, done: make(chan struct{}), turn: make(chan struct{})}
 }
 
-// isTo reports whether it is the answer to a request that net/http has read.
+// isTo reports whether this is the answer to a request that net/http has read.
 func (a *answer) isTo(r *http.Request) bool {
 	return a.request.RequestURI == r.RequestURI && a.request.Host == r.Host && a.request.Method == r.Method &&
 		maps.EqualFunc(a.request.Header, r.Header, slices.Equal)
@@ -46,7 +46,7 @@
 	a.panicked = panics.Try(func() { h.ServeHTTP(a, a.request) })
 }
 
-// deliver writes the answer, and waits for its end.
+// deliver writes the answer and waits until it is complete.
 func (a *answer) deliver(w http.ResponseWriter) {
 	a.mu.Lock()
 	a.w = w
@@ -58,7 +58,7 @@
 	a.mu.Unlock()
 	<-a.done
 	if a.panicked != nil {
-		// net/http ends the connection, as if it had called the handler itself.
+		// net/http closes the connection, as if it had called the handler itself.
 		panic(a.panicked.Value)
 	}
 }
@@ -84,8 +84,8 @@
 	}
 }
 
-// Write implements http.ResponseWriter. It waits for the connection's turn if the answer is too
-// long to be held.
+// Write implements http.ResponseWriter. If the answer is too long to be held, it blocks until
+// the answer's turn.
 func (a *answer) Write(p []byte) (int, error) {
 	a.WriteHeader(http.StatusOK)
 	if a.hold(p) {
@@ -99,7 +99,7 @@
 	return a.w.Write(p)
 }
 
-// hold holds a part of the answer, if it is not yet its turn and there is room.
+// hold holds a part of the answer if its turn has not come yet and there is space.
 func (a *answer) hold(p []byte) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// maxPending bounds what is read of a connection beyond the request that is served, in
-	// bytes. A client that has sent more is seen to leave only when its request is answered.
+	// maxPending bounds, in bytes, what is read of a connection beyond the request that is
+	// being served. That a client has left is not detected before its request is answered if
+	// the client has sent more.
 	maxPending = 16 << 10
-	// readSize is how much is read at a time of a connection that carries further requests, in bytes.
+	// readSize is how many bytes are read at a time from a connection that carries further
+	// requests.
 	readSize = 4 << 10
 	// maxAhead bounds the requests of a connection that are served ahead.
 	maxAhead = 8
 )
 
-// Conn is a client's connection as net/http reads it. Reads hand out no byte of a request before
-// the one in front of it is read whole.
+// Conn is a client's connection as net/http reads it. Reads return no byte of a request before
+// the previous one has been read whole.
 type Conn struct {
 	net.Conn
 	handler *Handler
@@ -30,14 +32,14 @@
 
 	mu      sync.Mutex
 	framing framing
-	// pending has come behind the request that is read or served; the requests in its first
-	// started bytes are served ahead, and stand in ahead in their order.
+	// pending holds the bytes that follow the request being read or served. The requests in
+	// its first started bytes are served ahead; their answers are in ahead, in order.
 	pending []byte
 	started int
 	ahead   []*answer
-	// aheadAllowed: those behind the request that is served may be served too.
+	// aheadAllowed is set if requests after the one being served may be served too.
 	aheadAllowed bool
-	// failure ended the connection's stream.
+	// failure is the error that ended the connection's stream.
 	failure error
 }
 
@@ -49,7 +51,7 @@
 	return c.Conn.Close()
 }
 
-// cancelAhead ends what is served ahead.
+// cancelAhead cancels the requests that are served ahead.
 func (c *Conn) cancelAhead() {
 	c.cancel()
 	c.aheadAllowed = false
@@ -57,8 +59,8 @@
 	c.ahead = nil
 }
 
-// CloseWrite ends what is written, before the connection is closed: a client may still be sending
-// and must not lose its answer to a reset. net/http looks for this method.
+// CloseWrite closes the writing side before the connection is closed, since a client that is
+// still sending must not lose its answer to a reset. net/http looks for this method.
 func (c *Conn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
@@ -75,8 +77,8 @@
 	case failure != nil:
 		return 0, failure
 	case len(p) == 1 && isBetween:
-		// Only its look-out for a client that leaves reads a single byte there; what begins a
-		// request reads as much as fits its buffer.
+		// net/http reads a single byte here only to detect that the client leaves; to begin a
+		// request it reads as much as fits its buffer.
 		return c.watchForClose(p)
 	case held > 0:
 		return c.handOut(p), nil
@@ -85,7 +87,8 @@
 	return c.keepPending(p[:n]), c.noteError(err)
 }
 
-// keepPending keeps what lies behind the request that has come, and returns how much that one has.
+// keepPending stores the bytes that follow the current request, and returns how many belong to
+// it.
 func (c *Conn) keepPending(data []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +99,7 @@
 	return own
 }
 
-// handOut hands out what is pending of the next request.
+// handOut returns pending bytes of the next request.
 func (c *Conn) handOut(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +110,8 @@
 	return n
 }
 
-// watchForClose reads until the client leaves, or until net/http stops it by a deadline. It returns a
-// byte only when no more may be held.
+// watchForClose reads until the client leaves, or until net/http stops it by a deadline. It
+// returns a byte only when no more may be held.
 func (c *Conn) watchForClose(p []byte) (int, error) {
 	chunk := p
 	for {
@@ -132,7 +135,8 @@
 	}
 }
 
-// noteError keeps an error that ends the stream, and returns it. A deadline does not end it.
+// noteError stores an error that ends the stream, and returns it. An exceeded deadline does
+// not end the stream.
 func (c *Conn) noteError(err error) error {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.mu.Lock()
@@ -148,7 +152,7 @@
 // Serving ahead
 // ----------------------------------------------------------------
 
-// allowAhead lets requests behind the one that is served be served too; shut ends that.
+// allowAhead lets requests after the one being served be served too; forbidAhead ends that.
 func (c *Conn) allowAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +166,8 @@
 	c.aheadAllowed = false
 }
 
-// startAhead serves the requests that have come whole, up to the first that may not be served
-// ahead.
+// startAhead starts serving the requests that have arrived whole, up to the first that may not
+// be served ahead.
 func (c *Conn) startAhead() {
 	for c.aheadAllowed && len(c.ahead) < maxAhead {
 		head := nextHead(c.pending[c.started:])
@@ -188,7 +192,7 @@
 	}
 	a := c.ahead[0]
 	if !a.isTo(r) {
-		// net/http has read another request than framing has found.
+		// net/http has read a different request than framing has found.
 		c.handler.Count("pipeline.mismatch")
 		c.cancelAhead()
 		return nil
--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// serve serves connections through Conn with a handler, until the test ends.
+// serve serves connections through Conn with a handler until the test ends.
 func serve(t *testing.T, handler http.HandlerFunc) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -54,8 +54,8 @@
 	return c
 }
 
-// TestMoreThanIsHeldIsServedAll: a client that sends more requests than are held behind the one
-// that is served gets an answer to each, in order.
+// TestMoreThanIsHeldIsServedAll checks that a client that sends more requests than are held
+// after the one being served gets an answer to each, in order.
 func TestMoreThanIsHeldIsServedAll(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -83,8 +83,8 @@
 	is.Equal(got, requests)
 }
 
-// TestEarlyAnswerIsNotLostToAReset: an answer that is sent while the client still sends its body
-// reaches it.
+// TestEarlyAnswerIsNotLostToAReset checks that an answer that is sent while the client is
+// still sending its body reaches the client.
 func TestEarlyAnswerIsNotLostToAReset(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -99,7 +99,8 @@
 	is.True(strings.HasPrefix(string(answer), "HTTP/1.1 413"))
 }
 
-// TestAnswersComeInOrder: whatever takes how long, and however long its answer is.
+// TestAnswersComeInOrder checks that answers come in order, however long each takes and
+// whatever its size.
 func TestAnswersComeInOrder(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -107,7 +108,7 @@
 		var wait, size int
 		_, err := fmt.Sscanf(r.Header.Get("Want"), "%d %d", &wait, &size)
 		if err != nil {
-			http.Error(w, "what is wanted cannot be read", http.StatusBadRequest)
+			http.Error(w, "malformed header Want", http.StatusBadRequest)
 			return
 		}
 		time.Sleep(time.Duration(wait) * time.Millisecond)
@@ -138,7 +139,8 @@
 	}
 }
 
-// TestAbortedAnswerEndsItsConnection: those in front of it are answered whole, those behind are not.
+// TestAbortedAnswerEndsItsConnection checks that requests before the aborted one are answered
+// whole and those after it are not answered.
 func TestAbortedAnswerEndsItsConnection(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/pkg/pipeline/framing.go
+++ b/pkg/pipeline/framing.go
@@ -6,27 +6,29 @@
 	"strings"
 )
 
-// maxHeader bounds a header that is looked at here, in bytes. The server has its own limit.
+// maxHeader is the size in bytes up to which a header is parsed here. The server has its own
+// limit.
 const maxHeader = 64 << 10
 
-// framing follows where the requests of a connection begin and end. It takes a form only where there
-// is no doubt about it; what a connection carries from the first doubt on is not looked at.
+// framing tracks where the requests of a connection begin and end. It accepts only unambiguous
+// framing; from the first ambiguity on, the rest of the connection is not parsed.
 type framing struct {
-	// head is the part of a header that has come.
+	// head is the part of a header that has arrived.
 	head []byte
 	// bodyLeft is how many bytes of the request's body are still to come.
 	bodyLeft int64
-	// opaque: the ends of requests are not known any more.
+	// opaque is set once the ends of requests are no longer known.
 	opaque bool
 }
 
-// isBetween reports whether the last request has come whole and nothing of the next one has.
+// isBetween reports whether the last request has arrived whole and nothing of the next one
+// has.
 func (f *framing) isBetween() bool {
 	return !f.opaque && f.bodyLeft == 0 && len(f.head) == 0
 }
 
-// advance takes bytes as they come, and returns how many of them belong to the request that they
-// continue or begin. The rest belongs to later requests, and is to be given again.
+// advance processes bytes as they arrive, and returns how many belong to the request that they
+// continue or begin. The rest belongs to later requests and must be passed in again.
 func (f *framing) advance(data []byte) int {
 	if f.opaque {
 		return len(data)
@@ -43,7 +45,7 @@
 	return taken + int(part)
 }
 
-// advanceHeader takes bytes of a advanceHeader, and returns how many there were.
+// advanceHeader processes bytes of a header, and returns how many there were.
 func (f *framing) advanceHeader(data []byte) int {
 	before := len(f.head)
 	head := data
@@ -69,7 +71,7 @@
 	return end - before
 }
 
-// headerEnd returns the length of a header with its empty line, -1 if it has not come whole.
+// headerEnd returns the length of a header including its empty line, -1 if it is incomplete.
 func headerEnd(data []byte) int {
 	i := bytes.Index(data, []byte("\r\n\r\n"))
 	if i < 0 {
@@ -78,8 +80,8 @@
 	return i + 4
 }
 
-// bodyLength returns the length of the body that a header announces. It is not ok if there may be
-// another reading of it, or if only the body tells.
+// bodyLength returns the length of the body that a header announces. ok is false if the header
+// can be read in another way, or if only the body determines the length.
 func bodyLength(head []byte) (length int64, ok bool) {
 	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n\r\n"), "\r\n")
 	if lines[0] == "" {
--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -13,7 +13,7 @@
 	post = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nGET /"
 )
 
-// split returns the requests of a stream that comes in pieces of some sizes.
+// split returns the requests of a stream that arrives in pieces of the given sizes.
 func split(stream string, size func() int) []string {
 	f := &framing{}
 	var requests []string
@@ -34,7 +34,8 @@
 	return requests
 }
 
-// TestRequestsAreToldApart: wherever packets end, a request ends where the next one begins.
+// TestRequestsAreToldApart checks that a request ends where the next one begins, wherever
+// packets end.
 func TestRequestsAreToldApart(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -45,7 +46,7 @@
 	}
 }
 
-// TestDoubtfulFramingIsLeftAlone: where a request may be read in two ways, nothing behind it is
+// TestDoubtfulFramingIsLeftAlone checks that nothing after a request with ambiguous framing is
 // taken for another request.
 func TestDoubtfulFramingIsLeftAlone(t *testing.T) {
 	for _, doubtful := range []string{
--- a/pkg/pipeline/pipeline.go
+++ b/pkg/pipeline/pipeline.go
@@ -1,11 +1,12 @@
-// Package pipeline serves requests that clients send before the answer to the one before has come.
+// Package pipeline serves pipelined requests: those that a client sends before the previous
+// one has been answered.
 //
-// net/http serves a connection's requests one after the other, and notices a client's leaving by
-// reading one byte behind the request that it serves. If that byte belongs to a next request, it
-// looks no further. Conn reads on in its place, so that a client's leaving ends its requests
-// whatever it has sent behind them; and requests that may be repeated are served at the same time,
-// so that none waits for the servers of those in front of it. net/http reads them as ever, and
-// gets their answers in its order.
+// net/http serves the requests of a connection one after the other, and detects that a client
+// has left by reading one byte past the request that it serves. If that byte belongs to
+// another request, it reads no further. Conn continues reading in its place, so that a
+// client's requests are cancelled when it leaves, whatever it has sent after them. Requests
+// that may be repeated are also served concurrently, so that none waits for the servers of
+// earlier ones. net/http still reads the requests, and receives their answers, in order.
 package pipeline
 
 import (
@@ -17,12 +18,12 @@
 	"sync/atomic"
 )
 
-// Handler serves the requests of wrapped connections. All fields are needed.
+// Handler serves the requests of wrapped connections. All fields are required.
 type Handler struct {
 	// Next serves a request.
 	Next http.Handler
-	// MayServeAhead reports whether a request may be served while those in front of it are, and
-	// those behind it while it is.
+	// MayServeAhead reports whether a request may be served while earlier ones are still being
+	// served, and later ones while it is.
 	MayServeAhead func(r *http.Request) bool
 	// Count counts an event.
 	Count func(name string)
@@ -30,7 +31,8 @@
 	running atomic.Int64
 }
 
-// Running returns how many requests are served ahead of the one that their connection answers.
+// Running returns how many requests are being served ahead of the one that their connection is
+// answering.
 func (h *Handler) Running() int64 { return h.running.Load() }
 
 // Wrap wraps a client's connection before net/http serves it.
@@ -41,7 +43,8 @@
 
 type connKey struct{}
 
-// ConnContext gives requests their connection; it is for http.Server's field of that name.
+// ConnContext adds the connection to the context of its requests. It is meant for the field of
+// http.Server of that name.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
@@ -65,16 +68,16 @@
 	h.Next.ServeHTTP(w, r)
 }
 
-// isPlain reports whether a request has no body and leaves its connection as it is.
+// isPlain reports whether a request has no body and does not change its connection.
 func isPlain(r *http.Request) bool {
 	return r.Method == http.MethodGet && r.ContentLength == 0 && r.ProtoAtLeast(1, 1) && !r.Close && r.Host != "" && r.Header.Get("Expect") == ""
 }
 
-// begin serves a request ahead. It returns nil if it may not be.
+// begin starts serving a request ahead. It returns nil if the request may not be served ahead.
 func (h *Handler) begin(ctx context.Context, head []byte) *answer {
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil || !isPlain(r) || !h.MayServeAhead(r) {
-		// net/http says what is wrong with it.
+		// net/http reports what is wrong with the request.
 		return nil
 	}
 	h.running.Add(1)
@@ -84,8 +87,8 @@
 	return a
 }
 
-// nextHead returns the header of a request without a body that data begins with, nil if there is
-// none or not all of it.
+// nextHead returns the header of a request without a body at the start of data, nil if there
+// is none or it is incomplete.
 func nextHead(data []byte) []byte {
 	f := &framing{}
 	n := f.advance(data)
