--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -1,11 +1,10 @@
 // Package exchange sends one request over one connection and reads one answer.
 //
-// It is the layer that knows what can be said of a request that failed: an
-// *Error tells whether any byte of the request was handed to the network. It
-// never sends anything twice. A connection carries one exchange at a time and
-// is used again only if that exchange ended whole on both sides; a timeout, a
-// cancellation or a fault of framing closes it, so a late answer can never be
-// taken for the answer to another request.
+// It determines what is known of a failed request: an *Error states whether any byte of the
+// request was handed to the network. Package exchange never sends anything twice. A connection
+// carries one exchange at a time and is reused only if that exchange was completed on both
+// sides. A timeout, a cancellation or a framing error closes it, so that a late answer can
+// never be taken for the answer to another request.
 package exchange
 
 import (
@@ -22,7 +21,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Stage is how far an exchange had come when it failed.
+// Stage is the stage of an exchange at which it failed.
 type Stage string
 
 // The stages of an exchange.
@@ -33,7 +32,7 @@
 	StageBody    Stage = "body"
 )
 
-// Error is an exchange that failed.
+// Error is the error of a failed exchange.
 type Error struct {
 	Stage Stage
 	// Sent is true if any byte of the request may have left this process.
@@ -49,8 +48,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// ClosedUnanswered reports whether an exchange failed since the other side closed the
-// connection, or reset it, without a byte of an answer.
+// ClosedUnanswered reports whether an exchange failed because the peer closed or reset the
+// connection without sending a byte of an answer.
 func ClosedUnanswered(err error) bool {
 	var x *Error
 	if !errors.As(err, &x) || x.Stage != StageHeader {
@@ -59,51 +58,52 @@
 	return errors.Is(x.Cause, io.EOF) || errors.Is(x.Cause, syscall.ECONNRESET) || errors.Is(x.Cause, syscall.EPIPE)
 }
 
-// FramingError says that an answer's body does not fit its framing.
+// FramingError is the error of an answer's body that does not match its framing.
 type FramingError struct {
 	Detail string
 }
 
 // Error implements error.
-func (e *FramingError) Error() string { return "framing: " + e.Detail }
+func (e *FramingError) Error() string { return "answer body does not match its framing: " + e.Detail }
 
 // Request is a request to send.
 type Request struct {
-	// Header has its body framing set by Do.
+	// Header is the request's header. Do sets its body framing.
 	Header *fasthttp.RequestHeader
-	// Body is the whole body; or Stream is, with its Length, -1 if unknown.
+	// Body is the whole body. Alternatively, Stream is the body and Length its length, -1 if
+	// unknown.
 	Body   []byte
 	Stream io.Reader
 	Length int
-	// AbortStream makes a Read of Stream return at once; it is called when
-	// the exchange ends before the whole stream was sent.
+	// AbortStream makes a Read of Stream return at once. It is called when the exchange ends
+	// before the whole stream was sent.
 	AbortStream func()
-	// MaxIdle is the longest time for which a connection that is used again
-	// may have been idle. The other side may just be closing it.
+	// MaxIdle is the longest time for which a reused connection may have been idle. The peer
+	// may be about to close it.
 	MaxIdle time.Duration
-	// NonIdempotent: the request may run only once, so that it must not meet a
-	// connection that the peer has closed without a word; see IdleLimit.
+	// NonIdempotent is set if the request may run only once, so that it must not be sent on a
+	// connection that the peer has closed without notice; see IdleLimit.
 	NonIdempotent bool
-	// Match reports whether an answer belongs to this request; nil takes any.
-	// An answer that does not is read to its end and left out.
+	// Match reports whether an answer belongs to this request; nil accepts any. An answer that
+	// does not match is read to its end and discarded.
 	Match func(*fasthttp.ResponseHeader) bool
-	// MaySend reports whether the request is still to be sent, once there is a
-	// connection, which may have taken a while; nil means that it is.
+	// MaySend reports, once there is a connection, whether the request may still be sent,
+	// since connecting may have taken a while; nil means that it may.
 	MaySend func() bool
 }
 
-// WithdrawnError says that a request was no longer to be sent.
+// WithdrawnError is the error of a request that was no longer to be sent.
 type WithdrawnError struct{}
 
 // Error implements error.
-func (e *WithdrawnError) Error() string { return "no longer to be sent" }
+func (e *WithdrawnError) Error() string { return "request was withdrawn before it was sent" }
 
 // Answer is an answer whose header has been read.
 type Answer struct {
 	Header fasthttp.ResponseHeader
 	// Body must be read to its end or closed.
 	Body io.ReadCloser
-	// Length is the body's length, -1 if it is not known before its end.
+	// Length is the body's length, -1 if it is unknown before the body's end.
 	Length int
 	// Reused is true if the connection had carried an exchange before.
 	Reused bool
@@ -114,15 +114,14 @@
 	Address string
 	// Dial opens a connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// MaxIdleConns bounds the connections kept for another exchange.
+	// MaxIdleConns bounds the idle connections that are kept for reuse.
 	MaxIdleConns int
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Idle learns for how long connections may rest; nil learns nothing.
+	// Idle learns for how long connections may be idle; nil learns nothing.
 	Idle *IdleLimit
-	// Reusable reports whether a connection may carry another exchange after
-	// one that ended so; Quiet whether it is still fit for it later. Both are
-	// seams for tests.
+	// Reusable reports whether a connection may carry another exchange after one that ended
+	// like this; StillUsable whether it is still fit for that later. Tests replace both.
 	Reusable    func(End) bool
 	StillUsable func(net.Conn) bool
 
@@ -131,15 +130,15 @@
 	closed bool
 }
 
-// End is how an exchange ended, as far as its connection is concerned.
+// End is how an exchange ended with respect to its connection.
 type End struct {
-	// Complete: request and answer both went through to their last byte.
+	// Complete is set if request and answer were both transferred to their last byte.
 	Complete bool
-	// CloseAnnounced: the other side announced that it closes.
+	// CloseAnnounced is set if the peer announced that it closes the connection.
 	CloseAnnounced bool
-	// Interrupted: the context ended before the exchange did.
+	// Interrupted is set if the context ended before the exchange did.
 	Interrupted bool
-	// Leftover: bytes followed the answer that nobody asked for.
+	// Leftover is set if unexpected bytes followed the answer.
 	Leftover bool
 }
 
@@ -147,7 +146,7 @@
 	return e.Complete && !e.CloseAnnounced && !e.Interrupted && !e.Leftover
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(address string, maxIdle int, dial func(ctx context.Context, address string) (net.Conn, error)) *Pool {
 	return &Pool{
 		Address:      address,
@@ -166,19 +165,20 @@
 	w         *bufio.Writer
 	written   int64
 	idleSince time.Time
-	// keepAlive is for how long the other side keeps the connection idle, 0
-	// if it did not say.
+	// keepAlive is for how long the peer keeps the connection idle, 0 if it did not state
+	// that.
 	keepAlive time.Duration
-	// reused: it has carried an exchange before, and then rested for rested.
+	// reused is set if the connection has carried an exchange before; idleFor is for how long
+	// it was then idle.
 	reused  bool
 	idleFor time.Duration
 }
 
-// keepAliveMargin is how much sooner than the other side this side gives an
-// idle connection up, so that no request meets its closing.
+// keepAliveMargin is how much earlier than the peer this side closes an idle connection, so
+// that no request is sent on a connection that the peer is closing.
 const keepAliveMargin = time.Second
 
-// fresh reports whether the connection may be used again after its idle time.
+// fresh reports whether the connection has been idle for a short enough time to be reused.
 func (c *connection) fresh(now time.Time, maxIdle time.Duration) bool {
 	idle := now.Sub(c.idleSince)
 	if c.keepAlive > 0 && idle > c.keepAlive-keepAliveMargin {
@@ -194,18 +194,19 @@
 	return n, err
 }
 
-// reset closes the connection and drops what it still holds. A cut link may hold a
-// request for seconds, and a connection that is only closed delivers it when the cut has
-// healed: to a server that has left meanwhile, long after its leaving was known.
+// reset closes the connection and discards what it has not sent yet. During a network
+// partition a connection may hold a request for seconds. If the connection is only closed, the
+// request is delivered when the partition heals, to a server that has left meanwhile, long
+// after it was known to leave.
 func (c *connection) reset() {
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		// A connection that is closed already has nothing to drop.
+		// A connection that is already closed has nothing to discard.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Conn.Close()
 }
 
-// Close closes the pool's idle connections; those in use close at their end.
+// Close closes the pool's idle connections. Those in use are closed when their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -239,8 +240,8 @@
 	return newConnection(conn), nil
 }
 
-// Probe opens a connection and keeps it for another exchange. The error says why none came
-// up.
+// Probe opens a connection and keeps it for another exchange. The error states why the
+// connection failed.
 func (p *Pool) Probe(ctx context.Context) error {
 	conn, err := p.Dial(ctx, p.Address)
 	if err != nil {
--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// body reads an answer's body and checks it against its framing: an end that
-// comes too early is an error, never io.EOF.
+// body reads an answer's body and checks it against its framing: a premature end is an error,
+// never io.EOF.
 type body struct {
 	trip   *roundTrip
 	left   int64
 	chunks io.Reader
-	// untilClose: the body ends with its connection.
+	// untilClose is set if the body ends when its connection is closed.
 	untilClose bool
 	complete   bool
 	failure    error
@@ -76,7 +76,7 @@
 	return n, nil
 }
 
-// readTrailer reads the lines after the last chunk up to the empty one.
+// readTrailer reads the lines after the last chunk up to the empty line.
 func (b *body) readTrailer() error {
 	for {
 		line, err := b.trip.conn.r.ReadString('\n')
@@ -103,7 +103,7 @@
 	return b.failure
 }
 
-// Close gives up what has not been read.
+// Close discards what has not been read.
 func (b *body) Close() error {
 	b.trip.end(b.complete)
 	return nil
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -13,16 +13,16 @@
 	"github.com/valyala/fasthttp"
 )
 
-// past is a deadline that ends all reading and writing at once.
+// past is a deadline that makes all reads and writes return at once.
 var past = time.Unix(1, 0)
 
-// noDeadline lifts a deadline.
+// noDeadline removes a deadline.
 var noDeadline time.Time
 
 // Do sends the request and reads the answer's header. The error is an *Error.
 //
-// The context bounds the whole exchange with its body; when it ends, the
-// connection is closed, which tells the other side that nobody waits.
+// The context bounds the whole exchange including the body. When it ends, the connection is
+// closed, which tells the peer that nobody is waiting for the answer.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &Error{Stage: StageConnect, Cause: err}
@@ -56,23 +56,24 @@
 	return answer, nil
 }
 
-// roundTrip is an exchange on its way.
+// roundTrip is an exchange in progress.
 type roundTrip struct {
 	pool       *Pool
 	conn       *connection
 	ctx        context.Context
 	stop       func() bool
 	closeAsked bool
-	// abort makes a streamed body's reader return.
+	// abort makes the reader of a streamed body return.
 	abort func()
-	// sending runs while a streamed body is sent; sentWhole is set at its end.
+	// sending runs while a streamed body is sent; sentWhole is set once it has been sent
+	// whole.
 	sending   conc.WaitGroup
 	streamed  bool
 	sentWhole atomic.Bool
 	ended     bool
 }
 
-// interrupt makes all reading and writing of the exchange return.
+// interrupt makes all reads and writes of the exchange return.
 func (x *roundTrip) interrupt() {
 	_ = x.conn.SetDeadline(past)
 	x.abort()
@@ -80,7 +81,7 @@
 
 func (x *roundTrip) start(req *Request) (*Answer, *Error) {
 	if err := contextError(x.ctx); err != nil {
-		// The process may have stood still since the connection was taken.
+		// The process may have been paused since the connection was taken.
 		return nil, &Error{Stage: StageSend, Cause: err}
 	}
 	if err := x.send(req); err != nil {
@@ -96,8 +97,8 @@
 	return answer, nil
 }
 
-// contextError returns why the context has contextError, nil if it has not. In a process that
-// wakes from a freeze, a context may not have noticed that its time is over.
+// contextError returns why the context has ended, nil if it has not. After a pause of the
+// process, a context may not have noticed yet that its deadline has passed.
 func contextError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// keepAliveOf returns the idle time that the other side announces, or 0.
+// keepAliveOf returns the idle time that the peer announces, 0 if it announces none.
 func keepAliveOf(h *fasthttp.ResponseHeader) time.Duration {
 	_, rest, found := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
 	if !found {
@@ -122,8 +123,8 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// cause prefers the reason for which the context ended over the error that it
-// made the connection return.
+// cause returns the error of the context if the context has ended, since that made the
+// connection return err.
 func (x *roundTrip) cause(err error) error {
 	if ctxErr := x.ctx.Err(); ctxErr != nil {
 		return ctxErr
@@ -161,11 +162,11 @@
 	return nil
 }
 
-// sendStream sends a body while the answer is awaited, since a backend server
-// may refuse an upload without reading it.
+// sendStream sends a body while the answer is awaited, since a backend server may refuse an
+// upload without reading it.
 func (x *roundTrip) sendStream(req *Request) {
 	if err := x.copyStream(req); err != nil {
-		// Half a request is on its way; only closing tells the other side.
+		// Part of the request is already sent; only closing the connection informs the peer.
 		_ = x.conn.SetDeadline(past)
 		return
 	}
@@ -211,17 +212,17 @@
 	}
 }
 
-// maxMismatches bounds the answers to other requests that are left out.
+// maxMismatches bounds the answers to other requests that are discarded.
 const maxMismatches = 4
 
-// MismatchError says that only answers to other requests came.
+// MismatchError is the error of an exchange that received only answers to other requests.
 type MismatchError struct{}
 
 // Error implements error.
-func (e *MismatchError) Error() string { return "the answers belong to other requests" }
+func (e *MismatchError) Error() string { return "received only answers to other requests" }
 
-// readOwnHeader reads up to the header of the answer to this request. An
-// answer that came too late for the request before may stand in its place.
+// readOwnHeader reads up to the header of the answer to this request. A late answer to the
+// previous request may precede it.
 func (x *roundTrip) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
 	for range maxMismatches {
 		if err := x.readHeader(h); err != nil {
@@ -237,8 +238,8 @@
 	return &MismatchError{}
 }
 
-// skipBody reads the body of an answer to another request. A body that ends
-// with its connection leaves no room for another answer.
+// skipBody reads the body of an answer to another request. After a body that ends when its
+// connection is closed, no other answer can follow.
 func (x *roundTrip) skipBody(h *fasthttp.ResponseHeader) error {
 	switch length := h.ContentLength(); {
 	case length >= 0:
@@ -272,25 +273,25 @@
 		a.Length = -1
 		a.Body = &body{trip: x, chunks: httputil.NewChunkedReader(x.conn.r)}
 	default:
-		// The end of the connection is the end of the body; a reset is not.
+		// The body ends when the connection is closed; a reset is an error.
 		a.Length = -1
 		a.Body = &body{trip: x, untilClose: true}
 		x.closeAsked = true
 	}
 }
 
-// end gives the connection back, or closes it if the exchange is not whole.
-// It returns only when the sender no longer reads the request's stream.
+// end returns the connection to the pool, or closes it if the exchange is incomplete. It
+// returns only when the sender no longer reads the request's stream.
 func (x *roundTrip) end(whole bool) {
 	if x.ended {
 		return
 	}
 	x.ended = true
-	// If the context has already ended, its function may yet set a deadline.
+	// If the context has already ended, interrupt may still set a deadline.
 	interrupted := !x.stop()
 	if x.streamed {
 		if !x.sentWhole.Load() {
-			// Answered before the whole request was sent, or failed.
+			// The answer came before the whole request was sent, or the exchange failed.
 			whole = false
 			x.interrupt()
 		}
--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// scriptedConn is a connection that answers what it was given, and fails to write
-// after so many bytes.
+// scriptedConn is a connection that returns the given answer, and fails writes after a given
+// number of bytes.
 type scriptedConn struct {
 	net.Conn
 	answer io.Reader
@@ -63,8 +63,8 @@
 	return &Request{Header: h, Body: []byte(body), MaxIdle: time.Minute}
 }
 
-// TestOutcomeByBytesSent: Sent is false only if not one byte left, however far
-// the writing came.
+// TestOutcomeByBytesSent checks that Sent is false only if not a single byte was sent,
+// wherever the write failed.
 func TestOutcomeByBytesSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		room := rapid.IntRange(0, 20_000).Draw(t, "room")
@@ -76,10 +76,10 @@
 			t.Fatalf("%v", err)
 		}
 		if failure.Sent != (c.wrote > 0) {
-			t.Fatalf("sent=%t after %d bytes", failure.Sent, c.wrote)
+			t.Fatalf("sent=%t after %d bytes were written", failure.Sent, c.wrote)
 		}
 		if !c.closed {
-			t.Fatal("a connection with half a request on it is kept")
+			t.Fatal("a connection with an incomplete request is kept")
 		}
 	})
 }
@@ -103,7 +103,7 @@
 	is.Equal(c.wrote, 0)
 }
 
-// neverEnding is a context without an end of its own.
+// neverEnding is a context that never ends by itself.
 type neverEnding struct{ context.Context }
 
 func (neverEnding) Deadline() (time.Time, bool) { return time.Time{}, false }
@@ -111,16 +111,15 @@
 func (neverEnding) Err() error                  { return nil }
 func (neverEnding) Value(any) any               { return nil }
 
-// lateContext is a context whose end is not noticed yet, as in a process that
-// wakes from a freeze before its timers have run.
+// lateContext is a context that has not noticed its end yet, as in a process that resumes
+// after a pause before its timers have run.
 type lateContext struct{ context.Context }
 
 func (lateContext) Err() error            { return nil }
 func (lateContext) Done() <-chan struct{} { return nil }
 
-// FuzzAnswer: whatever bytes come, an answer that is read to its end has the
-// length that was announced, and a connection is kept only after such a one
-// with nothing behind it.
+// FuzzAnswer checks that, for any received bytes, an answer read to its end has the announced
+// length, and that a connection is kept only after such an answer with nothing following it.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n\r\n"))
@@ -135,26 +134,26 @@
 		answer, err := pool.Do(context.Background(), newRequest(""))
 		if err != nil {
 			if !c.closed {
-				t.Fatal("kept after a failure")
+				t.Fatal("connection kept after a failure")
 			}
 			return
 		}
 		got, err := io.ReadAll(answer.Body)
 		_ = answer.Body.Close()
 		if err == nil && answer.Length >= 0 && len(got) != answer.Length {
-			t.Fatalf("%d bytes of %d make a whole answer", len(got), answer.Length)
+			t.Fatalf("read %d bytes without an error, the announced length is %d", len(got), answer.Length)
 		}
 		if err != nil && !c.closed {
-			t.Fatal("kept after a body that broke off")
+			t.Fatal("connection kept after a truncated body")
 		}
 		if !c.closed && (answer.Length < 0 && answer.Header.ContentLength() != -1) {
-			t.Fatal("kept after an answer that ends with its connection")
+			t.Fatal("connection kept after an answer that ends when its connection is closed")
 		}
 	})
 }
 
-// TestForgottenConnectionsShortenTheRest: after a connection that was found
-// forgotten, a request that may run only once uses none that rested as long.
+// TestForgottenConnectionsShortenTheRest checks that once the peer has closed an idle
+// connection, a request that may run only once uses no connection that has been idle as long.
 func TestForgottenConnectionsShortenTheRest(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -165,7 +164,7 @@
 	pool := NewPool(l.Addr().String(), 4, func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	})
-	// The other side's end is not seen before the next request is sent.
+	// The close by the peer is not detected before the next request is sent.
 	pool.StillUsable = func(net.Conn) bool { return true }
 	pool.Idle = NewIdleLimit(time.Now)
 	failed := 0
@@ -180,7 +179,7 @@
 		_, _ = io.ReadAll(answer.Body)
 		time.Sleep(250 * time.Millisecond)
 	}
-	is.Equal(failed, 1) // the first that met one; then they are not used
+	is.Equal(failed, 1) // the first one that was sent on a closed connection; later ones avoid them
 }
 
 func TestIdleLimit(t *testing.T) {
@@ -192,7 +191,7 @@
 	is.Equal(l.Cap(4*time.Second), 4*time.Second)
 	l.ObserveClosed(time.Second)
 	is.Equal(l.Cap(4*time.Second), 500*time.Millisecond)
-	l.ObserveClosed(3 * time.Second) // says nothing new
+	l.ObserveClosed(3 * time.Second) // does not change the limit
 	is.Equal(l.Cap(4*time.Second), 500*time.Millisecond)
 	l.ObserveClosed(time.Millisecond)
 	is.Equal(l.Cap(4*time.Second), minCap)
@@ -204,7 +203,7 @@
 	is.Equal(none.Cap(time.Second), time.Second)
 }
 
-// idleClosingServer is a server that closes connections that rest.
+// idleClosingServer is a server that closes idle connections.
 type idleClosingServer struct{ idleTimeout time.Duration }
 
 func (s *idleClosingServer) serve(l net.Listener) {
@@ -228,23 +227,22 @@
 	}
 }
 
-// The story. An availability zone was cut off. A box passed a request on to a server beyond the
-// cut, gave it up at its client's deadline, 0.8 s later, and closed the connection. When the cut
-// had healed the request arrived, 8 s after it was sent; the server had left meanwhile.
-//
-// The cause: a connection that is closed still delivers what it holds; only one that is reset
-// drops it. The kernel's time-out for unacknowledged bytes, 1.5 s, does not end a connection
-// that was closed before. The evidence: the log of the box ends the request at 0.8 s; the
-// server ran it 3.4 s after the cut had healed, when the kernel sent it once more.
+// A connection that is closed still delivers what it holds; only one that is reset discards
+// it. During a cut of an availability zone, a box sent a request to a server beyond the cut,
+// abandoned it at the client's deadline 0.8 s later and closed the connection. The kernel's
+// timeout for unacknowledged bytes, 1.5 s, does not apply to a connection that was closed
+// before. The kernel sent the request once more 3.4 s after the cut had healed, 8 s after it
+// was first sent, and the server, which had left meanwhile, ran it.
 
-// TestExchangeThatIsGivenUpIsReset: nothing of it is delivered later.
+// TestExchangeThatIsGivenUpIsReset checks that nothing of an abandoned exchange is delivered
+// later.
 func TestExchangeThatIsGivenUpIsReset(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		end    func(cancel context.CancelFunc)
 		answer string
 	}{
-		{"the time is over", func(context.CancelFunc) {}, ""},
+		{"the deadline passes", func(context.CancelFunc) {}, ""},
 		{"the client leaves", func(cancel context.CancelFunc) { cancel() }, ""},
 		{"the answer breaks off", func(context.CancelFunc) {}, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"},
 	} {
--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// Tuning of IdleLimit.
+// Parameters of IdleLimit.
 const (
-	// closeWithin is how soon after a request was sent its connection must break
-	// to count as one that the peer had closed without a word: the way to another
-	// region and back. A server that fails while it works takes longer as a
-	// rule.
+	// closeWithin is how soon after a request was sent its connection must fail for it to
+	// count as closed by the peer while idle: the round trip to another region. A server that
+	// fails while it processes a request usually takes longer.
 	closeWithin = 120 * time.Millisecond
-	// minIdle is how long a connection must have rested to be closed by the peer while idle.
+	// minIdle is how long a connection must have been idle to count as closed by the peer
+	// while idle.
 	minIdle = 100 * time.Millisecond
-	// capShare is which part of the idle time of a connection closed by the peer
-	// others may rest from then on.
+	// capShare is the share of the idle time of a connection closed by the peer for which
+	// other connections may be idle from then on.
 	capShare = 0.5
-	// capTTL is for how long a connection closed by the peer counts.
+	// capTTL is for how long a connection closed by the peer has an effect.
 	capTTL = 10 * time.Second
-	// minCap is the least that connections may rest.
+	// minCap is the lowest cap of the idle time of connections.
 	minCap = 50 * time.Millisecond
 )
 
-// IdleLimit learns for how long connections may rest. Peers close idle
-// connections without a word, now and then sooner than they said; a request
-// that may run only once and meets such a connection cannot be sent again.
-// Several pools may share a limit. A nil limit limits nothing.
+// IdleLimit learns for how long connections may be idle. Peers close idle connections without
+// notice, sometimes earlier than they announced. A request that may run only once and is sent
+// on such a connection cannot be sent again. Several pools may share a limit. A nil limit
+// limits nothing.
 type IdleLimit struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// OnChange is told of a limit that has changed, and after which rest a
-	// connection was closed by the peer.
+	// OnChange is called with a limit that has changed and with the idle time after which the
+	// peer closed a connection.
 	OnChange func(limit, rested time.Duration)
 
 	mu    sync.Mutex
@@ -42,12 +42,12 @@
 	until time.Time
 }
 
-// NewIdleLimit makes a limit that has learnt nothing.
+// NewIdleLimit returns a limit that has learnt nothing.
 func NewIdleLimit(now func() time.Time) *IdleLimit {
 	return &IdleLimit{Now: now, OnChange: func(_, _ time.Duration) {}}
 }
 
-// ObserveClosed notes a connection that was closed by the peer after it had rested.
+// ObserveClosed records a connection that the peer closed after it had been idle.
 func (l *IdleLimit) ObserveClosed(idle time.Duration) {
 	if l == nil {
 		return
@@ -67,8 +67,8 @@
 	l.until = now.Add(capTTL)
 }
 
-// Cap returns for how long a connection may have rested that otherwise may
-// have rested for the given time.
+// Cap returns for how long a connection may be idle that could otherwise be idle for the given
+// time.
 func (l *IdleLimit) Cap(most time.Duration) time.Duration {
 	if l == nil {
 		return most
@@ -81,8 +81,8 @@
 	return most
 }
 
-// closedByPeer reports whether the failure of an exchange is that of a connection
-// which the peer had closed without a word.
+// closedByPeer reports whether an exchange failed because the peer had closed the idle
+// connection without notice.
 func closedByPeer(c *connection, err *Error, took time.Duration) bool {
 	if !c.reused || c.idleFor < minIdle || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
 		return false
--- a/pkg/exchange/quiet.go
+++ b/pkg/exchange/quiet.go
@@ -7,8 +7,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// stillUsable reports whether an idle connection is open and has nothing to read.
-// A byte that nobody asked for makes a connection unfit as much as its end.
+// stillUsable reports whether an idle connection is open and has nothing to read. An
+// unexpected byte makes a connection unusable, as its end does.
 func stillUsable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -28,9 +28,9 @@
 	return err == nil && isQuiet
 }
 
-// WatchHangup calls hungUp once if the other side closes the connection while
-// the returned function has not been called. It does not consume any byte, and
-// gives up if the other side sends more. No read may be running meanwhile.
+// WatchHangup calls hungUp once if the peer closes the connection before the returned function
+// is called. It does not consume any byte, and stops watching if the peer sends more. No read
+// may be in progress meanwhile.
 func WatchHangup(c net.Conn, hungUp func()) (stop func()) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -53,8 +53,7 @@
 	}
 }
 
-// watchEnd waits for the connection to be readable and reports whether that
-// was its end.
+// watchEnd waits for the connection to become readable and reports whether it has ended.
 func watchEnd(raw syscall.RawConn) bool {
 	ended := false
 	err := raw.Read(func(fd uintptr) bool {
