--- a/pkg/linger/linger.go
+++ b/pkg/linger/linger.go
@@ -1,10 +1,10 @@
 // Package linger closes connections so that the last answer arrives.
 //
-// A box may refuse an upload before it has read it. If it then simply closed
-// the connection, the unread bytes would make the kernel send a reset, and the
-// reset can overtake the refusal: the caller would see a broken connection
-// ("unknown") in place of "not run". So the box ends its own direction first
-// and reads for a moment what the caller is still sending.
+// A box may refuse an upload before it has read it. If it then simply closed the connection,
+// the unread bytes would make the kernel send a reset, which can overtake the refusal. The
+// caller would see a broken connection ("unknown") instead of "not run". The box therefore
+// closes its writing side first and keeps reading for a moment what the caller is still
+// sending.
 package linger
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Timeout is how long a connection is read on after the last answer.
+// Timeout is how long a connection is read after the last answer.
 const Timeout = time.Second
 
-// Listener makes connections that can linger.
+// Listener accepts connections that can linger.
 type Listener struct {
 	*net.TCPListener
 	closing conc.WaitGroup
@@ -43,15 +43,15 @@
 	return &Conn{TCPConn: c, listener: l}, nil
 }
 
-// Conn is a connection that lingers if it was asked to.
+// Conn is a connection that lingers on Close if Enable was called for it.
 type Conn struct {
 	*net.TCPConn
 	listener *Listener
 	linger   atomic.Bool
 }
 
-// Enable makes the connection linger when it is closed; other connections than
-// this package's are left as they are.
+// Enable makes the connection linger when it is closed. It does nothing for connections of
+// other types.
 func Enable(c net.Conn) {
 	if own, ok := c.(*Conn); ok {
 		own.linger.Store(true)
