--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,9 +1,9 @@
-// Package outcome defines what a caller can be told about a request, and the
-// one table of reasons for anything but an answer.
+// Package outcome defines what a caller can be told about a request, and the table of reasons
+// for requests that were not answered.
 //
-// A caller needs to know exactly one thing when it got no answer: may it send
-// the request again? "Not run" says yes, and is said only if it is certain.
-// "Unknown" says that the request may have run.
+// A caller that got no answer needs to know exactly one thing: may it send the request again?
+// "Not run" means that it may, and is reported only if it is certain. "Unknown" means that the
+// request may have run.
 package outcome
 
 import (
@@ -16,15 +16,15 @@
 
 // The three outcomes.
 const (
-	// Answered: a backend server's whole answer is passed on.
+	// Answered means that a backend server's whole answer is passed on.
 	Answered Outcome = "answered"
-	// NotRun: no backend server ran the request.
+	// NotRun means that no backend server ran the request.
 	NotRun Outcome = "not-run"
-	// Unknown: a backend server may have run the request.
+	// Unknown means that a backend server may have run the request.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why a request was not answered; see Reasons for the list.
+// Reason is why a request was not answered; see Reasons for the list.
 type Reason string
 
 // The reasons. Each has a row in Reasons.
@@ -64,7 +64,7 @@
 	Meaning string
 }
 
-// Reasons is the one list of reasons, with the HTTP status each is sent with.
+// Reasons is the only list of reasons, with the HTTP status that each is sent with.
 var Reasons = []Row{
 	{ReasonBadRequest, 400, "the request or one of its headers is malformed"},
 	{ReasonTooLarge, 413, "the request's headers are larger than a box accepts"},
@@ -102,12 +102,12 @@
 	return m
 }()
 
-// Failure is a request's end without an answer. It is an error.
+// Failure is the error of a request that ended without an answer.
 type Failure struct {
 	Outcome Outcome
 	Reason  Reason
 	Detail  string
-	// RetryAfter is when it makes sense to come back; 0 if that is not known.
+	// RetryAfter is when the caller should retry; 0 if that is not known.
 	RetryAfter time.Duration
 }
 
@@ -124,17 +124,17 @@
 	return 500
 }
 
-// NewNotRun makes a failure that says the request was not run.
+// NewNotRun returns a failure that states that the request was not run.
 func NewNotRun(reason Reason, detail string) *Failure {
 	return &Failure{Outcome: NotRun, Reason: reason, Detail: detail}
 }
 
-// NewUnknown makes a failure that says the request may have run.
+// NewUnknown returns a failure that states that the request may have run.
 func NewUnknown(reason Reason, detail string) *Failure {
 	return &Failure{Outcome: Unknown, Reason: reason, Detail: detail}
 }
 
-// WithRetryAfter sets when to come back and returns the failure.
+// WithRetryAfter sets when the caller should retry and returns the failure.
 func (f *Failure) WithRetryAfter(d time.Duration) *Failure {
 	f.RetryAfter = d
 	return f
--- a/pkg/outcome/outcome_test.go
+++ b/pkg/outcome/outcome_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestReasonsAreDocumented keeps the callers' page in step with the table; run
+// TestReasonsAreDocumented checks that the callers' page lists the table of reasons. Run it
 // with UPDATE_DOCS=1 to rewrite the page.
 func TestReasonsAreDocumented(t *testing.T) {
 	is := is.New(t)
