--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -28,11 +28,11 @@
 	var last *outcome.Failure
 	for range maxTries {
 		if failure := c.outOfTime(); failure != nil {
-			return firstFailure(last, failure)
+			return preferLast(last, failure)
 		}
 		lease, failure := c.choose()
 		if failure != nil {
-			return firstFailure(last, failure)
+			return preferLast(last, failure)
 		}
 		failure = c.try(lease)
 		if failure == nil {
@@ -46,7 +46,7 @@
 	return last
 }
 
-func firstFailure(last, failure *outcome.Failure) *outcome.Failure {
+func preferLast(last, failure *outcome.Failure) *outcome.Failure {
 	if last != nil {
 		return last
 	}
