--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -187,17 +187,17 @@
 		return c.failed(lease, start, err)
 	}
 	c.sent++
-	verdict := s.Dialect.ReadAnswer(&answer.Header)
-	s.ObserveAnswer(&lease.Server, &verdict, start)
+	meta := s.Dialect.ReadAnswer(&answer.Header)
+	s.ObserveAnswer(&lease.Server, &meta, start)
 	switch {
-	case verdict.Stale, verdict.NotRun:
-		return c.rejected(lease, start, answer, verdict)
-	case answer.Header.StatusCode() < 300 && !verdict.Signed:
+	case meta.Stale, meta.NotRun:
+		return c.rejected(lease, start, answer, meta)
+	case answer.Header.StatusCode() < 300 && !meta.Signed:
 		_ = answer.Body.Close()
 		c.finish(lease, backend.Broken, nil, start, nil)
 		return outcome.NewUnknown(outcome.ReasonMalformed, "a successful answer without a signature")
 	}
-	return c.receive(lease, start, answer, verdict)
+	return c.receive(lease, start, answer, meta)
 }
 
 // rejected handles an answer that states that the backend server did not run the request.
