--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -201,18 +201,18 @@
 }
 
 // rejected handles an answer that states that the backend server did not run the request.
-func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
+func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, meta AnswerMeta) *outcome.Failure {
 	c.noteRefusal(answer)
 	// The body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 4<<10))
 	_ = answer.Body.Close()
 	result := backend.Shed
-	if verdict.Stale {
+	if meta.Stale {
 		result = backend.Stale
 	}
-	c.finish(lease, result, verdict.Load, start, nil)
+	c.finish(lease, result, meta.Load, start, nil)
 	failure := outcome.NewNotRun(outcome.ReasonShed, lease.ID)
-	if result == backend.Shed && verdict.Load.HasRoom() {
+	if result == backend.Shed && meta.Load.HasRoom() {
 		return failure.WithRetryAfter(c.server.Policy().ReturnRoom)
 	}
 	return failure.WithRetryAfter(c.spreadRetryAfter())
