--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -8,68 +8,68 @@
 	"time"
 )
 
-// Tuning of IdleLimit.
+// Parameters of IdleLimit.
 const (
-	// lostWithin is how soon after a request was sent its connection must break
-	// to count as one that the peer had closed without a word: the way to another
-	// region and back. A server that fails while it works takes longer as a
-	// rule.
-	lostWithin = 120 * time.Millisecond
-	// leastRested is how long a connection must have rested to be closed by the peer while idle.
-	leastRested = 100 * time.Millisecond
-	// lostShare is which part of the idle time of a connection closed by the peer
-	// others may rest from then on.
-	lostShare = 0.5
-	// lostCounts is for how long a connection closed by the peer counts.
-	lostCounts = 10 * time.Second
-	// leastIdle is the least that connections may rest.
-	leastIdle = 50 * time.Millisecond
+	// closeWithin is how soon after a request was sent its connection must fail for it to
+	// count as closed by the peer while idle: the round trip to another region. A server that
+	// fails while it processes a request usually takes longer.
+	closeWithin = 120 * time.Millisecond
+	// minIdle is how long a connection must have been idle to count as closed by the peer
+	// while idle.
+	minIdle = 100 * time.Millisecond
+	// capShare is the share of the idle time of a connection closed by the peer for which
+	// other connections may be idle from then on.
+	capShare = 0.5
+	// capTTL is for how long a connection closed by the peer has an effect.
+	capTTL = 10 * time.Second
+	// minCap is the lowest cap of the idle time of connections.
+	minCap = 50 * time.Millisecond
 )
 
-// IdleLimit learns for how long connections may rest. Peers close idle
-// connections without a word, now and then sooner than they said; a request
-// that may run only once and meets such a connection cannot be sent again.
-// Several pools may share a limit. A nil limit limits nothing.
+// IdleLimit learns for how long connections may be idle. Peers close idle connections without
+// notice, sometimes earlier than they announced. A request that may run only once and is sent
+// on such a connection cannot be sent again. Several pools may share a limit. A nil limit
+// limits nothing.
 type IdleLimit struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Learnt is told of a limit that has changed, and after which rest a
-	// connection was closed by the peer.
-	Learnt func(limit, rested time.Duration)
+	// OnChange is called with a limit that has changed and with the idle time after which the
+	// peer closed a connection.
+	OnChange func(limit, rested time.Duration)
 
 	mu    sync.Mutex
 	limit time.Duration
 	until time.Time
 }
 
-// NewIdleLimit makes a limit that has learnt nothing.
+// NewIdleLimit returns a limit that has learnt nothing.
 func NewIdleLimit(now func() time.Time) *IdleLimit {
-	return &IdleLimit{Now: now, Learnt: func(_, _ time.Duration) {}}
+	return &IdleLimit{Now: now, OnChange: func(_, _ time.Duration) {}}
 }
 
-// Lost notes a connection that was closed by the peer after it had rested.
-func (l *IdleLimit) Lost(idle time.Duration) {
+// ObserveClosed records a connection that the peer closed after it had been idle.
+func (l *IdleLimit) ObserveClosed(idle time.Duration) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	limit := max(leastIdle, time.Duration(lostShare*float64(idle)))
+	limit := max(minCap, time.Duration(capShare*float64(idle)))
 	known := now.Before(l.until)
 	if known {
 		limit = min(limit, l.limit)
 	}
 	if !known || limit != l.limit {
-		l.Learnt(limit, idle)
+		l.OnChange(limit, idle)
 	}
 	l.limit = limit
-	l.until = now.Add(lostCounts)
+	l.until = now.Add(capTTL)
 }
 
-// Bound returns for how long a connection may have rested that otherwise may
-// have rested for the given time.
-func (l *IdleLimit) Bound(most time.Duration) time.Duration {
+// Cap returns for how long a connection may be idle that could otherwise be idle for the given
+// time.
+func (l *IdleLimit) Cap(most time.Duration) time.Duration {
 	if l == nil {
 		return most
 	}
@@ -81,10 +81,10 @@
 	return most
 }
 
-// closedByPeer reports whether the failure of an exchange is that of a connection
-// which the peer had closed without a word.
+// closedByPeer reports whether an exchange failed because the peer had closed the idle
+// connection without notice.
 func closedByPeer(c *connection, err *Error, took time.Duration) bool {
-	if !c.used || c.rested < leastRested || err.Stage != StageSend && err.Stage != StageHeader || took > lostWithin {
+	if !c.reused || c.idleFor < minIdle || err.Stage != StageSend && err.Stage != StageHeader || took > closeWithin {
 		return false
 	}
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -43,8 +43,8 @@
 
 // noteAnswer processes what an answer says about its server. An answer that another server gave
 // in place of the expected one says nothing about it.
-func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
-	for _, problem := range v.Problems {
+func (n *Node) noteAnswer(server *backend.Server, v *ingress.AnswerMeta, sent time.Time) {
+	for _, problem := range v.HeaderErrors {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
 		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
 			n.log.Warn("malformed header in an answer", map[string]any{"server": server.ID, "error": problem.Error()})
@@ -67,7 +67,7 @@
 // to all boxes: otherwise each box would send it requests until the server told that box as well.
 
 // noteLeaving records that a server says that it leaves.
-func (n *Node) noteLeaving(server *backend.Server, v *ingress.Verdict) {
+func (n *Node) noteLeaving(server *backend.Server, v *ingress.AnswerMeta) {
 	if !v.Leaving {
 		return
 	}
@@ -78,13 +78,13 @@
 
 // noteBackoff records that a server asks this box to back off for a time. What it asks of one
 // box does not apply to others, so they are not informed.
-func (n *Node) noteBackoff(server *backend.Server, v *ingress.Verdict) {
-	if v.Rest == 0 {
+func (n *Node) noteBackoff(server *backend.Server, v *ingress.AnswerMeta) {
+	if v.Backoff == 0 {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.BackOff(server.Incarnation(), v.Rest) {
-		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
+	if n.Set.BackOff(server.Incarnation(), v.Backoff) {
+		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Backoff.Milliseconds()})
 	}
 }
 
--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// mostPending bounds what is read of a connection beyond the request that is served, in
-	// bytes. A client that has sent more is seen to leave only when its request is answered.
-	mostPending = 16 << 10
-	// readSize is how much is read at a time of a connection that carries further requests, in bytes.
+	// maxPending bounds, in bytes, what is read of a connection beyond the request that is
+	// being served. That a client has left is not detected before its request is answered if
+	// the client has sent more.
+	maxPending = 16 << 10
+	// readSize is how many bytes are read at a time from a connection that carries further
+	// requests.
 	readSize = 4 << 10
-	// mostAhead bounds the requests of a connection that are served ahead.
-	mostAhead = 8
+	// maxAhead bounds the requests of a connection that are served ahead.
+	maxAhead = 8
 )
 
-// Conn is a client's connection as net/http reads it. Reads hand out no byte of a request before
-// the one in front of it is read whole.
+// Conn is a client's connection as net/http reads it. Reads return no byte of a request before
+// the previous one has been read whole.
 type Conn struct {
 	net.Conn
 	handler *Handler
@@ -30,35 +32,35 @@
 
 	mu      sync.Mutex
 	framing framing
-	// pending has come behind the request that is read or served; the requests in its first
-	// started bytes are served ahead, and stand in ahead in their order.
+	// pending holds the bytes that follow the request being read or served. The requests in
+	// its first started bytes are served ahead; their answers are in ahead, in order.
 	pending []byte
 	started int
 	ahead   []*answer
-	// isOpen: those behind the request that is served may be served too.
-	isOpen bool
-	// failure ended the connection's stream.
+	// aheadAllowed is set if requests after the one being served may be served too.
+	aheadAllowed bool
+	// failure is the error that ended the connection's stream.
 	failure error
 }
 
 // Close implements net.Conn.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	c.drop()
+	c.cancelAhead()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// drop ends what is served ahead.
-func (c *Conn) drop() {
+// cancelAhead cancels the requests that are served ahead.
+func (c *Conn) cancelAhead() {
 	c.cancel()
-	c.isOpen = false
+	c.aheadAllowed = false
 	c.handler.running.Add(-int64(len(c.ahead)))
 	c.ahead = nil
 }
 
-// CloseWrite ends what is written, before the connection is closed: a client may still be sending
-// and must not lose its answer to a reset. net/http looks for this method.
+// CloseWrite closes the writing side before the connection is closed, since a client that is
+// still sending must not lose its answer to a reset. net/http looks for this method.
 func (c *Conn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
@@ -75,18 +77,19 @@
 	case failure != nil:
 		return 0, failure
 	case len(p) == 1 && isBetween:
-		// Only its look-out for a client that leaves reads a single byte there; what begins a
-		// request reads as much as fits its buffer.
-		return c.watch(p)
+		// net/http reads a single byte here only to detect that the client leaves; to begin a
+		// request it reads as much as fits its buffer.
+		return c.watchForClose(p)
 	case held > 0:
 		return c.handOut(p), nil
 	}
 	n, err := c.Conn.Read(p)
-	return c.keep(p[:n]), c.note(err)
+	return c.keepPending(p[:n]), c.noteError(err)
 }
 
-// keep keeps what lies behind the request that has come, and returns how much that one has.
-func (c *Conn) keep(data []byte) int {
+// keepPending stores the bytes that follow the current request, and returns how many belong to
+// it.
+func (c *Conn) keepPending(data []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	own := c.framing.advance(data)
@@ -96,7 +99,7 @@
 	return own
 }
 
-// handOut hands out what is pending of the next request.
+// handOut returns pending bytes of the next request.
 func (c *Conn) handOut(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,15 +110,15 @@
 	return n
 }
 
-// watch reads until the client leaves, or until net/http stops it by a deadline. It returns a
-// byte only when no more may be held.
-func (c *Conn) watch(p []byte) (int, error) {
+// watchForClose reads until the client leaves, or until net/http stops it by a deadline. It
+// returns a byte only when no more may be held.
+func (c *Conn) watchForClose(p []byte) (int, error) {
 	chunk := p
 	for {
 		c.mu.Lock()
 		held := len(c.pending)
 		c.mu.Unlock()
-		if held >= mostPending {
+		if held >= maxPending {
 			return c.handOut(p), nil
 		}
 		if held > 0 && len(chunk) == 1 {
@@ -127,18 +130,19 @@
 		c.startAhead()
 		c.mu.Unlock()
 		if err != nil {
-			return 0, c.note(err)
+			return 0, c.noteError(err)
 		}
 	}
 }
 
-// note keeps an error that ends the stream, and returns it. A deadline does not end it.
-func (c *Conn) note(err error) error {
+// noteError stores an error that ends the stream, and returns it. An exceeded deadline does
+// not end the stream.
+func (c *Conn) noteError(err error) error {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.mu.Lock()
 		c.failure = err
 		c.pending = nil
-		c.drop()
+		c.cancelAhead()
 		c.mu.Unlock()
 	}
 	return err
@@ -148,24 +152,24 @@
 // Serving ahead
 // ----------------------------------------------------------------
 
-// open lets requests behind the one that is served be served too; shut ends that.
-func (c *Conn) open() {
+// allowAhead lets requests after the one being served be served too; forbidAhead ends that.
+func (c *Conn) allowAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isOpen = c.context.Err() == nil
+	c.aheadAllowed = c.context.Err() == nil
 	c.startAhead()
 }
 
-func (c *Conn) shut() {
+func (c *Conn) forbidAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isOpen = false
+	c.aheadAllowed = false
 }
 
-// startAhead serves the requests that have come whole, up to the first that may not be served
-// ahead.
+// startAhead starts serving the requests that have arrived whole, up to the first that may not
+// be served ahead.
 func (c *Conn) startAhead() {
-	for c.isOpen && len(c.ahead) < mostAhead {
+	for c.aheadAllowed && len(c.ahead) < maxAhead {
 		head := nextHead(c.pending[c.started:])
 		if head == nil {
 			return
@@ -179,8 +183,8 @@
 	}
 }
 
-// take returns the answer to a request that was served ahead, nil if it was not.
-func (c *Conn) take(r *http.Request) *answer {
+// takeAhead returns the answer to a request that was served ahead, nil if it was not.
+func (c *Conn) takeAhead(r *http.Request) *answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.ahead) == 0 {
@@ -188,9 +192,9 @@
 	}
 	a := c.ahead[0]
 	if !a.isTo(r) {
-		// net/http has read another request than framing has found.
+		// net/http has read a different request than framing has found.
 		c.handler.Count("pipeline.mismatch")
-		c.drop()
+		c.cancelAhead()
 		return nil
 	}
 	c.ahead = c.ahead[1:]
--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// serve serves connections through Conn with a handler, until the test ends.
+// serve serves connections through Conn with a handler until the test ends.
 func serve(t *testing.T, handler http.HandlerFunc) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -22,21 +22,21 @@
 		t.Fatal(err)
 	}
 	h := &Handler{
-		Next: handler, MayRunAhead: func(r *http.Request) bool { return r.URL.Path == "/ahead" },
+		Next: handler, MayServeAhead: func(r *http.Request) bool { return r.URL.Path == "/ahead" },
 		Count: func(name string) { t.Log(name) },
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second, ConnContext: ConnContext}
-	go func() { _ = s.Serve(&wrapping{l, h}) }()
+	go func() { _ = s.Serve(&wrappingListener{l, h}) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return l.Addr().String()
 }
 
-type wrapping struct {
+type wrappingListener struct {
 	net.Listener
 	handler *Handler
 }
 
-func (l *wrapping) Accept() (net.Conn, error) {
+func (l *wrappingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -54,8 +54,8 @@
 	return c
 }
 
-// TestMoreThanIsHeldIsServedAll: a client that sends more requests than are held behind the one
-// that is served gets an answer to each, in order.
+// TestMoreThanIsHeldIsServedAll checks that a client that sends more requests than are held
+// after the one being served gets an answer to each, in order.
 func TestMoreThanIsHeldIsServedAll(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -65,7 +65,7 @@
 	c := dial(t, address)
 	const requests = 1000
 	request := "GET /a HTTP/1.1\r\nHost: h\r\n" + "X: " + strings.Repeat("x", 40) + "\r\n\r\n"
-	is.True(requests*len(request) > 4*mostPending)
+	is.True(requests*len(request) > 4*maxPending)
 	go func() { _, _ = io.WriteString(c, strings.Repeat(request, requests)) }()
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got := 0
@@ -83,8 +83,8 @@
 	is.Equal(got, requests)
 }
 
-// TestEarlyAnswerIsNotLostToAReset: an answer that is sent while the client still sends its body
-// reaches it.
+// TestEarlyAnswerIsNotLostToAReset checks that an answer that is sent while the client is
+// still sending its body reaches the client.
 func TestEarlyAnswerIsNotLostToAReset(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -99,7 +99,8 @@
 	is.True(strings.HasPrefix(string(answer), "HTTP/1.1 413"))
 }
 
-// TestAnswersComeInOrder: whatever takes how long, and however long its answer is.
+// TestAnswersComeInOrder checks that answers come in order, however long each takes and
+// whatever its size.
 func TestAnswersComeInOrder(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -107,7 +108,7 @@
 		var wait, size int
 		_, err := fmt.Sscanf(r.Header.Get("Want"), "%d %d", &wait, &size)
 		if err != nil {
-			http.Error(w, "what is wanted cannot be read", http.StatusBadRequest)
+			http.Error(w, "malformed header Want", http.StatusBadRequest)
 			return
 		}
 		time.Sleep(time.Duration(wait) * time.Millisecond)
@@ -121,7 +122,7 @@
 	var stream strings.Builder
 	sizes := make([]int, requests)
 	for i := range requests {
-		sizes[i] = 2 * r.IntN(mostHeld)
+		sizes[i] = 2 * r.IntN(maxHeld)
 		path := []string{"/ahead", "/ahead", "/ahead", "/one"}[r.IntN(4)]
 		fmt.Fprintf(&stream, "GET %s HTTP/1.1\r\nHost: h\r\nId: %d\r\nWant: %d %d\r\n\r\n", path, i, r.IntN(30), sizes[i])
 	}
@@ -138,7 +139,8 @@
 	}
 }
 
-// TestAbortedAnswerEndsItsConnection: those in front of it are answered whole, those behind are not.
+// TestAbortedAnswerEndsItsConnection checks that requests before the aborted one are answered
+// whole and those after it are not answered.
 func TestAbortedAnswerEndsItsConnection(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(_ http.ResponseWriter, r *http.Request) {
