--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -41,8 +41,8 @@
 	PathSync     = "/v1/peer/sync"
 )
 
-// Beacon is a heartbeat and its answer.
-type Beacon struct {
+// Heartbeat is a heartbeat and its answer.
+type Heartbeat struct {
 	From    string              `json:"from"`
 	Records []membership.Record `json:"records"`
 	Digest  string              `json:"digest"`
@@ -194,7 +194,7 @@
 	defer cancel()
 	called := x.Table.Now()
 	message := x.beacon(address)
-	var reply Beacon
+	var reply Heartbeat
 	if err := x.Call(ctx, address, PathExchange, message, &reply); err != nil {
 		x.Failed(address, err)
 		return false
@@ -210,7 +210,7 @@
 
 // beacon makes the heartbeat for a box, of which the address or the name is
 // known. What is only of use within a region is left out for other regions.
-func (x *Exchanger) beacon(to string) Beacon {
+func (x *Exchanger) beacon(to string) Heartbeat {
 	x.mu.Lock()
 	since := x.lastSent[to]
 	x.mu.Unlock()
@@ -221,7 +221,7 @@
 			records[i].Partial = true
 		}
 	}
-	return Beacon{From: x.Self, Records: records, Digest: x.Store.Digest(), Synced: x.Store.Synced()}
+	return Heartbeat{From: x.Self, Records: records, Digest: x.Store.Digest(), Synced: x.Store.Synced()}
 }
 
 // isNear reports whether a box is in this box's region; one that is not known
@@ -244,7 +244,7 @@
 	x.lastSent[to] = when
 }
 
-func (x *Exchanger) syncWith(ctx context.Context, address string, theirs Beacon) {
+func (x *Exchanger) syncWith(ctx context.Context, address string, theirs Heartbeat) {
 	message := Sync{
 		From: x.Self, Objects: x.Store.NewerThan(theirs.Stamps),
 		Ask: true, Stamps: x.Store.Stamps(),
@@ -298,7 +298,7 @@
 // ================================================================
 
 // AnswerBeacon takes in a heartbeat.
-func (x *Exchanger) AnswerBeacon(b Beacon) Beacon {
+func (x *Exchanger) AnswerBeacon(b Heartbeat) Heartbeat {
 	key := answerKey(b.From)
 	now := x.Table.Now()
 	x.Table.Merge(b.Records)
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -29,7 +29,7 @@
 		}
 		var answer any
 		if path == PathExchange {
-			var b Beacon
+			var b Heartbeat
 			err = json.Unmarshal(text, &b)
 			answer = to.AnswerBeacon(b)
 		} else {
