--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -71,7 +71,7 @@
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
 	b.Timers.OnPause(b.stoodStill)
-	b.Timers.Every(peer.Beat, b.beat)
+	b.Timers.Every(peer.HeartbeatInterval, b.beat)
 	b.Timers.Every(rebuildEvery, b.rebuild)
 	b.Timers.Every(planEvery, b.plan)
 	b.Timers.Every(probeEvery, b.probeServers)
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -23,8 +23,8 @@
 
 // Tuning of the exchange.
 const (
-	// Beat is the time between two heartbeats.
-	Beat = 500 * time.Millisecond
+	// HeartbeatInterval is the time between two heartbeats.
+	HeartbeatInterval = 500 * time.Millisecond
 	// CallTimeout bounds one call to another box.
 	CallTimeout = time.Second
 	// PushFanout is how many boxes of its own zone a box passes a change on
