--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -89,7 +89,7 @@
 
 func (b *Box) beat() {
 	b.refreshSelf()
-	b.Exchanger.DoBeat(b.context)
+	b.Exchanger.SendHeartbeats(b.context)
 }
 
 func (b *Box) refreshSelf() {
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -102,8 +102,8 @@
 // Calling
 // ================================================================
 
-// DoBeat calls one box of this zone, one of another, and one that is silent.
-func (x *Exchanger) DoBeat(ctx context.Context) {
+// SendHeartbeats calls one box of this zone, one of another, and one that is silent.
+func (x *Exchanger) SendHeartbeats(ctx context.Context) {
 	wg := conc.NewWaitGroup()
 	for _, address := range x.targets() {
 		wg.Go(func() { x.callOne(ctx, address) })
