--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -297,8 +297,8 @@
 // Answering
 // ================================================================
 
-// AnswerBeacon takes in a heartbeat.
-func (x *Exchanger) AnswerBeacon(b Heartbeat) Heartbeat {
+// HandleHeartbeat takes in a heartbeat.
+func (x *Exchanger) HandleHeartbeat(b Heartbeat) Heartbeat {
 	key := answerKey(b.From)
 	now := x.Table.Now()
 	x.Table.Merge(b.Records)
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -31,7 +31,7 @@
 		if path == PathExchange {
 			var b Heartbeat
 			err = json.Unmarshal(text, &b)
-			answer = to.AnswerBeacon(b)
+			answer = to.HandleHeartbeat(b)
 		} else {
 			var s Sync
 			err = json.Unmarshal(text, &s)
