--- a/pkg/box/box_ports.go
+++ b/pkg/box/box_ports.go
@@ -122,7 +122,7 @@
 func (b *Box) peersApp() *fiber.App {
 	app := b.newApp()
 	app.Post(peer.PathExchange, answerJSON(b.Exchanger.HandleHeartbeat))
-	app.Post(peer.PathSync, answerJSON(b.Exchanger.AnswerSync))
+	app.Post(peer.PathSync, answerJSON(b.Exchanger.HandleSync))
 	app.Use(func(c fiber.Ctx) error {
 		b.serveRequest(c.RequestCtx(), true)
 		return nil
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -311,8 +311,8 @@
 	return reply
 }
 
-// AnswerSync takes in configuration and returns what is newer here.
-func (x *Exchanger) AnswerSync(s Sync) Sync {
+// HandleSync takes in configuration and returns what is newer here.
+func (x *Exchanger) HandleSync(s Sync) Sync {
 	x.take(s)
 	reply := Sync{From: x.Self}
 	if s.Ask {
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -35,7 +35,7 @@
 		} else {
 			var s Sync
 			err = json.Unmarshal(text, &s)
-			answer = to.AnswerSync(s)
+			answer = to.HandleSync(s)
 		}
 		if err != nil {
 			return err
