--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -76,9 +76,9 @@
 	Call func(ctx context.Context, address, path string, in, out any) error
 	// SameRegion reports whether a zone is in this box's region.
 	SameRegion func(zone string) bool
-	// Heard is called after records of others were taken in, before this
+	// OnMerge is called after records of others were taken in, before this
 	// box says anything itself.
-	Heard func()
+	OnMerge func()
 	// Failed is told of each address that did not answer.
 	Failed func(address string, err error)
 
@@ -92,7 +92,7 @@
 	return &Exchanger{
 		Self: self, Zone: zone, Seeds: seeds, Table: table, Store: store, Log: log,
 		SameRegion: func(other string) bool { return other == zone },
-		Heard:      func() {},
+		OnMerge:    func() {},
 		Failed:     func(string, error) {},
 		lastSent:   map[string]time.Time{},
 	}
@@ -201,7 +201,7 @@
 	}
 	x.sentUpTo(address, called)
 	x.Table.Merge(reply.Records)
-	x.Heard()
+	x.OnMerge()
 	if reply.Digest != x.Store.Digest() || (reply.Synced && !x.Store.Synced()) {
 		x.syncWith(ctx, address, reply)
 	}
@@ -302,7 +302,7 @@
 	key := answerKey(b.From)
 	now := x.Table.Now()
 	x.Table.Merge(b.Records)
-	x.Heard()
+	x.OnMerge()
 	reply := x.beacon(key)
 	x.sentUpTo(key, now)
 	if b.Digest != reply.Digest {
