--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -67,7 +67,7 @@
 
 func (b *Box) subscribe() {
 	b.Store.Changed = b.configChanged
-	b.Exchanger.Failed = func(address string, err error) {
+	b.Exchanger.OnFailure = func(address string, err error) {
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
 	b.Timers.OnPause(b.stoodStill)
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -79,8 +79,8 @@
 	// OnMerge is called after records of others were taken in, before this
 	// box says anything itself.
 	OnMerge func()
-	// Failed is told of each address that did not answer.
-	Failed func(address string, err error)
+	// OnFailure is told of each address that did not answer.
+	OnFailure func(address string, err error)
 
 	mu        sync.Mutex
 	lastSent  map[string]time.Time
@@ -93,7 +93,7 @@
 		Self: self, Zone: zone, Seeds: seeds, Table: table, Store: store, Log: log,
 		SameRegion: func(other string) bool { return other == zone },
 		OnMerge:    func() {},
-		Failed:     func(string, error) {},
+		OnFailure:  func(string, error) {},
 		lastSent:   map[string]time.Time{},
 	}
 }
@@ -196,7 +196,7 @@
 	message := x.beacon(address)
 	var reply Heartbeat
 	if err := x.Call(ctx, address, PathExchange, message, &reply); err != nil {
-		x.Failed(address, err)
+		x.OnFailure(address, err)
 		return false
 	}
 	x.sentUpTo(address, called)
@@ -251,7 +251,7 @@
 	}
 	var reply Sync
 	if err := x.Call(ctx, address, PathSync, message, &reply); err != nil {
-		x.Failed(address, err)
+		x.OnFailure(address, err)
 		return
 	}
 	x.take(reply)
@@ -267,7 +267,7 @@
 			defer cancel()
 			var reply Sync
 			if err := x.Call(ctx, address, PathSync, message, &reply); err != nil {
-				x.Failed(address, err)
+				x.OnFailure(address, err)
 			}
 		})
 	}
