--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -66,7 +66,7 @@
 }
 
 func (b *Box) subscribe() {
-	b.Store.Changed = b.configChanged
+	b.Store.OnChange = b.configChanged
 	b.Exchanger.OnFailure = func(address string, err error) {
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -46,9 +46,9 @@
 
 // Store is the configuration in force.
 type Store struct {
-	// Changed is called, without any lock held, with each object that came
+	// OnChange is called, without any lock held, with each object that came
 	// into force.
-	Changed func(*Object)
+	OnChange func(*Object)
 	// Newer reports whether an object replaces the one in force; a seam for
 	// tests.
 	Newer func(o, inForce *Object) bool
@@ -60,7 +60,7 @@
 
 // NewStore makes an empty store that is not ready.
 func NewStore() *Store {
-	return &Store{objects: map[string]*Object{}, Changed: func(*Object) {}, Newer: (*Object).Newer}
+	return &Store{objects: map[string]*Object{}, OnChange: func(*Object) {}, Newer: (*Object).Newer}
 }
 
 // Merge takes in objects and returns those that came into force. Merge is
@@ -76,7 +76,7 @@
 	}
 	s.mu.Unlock()
 	for _, o := range news {
-		s.Changed(o)
+		s.OnChange(o)
 	}
 	return news
 }
