--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -148,7 +148,7 @@
 	b.Table = membership.NewTable(s.Box, time.Now)
 	b.dialer = &net.Dialer{Timeout: time.Second, LocalAddr: localAddress(s.Listen.Peers)}
 	b.Platform = platform.NewHTTP(s.Platform.Address, s.Platform.Timeout, b.dialFast, b.countPlatformCall)
-	b.Writer = &config.Writer{Platform: b.Platform, Store: b.Store, ReadBack: 2 * s.Platform.Timeout}
+	b.Writer = &config.Writer{Platform: b.Platform, Store: b.Store, Timeout: 2 * s.Platform.Timeout}
 	b.Exchanger = peer.NewExchanger(s.Box, s.Zone, s.Seeds, b.Table, b.Store, logging.For(b.logger, "peer"))
 	b.Exchanger.Call = b.newPeerCaller()
 	b.Table.Near = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -56,8 +56,8 @@
 type Writer struct {
 	Platform *platform.Client
 	Store    *Store
-	// ReadBack bounds one change, with looking for a write whose answer was lost.
-	ReadBack time.Duration
+	// Timeout bounds one change, with looking for a write whose answer was lost.
+	Timeout time.Duration
 }
 
 // Change is what an operator wants to become of one object.
@@ -81,7 +81,7 @@
 // A conflict or a lost answer is followed by reading the object again: the
 // change id tells whether the write that is found there is ours.
 func (w *Writer) Apply(ctx context.Context, c Change) (*Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.ReadBack)
+	ctx, cancel := context.WithTimeout(ctx, w.Timeout)
 	defer cancel()
 	a := attempt{writer: w, change: c}
 	for {
