--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -70,10 +70,10 @@
 
 // told returns what the speakers said of one server. A box that is gone has
 // told its excess only.
-func told(speakers []membership.Member, zone, server string) []slots.Told {
-	all := make([]slots.Told, 0, len(speakers))
+func told(speakers []membership.Member, zone, server string) []slots.PeerReport {
+	all := make([]slots.PeerReport, 0, len(speakers))
 	for _, m := range speakers {
-		t := slots.Told{Excess: m.Excess[server]}
+		t := slots.PeerReport{Excess: m.Excess[server]}
 		if !m.Gone {
 			t.Views = viewsOf(m.Views, zone)
 		}
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -96,8 +96,8 @@
 	View    View
 }
 
-// Told is what another box said in its last heartbeat.
-type Told struct {
+// PeerReport is what another box said in its last heartbeat.
+type PeerReport struct {
 	// Views are those of its views of the server's zone that still count.
 	Views []Versioned
 	// Excess is by how much it is above its part of the server.
@@ -129,7 +129,7 @@
 // Usable returns how many of the server's slots the box may use: the least
 // that any view that still counts, its own and those told by others, gives
 // it, less what others hold in excess.
-func Usable(box, server string, slots int, own []Versioned, others []Told) int {
+func Usable(box, server string, slots int, own []Versioned, others []PeerReport) int {
 	part := slots
 	for _, v := range own {
 		part = min(part, v.View.Part(box, server, slots))
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -100,11 +100,11 @@
 
 // refresh does what a box does before it tells: first its part, then its word.
 func (b *box) refresh(name string, slots int) {
-	var others []Told
+	var others []PeerReport
 	var seen []uint64
 	acknowledged := map[string]uint64{}
 	for other, h := range b.heard {
-		others = append(others, Told{Views: h.views, Excess: h.excess})
+		others = append(others, PeerReport{Views: h.views, Excess: h.excess})
 		seen = append(seen, h.seen[name])
 		acknowledged[other] = h.views[len(h.views)-1].Version
 	}
