--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -113,7 +113,7 @@
 			seen = append(seen, m.Seen[b.Settings.Box])
 		}
 	}
-	return slots.Counting(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
+	return slots.ActiveViews(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
 }
 
 // noteViews remembers for heartbeats what the gates now keep to, and reports
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -104,10 +104,10 @@
 	Excess int
 }
 
-// Counting returns those of a box's own views that still count: the last one
+// ActiveViews returns those of a box's own views that still count: the last one
 // that every other box has seen, and all later ones. seen has the version that
 // each other box was last heard to have seen.
-func Counting[V any](own []V, version func(V) uint64, seen []uint64) []V {
+func ActiveViews[V any](own []V, version func(V) uint64, seen []uint64) []V {
 	first := 0
 	for i, v := range own {
 		if seenByAll(version(v), seen) {
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -108,7 +108,7 @@
 		seen = append(seen, h.seen[name])
 		acknowledged[other] = h.views[len(h.views)-1].Version
 	}
-	b.views = Counting(b.views, func(v Versioned) uint64 { return v.Version }, seen)
+	b.views = ActiveViews(b.views, func(v Versioned) uint64 { return v.Version }, seen)
 	b.usable = Usable(name, "server", slots, b.views, others)
 	b.told = heartbeat{views: b.views, seen: acknowledged, excess: max(b.inUse-b.usable, 0)}
 }
@@ -118,9 +118,9 @@
 	is := is.New(t)
 	own := []Versioned{{1, NewView("a", "b")}, {2, NewView("a")}}
 	version := func(v Versioned) uint64 { return v.Version }
-	is.Equal(Usable("a", "s", 6, Counting(own, version, []uint64{1}), nil), 3)
-	is.Equal(Usable("a", "s", 6, Counting(own, version, []uint64{2}), nil), 6)
-	is.Equal(Usable("a", "s", 6, Counting(own, version, nil), nil), 6)
+	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, []uint64{1}), nil), 3)
+	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, []uint64{2}), nil), 6)
+	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, nil), nil), 6)
 }
 
 func TestHomesStay(t *testing.T) {
