--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		key := serverKey(s.Name, server.Name)
-		if server.Zone != b.Settings.Zone && view.Part(b.Settings.Box, key, server.Slots) == 0 && !b.holdsSlotOf(s.Name, server.Name) {
+		if server.Zone != b.Settings.Zone && view.Share(b.Settings.Box, key, server.Slots) == 0 && !b.holdsSlotOf(s.Name, server.Name) {
 			continue
 		}
 		others := told(speakers, server.Zone, key)
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -74,8 +74,8 @@
 	return homes
 }
 
-// Part returns how many of the server's slots the view gives to the box.
-func (v View) Part(box, server string, slots int) int {
+// Share returns how many of the server's slots the view gives to the box.
+func (v View) Share(box, server string, slots int) int {
 	homes := v.Homes(server)
 	for i, h := range homes {
 		if h != box {
@@ -132,13 +132,13 @@
 func Usable(box, server string, slots int, own []Versioned, others []PeerReport) int {
 	part := slots
 	for _, v := range own {
-		part = min(part, v.View.Part(box, server, slots))
+		part = min(part, v.View.Share(box, server, slots))
 	}
 	excess := 0
 	for _, o := range others {
 		excess += o.Excess
 		for _, v := range o.Views {
-			part = min(part, v.View.Part(box, server, slots))
+			part = min(part, v.View.Share(box, server, slots))
 		}
 	}
 	return max(part-excess, 0)
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -22,7 +22,7 @@
 		v := NewView(boxes...)
 		sum := 0
 		for _, b := range v {
-			sum += v.Part(b, "server", slots)
+			sum += v.Share(b, "server", slots)
 		}
 		if sum != slots {
 			t.Fatalf("%v: %d of %d", v, sum, slots)
--- a/test/control/control.go
+++ b/test/control/control.go
@@ -50,7 +50,7 @@
 	// own-view uses what the box's own view gives it, whatever others say.
 	"own-view": func(b *box.Box) {
 		b.Usable = func(box, server string, n int, own []slots.Versioned, _ []slots.PeerReport) int {
-			return own[len(own)-1].View.Part(box, server, n)
+			return own[len(own)-1].View.Share(box, server, n)
 		}
 	},
 	// no-cap shifts everything at once.
