--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -54,7 +54,7 @@
 	NewPool func(address string, maxIdle int) *exchange.Pool
 	NewGate func() *admission.Gate
 	// Usable is how many of a server's slots this box may use.
-	Usable func(box, server string, slots int, own []slots.Versioned, others []slots.PeerReport) int
+	Usable func(box, server string, slots int, own []slots.VersionedView, others []slots.PeerReport) int
 	// ShiftCap is the share of traffic that may change region in a window.
 	ShiftCap func(*model.Service) float64
 	// LeaveSteps are the steps of a planned stop.
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -82,10 +82,10 @@
 	return all
 }
 
-func viewsOf(views []membership.SlotViews, zone string) []slots.Versioned {
-	list := make([]slots.Versioned, 0, len(views))
+func viewsOf(views []membership.SlotViews, zone string) []slots.VersionedView {
+	list := make([]slots.VersionedView, 0, len(views))
 	for _, v := range views {
-		list = append(list, slots.Versioned{Version: v.Version, View: v.Zones[zone]})
+		list = append(list, slots.VersionedView{Version: v.Version, View: v.Zones[zone]})
 	}
 	return list
 }
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -90,8 +90,8 @@
 	return 0
 }
 
-// Versioned is a view with its version, which rises with every change.
-type Versioned struct {
+// VersionedView is a view with its version, which rises with every change.
+type VersionedView struct {
 	Version uint64
 	View    View
 }
@@ -99,7 +99,7 @@
 // PeerReport is what another box said in its last heartbeat.
 type PeerReport struct {
 	// Views are those of its views of the server's zone that still count.
-	Views []Versioned
+	Views []VersionedView
 	// Excess is by how much it is above its part of the server.
 	Excess int
 }
@@ -129,7 +129,7 @@
 // Usable returns how many of the server's slots the box may use: the least
 // that any view that still counts, its own and those told by others, gives
 // it, less what others hold in excess.
-func Usable(box, server string, slots int, own []Versioned, others []PeerReport) int {
+func Usable(box, server string, slots int, own []VersionedView, others []PeerReport) int {
 	part := slots
 	for _, v := range own {
 		part = min(part, v.View.Share(box, server, slots))
--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -33,7 +33,7 @@
 // box is one box of the model: its views that count, what it told last, what
 // it heard, and what it holds.
 type box struct {
-	views  []Versioned
+	views  []VersionedView
 	told   heartbeat
 	heard  map[string]heartbeat
 	inUse  int
@@ -41,7 +41,7 @@
 }
 
 type heartbeat struct {
-	views  []Versioned
+	views  []VersionedView
 	seen   map[string]uint64
 	excess int
 }
@@ -56,7 +56,7 @@
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
 		boxes := map[string]*box{}
 		for _, n := range names {
-			boxes[n] = &box{views: []Versioned{{1, NewView(names...)}}, heard: map[string]heartbeat{}}
+			boxes[n] = &box{views: []VersionedView{{1, NewView(names...)}}, heard: map[string]heartbeat{}}
 		}
 		for _, b := range boxes {
 			b.told = heartbeat{views: b.views, seen: map[string]uint64{"a": 1, "b": 1, "c": 1}}
@@ -74,7 +74,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				next := NewView(rapid.SliceOfN(rapid.SampledFrom(names), 1, 3).Draw(t, "view")...)
-				b.views = append(b.views[:len(b.views):len(b.views)], Versioned{b.views[len(b.views)-1].Version + 1, next})
+				b.views = append(b.views[:len(b.views):len(b.views)], VersionedView{b.views[len(b.views)-1].Version + 1, next})
 			case 1, 2:
 				if other := rapid.SampledFrom(names).Draw(t, "other"); other != n {
 					b.heard[other] = boxes[other].told
@@ -108,7 +108,7 @@
 		seen = append(seen, h.seen[name])
 		acknowledged[other] = h.views[len(h.views)-1].Version
 	}
-	b.views = ActiveViews(b.views, func(v Versioned) uint64 { return v.Version }, seen)
+	b.views = ActiveViews(b.views, func(v VersionedView) uint64 { return v.Version }, seen)
 	b.usable = Usable(name, "server", slots, b.views, others)
 	b.told = heartbeat{views: b.views, seen: acknowledged, excess: max(b.inUse-b.usable, 0)}
 }
@@ -116,8 +116,8 @@
 // TestTakesAfterAll shows that the rule lets a box take its part in the end.
 func TestTakesAfterAll(t *testing.T) {
 	is := is.New(t)
-	own := []Versioned{{1, NewView("a", "b")}, {2, NewView("a")}}
-	version := func(v Versioned) uint64 { return v.Version }
+	own := []VersionedView{{1, NewView("a", "b")}, {2, NewView("a")}}
+	version := func(v VersionedView) uint64 { return v.Version }
 	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, []uint64{1}), nil), 3)
 	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, []uint64{2}), nil), 6)
 	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, nil), nil), 6)
