--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -101,7 +101,7 @@
 	// heardOf is what the gates keep to of the other boxes of the region.
 	heardOf map[string]viewsHeard
 	gates   map[string]*admission.Gate
-	walkers map[string]*shift.Walker
+	walkers map[string]*shift.Migrator
 	// planSeen tells when this box first saw the plan that is in force.
 	planSeen map[string]seenPlan
 	pools    map[string]*exchange.Pool
@@ -136,7 +136,7 @@
 		logger:      logging.New(handler, level),
 		started:     time.Now(),
 		gates:       map[string]*admission.Gate{},
-		walkers:     map[string]*shift.Walker{},
+		walkers:     map[string]*shift.Migrator{},
 		planSeen:    map[string]seenPlan{},
 		pools:       map[string]*exchange.Pool{},
 		peers:       map[string]*exchange.Pool{},
--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -19,7 +19,7 @@
 	since time.Time
 }
 
-func (b *Box) walker(service string) *shift.Walker {
+func (b *Box) walker(service string) *shift.Migrator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.walkers[service]
--- a/pkg/shift/walker.go
+++ b/pkg/shift/walker.go
@@ -7,9 +7,9 @@
 	"github.com/stoneworks/stoneworks/pkg/decide"
 )
 
-// Walker is one box's assignment of one service: what it has in force, and how
+// Migrator is one box's assignment of one service: what it has in force, and how
 // it walks from there to the plan.
-type Walker struct {
+type Migrator struct {
 	mu      sync.Mutex
 	inForce *Plan
 	// assigned is inForce in the form that decisions use.
@@ -31,12 +31,12 @@
 
 // NewWalker makes a walker that takes the first plan it sees as it is: a box
 // that has just started has no traffic to move.
-func NewWalker() *Walker {
-	return &Walker{counts: map[string]*[decide.Buckets]float64{}, last: map[string]*[decide.Buckets]float64{}}
+func NewWalker() *Migrator {
+	return &Migrator{counts: map[string]*[decide.Buckets]float64{}, last: map[string]*[decide.Buckets]float64{}}
 }
 
 // Count notes a request.
-func (w *Walker) Count(client string, bucket int) {
+func (w *Migrator) Count(client string, bucket int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts[client]
@@ -48,7 +48,7 @@
 }
 
 // InForce returns the assignment in force, or nil before the first plan.
-func (w *Walker) InForce() *Plan {
+func (w *Migrator) InForce() *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inForce
@@ -57,7 +57,7 @@
 // Advance walks towards the plan as far as the cap allows, and returns the
 // assignment in force. In any window the moved buckets of a client region are
 // at most the cap's part of its buckets and of its measured requests.
-func (w *Walker) Advance(now time.Time, service string, plan *Plan, limit float64, window time.Duration) *Plan {
+func (w *Migrator) Advance(now time.Time, service string, plan *Plan, limit float64, window time.Duration) *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.inForce == nil {
@@ -81,7 +81,7 @@
 
 // Assignments returns what is in force in the form that decisions use, or nil
 // before the first plan.
-func (w *Walker) Assignments() map[string]*decide.Assignment {
+func (w *Migrator) Assignments() map[string]*decide.Assignment {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.assigned == nil && w.inForce != nil {
@@ -94,7 +94,7 @@
 // a move may reach their region after it.
 func slack(window time.Duration) time.Duration { return window / 10 }
 
-func (w *Walker) advanceClient(now time.Time, service, client string, plan *Plan, limit float64) {
+func (w *Migrator) advanceClient(now time.Time, service, client string, plan *Plan, limit float64) {
 	moved, weight := w.movedOf(client)
 	total := w.weightOf(client, -1)
 	taken := map[int]string{}
@@ -121,7 +121,7 @@
 	}
 }
 
-func (w *Walker) movedOf(client string) (n int, weight float64) {
+func (w *Migrator) movedOf(client string) (n int, weight float64) {
 	for _, m := range w.moves {
 		if m.client == client {
 			n++
@@ -132,7 +132,7 @@
 }
 
 // weightOf sums the requests of a bucket, or of all if it is negative.
-func (w *Walker) weightOf(client string, bucket int) float64 {
+func (w *Migrator) weightOf(client string, bucket int) float64 {
 	sum := 0.0
 	for _, counts := range []*[decide.Buckets]float64{w.counts[client], w.last[client]} {
 		if counts == nil {
@@ -149,7 +149,7 @@
 	return sum
 }
 
-func (w *Walker) forget(before time.Time) {
+func (w *Migrator) forget(before time.Time) {
 	kept := w.moves[:0]
 	for _, m := range w.moves {
 		if m.at.After(before) {
@@ -159,7 +159,7 @@
 	w.moves = kept
 }
 
-func (w *Walker) rotate(now time.Time, window time.Duration) {
+func (w *Migrator) rotate(now time.Time, window time.Duration) {
 	if now.Sub(w.rotated) < window {
 		return
 	}
