--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -24,7 +24,7 @@
 	defer b.mu.Unlock()
 	w := b.walkers[service]
 	if w == nil {
-		w = shift.NewWalker()
+		w = shift.NewMigrator()
 		b.walkers[service] = w
 	}
 	return w
--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -57,7 +57,7 @@
 		limit := rapid.Float64Range(0.01, 0.5).Draw(t, "cap")
 		window := 10 * time.Second
 		now := time.Unix(1_000, 0)
-		w := NewWalker()
+		w := NewMigrator()
 		w.Advance(now, "preview", target(0, ""), limit, window)
 		type change struct {
 			at     time.Time
@@ -87,7 +87,7 @@
 
 func TestWalkerArrives(t *testing.T) {
 	is := is.New(t)
-	w := NewWalker()
+	w := NewMigrator()
 	now := time.Unix(1_000, 0)
 	w.Advance(now, "preview", target(0, ""), 0.1, time.Second)
 	steps := 0
--- a/pkg/shift/walker.go
+++ b/pkg/shift/walker.go
@@ -29,9 +29,9 @@
 	bucket int
 }
 
-// NewWalker makes a walker that takes the first plan it sees as it is: a box
+// NewMigrator makes a walker that takes the first plan it sees as it is: a box
 // that has just started has no traffic to move.
-func NewWalker() *Migrator {
+func NewMigrator() *Migrator {
 	return &Migrator{counts: map[string]*[decide.Buckets]float64{}, last: map[string]*[decide.Buckets]float64{}}
 }
 
