--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -129,8 +129,8 @@
 }
 
 // shiftFacts tells which regions serve, and which of them are heard of.
-func (b *Box) shiftFacts(s *model.Service, members []membership.Member) shift.Facts {
-	f := shift.Facts{ClientRegions: b.Topology.Regions()}
+func (b *Box) shiftFacts(s *model.Service, members []membership.Member) shift.Conditions {
+	f := shift.Conditions{ClientRegions: b.Topology.Regions()}
 	serving := map[string]bool{}
 	for _, server := range s.BackendServers {
 		region := b.Topology.RegionOf(server.Zone)
--- a/pkg/shift/plan.go
+++ b/pkg/shift/plan.go
@@ -82,8 +82,8 @@
 // Targets
 // ================================================================
 
-// Facts is what a target depends on besides the service itself.
-type Facts struct {
+// Conditions is what a target depends on besides the service itself.
+type Conditions struct {
 	// ClientRegions lists all regions of the deployment.
 	ClientRegions []string
 	// Serving lists the regions with backend servers for the service.
@@ -94,7 +94,7 @@
 
 // Target returns the assignment that the operator's settings ask for under the
 // facts. Where nothing usable is left, the current assignment stands.
-func Target(s *model.Service, current *Plan, f Facts) *Plan {
+func Target(s *model.Service, current *Plan, f Conditions) *Plan {
 	next := &Plan{Assign: map[string]string{}}
 	var usable []string
 	for _, r := range f.Serving {
--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -24,7 +24,7 @@
 
 func target(share float64, down string) *Plan {
 	s := &model.Service{Name: "preview", Shifts: []model.PlannedShift{{FromRegion: "dakar", ToRegion: "thies", Share: share}}}
-	return Target(s, nil, Facts{ClientRegions: regions, Serving: regions, Usable: func(r string) bool { return r != down }})
+	return Target(s, nil, Conditions{ClientRegions: regions, Serving: regions, Usable: func(r string) bool { return r != down }})
 }
 
 func TestTargetIsNested(t *testing.T) {
