--- a/pkg/shift/plan.go
+++ b/pkg/shift/plan.go
@@ -50,8 +50,8 @@
 	return all
 }
 
-// With returns a copy in which some buckets of a client region have others.
-func (p *Plan) With(client string, moves map[int]string) *Plan {
+// WithMoves returns a copy in which some buckets of a client region have others.
+func (p *Plan) WithMoves(client string, moves map[int]string) *Plan {
 	next := &Plan{Regions: append([]string(nil), p.Regions...), Assign: map[string]string{}}
 	for c, letters := range p.Assign {
 		next.Assign[c] = letters
@@ -108,7 +108,7 @@
 		for bucket := range decide.Buckets {
 			moves[bucket] = choose(wanted[bucket], client, bucket, f.Serving, usable, current)
 		}
-		next = next.With(client, moves)
+		next = next.WithMoves(client, moves)
 	}
 	return next
 }
@@ -206,7 +206,7 @@
 			}
 		}
 		if len(moves) > 0 {
-			next = next.With(client, moves)
+			next = next.WithMoves(client, moves)
 		}
 	}
 	return next
--- a/pkg/shift/walker.go
+++ b/pkg/shift/walker.go
@@ -116,7 +116,7 @@
 		w.moves = append(w.moves, move{at: now, client: client, bucket: bucket})
 	}
 	if len(taken) > 0 {
-		w.inForce = w.inForce.With(client, taken)
+		w.inForce = w.inForce.WithMoves(client, taken)
 		w.assigned = nil
 	}
 }
