--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -57,7 +57,7 @@
 	PeerPool   func(address string) *exchange.Pool
 	Member     func(box string) (membership.Member, bool)
 	// Begin takes an idempotency key, or joins whoever took it.
-	Begin func(k once.Key, issued time.Duration) (run *once.Run, first bool, failure *outcome.Failure)
+	Begin func(k once.Key, issued time.Duration) (run *once.Execution, first bool, failure *outcome.Failure)
 	// MaySend reports whether this box's grant of slots still runs; it is
 	// asked at the moment of sending.
 	MaySend func() bool
--- a/pkg/once/once.go
+++ b/pkg/once/once.go
@@ -99,7 +99,7 @@
 // If first is true the caller must run the request and then call exactly one
 // of the run's methods. Otherwise the key was taken before, and repeat waits
 // for its end.
-func (t *Table) Begin(k Key, issued time.Duration) (run *Run, first bool, failure *outcome.Failure) {
+func (t *Table) Begin(k Key, issued time.Duration) (run *Execution, first bool, failure *outcome.Failure) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire()
@@ -108,7 +108,7 @@
 		if r.key.Fingerprint != k.Fingerprint {
 			return nil, false, outcome.NewUnknown(outcome.ReasonBadRequest, "this Idempotency-Key was used for a different request")
 		}
-		return &Run{table: t, record: r}, false, nil
+		return &Execution{table: t, record: r}, false, nil
 	}
 	if t.Age()-issued > t.MaxAge {
 		return nil, false, outcome.NewUnknown(outcome.ReasonStaleTicket, "the ticket is older than keys are remembered")
@@ -119,7 +119,7 @@
 	r := &record{key: k, taken: t.Age(), done: make(chan struct{})}
 	r.place = t.oldest.PushBack(r)
 	t.records[name] = r
-	return &Run{table: t, record: r}, true, nil
+	return &Execution{table: t, record: r}, true, nil
 }
 
 // expire forgets records that are older than any ticket that could still name
@@ -145,15 +145,15 @@
 	t.oldest.Remove(r.place)
 }
 
-// Run is one key being run, or joined.
-type Run struct {
+// Execution is one key being run, or joined.
+type Execution struct {
 	table  *Table
 	record *record
 }
 
 // Answered ends the run with an answer. A nil answer means that it was passed
 // on but was too large to keep.
-func (r *Run) Answered(a *Answer) {
+func (r *Execution) Answered(a *Answer) {
 	if a == nil {
 		r.finish(notKept, nil, nil)
 		return
@@ -163,11 +163,11 @@
 
 // Failed ends the run without an answer. If the failure says "not run", the
 // key is free again; otherwise it stays taken for good.
-func (r *Run) Failed(f *outcome.Failure) {
+func (r *Execution) Failed(f *outcome.Failure) {
 	r.finish(unknown, nil, f)
 }
 
-func (r *Run) finish(s state, a *Answer, f *outcome.Failure) {
+func (r *Execution) finish(s state, a *Answer, f *outcome.Failure) {
 	t := r.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,7 +184,7 @@
 }
 
 // Wait waits for the run that took the key, and returns its end.
-func (r *Run) Wait(ctx context.Context) (*Answer, *outcome.Failure) {
+func (r *Execution) Wait(ctx context.Context) (*Answer, *outcome.Failure) {
 	select {
 	case <-r.record.done:
 	case <-ctx.Done():
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -52,7 +52,7 @@
 		age := time.Duration(0)
 		table := NewTable(4, 10*time.Second, func() time.Duration { return age })
 		mayHaveRun := map[string]bool{}
-		running := map[string]*Run{}
+		running := map[string]*Execution{}
 		issued := map[string]time.Duration{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			key := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))
--- a/test/control/control.go
+++ b/test/control/control.go
@@ -22,7 +22,7 @@
 	"": func(*box.Box) {},
 	// no-once forgets every key at once.
 	"no-once": func(b *box.Box) {
-		b.Entry.Begin = func(k once.Key, issued time.Duration) (*once.Run, bool, *outcome.Failure) {
+		b.Entry.Begin = func(k once.Key, issued time.Duration) (*once.Execution, bool, *outcome.Failure) {
 			return once.NewTable(1, time.Hour, func() time.Duration { return 0 }).Begin(k, issued)
 		}
 	},
