--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -82,12 +82,12 @@
 		return nil, failure
 	}
 	if answer.Stream == nil {
-		run.Answered(&once.Answer{
+		run.Complete(&once.Answer{
 			Status: answer.Status, Header: answer.Header, Body: bytes.Clone(answer.Body), Server: answer.Server, Zone: answer.Zone,
 		})
 		return answer, nil
 	}
-	run.Answered(nil)
+	run.Complete(nil)
 	return answer, nil
 }
 
--- a/pkg/once/once.go
+++ b/pkg/once/once.go
@@ -151,9 +151,9 @@
 	record *record
 }
 
-// Answered ends the run with an answer. A nil answer means that it was passed
+// Complete ends the run with an answer. A nil answer means that it was passed
 // on but was too large to keep.
-func (r *Execution) Answered(a *Answer) {
+func (r *Execution) Complete(a *Answer) {
 	if a == nil {
 		r.finish(notKept, nil, nil)
 		return
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -75,7 +75,7 @@
 				}
 			case 2:
 				if run := running[key]; run != nil {
-					run.Answered(&Answer{Status: 200})
+					run.Complete(&Answer{Status: 200})
 					mayHaveRun[key] = true
 					delete(running, key)
 				}
@@ -100,7 +100,7 @@
 	is.True(first && failure == nil)
 	again, first, failure := table.Begin(Key{Service: "s", Key: "k", Fingerprint: 1}, 0)
 	is.True(!first && failure == nil)
-	run.Answered(&Answer{Status: 201})
+	run.Complete(&Answer{Status: 201})
 	answer, failure := again.Wait(context.Background())
 	is.True(failure == nil)
 	is.Equal(answer.Status, 201)
