--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -78,7 +78,7 @@
 	}
 	answer, failure := e.route(r)
 	if failure != nil {
-		run.Failed(failure)
+		run.Fail(failure)
 		return nil, failure
 	}
 	if answer.Stream == nil {
--- a/pkg/once/once.go
+++ b/pkg/once/once.go
@@ -161,9 +161,9 @@
 	r.finish(answered, a, nil)
 }
 
-// Failed ends the run without an answer. If the failure says "not run", the
+// Fail ends the run without an answer. If the failure says "not run", the
 // key is free again; otherwise it stays taken for good.
-func (r *Execution) Failed(f *outcome.Failure) {
+func (r *Execution) Fail(f *outcome.Failure) {
 	r.finish(unknown, nil, f)
 }
 
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -84,7 +84,7 @@
 					f := rapid.SampledFrom([]*outcome.Failure{
 						outcome.NewNotRun(outcome.ReasonConnect, ""), outcome.NewUnknown(outcome.ReasonTimeout, ""),
 					}).Draw(t, "failure")
-					run.Failed(f)
+					run.Fail(f)
 					mayHaveRun[key] = mayHaveRun[key] || f.Outcome == outcome.Unknown
 					delete(running, key)
 				}
