--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// News returns the records that rose since the given time, own one included.
-func (t *Table) News(since time.Time) []Record {
+// UpdatedSince returns the records that rose since the given time, own one included.
+func (t *Table) UpdatedSince(since time.Time) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var news []Record
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -214,7 +214,7 @@
 	x.mu.Lock()
 	since := x.lastSent[to]
 	x.mu.Unlock()
-	records := x.Table.News(since)
+	records := x.Table.UpdatedSince(since)
 	if !x.isNear(to) {
 		for i := range records {
 			records[i].Views, records[i].Seen, records[i].Excess = nil, nil, nil
