--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -148,7 +148,7 @@
 func (b *Box) stoodStill(gap time.Duration) {
 	b.log.Warn("stood still", map[string]any{"for": gap})
 	b.confirmed.Store(false)
-	b.Table.ForgiveSilence()
+	b.Table.ResetSilence()
 	b.background.Go(b.confirm)
 }
 
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -184,9 +184,9 @@
 	}
 }
 
-// ForgiveSilence restarts the clock of every record, after this process stood
+// ResetSilence restarts the clock of every record, after this process stood
 // still: the silence was its own.
-func (t *Table) ForgiveSilence() {
+func (t *Table) ResetSilence() {
 	now := t.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -46,7 +46,7 @@
 	table := NewTable("a", func() time.Time { return now })
 	table.Merge([]Record{{Box: "b", Version: 1}})
 	now = now.Add(time.Hour)
-	table.ForgiveSilence()
+	table.ResetSilence()
 	m, _ := table.Get("b")
 	is.Equal(m.State, Live)
 }
