--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -151,7 +151,7 @@
 	b.Writer = &config.Writer{Platform: b.Platform, Store: b.Store, Timeout: 2 * s.Platform.Timeout}
 	b.Exchanger = peer.NewExchanger(s.Box, s.Zone, s.Seeds, b.Table, b.Store, logging.For(b.logger, "peer"))
 	b.Exchanger.Call = b.newPeerCaller()
-	b.Table.Near = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
+	b.Table.SameRegion = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
 	b.Exchanger.OnMerge = b.heardViews
 	b.Exchanger.SameRegion = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
 	b.NewPool = func(address string, maxIdle int) *exchange.Pool { return exchange.NewPool(address, maxIdle, b.dial) }
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -119,8 +119,8 @@
 	Now func() time.Time
 	// Self is the name of this box.
 	Self string
-	// Near reports whether a zone is in this box's region.
-	Near func(zone string) bool
+	// SameRegion reports whether a zone is in this box's region.
+	SameRegion func(zone string) bool
 
 	mu      sync.RWMutex
 	records map[string]*entry
@@ -134,7 +134,7 @@
 
 // NewTable makes a table that knows only its own box.
 func NewTable(self string, now func() time.Time) *Table {
-	return &Table{Now: now, Self: self, Near: func(string) bool { return false }, records: map[string]*entry{}, listed: map[string]platform.Box{}}
+	return &Table{Now: now, Self: self, SameRegion: func(string) bool { return false }, records: map[string]*entry{}, listed: map[string]platform.Box{}}
 }
 
 // Merge takes in records heard from another box.
@@ -161,7 +161,7 @@
 // region, a partial record must never hide what a full one of the same life
 // says, though its version be higher: the slots depend on it.
 func (t *Table) replaces(r, known *Record) bool {
-	if r.Incarnation == known.Incarnation && t.Near(r.Zone) && r.Partial != known.Partial {
+	if r.Incarnation == known.Incarnation && t.SameRegion(r.Zone) && r.Partial != known.Partial {
 		return known.Partial
 	}
 	return r.newer(known)
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -57,7 +57,7 @@
 func TestPartialNeverHidesFull(t *testing.T) {
 	is := is.New(t)
 	table := NewTable("a", time.Now)
-	table.Near = func(zone string) bool { return zone == "near" }
+	table.SameRegion = func(zone string) bool { return zone == "near" }
 	partial := Record{Box: "b", Zone: "near", Incarnation: "1", Version: 7, Partial: true}
 	full := Record{Box: "b", Zone: "near", Incarnation: "1", Version: 5, Excess: map[string]int{"s": 1}}
 	table.Merge([]Record{partial, full})
