--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -106,8 +106,8 @@
 type Member struct {
 	Record
 	State State
-	// Heard is when the record's version last rose, by this box's clock.
-	Heard time.Time
+	// LastHeard is when the record's version last rose, by this box's clock.
+	LastHeard time.Time
 	// Silent is how long ago that was.
 	Silent time.Duration
 	// InList is true if the platform's list names the box.
@@ -256,7 +256,7 @@
 }
 
 func (t *Table) member(e *entry, now time.Time) Member {
-	m := Member{Record: e.record, Heard: e.heard, Silent: now.Sub(e.heard)}
+	m := Member{Record: e.record, LastHeard: e.heard, Silent: now.Sub(e.heard)}
 	listed, ok := t.listed[e.record.Box]
 	m.InList = ok
 	switch {
