--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -30,7 +30,7 @@
 	}
 	for _, m := range b.Table.Members() {
 		reply.Boxes = append(reply.Boxes, &pb.BoxStatus{
-			Box: m.Box, Zone: m.Zone, State: string(m.State), SilentMs: m.Silent.Milliseconds(),
+			Box: m.Box, Zone: m.Zone, State: string(m.State), SilentMs: m.SilentFor.Milliseconds(),
 			ConfigDigest: m.ConfigDigest, OperatorsAddress: m.Operators,
 		})
 	}
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -47,7 +47,7 @@
 		if m.Box == b.Settings.Box || m.State == membership.Listed || b.Topology.RegionOf(m.Zone) != b.region {
 			continue
 		}
-		if m.Silent > membership.DeadAfter && !views[m.Zone].Has(m.Box) {
+		if m.SilentFor > membership.DeadAfter && !views[m.Zone].Has(m.Box) {
 			continue
 		}
 		list = append(list, m)
@@ -60,8 +60,8 @@
 // itself or is dead. A younger one holds nothing that this box has not seen.
 func (b *Box) anyPartial(speakers []membership.Member) bool {
 	for _, m := range speakers {
-		age := time.Duration(m.AgeMS)*time.Millisecond + m.Silent
-		if m.Partial && m.Silent <= membership.DeadAfter && age > b.age() {
+		age := time.Duration(m.AgeMS)*time.Millisecond + m.SilentFor
+		if m.Partial && m.SilentFor <= membership.DeadAfter && age > b.age() {
 			return true
 		}
 	}
--- a/pkg/decide/snapshot.go
+++ b/pkg/decide/snapshot.go
@@ -118,7 +118,7 @@
 
 func newBoxView(m membership.Member) *BoxView {
 	b := &BoxView{
-		Box: m.Box, Zone: m.Zone, Incarnation: m.Incarnation, AgeMS: m.AgeMS + m.Silent.Milliseconds(),
+		Box: m.Box, Zone: m.Zone, Incarnation: m.Incarnation, AgeMS: m.AgeMS + m.SilentFor.Milliseconds(),
 		hash: Hash(m.Box), Callers: m.Callers, Peers: m.Peers, Leaving: m.State != membership.Live || !m.Ready, Free: map[string]int{}, Share: map[string]int{},
 	}
 	share, inUse := 0, 0
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -108,8 +108,8 @@
 	State State
 	// LastHeard is when the record's version last rose, by this box's clock.
 	LastHeard time.Time
-	// Silent is how long ago that was.
-	Silent time.Duration
+	// SilentFor is how long ago that was.
+	SilentFor time.Duration
 	// InList is true if the platform's list names the box.
 	InList bool
 }
@@ -256,17 +256,17 @@
 }
 
 func (t *Table) member(e *entry, now time.Time) Member {
-	m := Member{Record: e.record, LastHeard: e.heard, Silent: now.Sub(e.heard)}
+	m := Member{Record: e.record, LastHeard: e.heard, SilentFor: now.Sub(e.heard)}
 	listed, ok := t.listed[e.record.Box]
 	m.InList = ok
 	switch {
 	case e.record.Box == t.Self:
-		m.State, m.Silent = Live, 0
+		m.State, m.SilentFor = Live, 0
 	case m.Gone:
 		m.State = Dead
-	case m.Silent > DeadAfter:
+	case m.SilentFor > DeadAfter:
 		m.State = Dead
-	case m.Silent > SuspectAfter:
+	case m.SilentFor > SuspectAfter:
 		m.State = Suspect
 	default:
 		m.State = Live
