--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -86,9 +86,9 @@
 	done    bool
 }
 
-// NoticeTime is for how long a server may go on working on a request whose
+// AbandonDelay is for how long a server may go on working on a request whose
 // connection was closed: the close has to reach it, and it has to look.
-const NoticeTime = 100 * time.Millisecond
+const AbandonDelay = 100 * time.Millisecond
 
 // Release gives the slot back; only the first call counts.
 func (p *Permit) Release(result Result) {
@@ -102,7 +102,7 @@
 // Release only the first call counts.
 func (p *Permit) Abandon(result Result) {
 	if p.end(result) {
-		p.gate.After(NoticeTime, p.free)
+		p.gate.After(AbandonDelay, p.free)
 	}
 }
 
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -75,7 +75,7 @@
 	_, failure = g.Acquire(context.Background(), Request{})
 	is.True(failure != nil)
 	is.Equal(len(due), 1)
-	is.Equal(pause, NoticeTime)
+	is.Equal(pause, AbandonDelay)
 	due[0]()
 	is.Equal(g.Status()[0].InUse, 0)
 	p.Release(Succeeded) // only the first end counts
