--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -117,7 +117,7 @@
 func (b *Box) configChanged(o *config.Object) {
 	b.log.Info("configuration in force", map[string]any{"service": o.Name, "revision": o.Revision, "deleted": o.Deleted})
 	b.rebuild()
-	b.operators.Changed()
+	b.operators.NotifyWatchers()
 	b.background.Go(func() { b.Exchanger.Push(b.context, []*config.Object{o}) })
 }
 
--- a/pkg/rpc/rpc_watch.go
+++ b/pkg/rpc/rpc_watch.go
@@ -7,8 +7,8 @@
 	"github.com/stoneworks/stoneworks/pkg/config"
 )
 
-// Changed wakes the watches; the box calls it for every change in force.
-func (o *Operators) Changed() {
+// NotifyWatchers wakes the watches; the box calls it for every change in force.
+func (o *Operators) NotifyWatchers() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for w := range o.watchers {
