--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -14,12 +14,12 @@
 
 func (b *Box) newOperators() *rpc.Operators {
 	return &rpc.Operators{
-		Store:       b.Store,
-		Apply:       b.Writer.Apply,
-		Status:      b.status,
-		Route:       b.explain,
-		KnownZone:   b.Topology.HasZone,
-		KnownRegion: b.Topology.HasRegion,
+		Store:        b.Store,
+		Apply:        b.Writer.Apply,
+		Status:       b.status,
+		ExplainRoute: b.explain,
+		KnownZone:    b.Topology.HasZone,
+		KnownRegion:  b.Topology.HasRegion,
 	}
 }
 
--- a/pkg/rpc/rpc.go
+++ b/pkg/rpc/rpc.go
@@ -26,10 +26,10 @@
 	Store  *config.Store
 	Apply  func(ctx context.Context, c config.Change) (*config.Object, error)
 	Status func() *pb.StatusReply
-	// Route says where a request would go.
-	Route       func(r *pb.ExplainRequest) (*pb.ExplainReply, error)
-	KnownZone   func(string) bool
-	KnownRegion func(string) bool
+	// ExplainRoute says where a request would go.
+	ExplainRoute func(r *pb.ExplainRequest) (*pb.ExplainReply, error)
+	KnownZone    func(string) bool
+	KnownRegion  func(string) bool
 
 	mu       sync.Mutex
 	watchers map[chan struct{}]bool
@@ -114,7 +114,7 @@
 
 // Explain implements the call of that name.
 func (o *Operators) Explain(_ context.Context, r *pb.ExplainRequest) (*pb.ExplainReply, error) {
-	reply, err := o.Route(r)
+	reply, err := o.ExplainRoute(r)
 	if err != nil {
 		return nil, toStatus(err)
 	}
