--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -139,8 +139,8 @@
 	return nil, &LookupError{Service: service, Last: last}
 }
 
-// Forget drops a cached answer, since it did not serve.
-func (c *Client) Forget(service string) {
+// InvalidateLookup drops a cached answer, since it did not serve.
+func (c *Client) InvalidateLookup(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cached := c.lookups[service]
--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -79,7 +79,7 @@
 	case outcome.ReasonBadRequest, outcome.ReasonKeyRequired, outcome.ReasonTooLarge, outcome.ReasonNoSuchService, outcome.ReasonAnswerNotKept:
 		return false
 	case outcome.ReasonStaleTicket, outcome.ReasonOwnerUnreachable, outcome.ReasonConnect, outcome.ReasonBoxLeaving:
-		x.client.Forget(x.request.Service)
+		x.client.InvalidateLookup(x.request.Service)
 	}
 	return r.Outcome == outcome.NotRun || x.request.MayRepeat || x.request.Once
 }
@@ -94,7 +94,7 @@
 	result := x.client.Submit(ctx, e.Address, Submission{Request: x.request, ID: x.id, Key: x.key, First: x.clean})
 	result.Attempts = x.tries
 	if result.Status == 0 {
-		x.client.Forget(x.request.Service)
+		x.client.InvalidateLookup(x.request.Service)
 	}
 	return result
 }
