--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -64,8 +64,8 @@
 	Body   []byte
 	// ID names the request in logs; made up if empty.
 	ID string
-	// Once marks a request that may not be repeated; it gets a key.
-	Once bool
+	// AtMostOnce marks a request that may not be repeated; it gets a key.
+	AtMostOnce bool
 	// MayRepeat marks a request that may run more than once.
 	MayRepeat bool
 }
--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -81,12 +81,12 @@
 	case outcome.ReasonStaleTicket, outcome.ReasonOwnerUnreachable, outcome.ReasonConnect, outcome.ReasonBoxLeaving:
 		x.client.InvalidateLookup(x.request.Service)
 	}
-	return r.Outcome == outcome.NotRun || x.request.MayRepeat || x.request.Once
+	return r.Outcome == outcome.NotRun || x.request.MayRepeat || x.request.AtMostOnce
 }
 
 func (x *call) attempt(ctx context.Context, e entry.LookupEntry) *Result {
 	x.tries++
-	if x.request.Once && x.clean {
+	if x.request.AtMostOnce && x.clean {
 		// Nothing ran yet, so a key of the box at hand may take the place of
 		// one whose owner is gone.
 		x.key = e.KeyPrefix + "/" + x.id
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -52,7 +52,7 @@
 	r := caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item/%d", n%50), MayRepeat: true}
 	r.Header = [][2]string{{"X-Track", fmt.Sprint(n % 50)}}
 	if n%4 == 3 {
-		r = caller.Request{Service: service, Method: "POST", Path: "/buy", Body: []byte(fmt.Sprintf("order %d", n)), Once: true}
+		r = caller.Request{Service: service, Method: "POST", Path: "/buy", Body: []byte(fmt.Sprintf("order %d", n)), AtMostOnce: true}
 	}
 	return r
 }
@@ -92,7 +92,7 @@
 	r.ID = NewID()
 	started := time.Now()
 	result, err := c.Do(ctx, r)
-	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, Once: r.Once, Result: result, Err: err, Took: time.Since(started)}
+	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, Once: r.AtMostOnce, Result: result, Err: err, Took: time.Since(started)}
 	if result != nil {
 		s.Key = result.Key
 		s.Wrong = CheckAnswer(r, result)
--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -68,7 +68,7 @@
 	}
 	w.add(what, id, p.submit(box, r, "", id, within))
 	key, id := p.keyOf(box)
-	r.Method, r.Body, r.Once = "POST", []byte("x"), true
+	r.Method, r.Body, r.AtMostOnce = "POST", []byte("x"), true
 	if body != nil {
 		r.Body = body
 	}
--- a/test/prove/traffic_test.go
+++ b/test/prove/traffic_test.go
@@ -51,7 +51,7 @@
 		}
 		r := caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item?ms=%d", (i*7+n)%ms), MayRepeat: true, ID: harness.NewID()}
 		if i%5 == 4 {
-			r = caller.Request{Service: service, Method: "POST", Path: "/buy?ms=5", Body: []byte("pass"), Once: true, ID: r.ID}
+			r = caller.Request{Service: service, Method: "POST", Path: "/buy?ms=5", Body: []byte("pass"), AtMostOnce: true, ID: r.ID}
 		}
 		ctx := t.p.ctx(5 * time.Second)
 		result, err := c.Do(ctx, r)
