--- a/pkg/platform/platform_http.go
+++ b/pkg/platform/platform_http.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// WatchTime is how long the platform may hold a watch that has no news.
-const WatchTime = 20 * time.Second
+// WatchTimeout is how long the platform may hold a watch that has no news.
+const WatchTimeout = 20 * time.Second
 
 // httpClient speaks the platform's HTTP protocol:
 //
@@ -38,7 +38,7 @@
 		base:    "http://" + address,
 		timeout: timeout,
 		calls:   newFasthttpClient(dial, timeout),
-		watches: newFasthttpClient(dial, WatchTime+timeout),
+		watches: newFasthttpClient(dial, WatchTimeout+timeout),
 		count:   count,
 	}
 	return &Client{Get: h.get, List: h.list, Put: h.put, Watch: h.watch, Boxes: h.boxes}
@@ -77,7 +77,7 @@
 func (h *httpClient) watch(ctx context.Context, kind string, since uint64) (Page, error) {
 	h.count("watch")
 	var p Page
-	_, err := h.read(ctx, h.watches, WatchTime+h.timeout, fmt.Sprintf("/objects/%s?since=%d", kind, since), &p)
+	_, err := h.read(ctx, h.watches, WatchTimeout+h.timeout, fmt.Sprintf("/objects/%s?since=%d", kind, since), &p)
 	return p, err
 }
 
