--- a/pkg/decide/route.go
+++ b/pkg/decide/route.go
@@ -29,10 +29,10 @@
 
 // Decision is where a request goes.
 type Decision struct {
-	// Client is the client's region, and Region the one that serves it.
-	Client string
-	Region string
-	Zone   string
+	// ClientRegion is the client's region, and Region the one that serves it.
+	ClientRegion string
+	Region       string
+	Zone         string
 	// Box is nil if nothing can serve the request.
 	Box    *BoxView
 	Bucket int
@@ -68,8 +68,8 @@
 	if r.Client.IsValid() {
 		d.Bucket = BucketOf(r.Client)
 	}
-	d.Client = s.ClientRegion(r.Client)
-	d.Region = s.servingRegion(v, d.Client, d.Bucket)
+	d.ClientRegion = s.ClientRegion(r.Client)
+	d.Region = s.servingRegion(v, d.ClientRegion, d.Bucket)
 	if d.Region == s.Region {
 		if z := v.Zones[s.Zone]; z != nil && s.routeOwnZone(z, v, r, &d) {
 			return d
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -15,7 +15,7 @@
 		d := e.decide(r, &target)
 		e.logDecision(r, d, try)
 		if try == 0 {
-			e.CountBucket(r.Service, d.Client, d.Bucket)
+			e.CountBucket(r.Service, d.ClientRegion, d.Bucket)
 		}
 		if d.Box == nil {
 			break
