--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -21,10 +21,10 @@
 	"github.com/stoneworks/stoneworks/pkg/decide"
 	"github.com/stoneworks/stoneworks/pkg/entry"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/membership"
 	"github.com/stoneworks/stoneworks/pkg/model"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/peer"
 	"github.com/stoneworks/stoneworks/pkg/platform"
 	"github.com/stoneworks/stoneworks/pkg/rpc"
@@ -46,7 +46,7 @@
 	Platform    *platform.Client
 	Exchanger   *peer.Exchanger
 	Entry       *entry.Entry
-	Once        *once.Table
+	Once        *idempotency.Table
 	Timers      *timer.Service
 	Metrics     metrics.Registry
 	// NewPool makes the connections to one address, and NewGate the gate of
@@ -160,7 +160,7 @@
 	b.Usable = slots.Usable
 	b.ShiftCap = func(s *model.Service) float64 { return s.ShiftCap }
 	b.LeaveSteps = b.leaveSteps()
-	b.Once = once.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
+	b.Once = idempotency.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
 	b.Entry = b.newEntry()
 	b.operators = b.newOperators()
 	b.confirmed.Store(true)
--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -12,8 +12,8 @@
 
 	"github.com/stoneworks/stoneworks/pkg/config"
 	"github.com/stoneworks/stoneworks/pkg/decide"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/membership"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
@@ -208,8 +208,8 @@
 
 // claim makes this box the owner of a key by creating an object for it in the
 // platform, or returns the owner that was first.
-func (b *Box) claim(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure) {
-	mine := once.Ticket{Box: b.Settings.Box, Incarnation: b.Incarnation, Issued: b.age()}
+func (b *Box) claim(ctx context.Context, service, key string) (idempotency.Ticket, *outcome.Failure) {
+	mine := idempotency.Ticket{Box: b.Settings.Box, Incarnation: b.Incarnation, Issued: b.age()}
 	value, _ := json.Marshal(mine)
 	object := platform.Object{Kind: KeysKind, Name: service + "." + hashName(key), Value: value}
 	_, err := b.Platform.Put(ctx, object)
@@ -219,17 +219,17 @@
 	var conflict *platform.ConflictError
 	var lost *platform.UnknownWriteError
 	if !errors.As(err, &conflict) && !errors.As(err, &lost) {
-		return once.Ticket{}, platformDown(err)
+		return idempotency.Ticket{}, platformDown(err)
 	}
 	// Someone was first, or the answer to our own claim was lost: what is
 	// stored now stands for good, since a claim is never written over.
 	got, err := b.Platform.Get(ctx, KeysKind, object.Name)
 	if err != nil {
-		return once.Ticket{}, platformDown(err)
+		return idempotency.Ticket{}, platformDown(err)
 	}
-	var owner once.Ticket
+	var owner idempotency.Ticket
 	if err := json.Unmarshal(got.Value, &owner); err != nil {
-		return once.Ticket{}, platformDown(err)
+		return idempotency.Ticket{}, platformDown(err)
 	}
 	return owner, nil
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -14,9 +14,9 @@
 	"github.com/stoneworks/stoneworks/pkg/admission"
 	"github.com/stoneworks/stoneworks/pkg/decide"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/membership"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
@@ -57,13 +57,13 @@
 	PeerPool   func(address string) *exchange.Pool
 	Member     func(box string) (membership.Member, bool)
 	// Begin takes an idempotency key, or joins whoever took it.
-	Begin func(k once.Key, issued time.Duration) (run *once.Execution, first bool, failure *outcome.Failure)
+	Begin func(k idempotency.Key, issued time.Duration) (run *idempotency.Execution, first bool, failure *outcome.Failure)
 	// MaySend reports whether this box's grant of slots still runs; it is
 	// asked at the moment of sending.
 	MaySend func() bool
 	// Claim makes this box, or whoever was first, the owner of a key that
 	// has no ticket, and returns the ticket that the key has from then on.
-	Claim func(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure)
+	Claim func(ctx context.Context, service, key string) (idempotency.Ticket, *outcome.Failure)
 	// Leaving is told when a backend server says that it leaves.
 	Leaving func(service, server string)
 	// Classify says what a failed exchange means.
--- a/pkg/entry/entry_lookup.go
+++ b/pkg/entry/entry_lookup.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/stoneworks/stoneworks/pkg/decide"
-	"github.com/stoneworks/stoneworks/pkg/once"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
@@ -79,8 +79,8 @@
 
 // ticketOf makes a ticket of the box. What was last heard of its age is less
 // than its age now, so the ticket ends early rather than late.
-func (e *Entry) ticketOf(b *decide.BoxView) once.Ticket {
-	t := once.Ticket{Box: b.Box, Incarnation: b.Incarnation, Issued: time.Duration(b.AgeMS) * time.Millisecond}
+func (e *Entry) ticketOf(b *decide.BoxView) idempotency.Ticket {
+	t := idempotency.Ticket{Box: b.Box, Incarnation: b.Incarnation, Issued: time.Duration(b.AgeMS) * time.Millisecond}
 	if b.Box == e.Self {
 		t.Incarnation, t.Issued = e.Incarnation, e.Age()
 	}
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/stoneworks/stoneworks/pkg/decide"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/membership"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
@@ -17,7 +17,7 @@
 	if r.Key == "" {
 		return nil, outcome.NewNotRun(outcome.ReasonKeyRequired, r.Method+" of this service may not be repeated")
 	}
-	ticket, hasTicket, err := once.ParseKey(r.Key)
+	ticket, hasTicket, err := idempotency.ParseKey(r.Key)
 	if err != nil {
 		return nil, bad(err.Error())
 	}
@@ -45,7 +45,7 @@
 
 // toOwner passes the request to the box that owns its key. That the owner did
 // not get this request says nothing of an earlier one with the same key.
-func (e *Entry) toOwner(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
+func (e *Entry) toOwner(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
 		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
@@ -63,8 +63,8 @@
 }
 
 // runOwned runs the request here, or joins the run that its key already has.
-func (e *Entry) runOwned(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
-	key := once.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
+func (e *Entry) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
+	key := idempotency.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
 	run, first, failure := e.Begin(key, t.Issued)
 	if failure != nil {
 		return nil, failure
@@ -82,7 +82,7 @@
 		return nil, failure
 	}
 	if answer.Stream == nil {
-		run.Complete(&once.Answer{
+		run.Complete(&idempotency.Answer{
 			Status: answer.Status, Header: answer.Header, Body: bytes.Clone(answer.Body), Server: answer.Server, Zone: answer.Zone,
 		})
 		return answer, nil
--- a/pkg/once/once.go
+++ b/pkg/idempotency/table.go
@@ -1,4 +1,4 @@
-// Package once remembers which idempotency keys this box has taken, so that a
+// Package idempotency remembers which idempotency keys this box has taken, so that a
 // request that may not be repeated runs at most once.
 //
 // Every key belongs to one life of one box: its owner, named by the ticket
@@ -11,7 +11,7 @@
 // and the answer is lost. It sends K again through thies-b-1, which passes it
 // to dakar-a-1. That box finds K in flight, waits with it, and both get the
 // one answer.
-package once
+package idempotency
 
 import (
 	"container/list"
--- a/pkg/once/ticket.go
+++ b/pkg/idempotency/ticket.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"fmt"
--- a/test/control/control.go
+++ b/test/control/control.go
@@ -11,8 +11,8 @@
 	"github.com/stoneworks/stoneworks/pkg/box"
 	"github.com/stoneworks/stoneworks/pkg/config"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/model"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 	"github.com/stoneworks/stoneworks/pkg/slots"
 )
@@ -22,8 +22,8 @@
 	"": func(*box.Box) {},
 	// no-once forgets every key at once.
 	"no-once": func(b *box.Box) {
-		b.Entry.Begin = func(k once.Key, issued time.Duration) (*once.Execution, bool, *outcome.Failure) {
-			return once.NewTable(1, time.Hour, func() time.Duration { return 0 }).Begin(k, issued)
+		b.Entry.Begin = func(k idempotency.Key, issued time.Duration) (*idempotency.Execution, bool, *outcome.Failure) {
+			return idempotency.NewTable(1, time.Hour, func() time.Duration { return 0 }).Begin(k, issued)
 		}
 	},
 	// reuse-any uses connections again however their exchange ended.
