--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -55,10 +55,10 @@
 type Sync struct {
 	From    string           `json:"from"`
 	Objects []*config.Object `json:"objects,omitempty"`
-	// Ask wants an answer with all that is newer than Stamps. It is a field
+	// WantsNewer wants an answer with all that is newer than Stamps. It is a field
 	// of its own, since a box that has nothing yet sends no stamps at all.
-	Ask    bool                    `json:"ask,omitempty"`
-	Stamps map[string]config.Stamp `json:"stamps,omitempty"`
+	WantsNewer bool                    `json:"ask,omitempty"`
+	Stamps     map[string]config.Stamp `json:"stamps,omitempty"`
 	// Whole is set in an answer if, with its objects, the asking box has all
 	// that a box with a whole configuration has.
 	Whole bool `json:"whole,omitempty"`
@@ -247,7 +247,7 @@
 func (x *Exchanger) syncWith(ctx context.Context, address string, theirs Heartbeat) {
 	message := Sync{
 		From: x.Self, Objects: x.Store.NewerThan(theirs.Stamps),
-		Ask: true, Stamps: x.Store.Stamps(),
+		WantsNewer: true, Stamps: x.Store.Stamps(),
 	}
 	var reply Sync
 	if err := x.Call(ctx, address, PathSync, message, &reply); err != nil {
@@ -315,7 +315,7 @@
 func (x *Exchanger) HandleSync(s Sync) Sync {
 	x.take(s)
 	reply := Sync{From: x.Self}
-	if s.Ask {
+	if s.WantsNewer {
 		reply.Whole = x.Store.Synced()
 		reply.Objects = x.Store.NewerThan(s.Stamps)
 	}
