--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -59,9 +59,9 @@
 	// of its own, since a box that has nothing yet sends no stamps at all.
 	WantsNewer bool                    `json:"ask,omitempty"`
 	Stamps     map[string]config.Stamp `json:"stamps,omitempty"`
-	// Whole is set in an answer if, with its objects, the asking box has all
+	// Complete is set in an answer if, with its objects, the asking box has all
 	// that a box with a whole configuration has.
-	Whole bool `json:"whole,omitempty"`
+	Complete bool `json:"whole,omitempty"`
 }
 
 // Exchanger calls other boxes and answers them.
@@ -316,7 +316,7 @@
 	x.take(s)
 	reply := Sync{From: x.Self}
 	if s.WantsNewer {
-		reply.Whole = x.Store.Synced()
+		reply.Complete = x.Store.Synced()
 		reply.Objects = x.Store.NewerThan(s.Stamps)
 	}
 	return reply
@@ -326,7 +326,7 @@
 	for _, o := range x.Store.Merge(s.Objects...) {
 		x.Log.Info("took configuration from a peer", map[string]any{"from": s.From, "service": o.Name, "revision": o.Revision})
 	}
-	if s.Whole && !x.Store.Synced() {
+	if s.Complete && !x.Store.Synced() {
 		x.Store.MarkSynced()
 	}
 }
