--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -11,8 +11,8 @@
 	Zone   string `json:"zone" yaml:"zone"`
 }
 
-// noSite marks a range of addresses that no block covers.
-const noSite = ^uint16(0)
+// noZone marks a range of addresses that no block covers.
+const noZone = ^uint16(0)
 
 // BlockTable maps addresses to sites by longest prefix. The prefixes are
 // flattened once into ranges that do not overlap, so a look-up is one index
@@ -85,7 +85,7 @@
 	}
 	k := a.As16()
 	i := sort.Search(len(t.starts6), func(i int) bool { return less16(k, t.starts6[i]) }) - 1
-	if i < 0 || t.sites6[i] == noSite {
+	if i < 0 || t.sites6[i] == noZone {
 		return 0, false
 	}
 	return int(t.sites6[i]), true
@@ -103,7 +103,7 @@
 			hi = mid
 		}
 	}
-	if lo == 0 || t.sites4[lo-1] == noSite {
+	if lo == 0 || t.sites4[lo-1] == noZone {
 		return 0, false
 	}
 	return int(t.sites4[lo-1]), true
@@ -119,7 +119,7 @@
 		return spans[i].bits < spans[j].bits
 	})
 	var open []span
-	out := rangeWriter{emit: emit, last: noSite}
+	out := rangeWriter{emit: emit, last: noZone}
 	put := out.put
 	closeBefore := func(limit netip.Addr, all bool) {
 		for len(open) > 0 {
@@ -132,7 +132,7 @@
 			if !next.IsValid() {
 				return
 			}
-			site := noSite
+			site := noZone
 			if len(open) > 0 {
 				site = open[len(open)-1].site
 			}
