--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -21,7 +21,7 @@
 // Cost: 6 bytes a range for IPv4 and 18 for IPv6, plus 256 KiB for the index.
 type BlockTable struct {
 	starts4 []uint32
-	sites4  []uint16
+	zones4  []uint16
 	// index4[h] is the number of ranges that start below h<<16.
 	index4  []uint32
 	starts6 [][16]byte
@@ -56,7 +56,7 @@
 	flatten(v4, func(start netip.Addr, site uint16) {
 		b := start.As4()
 		t.starts4 = append(t.starts4, uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]))
-		t.sites4 = append(t.sites4, site)
+		t.zones4 = append(t.zones4, site)
 	})
 	flatten(v6, func(start netip.Addr, site uint16) {
 		t.starts6 = append(t.starts6, start.As16())
@@ -103,10 +103,10 @@
 			hi = mid
 		}
 	}
-	if lo == 0 || t.sites4[lo-1] == noZone {
+	if lo == 0 || t.zones4[lo-1] == noZone {
 		return 0, false
 	}
-	return int(t.sites4[lo-1]), true
+	return int(t.zones4[lo-1]), true
 }
 
 // flatten turns nested prefixes into consecutive ranges, calling emit with
