--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -25,7 +25,7 @@
 	// index4[h] is the number of ranges that start below h<<16.
 	index4  []uint32
 	starts6 [][16]byte
-	sites6  []uint16
+	zones6  []uint16
 }
 
 type span struct {
@@ -60,7 +60,7 @@
 	})
 	flatten(v6, func(start netip.Addr, site uint16) {
 		t.starts6 = append(t.starts6, start.As16())
-		t.sites6 = append(t.sites6, site)
+		t.zones6 = append(t.zones6, site)
 	})
 	t.buildIndex()
 	return t
@@ -85,10 +85,10 @@
 	}
 	k := a.As16()
 	i := sort.Search(len(t.starts6), func(i int) bool { return less16(k, t.starts6[i]) }) - 1
-	if i < 0 || t.sites6[i] == noZone {
+	if i < 0 || t.zones6[i] == noZone {
 		return 0, false
 	}
-	return int(t.sites6[i]), true
+	return int(t.zones6[i]), true
 }
 
 func (t *BlockTable) find4(a netip.Addr) (site int, ok bool) {
