--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -36,11 +36,11 @@
 
 // NewBlockTable flattens the blocks. Blocks that cannot be parsed, or whose
 // zone siteOf does not know, are left out: settings are checked before.
-func NewBlockTable(blocks []Block, siteOf func(string) (uint16, bool)) *BlockTable {
+func NewBlockTable(blocks []Block, zoneIndex func(string) (uint16, bool)) *BlockTable {
 	var v4, v6 []span
 	for _, b := range blocks {
 		p, err := netip.ParsePrefix(b.Prefix)
-		site, ok := siteOf(b.Zone)
+		site, ok := zoneIndex(b.Zone)
 		if err != nil || !ok {
 			continue
 		}
