--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -209,7 +209,7 @@
 	}
 	expected := g.serviceTime * time.Duration(len(g.queue)+1) / time.Duration(slots)
 	if len(g.queue) >= slots*QueuePerSlot || expected > g.QueueWait {
-		return nil, g.full(expected)
+		return nil, g.noCapacity(expected)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.Now().Add(expected+g.serviceTime).After(deadline) {
 		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(spread(expected, r))
@@ -219,7 +219,7 @@
 	return w, nil
 }
 
-func (g *Gate) full(expected time.Duration) *outcome.Failure {
+func (g *Gate) noCapacity(expected time.Duration) *outcome.Failure {
 	wait := min(max(expected, minRetryAfter), maxRetryAfter)
 	return outcome.NewNotRun(outcome.ReasonNoCapacity, "").WithRetryAfter(wait)
 }
@@ -253,7 +253,7 @@
 	if ctx.Err() != nil {
 		return nil, outcome.NewNotRun(outcome.ReasonCancelled, "while waiting for a slot")
 	}
-	return nil, g.full(expected)
+	return nil, g.noCapacity(expected)
 }
 
 func (g *Gate) remove(w *waiter) bool {
