--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -212,7 +212,7 @@
 		return nil, g.noCapacity(expected)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.Now().Add(expected+g.serviceTime).After(deadline) {
-		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(spread(expected, r))
+		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(jitteredRetryAfter(expected, r))
 	}
 	w := &waiter{ready: make(chan *Permit, 1), request: r}
 	g.queue = append(g.queue, w)
@@ -224,7 +224,7 @@
 	return outcome.NewNotRun(outcome.ReasonNoCapacity, "").WithRetryAfter(wait)
 }
 
-func spread(d time.Duration, r Request) time.Duration {
+func jitteredRetryAfter(d time.Duration, r Request) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter)
 	return d + time.Duration(r.CacheKey%uint64(d))
 }
