--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -190,7 +190,7 @@
 // Acquire takes a slot. The failure always says "not run".
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Permit, *outcome.Failure) {
 	g.mu.Lock()
-	if p := g.take(r); p != nil {
+	if p := g.tryAcquire(r); p != nil {
 		g.mu.Unlock()
 		return p, nil
 	}
@@ -282,7 +282,7 @@
 // serveQueue hands free slots to the requests that have waited longest.
 func (g *Gate) serveQueue() {
 	for len(g.queue) > 0 {
-		p := g.take(g.queue[0].request)
+		p := g.tryAcquire(g.queue[0].request)
 		if p == nil {
 			return
 		}
--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// take picks a backend server with a free slot, or nil.
-func (g *Gate) take(r Request) *Permit {
+// tryAcquire picks a backend server with a free slot, or nil.
+func (g *Gate) tryAcquire(r Request) *Permit {
 	best := g.pick(r, r.Avoid)
 	if best == nil && r.Avoid != "" {
 		best = g.pick(r, "")
