--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -92,7 +92,7 @@
 
 // Release gives the slot back; only the first call counts.
 func (p *Permit) Release(result Result) {
-	if p.end(result) {
+	if p.recordResult(result) {
 		p.free()
 	}
 }
@@ -101,7 +101,7 @@
 // The slot is given back when the server must have noticed. Of this and
 // Release only the first call counts.
 func (p *Permit) Abandon(result Result) {
-	if p.end(result) {
+	if p.recordResult(result) {
 		p.gate.After(AbandonDelay, p.free)
 	}
 }
@@ -114,8 +114,8 @@
 	p.gate.serveQueue()
 }
 
-// end notes the result, and reports whether it is the first one.
-func (p *Permit) end(result Result) (first bool) {
+// recordResult notes the result, and reports whether it is the first one.
+func (p *Permit) recordResult(result Result) (first bool) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
