--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -93,7 +93,7 @@
 // Release gives the slot back; only the first call counts.
 func (p *Permit) Release(result Result) {
 	if p.recordResult(result) {
-		p.free()
+		p.releaseSlot()
 	}
 }
 
@@ -102,12 +102,12 @@
 // Release only the first call counts.
 func (p *Permit) Abandon(result Result) {
 	if p.recordResult(result) {
-		p.gate.After(AbandonDelay, p.free)
+		p.gate.After(AbandonDelay, p.releaseSlot)
 	}
 }
 
-// free gives the slot to the request that has waited longest.
-func (p *Permit) free() {
+// releaseSlot gives the slot to the request that has waited longest.
+func (p *Permit) releaseSlot() {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	p.server.InUse--
