--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		result := x.attempt(ctx, entries[x.tries%len(entries)])
-		if last = x.worse(result); !x.again(result) {
+		if last = x.worse(result); !x.shouldRetry(result) {
 			return last, nil
 		}
 		select {
@@ -71,7 +71,7 @@
 	return r
 }
 
-func (x *call) again(r *Result) bool {
+func (x *call) shouldRetry(r *Result) bool {
 	if r.Outcome == outcome.Answered {
 		return false
 	}
