--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		result := x.attempt(ctx, entries[x.tries%len(entries)])
-		if last = x.worse(result); !x.shouldRetry(result) {
+		if last = x.mergeOutcome(result); !x.shouldRetry(result) {
 			return last, nil
 		}
 		select {
@@ -59,9 +59,9 @@
 	return last, nil
 }
 
-// worse keeps "unknown" once an attempt may have run, whatever later attempts
+// mergeOutcome keeps "unknown" once an attempt may have run, whatever later attempts
 // say of themselves.
-func (x *call) worse(r *Result) *Result {
+func (x *call) mergeOutcome(r *Result) *Result {
 	if r.Outcome == outcome.NotRun && !x.clean {
 		r.Outcome = outcome.Unknown
 	}
