--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -19,9 +19,9 @@
 	request Request
 	id      string
 	key     string
-	// clean is true while every attempt so far was certainly not run.
-	clean bool
-	tries int
+	// notRun is true while every attempt so far was certainly not run.
+	notRun bool
+	tries  int
 }
 
 // Do sends the request and repeats it where that is safe, until it is
@@ -31,7 +31,7 @@
 // A request that may not be repeated keeps its key as soon as one attempt may
 // have run: repeats then reach the same owner, whatever box they go through.
 func (c *Client) Do(ctx context.Context, r Request) (*Result, error) {
-	x := &call{client: c, request: r, id: r.ID, clean: true}
+	x := &call{client: c, request: r, id: r.ID, notRun: true}
 	if x.id == "" {
 		x.id = randomID()
 	}
@@ -62,11 +62,11 @@
 // mergeOutcome keeps "unknown" once an attempt may have run, whatever later attempts
 // say of themselves.
 func (x *call) mergeOutcome(r *Result) *Result {
-	if r.Outcome == outcome.NotRun && !x.clean {
+	if r.Outcome == outcome.NotRun && !x.notRun {
 		r.Outcome = outcome.Unknown
 	}
 	if r.Outcome == outcome.Unknown {
-		x.clean = false
+		x.notRun = false
 	}
 	return r
 }
@@ -86,12 +86,12 @@
 
 func (x *call) attempt(ctx context.Context, e entry.LookupEntry) *Result {
 	x.tries++
-	if x.request.AtMostOnce && x.clean {
+	if x.request.AtMostOnce && x.notRun {
 		// Nothing ran yet, so a key of the box at hand may take the place of
 		// one whose owner is gone.
 		x.key = e.KeyPrefix + "/" + x.id
 	}
-	result := x.client.Submit(ctx, e.Address, Submission{Request: x.request, ID: x.id, Key: x.key, First: x.clean})
+	result := x.client.Submit(ctx, e.Address, Submission{Request: x.request, ID: x.id, Key: x.key, First: x.notRun})
 	result.Attempts = x.tries
 	if result.Status == 0 {
 		x.client.InvalidateLookup(x.request.Service)
