--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -28,7 +28,7 @@
 	DefaultAttempts = 5
 	lookupTimeout   = 2 * time.Second
 	connectTimeout  = time.Second
-	firstPause      = 50 * time.Millisecond
+	initialBackoff  = 50 * time.Millisecond
 	longestPause    = 2 * time.Second
 	// maxIdle is how long a connection may have been idle to be used again.
 	maxIdle = 2 * time.Second
--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -36,7 +36,7 @@
 		x.id = randomID()
 	}
 	var last *Result
-	pause := firstPause
+	pause := initialBackoff
 	for x.tries < c.Attempts {
 		entries, err := c.Lookup(ctx, r.Service)
 		if err != nil {
