--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -29,7 +29,7 @@
 	lookupTimeout   = 2 * time.Second
 	connectTimeout  = time.Second
 	initialBackoff  = 50 * time.Millisecond
-	longestPause    = 2 * time.Second
+	maxBackoff      = 2 * time.Second
 	// maxIdle is how long a connection may have been idle to be used again.
 	maxIdle = 2 * time.Second
 )
--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -54,7 +54,7 @@
 			return last, nil
 		case <-time.After(max(pause, result.RetryAfter)):
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxBackoff)
 	}
 	return last, nil
 }
