--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -43,10 +43,10 @@
 	// Attempts bounds the submissions of one request.
 	Attempts int
 
-	mu      sync.Mutex
-	lookups map[string]cachedLookup
-	pools   map[string]*exchange.Pool
-	asked   int
+	mu          sync.Mutex
+	lookups     map[string]cachedLookup
+	pools       map[string]*exchange.Pool
+	lookupCount int
 }
 
 type cachedLookup struct {
@@ -153,13 +153,13 @@
 func (c *Client) toAsk(entries []entry.LookupEntry) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
+	c.lookupCount++
 	var addresses []string
 	for _, e := range entries {
 		addresses = append(addresses, e.Address)
 	}
 	for i := range c.Boxes {
-		addresses = append(addresses, c.Boxes[(i+c.asked)%len(c.Boxes)])
+		addresses = append(addresses, c.Boxes[(i+c.lookupCount)%len(c.Boxes)])
 	}
 	return addresses
 }
