--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -126,7 +126,7 @@
 		return cached.entries, nil
 	}
 	var last error
-	for _, address := range c.toAsk(cached.entries) {
+	for _, address := range c.lookupTargets(cached.entries) {
 		answer, err := c.ask(ctx, address, service)
 		if err == nil && len(answer.Entries) > 0 {
 			c.mu.Lock()
@@ -148,9 +148,9 @@
 	c.lookups[service] = cached
 }
 
-// toAsk lists boxes for a look-up: those of the last answer, then the first
+// lookupTargets lists boxes for a look-up: those of the last answer, then the first
 // ones, starting at another each time.
-func (c *Client) toAsk(entries []entry.LookupEntry) []string {
+func (c *Client) lookupTargets(entries []entry.LookupEntry) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lookupCount++
