--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -127,7 +127,7 @@
 	}
 	var last error
 	for _, address := range c.lookupTargets(cached.entries) {
-		answer, err := c.ask(ctx, address, service)
+		answer, err := c.requestLookup(ctx, address, service)
 		if err == nil && len(answer.Entries) > 0 {
 			c.mu.Lock()
 			c.lookups[service] = cachedLookup{answer.Entries, time.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)}
@@ -164,7 +164,7 @@
 	return addresses
 }
 
-func (c *Client) ask(ctx context.Context, address, service string) (*entry.Lookup, error) {
+func (c *Client) requestLookup(ctx context.Context, address, service string) (*entry.Lookup, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	h := &fasthttp.RequestHeader{}
