--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -86,7 +86,7 @@
 	a := attempt{writer: w, change: c}
 	for {
 		o, err := a.once(ctx)
-		if o != nil || (err != nil && !a.again(err)) {
+		if o != nil || (err != nil && !a.retryable(err)) {
 			return o, err
 		}
 		select {
@@ -136,8 +136,8 @@
 	return nil, err
 }
 
-// again reports whether the error may pass when the object is read again.
-func (a *attempt) again(err error) bool {
+// retryable reports whether the error may pass when the object is read retryable.
+func (a *attempt) retryable(err error) bool {
 	var lost *platform.UnknownWriteError
 	var conflict *platform.ConflictError
 	var down *platform.UnavailableError
