--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -85,7 +85,7 @@
 	defer cancel()
 	a := attempt{writer: w, change: c}
 	for {
-		o, err := a.once(ctx)
+		o, err := a.tryOnce(ctx)
 		if o != nil || (err != nil && !a.retryable(err)) {
 			return o, err
 		}
@@ -107,8 +107,8 @@
 	wrote uint64
 }
 
-// once reads the object and tries to write it.
-func (a *attempt) once(ctx context.Context) (*Object, error) {
+// tryOnce reads the object and tries to write it.
+func (a *attempt) tryOnce(ctx context.Context) (*Object, error) {
 	w, c := a.writer, a.change
 	stored, version, err := w.read(ctx, c.Name)
 	if err != nil {
