--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -101,8 +101,8 @@
 type attempt struct {
 	writer *Writer
 	change Change
-	// unsure is set once a write of ours may have taken effect.
-	unsure bool
+	// mayBeStored is set once a write of ours may have taken effect.
+	mayBeStored bool
 	// wrote is the revision that such a write has.
 	wrote uint64
 }
@@ -119,7 +119,7 @@
 		return w.inForce(current), nil
 	}
 	if err := c.checkAgainst(current); err != nil {
-		if a.unsure && revisionOf(current) > a.wrote {
+		if a.mayBeStored && revisionOf(current) > a.wrote {
 			return nil, &UnknownWriteError{Name: c.Name, ChangeID: c.ChangeID}
 		}
 		return nil, err
@@ -131,7 +131,7 @@
 	}
 	var lost *platform.UnknownWriteError
 	if errors.As(err, &lost) {
-		a.unsure, a.wrote = true, next.Revision
+		a.mayBeStored, a.wrote = true, next.Revision
 	}
 	return nil, err
 }
@@ -145,13 +145,13 @@
 	case errors.As(err, &lost), errors.As(err, &conflict):
 		return true
 	case errors.As(err, &down):
-		return a.unsure
+		return a.mayBeStored
 	}
 	return false
 }
 
 func (a *attempt) giveUp(err error) error {
-	if a.unsure {
+	if a.mayBeStored {
 		return &UnknownWriteError{Name: a.change.Name, ChangeID: a.change.ChangeID}
 	}
 	var conflict *platform.ConflictError
