--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -103,8 +103,8 @@
 	change Change
 	// mayBeStored is set once a write of ours may have taken effect.
 	mayBeStored bool
-	// wrote is the revision that such a write has.
-	wrote uint64
+	// writtenRevision is the revision that such a write has.
+	writtenRevision uint64
 }
 
 // tryOnce reads the object and tries to write it.
@@ -119,7 +119,7 @@
 		return w.inForce(current), nil
 	}
 	if err := c.checkAgainst(current); err != nil {
-		if a.mayBeStored && revisionOf(current) > a.wrote {
+		if a.mayBeStored && revisionOf(current) > a.writtenRevision {
 			return nil, &UnknownWriteError{Name: c.Name, ChangeID: c.ChangeID}
 		}
 		return nil, err
@@ -131,7 +131,7 @@
 	}
 	var lost *platform.UnknownWriteError
 	if errors.As(err, &lost) {
-		a.mayBeStored, a.wrote = true, next.Revision
+		a.mayBeStored, a.writtenRevision = true, next.Revision
 	}
 	return nil, err
 }
