--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -91,7 +91,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, a.giveUp(err)
+			return nil, a.finalError(err)
 		case <-time.After(retryPause):
 		}
 	}
@@ -150,7 +150,7 @@
 	return false
 }
 
-func (a *attempt) giveUp(err error) error {
+func (a *attempt) finalError(err error) error {
 	if a.mayBeStored {
 		return &UnknownWriteError{Name: a.change.Name, ChangeID: a.change.ChangeID}
 	}
