--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -116,7 +116,7 @@
 	}
 	current := w.newest(c.Name, stored)
 	if current != nil && current.ChangeID == c.ChangeID {
-		return w.inForce(current), nil
+		return w.activate(current), nil
 	}
 	if err := c.checkAgainst(current); err != nil {
 		if a.mayBeStored && revisionOf(current) > a.writtenRevision {
@@ -127,7 +127,7 @@
 	next := c.object(current)
 	err = w.put(ctx, next, version)
 	if err == nil {
-		return w.inForce(next), nil
+		return w.activate(next), nil
 	}
 	var lost *platform.UnknownWriteError
 	if errors.As(err, &lost) {
@@ -217,7 +217,7 @@
 	return err
 }
 
-func (w *Writer) inForce(o *Object) *Object {
+func (w *Writer) activate(o *Object) *Object {
 	w.Store.Merge(o)
 	return o
 }
