--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -68,7 +68,7 @@
 	if w.inForce == plan {
 		return plan
 	}
-	w.forget(now.Add(-window - slack(window)))
+	w.forget(now.Add(-window - windowMargin(window)))
 	for client := range plan.Assign {
 		w.advanceClient(now, service, client, plan, limit)
 	}
@@ -90,9 +90,9 @@
 	return w.assigned
 }
 
-// slack lengthens the window a little, since requests that were decided before
+// windowMargin lengthens the window a little, since requests that were decided before
 // a move may reach their region after it.
-func slack(window time.Duration) time.Duration { return window / 10 }
+func windowMargin(window time.Duration) time.Duration { return window / 10 }
 
 func (w *Migrator) advanceClient(now time.Time, service, client string, plan *Plan, limit float64) {
 	moved, weight := w.movedOf(client)
