--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -68,7 +68,7 @@
 	if w.inForce == plan {
 		return plan
 	}
-	w.forget(now.Add(-window - windowMargin(window)))
+	w.dropMovesBefore(now.Add(-window - windowMargin(window)))
 	for client := range plan.Assign {
 		w.advanceClient(now, service, client, plan, limit)
 	}
@@ -149,7 +149,7 @@
 	return sum
 }
 
-func (w *Migrator) forget(before time.Time) {
+func (w *Migrator) dropMovesBefore(before time.Time) {
 	kept := w.moves[:0]
 	for _, m := range w.moves {
 		if m.at.After(before) {
