--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -17,9 +17,9 @@
 	moves    []move
 	// counts and last are the requests of this window and of the one before,
 	// by client region and bucket.
-	counts  map[string]*[decide.Buckets]float64
-	last    map[string]*[decide.Buckets]float64
-	rotated time.Time
+	counts   map[string]*[decide.Buckets]float64
+	previous map[string]*[decide.Buckets]float64
+	rotated  time.Time
 }
 
 // move is one bucket that changed its region.
@@ -32,7 +32,7 @@
 // NewMigrator makes a walker that takes the first plan it sees as it is: a box
 // that has just started has no traffic to move.
 func NewMigrator() *Migrator {
-	return &Migrator{counts: map[string]*[decide.Buckets]float64{}, last: map[string]*[decide.Buckets]float64{}}
+	return &Migrator{counts: map[string]*[decide.Buckets]float64{}, previous: map[string]*[decide.Buckets]float64{}}
 }
 
 // Count notes a request.
@@ -134,7 +134,7 @@
 // weightOf sums the requests of a bucket, or of all if it is negative.
 func (w *Migrator) weightOf(client string, bucket int) float64 {
 	sum := 0.0
-	for _, counts := range []*[decide.Buckets]float64{w.counts[client], w.last[client]} {
+	for _, counts := range []*[decide.Buckets]float64{w.counts[client], w.previous[client]} {
 		if counts == nil {
 			continue
 		}
@@ -163,7 +163,7 @@
 	if now.Sub(w.rotated) < window {
 		return
 	}
-	w.last = w.counts
+	w.previous = w.counts
 	w.counts = map[string]*[decide.Buckets]float64{}
 	w.rotated = now
 }
