--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -128,8 +128,8 @@
 }
 
 type entry struct {
-	record Record
-	heard  time.Time
+	record    Record
+	lastHeard time.Time
 }
 
 // NewTable makes a table that knows only its own box.
@@ -148,11 +148,11 @@
 		}
 		e, ok := t.records[r.Box]
 		if !ok {
-			t.records[r.Box] = &entry{record: r, heard: now}
+			t.records[r.Box] = &entry{record: r, lastHeard: now}
 			continue
 		}
 		if t.replaces(&r, &e.record) {
-			e.record, e.heard = r, now
+			e.record, e.lastHeard = r, now
 		}
 	}
 }
@@ -171,7 +171,7 @@
 func (t *Table) SetSelf(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.records[t.Self] = &entry{record: r, heard: t.Now()}
+	t.records[t.Self] = &entry{record: r, lastHeard: t.Now()}
 }
 
 // SetListed takes in the platform's list.
@@ -191,7 +191,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.records {
-		e.heard = now
+		e.lastHeard = now
 	}
 }
 
@@ -201,7 +201,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, e := range t.records {
-		if _, ok := t.listed[name]; !ok && name != t.Self && now.Sub(e.heard) > ForgetAfter {
+		if _, ok := t.listed[name]; !ok && name != t.Self && now.Sub(e.lastHeard) > ForgetAfter {
 			delete(t.records, name)
 		}
 	}
@@ -213,7 +213,7 @@
 	defer t.mu.RUnlock()
 	var news []Record
 	for _, e := range t.records {
-		if !e.heard.Before(since) {
+		if !e.lastHeard.Before(since) {
 			news = append(news, e.record)
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 func (t *Table) member(e *entry, now time.Time) Member {
-	m := Member{Record: e.record, LastHeard: e.heard, SilentFor: now.Sub(e.heard)}
+	m := Member{Record: e.record, LastHeard: e.lastHeard, SilentFor: now.Sub(e.lastHeard)}
 	listed, ok := t.listed[e.record.Box]
 	m.InList = ok
 	switch {
