--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -254,7 +254,7 @@
 		x.OnFailure(address, err)
 		return
 	}
-	x.take(reply)
+	x.merge(reply)
 }
 
 // Push passes objects that have just come into force on to a few boxes.
@@ -313,7 +313,7 @@
 
 // HandleSync takes in configuration and returns what is newer here.
 func (x *Exchanger) HandleSync(s Sync) Sync {
-	x.take(s)
+	x.merge(s)
 	reply := Sync{From: x.Self}
 	if s.WantsNewer {
 		reply.Complete = x.Store.Synced()
@@ -322,7 +322,7 @@
 	return reply
 }
 
-func (x *Exchanger) take(s Sync) {
+func (x *Exchanger) merge(s Sync) {
 	for _, o := range x.Store.Merge(s.Objects...) {
 		x.Log.Info("took configuration from a peer", map[string]any{"from": s.From, "service": o.Name, "revision": o.Revision})
 	}
