--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -193,7 +193,7 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	called := x.Table.Now()
-	message := x.beacon(address)
+	message := x.newHeartbeat(address)
 	var reply Heartbeat
 	if err := x.Call(ctx, address, PathExchange, message, &reply); err != nil {
 		x.OnFailure(address, err)
@@ -208,9 +208,9 @@
 	return true
 }
 
-// beacon makes the heartbeat for a box, of which the address or the name is
+// newHeartbeat makes the heartbeat for a box, of which the address or the name is
 // known. What is only of use within a region is left out for other regions.
-func (x *Exchanger) beacon(to string) Heartbeat {
+func (x *Exchanger) newHeartbeat(to string) Heartbeat {
 	x.mu.Lock()
 	since := x.lastSent[to]
 	x.mu.Unlock()
@@ -303,7 +303,7 @@
 	now := x.Table.Now()
 	x.Table.Merge(b.Records)
 	x.OnMerge()
-	reply := x.beacon(key)
+	reply := x.newHeartbeat(key)
 	x.sentUpTo(key, now)
 	if b.Digest != reply.Digest {
 		reply.Stamps = x.Store.Stamps()
