--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -199,7 +199,7 @@
 		x.OnFailure(address, err)
 		return false
 	}
-	x.sentUpTo(address, called)
+	x.markSent(address, called)
 	x.Table.Merge(reply.Records)
 	x.OnMerge()
 	if reply.Digest != x.Store.Digest() || (reply.Synced && !x.Store.Synced()) {
@@ -238,7 +238,7 @@
 // answerKey is under which it is noted what a box was last answered.
 func answerKey(box string) string { return "answer\x00" + box }
 
-func (x *Exchanger) sentUpTo(to string, when time.Time) {
+func (x *Exchanger) markSent(to string, when time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.lastSent[to] = when
@@ -304,7 +304,7 @@
 	x.Table.Merge(b.Records)
 	x.OnMerge()
 	reply := x.newHeartbeat(key)
-	x.sentUpTo(key, now)
+	x.markSent(key, now)
 	if b.Digest != reply.Digest {
 		reply.Stamps = x.Store.Stamps()
 	}
