--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -20,8 +20,8 @@
 	return NewExchanger(name, "z", nil, table, config.NewStore(), logging.Discard())
 }
 
-// through carries messages as JSON, as the network does.
-func through(to *Exchanger) func(context.Context, string, string, any, any) error {
+// jsonCall carries messages as JSON, as the network does.
+func jsonCall(to *Exchanger) func(context.Context, string, string, any, any) error {
 	return func(_ context.Context, _, path string, in, out any) error {
 		text, err := json.Marshal(in)
 		if err != nil {
@@ -52,7 +52,7 @@
 	full, empty := newExchanger("full"), newExchanger("empty")
 	full.Store.Merge(&config.Object{Name: "s", Revision: 7, Service: &model.Service{Name: "s"}})
 	full.Store.MarkSynced()
-	empty.Call = through(full)
+	empty.Call = jsonCall(full)
 	empty.callOne(context.Background(), "full")
 	is.True(empty.Store.Synced())
 	is.Equal(empty.Store.Get("s").Revision, uint64(7))
@@ -62,7 +62,7 @@
 func TestEmptyBoxOfEmptyBox(t *testing.T) {
 	is := is.New(t)
 	a, b := newExchanger("a"), newExchanger("b")
-	a.Call = through(b)
+	a.Call = jsonCall(b)
 	a.callOne(context.Background(), "b")
 	is.True(!a.Store.Synced())
 	_, known := b.Table.Get("a")
