--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -113,8 +113,8 @@
 	b.told = heartbeat{views: b.views, seen: acknowledged, excess: max(b.inUse-b.usable, 0)}
 }
 
-// TestTakesAfterAll shows that the rule lets a box take its part in the end.
-func TestTakesAfterAll(t *testing.T) {
+// TestShareIsUsableOnceOthersHaveSeenTheView shows that the rule lets a box take its part in the end.
+func TestShareIsUsableOnceOthersHaveSeenTheView(t *testing.T) {
 	is := is.New(t)
 	own := []VersionedView{{1, NewView("a", "b")}, {2, NewView("a")}}
 	version := func(v VersionedView) uint64 { return v.Version }
