--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -123,7 +123,7 @@
 	is.Equal(Usable("a", "s", 6, ActiveViews(own, version, nil), nil), 6)
 }
 
-func TestHomesStay(t *testing.T) {
+func TestViewAndHomes(t *testing.T) {
 	is := is.New(t)
 	v := NewView("a", "b", "c", "a")
 	is.Equal(len(v), 3)
