--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -34,7 +34,7 @@
 // it heard, and what it holds.
 type box struct {
 	views  []VersionedView
-	told   heartbeat
+	sent   heartbeat
 	heard  map[string]heartbeat
 	inUse  int
 	usable int
@@ -59,12 +59,12 @@
 			boxes[n] = &box{views: []VersionedView{{1, NewView(names...)}}, heard: map[string]heartbeat{}}
 		}
 		for _, b := range boxes {
-			b.told = heartbeat{views: b.views, seen: map[string]uint64{"a": 1, "b": 1, "c": 1}}
+			b.sent = heartbeat{views: b.views, seen: map[string]uint64{"a": 1, "b": 1, "c": 1}}
 		}
 		for _, n := range names {
 			for _, other := range names {
 				if other != n {
-					boxes[n].heard[other] = boxes[other].told
+					boxes[n].heard[other] = boxes[other].sent
 				}
 			}
 		}
@@ -77,7 +77,7 @@
 				b.views = append(b.views[:len(b.views):len(b.views)], VersionedView{b.views[len(b.views)-1].Version + 1, next})
 			case 1, 2:
 				if other := rapid.SampledFrom(names).Draw(t, "other"); other != n {
-					b.heard[other] = boxes[other].told
+					b.heard[other] = boxes[other].sent
 				}
 			case 3:
 				if b.inUse < b.usable {
@@ -110,7 +110,7 @@
 	}
 	b.views = ActiveViews(b.views, func(v VersionedView) uint64 { return v.Version }, seen)
 	b.usable = Usable(name, "server", slots, b.views, others)
-	b.told = heartbeat{views: b.views, seen: acknowledged, excess: max(b.inUse-b.usable, 0)}
+	b.sent = heartbeat{views: b.views, seen: acknowledged, excess: max(b.inUse-b.usable, 0)}
 }
 
 // TestShareIsUsableOnceOthersHaveSeenTheView shows that the rule lets a box take its part in the end.
