--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -21,10 +21,10 @@
 	"github.com/stoneworks/stoneworks/pkg/decide"
 	"github.com/stoneworks/stoneworks/pkg/entry"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/membership"
 	"github.com/stoneworks/stoneworks/pkg/model"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/peer"
 	"github.com/stoneworks/stoneworks/pkg/platform"
 	"github.com/stoneworks/stoneworks/pkg/rpc"
@@ -46,7 +46,7 @@
 	Platform    *platform.Client
 	Exchanger   *peer.Exchanger
 	Entry       *entry.Entry
-	Once        *once.Table
+	Once        *idempotency.Table
 	Timers      *timer.Service
 	Metrics     metrics.Registry
 	// NewPool makes the connections to one address, and NewGate the gate of
@@ -54,7 +54,7 @@
 	NewPool func(address string, maxIdle int) *exchange.Pool
 	NewGate func() *admission.Gate
 	// Usable is how many of a server's slots this box may use.
-	Usable func(box, server string, slots int, own []slots.Versioned, others []slots.Told) int
+	Usable func(box, server string, slots int, own []slots.VersionedView, others []slots.PeerReport) int
 	// ShiftCap is the share of traffic that may change region in a window.
 	ShiftCap func(*model.Service) float64
 	// LeaveSteps are the steps of a planned stop.
@@ -101,7 +101,7 @@
 	// heardOf is what the gates keep to of the other boxes of the region.
 	heardOf map[string]viewsHeard
 	gates   map[string]*admission.Gate
-	walkers map[string]*shift.Walker
+	walkers map[string]*shift.Migrator
 	// planSeen tells when this box first saw the plan that is in force.
 	planSeen map[string]seenPlan
 	pools    map[string]*exchange.Pool
@@ -136,7 +136,7 @@
 		logger:      logging.New(handler, level),
 		started:     time.Now(),
 		gates:       map[string]*admission.Gate{},
-		walkers:     map[string]*shift.Walker{},
+		walkers:     map[string]*shift.Migrator{},
 		planSeen:    map[string]seenPlan{},
 		pools:       map[string]*exchange.Pool{},
 		peers:       map[string]*exchange.Pool{},
@@ -148,11 +148,11 @@
 	b.Table = membership.NewTable(s.Box, time.Now)
 	b.dialer = &net.Dialer{Timeout: time.Second, LocalAddr: localAddress(s.Listen.Peers)}
 	b.Platform = platform.NewHTTP(s.Platform.Address, s.Platform.Timeout, b.dialFast, b.countPlatformCall)
-	b.Writer = &config.Writer{Platform: b.Platform, Store: b.Store, ReadBack: 2 * s.Platform.Timeout}
+	b.Writer = &config.Writer{Platform: b.Platform, Store: b.Store, Timeout: 2 * s.Platform.Timeout}
 	b.Exchanger = peer.NewExchanger(s.Box, s.Zone, s.Seeds, b.Table, b.Store, logging.For(b.logger, "peer"))
 	b.Exchanger.Call = b.newPeerCaller()
-	b.Table.Near = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
-	b.Exchanger.Heard = b.heardViews
+	b.Table.SameRegion = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
+	b.Exchanger.OnMerge = b.heardViews
 	b.Exchanger.SameRegion = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
 	b.NewPool = func(address string, maxIdle int) *exchange.Pool { return exchange.NewPool(address, maxIdle, b.dial) }
 	b.NewGate = func() *admission.Gate { return admission.NewGate(time.Now, s.Limits.QueueWait) }
@@ -160,7 +160,7 @@
 	b.Usable = slots.Usable
 	b.ShiftCap = func(s *model.Service) float64 { return s.ShiftCap }
 	b.LeaveSteps = b.leaveSteps()
-	b.Once = once.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
+	b.Once = idempotency.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
 	b.Entry = b.newEntry()
 	b.operators = b.newOperators()
 	b.confirmed.Store(true)
--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -14,12 +14,12 @@
 
 func (b *Box) newOperators() *rpc.Operators {
 	return &rpc.Operators{
-		Store:       b.Store,
-		Apply:       b.Writer.Apply,
-		Status:      b.status,
-		Route:       b.explain,
-		KnownZone:   b.Topology.HasZone,
-		KnownRegion: b.Topology.HasRegion,
+		Store:        b.Store,
+		Apply:        b.Writer.Apply,
+		Status:       b.status,
+		ExplainRoute: b.explain,
+		KnownZone:    b.Topology.HasZone,
+		KnownRegion:  b.Topology.HasRegion,
 	}
 }
 
@@ -30,7 +30,7 @@
 	}
 	for _, m := range b.Table.Members() {
 		reply.Boxes = append(reply.Boxes, &pb.BoxStatus{
-			Box: m.Box, Zone: m.Zone, State: string(m.State), SilentMs: m.Silent.Milliseconds(),
+			Box: m.Box, Zone: m.Zone, State: string(m.State), SilentMs: m.SilentFor.Milliseconds(),
 			ConfigDigest: m.ConfigDigest, OperatorsAddress: m.Operators,
 		})
 	}
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -66,12 +66,12 @@
 }
 
 func (b *Box) subscribe() {
-	b.Store.Changed = b.configChanged
-	b.Exchanger.Failed = func(address string, err error) {
+	b.Store.OnChange = b.configChanged
+	b.Exchanger.OnFailure = func(address string, err error) {
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
 	b.Timers.OnPause(b.stoodStill)
-	b.Timers.Every(peer.Beat, b.beat)
+	b.Timers.Every(peer.HeartbeatInterval, b.beat)
 	b.Timers.Every(rebuildEvery, b.rebuild)
 	b.Timers.Every(planEvery, b.plan)
 	b.Timers.Every(probeEvery, b.probeServers)
@@ -89,7 +89,7 @@
 
 func (b *Box) beat() {
 	b.refreshSelf()
-	b.Exchanger.DoBeat(b.context)
+	b.Exchanger.SendHeartbeats(b.context)
 }
 
 func (b *Box) refreshSelf() {
@@ -117,7 +117,7 @@
 func (b *Box) configChanged(o *config.Object) {
 	b.log.Info("configuration in force", map[string]any{"service": o.Name, "revision": o.Revision, "deleted": o.Deleted})
 	b.rebuild()
-	b.operators.Changed()
+	b.operators.NotifyWatchers()
 	b.background.Go(func() { b.Exchanger.Push(b.context, []*config.Object{o}) })
 }
 
@@ -148,7 +148,7 @@
 func (b *Box) stoodStill(gap time.Duration) {
 	b.log.Warn("stood still", map[string]any{"for": gap})
 	b.confirmed.Store(false)
-	b.Table.ForgiveSilence()
+	b.Table.ResetSilence()
 	b.background.Go(b.confirm)
 }
 
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -47,7 +47,7 @@
 		if m.Box == b.Settings.Box || m.State == membership.Listed || b.Topology.RegionOf(m.Zone) != b.region {
 			continue
 		}
-		if m.Silent > membership.DeadAfter && !views[m.Zone].Has(m.Box) {
+		if m.SilentFor > membership.DeadAfter && !views[m.Zone].Has(m.Box) {
 			continue
 		}
 		list = append(list, m)
@@ -60,8 +60,8 @@
 // itself or is dead. A younger one holds nothing that this box has not seen.
 func (b *Box) anyPartial(speakers []membership.Member) bool {
 	for _, m := range speakers {
-		age := time.Duration(m.AgeMS)*time.Millisecond + m.Silent
-		if m.Partial && m.Silent <= membership.DeadAfter && age > b.age() {
+		age := time.Duration(m.AgeMS)*time.Millisecond + m.SilentFor
+		if m.Partial && m.SilentFor <= membership.DeadAfter && age > b.age() {
 			return true
 		}
 	}
@@ -70,10 +70,10 @@
 
 // told returns what the speakers said of one server. A box that is gone has
 // told its excess only.
-func told(speakers []membership.Member, zone, server string) []slots.Told {
-	all := make([]slots.Told, 0, len(speakers))
+func told(speakers []membership.Member, zone, server string) []slots.PeerReport {
+	all := make([]slots.PeerReport, 0, len(speakers))
 	for _, m := range speakers {
-		t := slots.Told{Excess: m.Excess[server]}
+		t := slots.PeerReport{Excess: m.Excess[server]}
 		if !m.Gone {
 			t.Views = viewsOf(m.Views, zone)
 		}
@@ -82,10 +82,10 @@
 	return all
 }
 
-func viewsOf(views []membership.SlotViews, zone string) []slots.Versioned {
-	list := make([]slots.Versioned, 0, len(views))
+func viewsOf(views []membership.SlotViews, zone string) []slots.VersionedView {
+	list := make([]slots.VersionedView, 0, len(views))
 	for _, v := range views {
-		list = append(list, slots.Versioned{Version: v.Version, View: v.Zones[zone]})
+		list = append(list, slots.VersionedView{Version: v.Version, View: v.Zones[zone]})
 	}
 	return list
 }
@@ -113,7 +113,7 @@
 			seen = append(seen, m.Seen[b.Settings.Box])
 		}
 	}
-	return slots.Counting(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
+	return slots.ActiveViews(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
 }
 
 // noteViews remembers for heartbeats what the gates now keep to, and reports
--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -28,8 +28,8 @@
 	DefaultAttempts = 5
 	lookupTimeout   = 2 * time.Second
 	connectTimeout  = time.Second
-	firstPause      = 50 * time.Millisecond
-	longestPause    = 2 * time.Second
+	initialBackoff  = 50 * time.Millisecond
+	maxBackoff      = 2 * time.Second
 	// maxIdle is how long a connection may have been idle to be used again.
 	maxIdle = 2 * time.Second
 )
@@ -43,10 +43,10 @@
 	// Attempts bounds the submissions of one request.
 	Attempts int
 
-	mu      sync.Mutex
-	lookups map[string]cachedLookup
-	pools   map[string]*exchange.Pool
-	asked   int
+	mu          sync.Mutex
+	lookups     map[string]cachedLookup
+	pools       map[string]*exchange.Pool
+	lookupCount int
 }
 
 type cachedLookup struct {
@@ -64,8 +64,8 @@
 	Body   []byte
 	// ID names the request in logs; made up if empty.
 	ID string
-	// Once marks a request that may not be repeated; it gets a key.
-	Once bool
+	// AtMostOnce marks a request that may not be repeated; it gets a key.
+	AtMostOnce bool
 	// MayRepeat marks a request that may run more than once.
 	MayRepeat bool
 }
@@ -126,8 +126,8 @@
 		return cached.entries, nil
 	}
 	var last error
-	for _, address := range c.toAsk(cached.entries) {
-		answer, err := c.ask(ctx, address, service)
+	for _, address := range c.lookupTargets(cached.entries) {
+		answer, err := c.requestLookup(ctx, address, service)
 		if err == nil && len(answer.Entries) > 0 {
 			c.mu.Lock()
 			c.lookups[service] = cachedLookup{answer.Entries, time.Now().Add(time.Duration(answer.TTLMS) * time.Millisecond)}
@@ -139,8 +139,8 @@
 	return nil, &LookupError{Service: service, Last: last}
 }
 
-// Forget drops a cached answer, since it did not serve.
-func (c *Client) Forget(service string) {
+// InvalidateLookup drops a cached answer, since it did not serve.
+func (c *Client) InvalidateLookup(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cached := c.lookups[service]
@@ -148,23 +148,23 @@
 	c.lookups[service] = cached
 }
 
-// toAsk lists boxes for a look-up: those of the last answer, then the first
+// lookupTargets lists boxes for a look-up: those of the last answer, then the first
 // ones, starting at another each time.
-func (c *Client) toAsk(entries []entry.LookupEntry) []string {
+func (c *Client) lookupTargets(entries []entry.LookupEntry) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
+	c.lookupCount++
 	var addresses []string
 	for _, e := range entries {
 		addresses = append(addresses, e.Address)
 	}
 	for i := range c.Boxes {
-		addresses = append(addresses, c.Boxes[(i+c.asked)%len(c.Boxes)])
+		addresses = append(addresses, c.Boxes[(i+c.lookupCount)%len(c.Boxes)])
 	}
 	return addresses
 }
 
-func (c *Client) ask(ctx context.Context, address, service string) (*entry.Lookup, error) {
+func (c *Client) requestLookup(ctx context.Context, address, service string) (*entry.Lookup, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	h := &fasthttp.RequestHeader{}
--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -19,9 +19,9 @@
 	request Request
 	id      string
 	key     string
-	// clean is true while every attempt so far was certainly not run.
-	clean bool
-	tries int
+	// notRun is true while every attempt so far was certainly not run.
+	notRun bool
+	tries  int
 }
 
 // Do sends the request and repeats it where that is safe, until it is
@@ -31,12 +31,12 @@
 // A request that may not be repeated keeps its key as soon as one attempt may
 // have run: repeats then reach the same owner, whatever box they go through.
 func (c *Client) Do(ctx context.Context, r Request) (*Result, error) {
-	x := &call{client: c, request: r, id: r.ID, clean: true}
+	x := &call{client: c, request: r, id: r.ID, notRun: true}
 	if x.id == "" {
 		x.id = randomID()
 	}
 	var last *Result
-	pause := firstPause
+	pause := initialBackoff
 	for x.tries < c.Attempts {
 		entries, err := c.Lookup(ctx, r.Service)
 		if err != nil {
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		result := x.attempt(ctx, entries[x.tries%len(entries)])
-		if last = x.worse(result); !x.again(result) {
+		if last = x.mergeOutcome(result); !x.shouldRetry(result) {
 			return last, nil
 		}
 		select {
@@ -54,24 +54,24 @@
 			return last, nil
 		case <-time.After(max(pause, result.RetryAfter)):
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxBackoff)
 	}
 	return last, nil
 }
 
-// worse keeps "unknown" once an attempt may have run, whatever later attempts
+// mergeOutcome keeps "unknown" once an attempt may have run, whatever later attempts
 // say of themselves.
-func (x *call) worse(r *Result) *Result {
-	if r.Outcome == outcome.NotRun && !x.clean {
+func (x *call) mergeOutcome(r *Result) *Result {
+	if r.Outcome == outcome.NotRun && !x.notRun {
 		r.Outcome = outcome.Unknown
 	}
 	if r.Outcome == outcome.Unknown {
-		x.clean = false
+		x.notRun = false
 	}
 	return r
 }
 
-func (x *call) again(r *Result) bool {
+func (x *call) shouldRetry(r *Result) bool {
 	if r.Outcome == outcome.Answered {
 		return false
 	}
@@ -79,22 +79,22 @@
 	case outcome.ReasonBadRequest, outcome.ReasonKeyRequired, outcome.ReasonTooLarge, outcome.ReasonNoSuchService, outcome.ReasonAnswerNotKept:
 		return false
 	case outcome.ReasonStaleTicket, outcome.ReasonOwnerUnreachable, outcome.ReasonConnect, outcome.ReasonBoxLeaving:
-		x.client.Forget(x.request.Service)
+		x.client.InvalidateLookup(x.request.Service)
 	}
-	return r.Outcome == outcome.NotRun || x.request.MayRepeat || x.request.Once
+	return r.Outcome == outcome.NotRun || x.request.MayRepeat || x.request.AtMostOnce
 }
 
 func (x *call) attempt(ctx context.Context, e entry.LookupEntry) *Result {
 	x.tries++
-	if x.request.Once && x.clean {
+	if x.request.AtMostOnce && x.notRun {
 		// Nothing ran yet, so a key of the box at hand may take the place of
 		// one whose owner is gone.
 		x.key = e.KeyPrefix + "/" + x.id
 	}
-	result := x.client.Submit(ctx, e.Address, Submission{Request: x.request, ID: x.id, Key: x.key, First: x.clean})
+	result := x.client.Submit(ctx, e.Address, Submission{Request: x.request, ID: x.id, Key: x.key, First: x.notRun})
 	result.Attempts = x.tries
 	if result.Status == 0 {
-		x.client.Forget(x.request.Service)
+		x.client.InvalidateLookup(x.request.Service)
 	}
 	return result
 }
--- a/pkg/once/once_test.go
+++ b/pkg/idempotency/table_test.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"context"
@@ -52,7 +52,7 @@
 		age := time.Duration(0)
 		table := NewTable(4, 10*time.Second, func() time.Duration { return age })
 		mayHaveRun := map[string]bool{}
-		running := map[string]*Run{}
+		running := map[string]*Execution{}
 		issued := map[string]time.Duration{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			key := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))
@@ -75,7 +75,7 @@
 				}
 			case 2:
 				if run := running[key]; run != nil {
-					run.Answered(&Answer{Status: 200})
+					run.Complete(&Answer{Status: 200})
 					mayHaveRun[key] = true
 					delete(running, key)
 				}
@@ -84,7 +84,7 @@
 					f := rapid.SampledFrom([]*outcome.Failure{
 						outcome.NewNotRun(outcome.ReasonConnect, ""), outcome.NewUnknown(outcome.ReasonTimeout, ""),
 					}).Draw(t, "failure")
-					run.Failed(f)
+					run.Fail(f)
 					mayHaveRun[key] = mayHaveRun[key] || f.Outcome == outcome.Unknown
 					delete(running, key)
 				}
@@ -100,7 +100,7 @@
 	is.True(first && failure == nil)
 	again, first, failure := table.Begin(Key{Service: "s", Key: "k", Fingerprint: 1}, 0)
 	is.True(!first && failure == nil)
-	run.Answered(&Answer{Status: 201})
+	run.Complete(&Answer{Status: 201})
 	answer, failure := again.Wait(context.Background())
 	is.True(failure == nil)
 	is.Equal(answer.Status, 201)
--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -74,8 +74,8 @@
 	return homes
 }
 
-// Part returns how many of the server's slots the view gives to the box.
-func (v View) Part(box, server string, slots int) int {
+// Share returns how many of the server's slots the view gives to the box.
+func (v View) Share(box, server string, slots int) int {
 	homes := v.Homes(server)
 	for i, h := range homes {
 		if h != box {
@@ -90,24 +90,24 @@
 	return 0
 }
 
-// Versioned is a view with its version, which rises with every change.
-type Versioned struct {
+// VersionedView is a view with its version, which rises with every change.
+type VersionedView struct {
 	Version uint64
 	View    View
 }
 
-// Told is what another box said in its last heartbeat.
-type Told struct {
+// PeerReport is what another box said in its last heartbeat.
+type PeerReport struct {
 	// Views are those of its views of the server's zone that still count.
-	Views []Versioned
+	Views []VersionedView
 	// Excess is by how much it is above its part of the server.
 	Excess int
 }
 
-// Counting returns those of a box's own views that still count: the last one
+// ActiveViews returns those of a box's own views that still count: the last one
 // that every other box has seen, and all later ones. seen has the version that
 // each other box was last heard to have seen.
-func Counting[V any](own []V, version func(V) uint64, seen []uint64) []V {
+func ActiveViews[V any](own []V, version func(V) uint64, seen []uint64) []V {
 	first := 0
 	for i, v := range own {
 		if seenByAll(version(v), seen) {
@@ -129,16 +129,16 @@
 // Usable returns how many of the server's slots the box may use: the least
 // that any view that still counts, its own and those told by others, gives
 // it, less what others hold in excess.
-func Usable(box, server string, slots int, own []Versioned, others []Told) int {
+func Usable(box, server string, slots int, own []VersionedView, others []PeerReport) int {
 	part := slots
 	for _, v := range own {
-		part = min(part, v.View.Part(box, server, slots))
+		part = min(part, v.View.Share(box, server, slots))
 	}
 	excess := 0
 	for _, o := range others {
 		excess += o.Excess
 		for _, v := range o.Views {
-			part = min(part, v.View.Part(box, server, slots))
+			part = min(part, v.View.Share(box, server, slots))
 		}
 	}
 	return max(part-excess, 0)
--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -11,8 +11,8 @@
 	Zone   string `json:"zone" yaml:"zone"`
 }
 
-// noSite marks a range of addresses that no block covers.
-const noSite = ^uint16(0)
+// noZone marks a range of addresses that no block covers.
+const noZone = ^uint16(0)
 
 // BlockTable maps addresses to sites by longest prefix. The prefixes are
 // flattened once into ranges that do not overlap, so a look-up is one index
@@ -21,11 +21,11 @@
 // Cost: 6 bytes a range for IPv4 and 18 for IPv6, plus 256 KiB for the index.
 type BlockTable struct {
 	starts4 []uint32
-	sites4  []uint16
+	zones4  []uint16
 	// index4[h] is the number of ranges that start below h<<16.
 	index4  []uint32
 	starts6 [][16]byte
-	sites6  []uint16
+	zones6  []uint16
 }
 
 type span struct {
@@ -36,11 +36,11 @@
 
 // NewBlockTable flattens the blocks. Blocks that cannot be parsed, or whose
 // zone siteOf does not know, are left out: settings are checked before.
-func NewBlockTable(blocks []Block, siteOf func(string) (uint16, bool)) *BlockTable {
+func NewBlockTable(blocks []Block, zoneIndex func(string) (uint16, bool)) *BlockTable {
 	var v4, v6 []span
 	for _, b := range blocks {
 		p, err := netip.ParsePrefix(b.Prefix)
-		site, ok := siteOf(b.Zone)
+		site, ok := zoneIndex(b.Zone)
 		if err != nil || !ok {
 			continue
 		}
@@ -56,11 +56,11 @@
 	flatten(v4, func(start netip.Addr, site uint16) {
 		b := start.As4()
 		t.starts4 = append(t.starts4, uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]))
-		t.sites4 = append(t.sites4, site)
+		t.zones4 = append(t.zones4, site)
 	})
 	flatten(v6, func(start netip.Addr, site uint16) {
 		t.starts6 = append(t.starts6, start.As16())
-		t.sites6 = append(t.sites6, site)
+		t.zones6 = append(t.zones6, site)
 	})
 	t.buildIndex()
 	return t
@@ -85,10 +85,10 @@
 	}
 	k := a.As16()
 	i := sort.Search(len(t.starts6), func(i int) bool { return less16(k, t.starts6[i]) }) - 1
-	if i < 0 || t.sites6[i] == noSite {
+	if i < 0 || t.zones6[i] == noZone {
 		return 0, false
 	}
-	return int(t.sites6[i]), true
+	return int(t.zones6[i]), true
 }
 
 func (t *BlockTable) find4(a netip.Addr) (site int, ok bool) {
@@ -103,10 +103,10 @@
 			hi = mid
 		}
 	}
-	if lo == 0 || t.sites4[lo-1] == noSite {
+	if lo == 0 || t.zones4[lo-1] == noZone {
 		return 0, false
 	}
-	return int(t.sites4[lo-1]), true
+	return int(t.zones4[lo-1]), true
 }
 
 // flatten turns nested prefixes into consecutive ranges, calling emit with
@@ -119,7 +119,7 @@
 		return spans[i].bits < spans[j].bits
 	})
 	var open []span
-	out := rangeWriter{emit: emit, last: noSite}
+	out := rangeWriter{emit: emit, last: noZone}
 	put := out.put
 	closeBefore := func(limit netip.Addr, all bool) {
 		for len(open) > 0 {
@@ -132,7 +132,7 @@
 			if !next.IsValid() {
 				return
 			}
-			site := noSite
+			site := noZone
 			if len(open) > 0 {
 				site = open[len(open)-1].site
 			}
