--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -53,8 +53,8 @@
 	// one service; seams for tests.
 	NewPool func(address string, maxIdle int) *exchange.Pool
 	NewGate func() *admission.Gate
-	// Usable is how many of a server's slots this box may use.
-	Usable func(box, server string, slots int, own []slots.Versioned, others []slots.Told) int
+	// UsableSlots is how many of a server's slots this box may use.
+	UsableSlots func(box, server string, slots int, own []slots.Versioned, others []slots.Told) int
 	// ShiftCap is the share of traffic that may change region in a window.
 	ShiftCap func(*model.Service) float64
 	// LeaveSteps are the steps of a planned stop.
@@ -157,7 +157,7 @@
 	b.NewPool = func(address string, maxIdle int) *exchange.Pool { return exchange.NewPool(address, maxIdle, b.dial) }
 	b.NewGate = func() *admission.Gate { return admission.NewGate(time.Now, s.Limits.QueueWait) }
 	b.region = b.Topology.RegionOf(s.Zone)
-	b.Usable = slots.Usable
+	b.UsableSlots = slots.Usable
 	b.ShiftCap = func(s *model.Service) float64 { return s.ShiftCap }
 	b.LeaveSteps = b.leaveSteps()
 	b.Once = once.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -69,7 +69,7 @@
 		others := told(speakers, server.Zone, key)
 		part := 0
 		if !b.anyPartial(speakers) {
-			part = b.Usable(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
+			part = b.UsableSlots(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
 		}
 		configs = append(configs, admission.ServerConfig{
 			Name: server.Name, Address: server.Address, Share: part, Leaving: server.Leaving,
--- a/test/control/control.go
+++ b/test/control/control.go
@@ -49,7 +49,7 @@
 	"exit-at-once": func(b *box.Box) { b.LeaveSteps = nil },
 	// own-view uses what the box's own view gives it, whatever others say.
 	"own-view": func(b *box.Box) {
-		b.Usable = func(box, server string, n int, own []slots.Versioned, _ []slots.Told) int {
+		b.UsableSlots = func(box, server string, n int, own []slots.Versioned, _ []slots.Told) int {
 			return own[len(own)-1].View.Part(box, server, n)
 		}
 	},
