--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -189,7 +189,7 @@
 		Begin:        b.Once.Begin,
 		MaySend:      b.maySend,
 		Claim:        b.claim,
-		Leaving:      b.serverSaysLeaving,
+		OnServerLeaving:      b.serverSaysLeaving,
 		Classify:     entry.Classify,
 		CountBucket:  b.countBucket,
 		Count:        func(result string) { metrics.GetOrRegisterCounter("requests."+result, b.Metrics).Inc(1) },
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -64,8 +64,8 @@
 	// Claim makes this box, or whoever was first, the owner of a key that
 	// has no ticket, and returns the ticket that the key has from then on.
 	Claim func(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure)
-	// Leaving is told when a backend server says that it leaves.
-	Leaving func(service, server string)
+	// OnServerLeaving is told when a backend server says that it leaves.
+	OnServerLeaving func(service, server string)
 	// Classify says what a failed exchange means.
 	Classify func(err error) *outcome.Failure
 	// CountBucket counts requests by client region and bucket.
--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -67,7 +67,7 @@
 		return nil, e.failed(r, permit, err)
 	}
 	if len(got.Header.Peek(HeaderLeaving)) > 0 {
-		e.Leaving(r.Service, permit.Server.Name)
+		e.OnServerLeaving(r.Service, permit.Server.Name)
 	}
 	if outcome.Outcome(got.Header.Peek(HeaderOutcome)) == outcome.NotRun {
 		_ = got.Body.Close()
