--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -192,7 +192,7 @@
 		OnServerLeaving:      b.serverSaysLeaving,
 		Classify:     entry.Classify,
 		CountBucket:  b.countBucket,
-		Count:        func(result string) { metrics.GetOrRegisterCounter("requests."+result, b.Metrics).Inc(1) },
+		CountOutcome:        func(result string) { metrics.GetOrRegisterCounter("requests."+result, b.Metrics).Inc(1) },
 		Observe:      b.observe(),
 	}
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -70,8 +70,8 @@
 	Classify func(err error) *outcome.Failure
 	// CountBucket counts requests by client region and bucket.
 	CountBucket func(service, client string, bucket int)
-	// Count counts ends of requests, by outcome and reason.
-	Count func(result string)
+	// CountOutcome counts ends of requests, by outcome and reason.
+	CountOutcome func(result string)
 	// Observe measures a whole request.
 	Observe func(d time.Duration)
 }
--- a/pkg/entry/entry_lookup.go
+++ b/pkg/entry/entry_lookup.go
@@ -40,11 +40,11 @@
 func (e *Entry) ServeLookup(ctx *fasthttp.RequestCtx) {
 	answer, failure := e.lookup(ctx)
 	if failure != nil {
-		e.Count(string(failure.Outcome) + "." + string(failure.Reason))
+		e.CountOutcome(string(failure.Outcome) + "." + string(failure.Reason))
 		WriteFailure(ctx, newID(), failure)
 		return
 	}
-	e.Count("lookup")
+	e.CountOutcome("lookup")
 	text, _ := json.Marshal(answer)
 	ctx.Response.Header.SetContentType("application/json")
 	ctx.Response.SetBody(append(text, '\n'))
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -80,7 +80,7 @@
 
 // pass writes an answer. finish is called when its last byte was passed on.
 func (e *Entry) pass(ctx *fasthttp.RequestCtx, r *Request, a *Answer, finish func()) {
-	e.Count(string(outcome.Answered))
+	e.CountOutcome(string(outcome.Answered))
 	resp := &ctx.Response
 	resp.SetStatusCode(a.Status)
 	resp.Header.SetNoDefaultContentType(true)
@@ -132,7 +132,7 @@
 // refuse writes a failure. If the request's body may not have been read, the
 // connection cannot go on.
 func (e *Entry) refuse(ctx *fasthttp.RequestCtx, r *Request, f *outcome.Failure, closeConnection bool) {
-	e.Count(string(f.Outcome) + "." + string(f.Reason))
+	e.CountOutcome(string(f.Outcome) + "." + string(f.Reason))
 	e.Log.Info("request not answered", map[string]any{
 		"request": r.ID, "service": r.Service, "outcome": f.Outcome, "reason": f.Reason, "detail": f.Detail,
 	})
