--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -193,7 +193,7 @@
 		Classify:     entry.Classify,
 		CountBucket:  b.countBucket,
 		CountOutcome:        func(result string) { metrics.GetOrRegisterCounter("requests."+result, b.Metrics).Inc(1) },
-		Observe:      b.observe(),
+		ObserveDuration:      b.observe(),
 	}
 }
 
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -72,8 +72,8 @@
 	CountBucket func(service, client string, bucket int)
 	// CountOutcome counts ends of requests, by outcome and reason.
 	CountOutcome func(result string)
-	// Observe measures a whole request.
-	Observe func(d time.Duration)
+	// ObserveDuration measures a whole request.
+	ObserveDuration func(d time.Duration)
 }
 
 // Request is a request on its way through this box.
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -59,7 +59,7 @@
 		done()
 	}
 	answer, failure := e.run(r)
-	e.Observe(e.Now().Sub(started))
+	e.ObserveDuration(e.Now().Sub(started))
 	if failure != nil {
 		finish()
 		e.refuse(ctx, r, failure, body.stream != nil)
