--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -22,8 +22,8 @@
 
 // Limits of one request.
 const (
-	// maxTries bounds the boxes that one request is offered to.
-	maxTries = 3
+	// maxBoxAttempts bounds the boxes that one request is offered to.
+	maxBoxAttempts = 3
 	// idleRepeatable and idleOnce bound how long a connection may have been
 	// idle before it carries a request of that kind: the other side may be
 	// closing it, which loses the request in a way that cannot be told from
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -11,7 +11,7 @@
 func (e *Entry) route(r *Request) (*Answer, *outcome.Failure) {
 	target := decide.Request{Client: r.Client, Spread: decide.Hash(r.ID)}
 	var last *outcome.Failure
-	for try := range maxTries {
+	for try := range maxBoxAttempts {
 		d := e.decide(r, &target)
 		e.logDecision(r, d, try)
 		if try == 0 {
