--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -28,8 +28,8 @@
 	// idle before it carries a request of that kind: the other side may be
 	// closing it, which loses the request in a way that cannot be told from
 	// one that ran.
-	idleRepeatable = 20 * time.Second
-	idleOnce       = time.Second
+	idleRepeatable    = 20 * time.Second
+	idleNonRepeatable = time.Second
 	// idlePeer is the same for connections between boxes.
 	idlePeer = 20 * time.Second
 )
--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -49,7 +49,7 @@
 	}()
 	h := r.outgoing(e.Now(), r.Path)
 	h.SetHost(permit.Server.Address)
-	idle := idleOnce
+	idle := idleNonRepeatable
 	if r.repeat {
 		idle = idleRepeatable
 	}
