--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -91,14 +91,14 @@
 	FirstAttempt bool
 	Hop          Hop
 
-	ctx      context.Context
-	view     *decide.ServiceView
-	snapshot *decide.Snapshot
-	repeat   bool
-	cacheKey uint64
-	body     *requestBody
-	raw      rawHeaders
+	ctx        context.Context
+	view       *decide.ServiceView
+	snapshot   *decide.Snapshot
+	repeatable bool
+	cacheKey   uint64
+	body       *requestBody
+	raw        rawHeaders
 }
 
 // Repeatable reports whether the request may run more than once.
-func (r *Request) Repeatable() bool { return r.repeat }
+func (r *Request) Repeatable() bool { return r.repeatable }
--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -50,7 +50,7 @@
 	h := r.outgoing(e.Now(), r.Path)
 	h.SetHost(permit.Server.Address)
 	idle := idleNonRepeatable
-	if r.repeat {
+	if r.repeatable {
 		idle = idleRepeatable
 	}
 	pool := e.ServerPool(permit.Server.Address, permit.Server.Share)
--- a/pkg/entry/entry_parse.go
+++ b/pkg/entry/entry_parse.go
@@ -61,7 +61,7 @@
 	if r.view == nil {
 		return r, outcome.NewNotRun(outcome.ReasonNoSuchService, fmt.Sprintf("%q", r.Service))
 	}
-	r.repeat = r.view.Spec.MayRepeat(r.Method, r.Path)
+	r.repeatable = r.view.Spec.MayRepeat(r.Method, r.Path)
 	if name := r.view.Spec.CacheKeyHeader; name != "" {
 		if v := h.Peek(name); len(v) > 0 {
 			r.cacheKey = decide.Hash(string(v)) | 1
@@ -154,7 +154,7 @@
 // does. Requests that may not be repeated do not end with their caller's
 // connection: the caller's repeat shall find their answer.
 func (r *Request) within(hangup context.Context) (context.Context, context.CancelFunc) {
-	if !r.repeat {
+	if !r.repeatable {
 		hangup = context.WithoutCancel(hangup)
 	}
 	return context.WithDeadline(hangup, r.Deadline)
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -86,7 +86,7 @@
 	case outcome.ReasonCancelled, outcome.ReasonDeadline, outcome.ReasonBadRequest, outcome.ReasonNoSuchService:
 		return false
 	}
-	if f.Outcome == outcome.Unknown && !r.repeat {
+	if f.Outcome == outcome.Unknown && !r.repeatable {
 		return false
 	}
 	return e.Budget.Take(r.Service)
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -72,7 +72,7 @@
 	if r.Hop == HopZone {
 		return e.local(r, "")
 	}
-	if !r.repeat {
+	if !r.repeatable {
 		return e.runOnce(r)
 	}
 	return e.route(r)
