--- a/pkg/entry/entry_handoff.go
+++ b/pkg/entry/entry_handoff.go
@@ -6,10 +6,10 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// handOff sends the request to another box, which answers in this system's own
+// forward sends the request to another box, which answers in this system's own
 // terms: its word on the outcome is passed on. A box that is lost on the way
 // leaves the outcome unknown, unless nothing was sent to it.
-func (e *Entry) handOff(r *Request, address string, hop Hop) (*Answer, *outcome.Failure) {
+func (e *Entry) forward(r *Request, address string, hop Hop) (*Answer, *outcome.Failure) {
 	h := r.outgoing(e.Now(), PathRequests+r.Service+r.Path)
 	h.SetHost(address)
 	h.Set(HeaderHop, string(hop))
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -54,7 +54,7 @@
 		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonOwnerUnreachable, t.Box).WithRetryAfter(time.Second))
 	}
 	e.Log.Info("passed to the owner of its key", map[string]any{"request": r.ID, "service": r.Service, "owner": t.Box})
-	a, f := e.handOff(r, owner.Peers, HopOwner)
+	a, f := e.forward(r, owner.Peers, HopOwner)
 	if f != nil && f.Reason == outcome.ReasonConnect {
 		f.Reason = outcome.ReasonOwnerUnreachable
 		return nil, r.unlessFirst(f)
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -73,7 +73,7 @@
 	if d.Box.Box == e.Self {
 		return e.local(r, "")
 	}
-	return e.handOff(r, d.Box.Peers, HopZone)
+	return e.forward(r, d.Box.Peers, HopZone)
 }
 
 // mayTryAgain reports whether the request may be sent a second time, and pays
