--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -31,7 +31,7 @@
 	if ticket.Box == e.Self && ticket.Incarnation == e.Incarnation {
 		return e.runOwned(r, ticket)
 	}
-	return e.toOwner(r, ticket)
+	return e.forwardToOwner(r, ticket)
 }
 
 // unlessFirst turns "not run" into "unknown" where an earlier request with the
@@ -43,9 +43,9 @@
 	return f
 }
 
-// toOwner passes the request to the box that owns its key. That the owner did
+// forwardToOwner passes the request to the box that owns its key. That the owner did
 // not get this request says nothing of an earlier one with the same key.
-func (e *Entry) toOwner(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
+func (e *Entry) forwardToOwner(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
 		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
