--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -24,7 +24,7 @@
 	if !hasTicket {
 		owner, failure := e.Claim(r.ctx, r.Service, r.Key)
 		if failure != nil {
-			return nil, r.unlessFirst(failure)
+			return nil, r.notRunOnlyIfFirst(failure)
 		}
 		ticket = owner
 	}
@@ -34,9 +34,9 @@
 	return e.forwardToOwner(r, ticket)
 }
 
-// unlessFirst turns "not run" into "unknown" where an earlier request with the
+// notRunOnlyIfFirst turns "not run" into "unknown" where an earlier request with the
 // key may have run, which only the caller can exclude.
-func (r *Request) unlessFirst(f *outcome.Failure) *outcome.Failure {
+func (r *Request) notRunOnlyIfFirst(f *outcome.Failure) *outcome.Failure {
 	if f.Outcome == outcome.NotRun && !r.FirstAttempt {
 		f.Outcome = outcome.Unknown
 	}
@@ -48,16 +48,16 @@
 func (e *Entry) forwardToOwner(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
-		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
+		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
 	}
 	if !known || owner.State == membership.Dead {
-		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonOwnerUnreachable, t.Box).WithRetryAfter(time.Second))
+		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonOwnerUnreachable, t.Box).WithRetryAfter(time.Second))
 	}
 	e.Log.Info("passed to the owner of its key", map[string]any{"request": r.ID, "service": r.Service, "owner": t.Box})
 	a, f := e.forward(r, owner.Peers, HopOwner)
 	if f != nil && f.Reason == outcome.ReasonConnect {
 		f.Reason = outcome.ReasonOwnerUnreachable
-		return nil, r.unlessFirst(f)
+		return nil, r.notRunOnlyIfFirst(f)
 	}
 	return a, f
 }
