--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -14,9 +14,9 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// local admits the request to a backend server of this zone and sends it. A
+// serveLocally admits the request to a backend server of this zone and sends it. A
 // backend server that provably did not run it is followed by one other.
-func (e *Entry) local(r *Request, avoid string) (*Answer, *outcome.Failure) {
+func (e *Entry) serveLocally(r *Request, avoid string) (*Answer, *outcome.Failure) {
 	gate := e.Gate(r.Service)
 	if gate == nil {
 		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "this box is no home of the service").WithRetryAfter(time.Second)
@@ -33,7 +33,7 @@
 		return answer, nil
 	}
 	if failure.Outcome == outcome.NotRun && avoid == "" && e.mayTryAgain(r, failure) {
-		return e.local(r, permit.Server.Name)
+		return e.serveLocally(r, permit.Server.Name)
 	}
 	return nil, failure
 }
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -71,7 +71,7 @@
 
 func (e *Entry) offer(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
 	if d.Box.Box == e.Self {
-		return e.local(r, "")
+		return e.serveLocally(r, "")
 	}
 	return e.forward(r, d.Box.Peers, HopZone)
 }
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -70,7 +70,7 @@
 
 func (e *Entry) run(r *Request) (*Answer, *outcome.Failure) {
 	if r.Hop == HopZone {
-		return e.local(r, "")
+		return e.serveLocally(r, "")
 	}
 	if !r.repeatable {
 		return e.runOnce(r)
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -149,7 +149,7 @@
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		r := &Request{ctx: ctx, ID: "id", Service: "s", Method: "GET", Path: "/", Deadline: time.Now().Add(10 * time.Millisecond), view: &decide.ServiceView{}, body: &requestBody{}, raw: rawHeaders{header: &fasthttp.RequestHeader{}}}
-		_, failure := e.local(r, "")
+		_, failure := e.serveLocally(r, "")
 		is.True(failure != nil)
 		cancel()
 	}
