--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -72,7 +72,7 @@
 	if outcome.Outcome(got.Header.Peek(HeaderOutcome)) == outcome.NotRun {
 		_ = got.Body.Close()
 		permit.Release(admission.Unused)
-		return nil, shed(&got.Header, permit.Server.Name)
+		return nil, shedFailure(&got.Header, permit.Server.Name)
 	}
 	return e.receive(r, permit, got)
 }
@@ -85,7 +85,7 @@
 	return x
 }
 
-func shed(h *fasthttp.ResponseHeader, server string) *outcome.Failure {
+func shedFailure(h *fasthttp.ResponseHeader, server string) *outcome.Failure {
 	f := outcome.NewNotRun(outcome.ReasonShed, server)
 	if s, err := strconv.Atoi(string(h.Peek(headerRetryAfter))); err == nil && s > 0 {
 		f.RetryAfter = time.Duration(s) * time.Second
