--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -64,7 +64,7 @@
 		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "this box stood still; its part of the slots is being confirmed").WithRetryAfter(time.Second)
 	}
 	if err != nil {
-		return nil, e.failed(r, permit, err)
+		return nil, e.exchangeFailure(r, permit, err)
 	}
 	if len(got.Header.Peek(HeaderLeaving)) > 0 {
 		e.OnServerLeaving(r.Service, permit.Server.Name)
@@ -96,7 +96,7 @@
 	return f
 }
 
-func (e *Entry) failed(r *Request, permit *admission.Permit, err error) *outcome.Failure {
+func (e *Entry) exchangeFailure(r *Request, permit *admission.Permit, err error) *outcome.Failure {
 	if r.body.broken.Load() {
 		// What the caller sent is at fault, not the backend server.
 		permit.Abandon(admission.Unused)
@@ -126,7 +126,7 @@
 		body := make([]byte, got.Length)
 		if _, err := io.ReadFull(got.Body, body); err != nil {
 			_ = got.Body.Close()
-			return nil, e.failed(r, permit, err)
+			return nil, e.exchangeFailure(r, permit, err)
 		}
 		_ = got.Body.Close()
 		permit.Release(admission.Succeeded)
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -113,7 +113,7 @@
 		body := &requestBody{stream: brokenReader{}, length: -1, abort: func() {}}
 		_, err := body.Read(nil)
 		is.True(err != nil)
-		f := e.failed(&Request{body: body}, permit, &exchange.Error{Stage: exchange.StageHeader, Sent: true, Cause: err})
+		f := e.exchangeFailure(&Request{body: body}, permit, &exchange.Error{Stage: exchange.StageHeader, Sent: true, Cause: err})
 		is.Equal(f.Outcome, outcome.Unknown)
 		is.Equal(f.Reason, outcome.ReasonBadRequest)
 	}
