--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -74,7 +74,7 @@
 		permit.Release(admission.Unused)
 		return nil, shedFailure(&got.Header, permit.Server.Name)
 	}
-	return e.receive(r, permit, got)
+	return e.readAnswer(r, permit, got)
 }
 
 func (r *Request) exchangeRequest(h *fasthttp.RequestHeader, idle time.Duration) *exchange.Request {
@@ -118,9 +118,9 @@
 	return f
 }
 
-// receive holds a small answer whole, so that the caller never sees part of
+// readAnswer holds a small answer whole, so that the caller never sees part of
 // it; a larger one is passed on as it comes.
-func (e *Entry) receive(r *Request, permit *admission.Permit, got *exchange.Answer) (*Answer, *outcome.Failure) {
+func (e *Entry) readAnswer(r *Request, permit *admission.Permit, got *exchange.Answer) (*Answer, *outcome.Failure) {
 	a := newAnswer(&got.Header, permit.Server.Name, e.Zone)
 	if got.Length >= 0 && got.Length <= e.BufferedBody {
 		body := make([]byte, got.Length)
