--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -166,7 +166,7 @@
 func newAnswer(h *fasthttp.ResponseHeader, server, zone string) *Answer {
 	a := &Answer{Status: h.StatusCode(), Server: server, Zone: zone}
 	for name, value := range h.All() {
-		if !passedOn(string(name)) {
+		if !isForwardedHeader(string(name)) {
 			continue
 		}
 		a.Header = append(a.Header, [2]string{string(name), string(value)})
@@ -174,8 +174,8 @@
 	return a
 }
 
-// passedOn reports whether an answer's header concerns the caller.
-func passedOn(name string) bool {
+// isForwardedHeader reports whether an answer's header concerns the caller.
+func isForwardedHeader(name string) bool {
 	if len(name) >= len(headerPrefix) && name[:len(headerPrefix)] == headerPrefix {
 		return false
 	}
