--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -141,21 +141,21 @@
 // slotStream gives the slot back when the stream is closed.
 type slotStream struct {
 	io.ReadCloser
-	permit *admission.Permit
-	whole  bool
+	permit   *admission.Permit
+	complete bool
 }
 
 // Read implements io.Reader.
 func (s *slotStream) Read(p []byte) (int, error) {
 	n, err := s.ReadCloser.Read(p)
-	s.whole = s.whole || errors.Is(err, io.EOF)
+	s.complete = s.complete || errors.Is(err, io.EOF)
 	return n, err
 }
 
 // Close implements io.Closer.
 func (s *slotStream) Close() error {
 	err := s.ReadCloser.Close()
-	if s.whole {
+	if s.complete {
 		s.permit.Release(admission.Succeeded)
 	} else {
 		s.permit.Abandon(admission.Succeeded)
