--- a/pkg/entry/entry_body.go
+++ b/pkg/entry/entry_body.go
@@ -64,7 +64,7 @@
 	}
 	held := make([]byte, length)
 	if _, err := io.ReadFull(stream, held); err != nil {
-		return &requestBody{}, bad("the body is shorter than its Content-Length")
+		return &requestBody{}, badRequest("the body is shorter than its Content-Length")
 	}
 	return &requestBody{bytes: held}, nil
 }
--- a/pkg/entry/entry_lookup.go
+++ b/pkg/entry/entry_lookup.go
@@ -58,7 +58,7 @@
 	}
 	client, err := parseClientOrBlock(clientText)
 	if err != nil {
-		return nil, bad("client: allowed is an IP number or a block such as 10.1.0.0/16")
+		return nil, badRequest("client: allowed is an IP number or a block such as 10.1.0.0/16")
 	}
 	if !e.Ready() {
 		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "").WithRetryAfter(time.Second)
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -19,7 +19,7 @@
 	}
 	ticket, hasTicket, err := once.ParseKey(r.Key)
 	if err != nil {
-		return nil, bad(err.Error())
+		return nil, badRequest(err.Error())
 	}
 	if !hasTicket {
 		owner, failure := e.Claim(r.ctx, r.Service, r.Key)
--- a/pkg/entry/entry_parse.go
+++ b/pkg/entry/entry_parse.go
@@ -37,7 +37,7 @@
 	}
 	if len(r.ID) > maxRequestIDBytes || !printable(r.ID) {
 		r.ID = newID()
-		return r, bad(HeaderRequestID + ": allowed are 1 to 128 printable characters")
+		return r, badRequest(HeaderRequestID + ": allowed are 1 to 128 printable characters")
 	}
 	if fromPeer {
 		r.Hop = Hop(h.Peek(HeaderHop))
@@ -73,7 +73,7 @@
 func (r *Request) parseTarget(uri string) *outcome.Failure {
 	rest, ok := strings.CutPrefix(uri, PathRequests)
 	if !ok {
-		return bad("no such path; requests go to " + PathRequests + "SERVICE/PATH")
+		return badRequest("no such path; requests go to " + PathRequests + "SERVICE/PATH")
 	}
 	service, path, _ := strings.Cut(rest, "/")
 	if cut := strings.IndexByte(service, '?'); cut >= 0 {
@@ -81,7 +81,7 @@
 	}
 	r.Service, r.Path = service, "/"+path
 	if r.Service == "" {
-		return bad("the path names no service")
+		return badRequest("the path names no service")
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 	}
 	client, err := netip.ParseAddr(text)
 	if err != nil {
-		return bad(HeaderClient + ": allowed is an IP number")
+		return badRequest(HeaderClient + ": allowed is an IP number")
 	}
 	r.Client = client.Unmap()
 	return nil
@@ -107,7 +107,7 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-		return bad(HeaderDeadline + ": allowed are 1 to 86400000 milliseconds")
+		return badRequest(HeaderDeadline + ": allowed are 1 to 86400000 milliseconds")
 	}
 	r.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	return nil
@@ -131,7 +131,7 @@
 	return h
 }
 
-func bad(detail string) *outcome.Failure {
+func badRequest(detail string) *outcome.Failure {
 	return outcome.NewNotRun(outcome.ReasonBadRequest, detail)
 }
 
