--- a/pkg/entry/entry_parse.go
+++ b/pkg/entry/entry_parse.go
@@ -150,10 +150,10 @@
 	return hex.EncodeToString(b[:])
 }
 
-// within returns a context that ends at the request's deadline, or when hangup
+// withDeadline returns a context that ends at the request's deadline, or when hangup
 // does. Requests that may not be repeated do not end with their caller's
 // connection: the caller's repeat shall find their answer.
-func (r *Request) within(hangup context.Context) (context.Context, context.CancelFunc) {
+func (r *Request) withDeadline(hangup context.Context) (context.Context, context.CancelFunc) {
 	if !r.repeatable {
 		hangup = context.WithoutCancel(hangup)
 	}
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -50,7 +50,7 @@
 	if body.stream == nil {
 		unwatch = exchange.WatchHangup(ctx.Conn(), hungUp)
 	}
-	within, cancel := r.within(hangup)
+	within, cancel := r.withDeadline(hangup)
 	r.ctx = within
 	finish := func() {
 		unwatch()
