--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -25,7 +25,7 @@
 			e.Budget.Success(r.Service)
 			return answer, nil
 		}
-		last = worse(last, failure)
+		last = combineFailures(last, failure)
 		if try < len(target.Tried) {
 			target.Tried[try] = d.Box.Box
 		}
@@ -60,9 +60,9 @@
 	return d
 }
 
-// worse joins the ends of two tries. Once one try may have run, the request may
+// combineFailures joins the ends of two tries. Once one try may have run, the request may
 // have run, whatever the next box says of itself.
-func worse(earlier, later *outcome.Failure) *outcome.Failure {
+func combineFailures(earlier, later *outcome.Failure) *outcome.Failure {
 	if earlier != nil && earlier.Outcome == outcome.Unknown && later.Outcome == outcome.NotRun {
 		return earlier
 	}
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -48,9 +48,9 @@
 	is := is.New(t)
 	unknown := outcome.NewUnknown(outcome.ReasonConnectionLost, "")
 	refused := outcome.NewNotRun(outcome.ReasonNoCapacity, "")
-	is.Equal(worse(unknown, refused), unknown)
-	is.Equal(worse(refused, unknown), unknown)
-	is.Equal(worse(nil, refused), refused)
+	is.Equal(combineFailures(unknown, refused), unknown)
+	is.Equal(combineFailures(refused, unknown), unknown)
+	is.Equal(combineFailures(nil, refused), refused)
 }
 
 func TestBudget(t *testing.T) {
