--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -20,7 +20,7 @@
 		if d.Box == nil {
 			break
 		}
-		answer, failure := e.offer(r, d)
+		answer, failure := e.attempt(r, d)
 		if failure == nil {
 			e.Budget.Success(r.Service)
 			return answer, nil
@@ -69,7 +69,7 @@
 	return later
 }
 
-func (e *Entry) offer(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
+func (e *Entry) attempt(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
 	if d.Box.Box == e.Self {
 		return e.serveLocally(r, "")
 	}
