--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -32,7 +32,7 @@
 	if failure == nil {
 		return answer, nil
 	}
-	if failure.Outcome == outcome.NotRun && avoid == "" && e.mayTryAgain(r, failure) {
+	if failure.Outcome == outcome.NotRun && avoid == "" && e.mayRetry(r, failure) {
 		return e.serveLocally(r, permit.Server.Name)
 	}
 	return nil, failure
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -29,7 +29,7 @@
 		if try < len(target.Tried) {
 			target.Tried[try] = d.Box.Box
 		}
-		if !e.mayTryAgain(r, failure) {
+		if !e.mayRetry(r, failure) {
 			break
 		}
 	}
@@ -76,9 +76,9 @@
 	return e.forward(r, d.Box.Peers, HopZone)
 }
 
-// mayTryAgain reports whether the request may be sent a second time, and pays
+// mayRetry reports whether the request may be sent a second time, and pays
 // for that from the budget.
-func (e *Entry) mayTryAgain(r *Request, f *outcome.Failure) bool {
+func (e *Entry) mayRetry(r *Request, f *outcome.Failure) bool {
 	if r.ctx.Err() != nil || !r.body.replayable() {
 		return false
 	}
