--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -65,7 +65,7 @@
 		e.refuse(ctx, r, failure, body.stream != nil)
 		return
 	}
-	e.pass(ctx, r, answer, finish)
+	e.writeAnswer(ctx, r, answer, finish)
 }
 
 func (e *Entry) run(r *Request) (*Answer, *outcome.Failure) {
@@ -78,8 +78,8 @@
 	return e.route(r)
 }
 
-// pass writes an answer. finish is called when its last byte was passed on.
-func (e *Entry) pass(ctx *fasthttp.RequestCtx, r *Request, a *Answer, finish func()) {
+// writeAnswer writes an answer. finish is called when its last byte was passed on.
+func (e *Entry) writeAnswer(ctx *fasthttp.RequestCtx, r *Request, a *Answer, finish func()) {
 	e.CountOutcome(string(outcome.Answered))
 	resp := &ctx.Response
 	resp.SetStatusCode(a.Status)
