--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -130,7 +130,7 @@
 // while to notice a closed connection never holds two requests.
 func TestServerIsNotOverusedAfterTimeouts(t *testing.T) {
 	is := is.New(t)
-	server := &slowToNotice{notices: 10 * time.Millisecond}
+	server := &slowDisconnectServer{notices: 10 * time.Millisecond}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
@@ -157,14 +157,14 @@
 	is.Equal(server.peak.Load(), int64(1))
 }
 
-// slowToNotice is a server that works until it notices that its client left,
+// slowDisconnectServer is a server that works until it notices that its client left,
 // and some time more.
-type slowToNotice struct {
+type slowDisconnectServer struct {
 	notices           time.Duration
 	busy, peak, total atomic.Int64
 }
 
-func (s *slowToNotice) serve(l net.Listener) {
+func (s *slowDisconnectServer) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
