--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -130,7 +130,7 @@
 // while to notice a closed connection never holds two requests.
 func TestServerIsNotOverusedAfterTimeouts(t *testing.T) {
 	is := is.New(t)
-	server := &slowDisconnectServer{notices: 10 * time.Millisecond}
+	server := &slowDisconnectServer{detectDelay: 10 * time.Millisecond}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
@@ -160,7 +160,7 @@
 // slowDisconnectServer is a server that works until it notices that its client left,
 // and some time more.
 type slowDisconnectServer struct {
-	notices           time.Duration
+	detectDelay       time.Duration
 	busy, peak, total atomic.Int64
 }
 
@@ -182,7 +182,7 @@
 			for old := s.peak.Load(); busy > old && !s.peak.CompareAndSwap(old, busy); old = s.peak.Load() {
 			}
 			_, _ = c.Read(buffer)
-			time.Sleep(s.notices)
+			time.Sleep(s.detectDelay)
 		}()
 	}
 }
