--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -99,9 +99,9 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("misframed") }
 
-// TestBrokenBodyIsTheCallers is the failure in which uploads that broke off
+// TestBrokenUploadDoesNotEjectServer is the failure in which uploads that broke off
 // counted against the backend server and had it ejected.
-func TestBrokenBodyIsTheCallers(t *testing.T) {
+func TestBrokenUploadDoesNotEjectServer(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(time.Now, 0)
 	gate.Update([]admission.ServerConfig{{Name: "a", Share: 1}, {Name: "b", Share: 1}})
