--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestFaultGivesSlotBack: a fault after admission does not keep the slot.
-func TestFaultGivesSlotBack(t *testing.T) {
+// TestPanicReleasesSlot: a fault after admission does not keep the slot.
+func TestPanicReleasesSlot(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(time.Now, 0)
 	gate.Update([]admission.ServerConfig{{Name: "a", Share: 1}})
