--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestUnknownIsKept is the failure in which a refusal by the second box hid
+// TestUnknownOutcomeSurvivesRefusal is the failure in which a refusal by the second box hid
 // that the first may have run the request.
-func TestUnknownIsKept(t *testing.T) {
+func TestUnknownOutcomeSurvivesRefusal(t *testing.T) {
 	is := is.New(t)
 	unknown := outcome.NewUnknown(outcome.ReasonConnectionLost, "")
 	refused := outcome.NewNotRun(outcome.ReasonNoCapacity, "")
