--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -87,9 +87,9 @@
 	dialer    *net.Dialer
 
 	region string
-	// rebuilding keeps rebuilds apart, so that an older view never follows
+	// rebuildMu keeps rebuilds apart, so that an older view never follows
 	// a newer one.
-	rebuilding sync.Mutex
+	rebuildMu sync.Mutex
 	// telling keeps the records that this box tells of itself in order.
 	telling sync.Mutex
 
--- a/pkg/box/box_snapshot.go
+++ b/pkg/box/box_snapshot.go
@@ -4,8 +4,8 @@
 
 // rebuild makes a new snapshot and puts it in the place of the old one.
 func (b *Box) rebuild() {
-	b.rebuilding.Lock()
-	defer b.rebuilding.Unlock()
+	b.rebuildMu.Lock()
+	defer b.rebuildMu.Unlock()
 	// The box's own record comes first: whether this box still takes part
 	// decides its views, and with them its shares and its excess.
 	b.refreshSelf()
