--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -90,8 +90,8 @@
 	// rebuildMu keeps rebuilds apart, so that an older view never follows
 	// a newer one.
 	rebuildMu sync.Mutex
-	// telling keeps the records that this box tells of itself in order.
-	telling sync.Mutex
+	// selfRecordMu keeps the records that this box tells of itself in order.
+	selfRecordMu sync.Mutex
 
 	mu sync.Mutex
 	// ownViews are the views of slots that count, and seenViews the versions
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -95,8 +95,8 @@
 func (b *Box) refreshSelf() {
 	// One at a time: a record with a higher version must never tell older
 	// views, or an older excess, than the one before.
-	b.telling.Lock()
-	defer b.telling.Unlock()
+	b.selfRecordMu.Lock()
+	defer b.selfRecordMu.Unlock()
 	s := b.Settings
 	// The views come first: an excess that is told must not be older than
 	// the view that it belongs to.
