--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -78,8 +78,8 @@
 	confirmed atomic.Bool
 	// hadExcess is set while this box is above its part of some server.
 	hadExcess atomic.Bool
-	// asked is set when other boxes were asked for their configuration.
-	asked atomic.Bool
+	// seedsAsked is set when other boxes were seedsAsked for their configuration.
+	seedsAsked atomic.Bool
 	platformOK
 
 	operators *rpc.Operators
@@ -204,7 +204,7 @@
 
 // Ready reports whether the box may decide: it has a whole configuration, and
 // has asked other boxes for a newer one.
-func (b *Box) Ready() bool { return b.Store.Synced() && b.asked.Load() }
+func (b *Box) Ready() bool { return b.Store.Synced() && b.seedsAsked.Load() }
 
 // age returns how long this life of the box has lasted, standing still
 // included.
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -83,7 +83,7 @@
 func (b *Box) bootstrap() {
 	b.refreshSelf()
 	b.Exchanger.CallSeeds(b.context)
-	b.asked.Store(true)
+	b.seedsAsked.Store(true)
 	b.rebuild()
 }
 
