--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -69,10 +69,10 @@
 	snapshot atomic.Pointer[decide.Snapshot]
 	// leaving, closed and gone are the steps of a planned stop: no longer
 	// named by look-ups; takes no new request; holds no slot.
-	leaving  atomic.Bool
-	closed   atomic.Bool
-	gone     atomic.Bool
-	inFlight atomic.Int64
+	leaving       atomic.Bool
+	closed        atomic.Bool
+	slotsReleased atomic.Bool
+	inFlight      atomic.Int64
 	// confirmed is false while this box may not use its part of the slots,
 	// because the process stood still and others may have taken it over.
 	confirmed atomic.Bool
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -107,7 +107,7 @@
 	b.Table.SetSelf(membership.Record{
 		Box: s.Box, Zone: s.Zone, Incarnation: b.Incarnation,
 		Started: b.started.UnixMilli(), Version: b.version.Add(1), AgeMS: b.age().Milliseconds(),
-		Leaving: b.leaving.Load(), Gone: b.gone.Load(), Ready: b.Ready() && !b.closed.Load(),
+		Leaving: b.leaving.Load(), Gone: b.slotsReleased.Load(), Ready: b.Ready() && !b.closed.Load(),
 		Callers: s.Advertise.Callers, Peers: s.Advertise.Peers, Operators: s.Advertise.Operators,
 		ConfigDigest: b.Store.Digest(), Load: loads, Views: views, Seen: seen, Excess: excess,
 	})
@@ -233,7 +233,7 @@
 // ignore look-ups and could keep the box from ever being done.
 func (b *Box) giveUpSlots(ctx context.Context) {
 	b.closed.Store(true)
-	b.gone.Store(true)
+	b.slotsReleased.Store(true)
 	b.sayGoodbye(ctx)
 }
 
