--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -98,10 +98,10 @@
 	// of others' views, that the gates keep to and heartbeats tell.
 	ownViews  []membership.SlotViews
 	seenViews map[string]uint64
-	// heardOf is what the gates keep to of the other boxes of the region.
-	heardOf map[string]viewsHeard
-	gates   map[string]*admission.Gate
-	walkers map[string]*shift.Walker
+	// appliedViews is what the gates keep to of the other boxes of the region.
+	appliedViews map[string]viewsHeard
+	gates        map[string]*admission.Gate
+	walkers      map[string]*shift.Walker
 	// planSeen tells when this box first saw the plan that is in force.
 	planSeen map[string]seenPlan
 	pools    map[string]*exchange.Pool
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -130,7 +130,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed = !sameVersions(b.ownViews, own)
-	b.ownViews, b.seenViews, b.heardOf = own, seen, heard
+	b.ownViews, b.seenViews, b.appliedViews = own, seen, heard
 	return changed
 }
 
@@ -158,7 +158,7 @@
 // new, this box keeps to them before it answers that it has seen them.
 func (b *Box) heardViews() {
 	b.mu.Lock()
-	known := b.heardOf
+	known := b.appliedViews
 	b.mu.Unlock()
 	for _, m := range b.Table.Members() {
 		if m.Box == b.Settings.Box || m.State == membership.Dead || b.Topology.RegionOf(m.Zone) != b.region {
