--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -99,7 +99,7 @@
 	ownViews  []membership.SlotViews
 	seenViews map[string]uint64
 	// appliedViews is what the gates keep to of the other boxes of the region.
-	appliedViews map[string]viewsHeard
+	appliedViews map[string]appliedView
 	gates        map[string]*admission.Gate
 	walkers      map[string]*shift.Walker
 	// planSeen tells when this box first saw the plan that is in force.
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -120,9 +120,9 @@
 // whether this box's views that count have changed.
 func (b *Box) noteViews(own []membership.SlotViews, speakers []membership.Member) (changed bool) {
 	seen := map[string]uint64{}
-	heard := map[string]viewsHeard{}
+	heard := map[string]appliedView{}
 	for _, m := range speakers {
-		heard[m.Box] = viewsHeard{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
+		heard[m.Box] = appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
 		if v := m.ViewsVersion(); v > 0 {
 			seen[m.Box] = v
 		}
@@ -134,8 +134,8 @@
 	return changed
 }
 
-// viewsHeard is what the gates keep to of another box.
-type viewsHeard struct {
+// appliedView is what the gates keep to of another box.
+type appliedView struct {
 	version  uint64
 	counting int
 	excess   int
@@ -164,7 +164,7 @@
 		if m.Box == b.Settings.Box || m.State == membership.Dead || b.Topology.RegionOf(m.Zone) != b.region {
 			continue
 		}
-		if known[m.Box] != (viewsHeard{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}) {
+		if known[m.Box] != (appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}) {
 			b.rebuild()
 			return
 		}
