--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -24,7 +24,7 @@
 	}
 	b.dropGates(seen)
 	switch {
-	case b.noteViews(own, speakers) || b.excessEnded():
+	case b.recordAppliedViews(own, speakers) || b.excessEnded():
 		b.refreshSelf()
 		b.background.Go(func() {
 			b.Exchanger.CallAll(b.context)
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -116,9 +116,9 @@
 	return slots.Counting(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
 }
 
-// noteViews remembers for heartbeats what the gates now keep to, and reports
+// recordAppliedViews remembers for heartbeats what the gates now keep to, and reports
 // whether this box's views that count have changed.
-func (b *Box) noteViews(own []membership.SlotViews, speakers []membership.Member) (changed bool) {
+func (b *Box) recordAppliedViews(own []membership.SlotViews, speakers []membership.Member) (changed bool) {
 	seen := map[string]uint64{}
 	heard := map[string]appliedView{}
 	for _, m := range speakers {
