--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -152,7 +152,7 @@
 	b.Exchanger = peer.NewExchanger(s.Box, s.Zone, s.Seeds, b.Table, b.Store, logging.For(b.logger, "peer"))
 	b.Exchanger.Call = b.newPeerCaller()
 	b.Table.Near = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
-	b.Exchanger.Heard = b.heardViews
+	b.Exchanger.Heard = b.applyNewViews
 	b.Exchanger.SameRegion = func(zone string) bool { return b.Topology.RegionOf(zone) == b.region }
 	b.NewPool = func(address string, maxIdle int) *exchange.Pool { return exchange.NewPool(address, maxIdle, b.dial) }
 	b.NewGate = func() *admission.Gate { return admission.NewGate(time.Now, s.Limits.QueueWait) }
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -154,9 +154,9 @@
 	return true
 }
 
-// heardViews is called when another box has told something. If its views are
+// applyNewViews is called when another box has told something. If its views are
 // new, this box keeps to them before it answers that it has seen them.
-func (b *Box) heardViews() {
+func (b *Box) applyNewViews() {
 	b.mu.Lock()
 	known := b.appliedViews
 	b.mu.Unlock()
