--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -15,7 +15,7 @@
 func (b *Box) updateGates(services []decide.ServiceInput) {
 	members := b.Table.Members()
 	views := b.views(members)
-	speakers := b.speakers(members, views)
+	speakers := b.slotPeers(members, views)
 	own := b.countingViews(views, speakers)
 	seen := map[string]bool{}
 	for _, s := range services {
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -39,9 +39,9 @@
 	return views
 }
 
-// speakers returns the other boxes of the region whose word on slots counts.
+// slotPeers returns the other boxes of the region whose word on slots counts.
 // The word of a box that is dead, and off the views, has lapsed.
-func (b *Box) speakers(members []membership.Member, views map[string]slots.View) []membership.Member {
+func (b *Box) slotPeers(members []membership.Member, views map[string]slots.View) []membership.Member {
 	var list []membership.Member
 	for _, m := range members {
 		if m.Box == b.Settings.Box || m.State == membership.Listed || b.Topology.RegionOf(m.Zone) != b.region {
