--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -66,7 +66,7 @@
 		if server.Zone != b.Settings.Zone && view.Part(b.Settings.Box, key, server.Slots) == 0 && !b.holdsSlotOf(s.Name, server.Name) {
 			continue
 		}
-		others := told(speakers, server.Zone, key)
+		others := reportsOf(speakers, server.Zone, key)
 		part := 0
 		if !b.anyPartial(speakers) {
 			part = b.UsableSlots(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -68,9 +68,9 @@
 	return false
 }
 
-// told returns what the speakers said of one server. A box that is gone has
-// told its excess only.
-func told(speakers []membership.Member, zone, server string) []slots.Told {
+// reportsOf returns what the speakers said of one server. A box that is gone has
+// reportsOf its excess only.
+func reportsOf(speakers []membership.Member, zone, server string) []slots.Told {
 	all := make([]slots.Told, 0, len(speakers))
 	for _, m := range speakers {
 		t := slots.Told{Excess: m.Excess[server]}
