--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -16,7 +16,7 @@
 	members := b.Table.Members()
 	views := b.views(members)
 	speakers := b.slotPeers(members, views)
-	own := b.countingViews(views, speakers)
+	own := b.activeViews(views, speakers)
 	seen := map[string]bool{}
 	for _, s := range services {
 		seen[s.Spec.Name] = true
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -90,9 +90,9 @@
 	return list
 }
 
-// countingViews returns this box's views that still count, with the present
+// activeViews returns this box's views that still count, with the present
 // ones as the last.
-func (b *Box) countingViews(views map[string]slots.View, speakers []membership.Member) []membership.SlotViews {
+func (b *Box) activeViews(views map[string]slots.View, speakers []membership.Member) []membership.SlotViews {
 	zones := map[string][]string{}
 	for zone, v := range views {
 		zones[zone] = v
