--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -8,9 +8,9 @@
 	"github.com/stoneworks/stoneworks/pkg/slots"
 )
 
-// takesPart reports whether a box shares the slots of its zone, as far as this
+// sharesSlots reports whether a box shares the slots of its zone, as far as this
 // box knows: it is listed or was heard of lately, and has not given them up.
-func takesPart(m membership.Member) bool {
+func sharesSlots(m membership.Member) bool {
 	return !m.Gone && (m.InList || m.State != membership.Dead)
 }
 
@@ -20,7 +20,7 @@
 	natives := map[string][]string{}
 	var region []string
 	for _, m := range members {
-		if b.Topology.RegionOf(m.Zone) != b.region || !takesPart(m) {
+		if b.Topology.RegionOf(m.Zone) != b.region || !sharesSlots(m) {
 			continue
 		}
 		natives[m.Zone] = append(natives[m.Zone], m.Box)
