--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -17,13 +17,13 @@
 // views returns the views that this box computes with: of every zone of its
 // region, by zone. A zone without boxes is adopted by the rest of the region.
 func (b *Box) views(members []membership.Member) map[string]slots.View {
-	natives := map[string][]string{}
+	boxesOf := map[string][]string{}
 	var region []string
 	for _, m := range members {
 		if b.Topology.RegionOf(m.Zone) != b.region || !sharesSlots(m) {
 			continue
 		}
-		natives[m.Zone] = append(natives[m.Zone], m.Box)
+		boxesOf[m.Zone] = append(boxesOf[m.Zone], m.Box)
 		region = append(region, m.Box)
 	}
 	views := map[string]slots.View{}
@@ -31,8 +31,8 @@
 		if z.Region != b.region {
 			continue
 		}
-		views[z.Zone] = slots.NewView(natives[z.Zone]...)
-		if len(natives[z.Zone]) == 0 {
+		views[z.Zone] = slots.NewView(boxesOf[z.Zone]...)
+		if len(boxesOf[z.Zone]) == 0 {
 			views[z.Zone] = slots.NewView(region...)
 		}
 	}
