--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -18,9 +18,9 @@
 	probeEvery   = time.Second
 	planEvery    = 250 * time.Millisecond
 	expireEvery  = 10 * time.Second
-	// standstill is how long the timers may have been silent before the box
+	// suspensionThreshold is how long the timers may have been silent before the box
 	// distrusts its own part of the slots.
-	standstill = 1500 * time.Millisecond
+	suspensionThreshold = 1500 * time.Millisecond
 	// drainPoll is how often a leaving box looks whether it is done.
 	drainPoll = 20 * time.Millisecond
 	// handOffsEnd is within what a box that heard of another's leaving has a
@@ -172,7 +172,7 @@
 
 // maySend reports whether this box's part of the slots is certainly its own.
 func (b *Box) maySend() bool {
-	return b.Timers.Silence() < standstill && b.confirmed.Load()
+	return b.Timers.Silence() < suspensionThreshold && b.confirmed.Load()
 }
 
 // ----------------------------------------------------------------
