--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -70,7 +70,7 @@
 	b.Exchanger.Failed = func(address string, err error) {
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
-	b.Timers.OnPause(b.stoodStill)
+	b.Timers.OnPause(b.afterSuspension)
 	b.Timers.Every(peer.Beat, b.beat)
 	b.Timers.Every(rebuildEvery, b.rebuild)
 	b.Timers.Every(planEvery, b.plan)
@@ -144,8 +144,8 @@
 // Standing still
 // ----------------------------------------------------------------
 
-// stoodStill is called by the timers after the process was not running.
-func (b *Box) stoodStill(gap time.Duration) {
+// afterSuspension is called by the timers after the process was not running.
+func (b *Box) afterSuspension(gap time.Duration) {
 	b.log.Warn("stood still", map[string]any{"for": gap})
 	b.confirmed.Store(false)
 	b.Table.ForgiveSilence()
