--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -23,9 +23,9 @@
 	suspensionThreshold = 1500 * time.Millisecond
 	// drainPoll is how often a leaving box looks whether it is done.
 	drainPoll = 20 * time.Millisecond
-	// handOffsEnd is within what a box that heard of another's leaving has a
+	// forwardGrace is within what a box that heard of another's leaving has a
 	// snapshot that knows it, and its last hand-off has arrived.
-	handOffsEnd = 4 * rebuildEvery
+	forwardGrace = 4 * rebuildEvery
 	// goodbyeTime bounds the last heartbeats.
 	goodbyeTime = 2 * time.Second
 )
@@ -202,7 +202,7 @@
 		{"outlive hand-offs", func(ctx context.Context) {
 			// Boxes that have just heard it may have a request on its way; it
 			// must meet a refusal here and not a closed connection.
-			b.sleep(ctx, handOffsEnd)
+			b.sleep(ctx, forwardGrace)
 		}},
 		{"finish", b.finishRequests},
 		{"close connections", func(ctx context.Context) {
