--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -26,8 +26,8 @@
 	// forwardGrace is within what a box that heard of another's leaving has a
 	// snapshot that knows it, and its last hand-off has arrived.
 	forwardGrace = 4 * rebuildEvery
-	// goodbyeTime bounds the last heartbeats.
-	goodbyeTime = 2 * time.Second
+	// finalHeartbeatTimeout bounds the last heartbeats.
+	finalHeartbeatTimeout = 2 * time.Second
 )
 
 // Start opens the ports and starts all work. The error is a *settings.ListenError.
@@ -206,7 +206,7 @@
 		}},
 		{"finish", b.finishRequests},
 		{"close connections", func(ctx context.Context) {
-			ctx, cancel := context.WithTimeout(ctx, goodbyeTime)
+			ctx, cancel := context.WithTimeout(ctx, finalHeartbeatTimeout)
 			defer cancel()
 			b.shutApps(ctx)
 		}},
@@ -248,7 +248,7 @@
 
 func (b *Box) sayGoodbye(ctx context.Context) {
 	b.rebuild()
-	ctx, cancel := context.WithTimeout(ctx, goodbyeTime)
+	ctx, cancel := context.WithTimeout(ctx, finalHeartbeatTimeout)
 	defer cancel()
 	b.Exchanger.CallAll(ctx)
 }
