--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -234,7 +234,7 @@
 func (b *Box) giveUpSlots(ctx context.Context) {
 	b.closed.Store(true)
 	b.slotsReleased.Store(true)
-	b.sayGoodbye(ctx)
+	b.sendFinalHeartbeats(ctx)
 }
 
 // finishRequests waits for the last request, telling the others as the slots
@@ -243,10 +243,10 @@
 	for b.inFlight.Load() > 0 && ctx.Err() == nil {
 		b.sleep(ctx, drainPoll)
 	}
-	b.sayGoodbye(ctx)
+	b.sendFinalHeartbeats(ctx)
 }
 
-func (b *Box) sayGoodbye(ctx context.Context) {
+func (b *Box) sendFinalHeartbeats(ctx context.Context) {
 	b.rebuild()
 	ctx, cancel := context.WithTimeout(ctx, finalHeartbeatTimeout)
 	defer cancel()
