--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -198,7 +198,7 @@
 			// its callers keep that answer for a whole time to live.
 			b.sleep(ctx, b.Settings.LookupTTL+membership.SuspectAfter)
 		}},
-		{"give up slots", b.giveUpSlots},
+		{"give up slots", b.releaseSlots},
 		{"outlive hand-offs", func(ctx context.Context) {
 			// Boxes that have just heard it may have a request on its way; it
 			// must meet a refusal here and not a closed connection.
@@ -229,9 +229,9 @@
 	b.Exchanger.CallAll(ctx)
 }
 
-// giveUpSlots refuses what still comes, since it comes from callers that
+// releaseSlots refuses what still comes, since it comes from callers that
 // ignore look-ups and could keep the box from ever being done.
-func (b *Box) giveUpSlots(ctx context.Context) {
+func (b *Box) releaseSlots(ctx context.Context) {
 	b.closed.Store(true)
 	b.slotsReleased.Store(true)
 	b.sendFinalHeartbeats(ctx)
