--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -149,12 +149,12 @@
 	b.log.Warn("stood still", map[string]any{"for": gap})
 	b.confirmed.Store(false)
 	b.Table.ForgiveSilence()
-	b.background.Go(b.confirm)
+	b.background.Go(b.confirmShares)
 }
 
-// confirm asks every box of the zone for its view before this box uses its
+// confirmShares asks every box of the zone for its view before this box uses its
 // part of the slots again.
-func (b *Box) confirm() {
+func (b *Box) confirmShares() {
 	// A box that does not answer may have taken this one's part meanwhile;
 	// only when it has been silent for so long that it is dead does its old
 	// word no longer count.
