--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -123,7 +123,7 @@
 	b.platformAnswered()
 	b.take(page)
 	b.Store.MarkSynced()
-	b.wakeRebuild()
+	b.requestRebuild()
 	b.repair(page)
 	return page.Version, nil
 }
@@ -193,7 +193,7 @@
 		pause = backoff{}
 		b.platformAnswered()
 		b.Table.SetListed(list)
-		b.wakeRebuild()
+		b.requestRebuild()
 		wait := boxesRarely
 		if b.holdsWatch() {
 			wait = boxesEvery
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -121,8 +121,8 @@
 	b.background.Go(func() { b.Exchanger.Push(b.context, []*config.Object{o}) })
 }
 
-// wakeRebuild asks for a new snapshot soon.
-func (b *Box) wakeRebuild() {
+// requestRebuild asks for a new snapshot soon.
+func (b *Box) requestRebuild() {
 	select {
 	case b.changed <- struct{}{}:
 	default:
--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -28,7 +28,7 @@
 		b.refreshSelf()
 		b.background.Go(func() {
 			b.Exchanger.CallAll(b.context)
-			b.wakeRebuild()
+			b.requestRebuild()
 		})
 	case b.anyPartial(speakers):
 		b.background.Go(func() { b.Exchanger.CallAll(b.context) })
