--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -108,10 +108,10 @@
 	peers    map[string]*exchange.Pool
 
 	// background runs for as long as the box does.
-	background *conc.WaitGroup
-	context    context.Context
-	stop       context.CancelFunc
-	changed    chan struct{}
+	background       *conc.WaitGroup
+	context          context.Context
+	stop             context.CancelFunc
+	rebuildRequested chan struct{}
 }
 
 // platformOK remembers when the platform last answered.
@@ -126,22 +126,22 @@
 		level = log.InfoLevel
 	}
 	b := &Box{
-		Settings:    s,
-		Incarnation: newIncarnation(),
-		Topology:    topology.New(s.Zones, s.ClientBlocks),
-		Store:       config.NewStore(),
-		Timers:      timer.New(),
-		Metrics:     metrics.NewRegistry(),
-		handler:     handler,
-		logger:      logging.New(handler, level),
-		started:     time.Now(),
-		gates:       map[string]*admission.Gate{},
-		walkers:     map[string]*shift.Walker{},
-		planSeen:    map[string]seenPlan{},
-		pools:       map[string]*exchange.Pool{},
-		peers:       map[string]*exchange.Pool{},
-		background:  conc.NewWaitGroup(),
-		changed:     make(chan struct{}, 1),
+		Settings:         s,
+		Incarnation:      newIncarnation(),
+		Topology:         topology.New(s.Zones, s.ClientBlocks),
+		Store:            config.NewStore(),
+		Timers:           timer.New(),
+		Metrics:          metrics.NewRegistry(),
+		handler:          handler,
+		logger:           logging.New(handler, level),
+		started:          time.Now(),
+		gates:            map[string]*admission.Gate{},
+		walkers:          map[string]*shift.Walker{},
+		planSeen:         map[string]seenPlan{},
+		pools:            map[string]*exchange.Pool{},
+		peers:            map[string]*exchange.Pool{},
+		background:       conc.NewWaitGroup(),
+		rebuildRequested: make(chan struct{}, 1),
 	}
 	b.context, b.stop = context.WithCancel(context.Background())
 	b.log = logging.For(b.logger, "box")
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -124,7 +124,7 @@
 // requestRebuild asks for a new snapshot soon.
 func (b *Box) requestRebuild() {
 	select {
-	case b.changed <- struct{}{}:
+	case b.rebuildRequested <- struct{}{}:
 	default:
 	}
 }
@@ -134,7 +134,7 @@
 		select {
 		case <-b.context.Done():
 			return
-		case <-b.changed:
+		case <-b.rebuildRequested:
 			b.rebuild()
 		}
 	}
