--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -36,9 +36,9 @@
 	// holdCheck is how often a box without the watch looks whether it should
 	// have it.
 	holdCheck = 500 * time.Millisecond
-	// platformFresh is for how long an answer shows that the platform is
+	// platformReachableFor is for how long an answer shows that the platform is
 	// reachable.
-	platformFresh = 30 * time.Second
+	platformReachableFor = 30 * time.Second
 )
 
 // KeysKind is the platform's kind of claims of keys that have no ticket.
@@ -53,7 +53,7 @@
 // PlatformReachable reports whether the platform answered lately.
 func (b *Box) PlatformReachable() bool {
 	last := b.lastAnswer.Load()
-	return last > 0 && b.age()-time.Duration(last) < platformFresh
+	return last > 0 && b.age()-time.Duration(last) < platformReachableFor
 }
 
 // holdsWatch reports whether this box is one of its zone's watch holders.
