--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -26,10 +26,10 @@
 	// firstPause and longestPause bound the pause after a failed call.
 	firstPause   = 200 * time.Millisecond
 	longestPause = 5 * time.Second
-	// boxesEvery and boxesRarely are how often the list of boxes is read, by
+	// boxListEvery and boxesRarely are how often the list of boxes is read, by
 	// boxes that hold the watch and by the others.
-	boxesEvery  = 2 * time.Second
-	boxesRarely = 30 * time.Second
+	boxListEvery = 2 * time.Second
+	boxesRarely  = 30 * time.Second
 	// relistEvery is how often the whole configuration is read again, in
 	// case a watch lost something.
 	relistEvery = time.Minute
@@ -196,7 +196,7 @@
 		b.requestRebuild()
 		wait := boxesRarely
 		if b.holdsWatch() {
-			wait = boxesEvery
+			wait = boxListEvery
 		}
 		b.sleep(b.context, jitter(wait))
 	}
