--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -124,14 +124,14 @@
 	b.take(page)
 	b.Store.MarkSynced()
 	b.requestRebuild()
-	b.repair(page)
+	b.writeBack(page)
 	return page.Version, nil
 }
 
-// repair writes back what is in force and newer than what the platform has: a
+// writeBack writes back what is in force and newer than what the platform has: a
 // store that was put back to an older state must not outlive the boxes that
 // know better. A list that was only stale makes these writes conflict.
-func (b *Box) repair(page platform.Page) {
+func (b *Box) writeBack(page platform.Page) {
 	versions := map[string]uint64{}
 	stored := map[string]*config.Object{}
 	for _, p := range page.Objects {
