--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -121,7 +121,7 @@
 		return 0, err
 	}
 	b.platformAnswered()
-	b.take(page)
+	b.mergePage(page)
 	b.Store.MarkSynced()
 	b.requestRebuild()
 	b.writeBack(page)
@@ -159,11 +159,11 @@
 		return since, err
 	}
 	b.platformAnswered()
-	b.take(page)
+	b.mergePage(page)
 	return page.Version, nil
 }
 
-func (b *Box) take(page platform.Page) {
+func (b *Box) mergePage(page platform.Page) {
 	for _, p := range page.Objects {
 		o, err := config.Decode(p)
 		if err != nil {
