--- a/pkg/box/box_ports.go
+++ b/pkg/box/box_ports.go
@@ -73,9 +73,9 @@
 	context.AfterFunc(b.context, func() { _ = l.Close() })
 }
 
-// shutApps closes idle connections and waits until the last bytes of answers
+// shutdownApps closes idle connections and waits until the last bytes of answers
 // are on their way.
-func (b *Box) shutApps(ctx context.Context) {
+func (b *Box) shutdownApps(ctx context.Context) {
 	wg := conc.NewWaitGroup()
 	for _, app := range b.apps {
 		wg.Go(func() { _ = app.ShutdownWithContext(ctx) })
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -208,7 +208,7 @@
 		{"close connections", func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, finalHeartbeatTimeout)
 			defer cancel()
-			b.shutApps(ctx)
+			b.shutdownApps(ctx)
 		}},
 	}
 }
