--- a/pkg/box/box_probes.go
+++ b/pkg/box/box_probes.go
@@ -15,8 +15,8 @@
 // HealthPath is where a backend server tells how it is.
 const HealthPath = "/stoneworks/health"
 
-// probesAtOnce bounds the probes that run at the same time.
-const probesAtOnce = 32
+// maxConcurrentProbes bounds the probes that run at the same time.
+const maxConcurrentProbes = 32
 
 // probeTimeout bounds one probe.
 const probeTimeout = 500 * time.Millisecond
@@ -33,7 +33,7 @@
 func (b *Box) probeServers() {
 	ctx, cancel := context.WithTimeout(b.context, probeTimeout)
 	defer cancel()
-	wg := pool.New().WithMaxGoroutines(probesAtOnce)
+	wg := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	for _, o := range b.Store.All() {
 		if !o.IsService() {
 			continue
