--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -189,7 +189,7 @@
 		Begin:           b.Once.Begin,
 		MaySend:         b.maySend,
 		Claim:           b.claim,
-		OnServerLeaving: b.serverSaysLeaving,
+		OnServerLeaving: b.onServerLeaving,
 		Classify:        entry.Classify,
 		CountBucket:     b.countBucket,
 		CountOutcome:    func(result string) { metrics.GetOrRegisterCounter("requests."+result, b.Metrics).Inc(1) },
--- a/pkg/box/box_probes.go
+++ b/pkg/box/box_probes.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// serverSaysLeaving is called when an answer carries the leaving signal.
-func (b *Box) serverSaysLeaving(service, server string) {
+// onServerLeaving is called when an answer carries the leaving signal.
+func (b *Box) onServerLeaving(service, server string) {
 	if gate := b.gate(service); gate != nil && gate.SetSelfLeaving(server, true) {
 		b.log.Info("backend server leaves", map[string]any{"service": service, "server": server})
 	}
