--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -10,8 +10,8 @@
 	"github.com/stoneworks/stoneworks/pkg/shift"
 )
 
-// enterBelow is the use of a region's slots above which no shift adds to it.
-const enterBelow = 0.8
+// headroomLimit is the use of a region's slots above which no shift adds to it.
+const headroomLimit = 0.8
 
 // seenPlan is a plan's stamp and when this box first saw it.
 type seenPlan struct {
@@ -170,5 +170,5 @@
 			}
 		}
 	}
-	return share > 0 && float64(inUse) < enterBelow*float64(share)
+	return share > 0 && float64(inUse) < headroomLimit*float64(share)
 }
