--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -92,7 +92,7 @@
 		b.writePlan(s, name, 0, shift.Target(&model.Service{Name: s.Name}, nil, facts), 0)
 		return
 	}
-	if !b.seenFor(name, current, window(s)) {
+	if !b.planSeenFor(name, current, window(s)) {
 		return
 	}
 	target := shift.Target(s, current.Plan, facts)
@@ -105,9 +105,9 @@
 	b.writePlan(s, name, current.Revision, next, shift.Distance(next, target))
 }
 
-// seenFor reports whether this box has seen the plan for a whole window, by
+// planSeenFor reports whether this box has seen the plan for a whole window, by
 // its own clock and without having stood still meanwhile.
-func (b *Box) seenFor(name string, o *config.Object, window time.Duration) bool {
+func (b *Box) planSeenFor(name string, o *config.Object, window time.Duration) bool {
 	stamp := config.Stamp{Revision: o.Revision, ChangeID: o.ChangeID}
 	b.mu.Lock()
 	defer b.mu.Unlock()
