--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -34,9 +34,9 @@
 	b.walker(service).Count(client, bucket)
 }
 
-// assign walks a service's assignment towards its plan and returns it; nil
+// advanceAssignment walks a service's assignment towards its plan and returns it; nil
 // while there is no plan yet.
-func (b *Box) assign(s *model.Service) map[string]*decide.Assignment {
+func (b *Box) advanceAssignment(s *model.Service) map[string]*decide.Assignment {
 	o := b.Store.Get(config.PlanPrefix + s.Name)
 	if o == nil || o.Plan == nil {
 		return nil
--- a/pkg/box/box_snapshot.go
+++ b/pkg/box/box_snapshot.go
@@ -27,7 +27,7 @@
 		if !o.IsService() {
 			continue
 		}
-		services = append(services, decide.ServiceInput{Spec: o.Service, Revision: o.Revision, Assign: b.assign(o.Service)})
+		services = append(services, decide.ServiceInput{Spec: o.Service, Revision: o.Revision, Assign: b.advanceAssignment(o.Service)})
 	}
 	return services
 }
