--- a/pkg/box/box_peers.go
+++ b/pkg/box/box_peers.go
@@ -29,7 +29,7 @@
 // newPeerCaller returns the function by which this box calls others.
 func (b *Box) newPeerCaller() func(ctx context.Context, address, path string, in, out any) error {
 	client := &fasthttp.Client{
-		Dial:                      b.dialFast,
+		Dial:                      b.dialAddress,
 		ReadTimeout:               peer.CallTimeout,
 		WriteTimeout:              peer.CallTimeout,
 		MaxIdleConnDuration:       10 * time.Second,
