--- a/pkg/box/box_test.go
+++ b/pkg/box/box_test.go
@@ -25,9 +25,9 @@
 	return b
 }
 
-// TestFaultOfOneRequest: a fault in one request answers that request and does
+// TestPanicIsConfinedToItsRequest: a fault in one request answers that request and does
 // not end the process.
-func TestFaultOfOneRequest(t *testing.T) {
+func TestPanicIsConfinedToItsRequest(t *testing.T) {
 	is := is.New(t)
 	b := newTestBox(is)
 	b.Entry.Ready = func() bool { panic("fault") }
