--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -1,9 +1,9 @@
-// Package entry is the request path of a box: it reads a caller's request,
-// decides where it goes, sends it there, and passes the answer back.
+// Package entry is the request path of a box: it parses a caller's request,
+// routes it, sends it to a backend server or another box, and returns the answer.
 //
-// The decisions are package decide's, the slots admission's, the memory of
-// keys once's, the wire exchange's; this package puts them in order and says
-// what a caller may be told when something fails.
+// Routing is in package decide, admission to slots in admission, the records of
+// idempotency keys in once, and HTTP exchanges in exchange. This package calls
+// them in order and determines which outcome a caller is told after a failure.
 package entry
 
 import (
@@ -22,25 +22,25 @@
 
 // Limits of one request.
 const (
-	// maxBoxAttempts bounds the boxes that one request is offered to.
+	// maxBoxAttempts is the highest number of boxes that one request is sent to.
 	maxBoxAttempts = 3
-	// idleRepeatable and idleOnce bound how long a connection may have been
-	// idle before it carries a request of that kind: the other side may be
-	// closing it, which loses the request in a way that cannot be told from
-	// one that ran.
+	// idleRepeatable and idleNonRepeatable are the longest times for which a
+	// connection may have been idle before it carries a request of that kind. The
+	// server may be closing an idle connection; a request lost that way cannot be
+	// told from one that ran.
 	idleRepeatable    = 20 * time.Second
 	idleNonRepeatable = time.Second
-	// idlePeer is the same for connections between boxes.
+	// idlePeer is the same limit for connections between boxes.
 	idlePeer = 20 * time.Second
 )
 
-// Entry serves requests. Its function fields are its seams.
+// Entry serves requests. Its function fields are dependencies that tests replace.
 type Entry struct {
 	Self        string
 	Zone        string
 	Incarnation string
 	LookupTTL   time.Duration
-	// BufferedBody bounds the bodies that are held whole, in bytes.
+	// BufferedBody is the largest size in bytes of a body that is buffered whole.
 	BufferedBody int
 	Log          *logging.Part
 	Budget       *Budget
@@ -48,7 +48,7 @@
 	Now   func() time.Time
 	Age   func() time.Duration
 	Ready func() bool
-	// Closed reports whether the box, being stopped, takes no new request.
+	// Closed reports whether the box is stopping and refuses new requests.
 	Closed   func() bool
 	Snapshot func() *decide.Snapshot
 	Gate     func(service string) *admission.Gate
@@ -56,38 +56,40 @@
 	ServerPool func(address string, connections int) *exchange.Pool
 	PeerPool   func(address string) *exchange.Pool
 	Member     func(box string) (membership.Member, bool)
-	// Begin takes an idempotency key, or joins whoever took it.
+	// Begin starts the run of an idempotency key, or returns the run that the key
+	// already has; first is true if it started one.
 	Begin func(k once.Key, issued time.Duration) (run *once.Run, first bool, failure *outcome.Failure)
-	// MaySend reports whether this box's grant of slots still runs; it is
-	// asked at the moment of sending.
+	// MaySend reports whether this box may still use its share of the slots. It
+	// is called immediately before a request is sent.
 	MaySend func() bool
-	// Claim makes this box, or whoever was first, the owner of a key that
-	// has no ticket, and returns the ticket that the key has from then on.
+	// Claim makes this box the owner of a key that has no ticket, unless another
+	// box claimed it first, and returns the owner's ticket.
 	Claim func(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure)
-	// OnServerLeaving is told when a backend server says that it leaves.
+	// OnServerLeaving is called when an answer carries the backend server's leaving signal.
 	OnServerLeaving func(service, server string)
-	// Classify says what a failed exchange means.
+	// Classify converts the error of an exchange into a failure.
 	Classify func(err error) *outcome.Failure
-	// CountBucket counts requests by client region and bucket.
+	// CountBucket counts a request by service, client region and bucket.
 	CountBucket func(service, client string, bucket int)
-	// CountOutcome counts ends of requests, by outcome and reason.
+	// CountOutcome counts finished requests by outcome and reason, and look-ups.
 	CountOutcome func(result string)
-	// ObserveDuration measures a whole request.
+	// ObserveDuration records the time from the arrival of a request until its
+	// answer or failure is known.
 	ObserveDuration func(d time.Duration)
 }
 
-// Request is a request on its way through this box.
+// Request is a caller's request while this box handles it.
 type Request struct {
 	ID      string
 	Service string
 	Method  string
-	// Path has the query, and starts with '/'.
+	// Path starts with '/' and includes the query.
 	Path     string
 	Client   netip.Addr
 	Deadline time.Time
 	Key      string
-	// FirstAttempt is true if the caller vouches that no request with this
-	// key was sent before.
+	// FirstAttempt is true if the caller states that it has sent no request with
+	// this key before.
 	FirstAttempt bool
 	Hop          Hop
 
