--- a/pkg/entry/entry_body.go
+++ b/pkg/entry/entry_body.go
@@ -11,16 +11,16 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// requestBody is the body of a caller's request. Small bodies are held whole
-// and can be sent more than once; others are passed on as they come, once.
+// requestBody is the body of a caller's request. A small body is buffered whole
+// and can be sent more than once; any other is streamed and can be sent once.
 type requestBody struct {
 	bytes  []byte
 	stream io.Reader
 	length int
-	// started is set when the first byte of a stream was asked for.
+	// started is set at the first Read of a stream.
 	started atomic.Bool
 	aborted atomic.Bool
-	// broken is set when the caller's own side of a stream failed.
+	// broken is set when reading the stream from the caller fails.
 	broken atomic.Bool
 	abort  func()
 }
@@ -40,15 +40,16 @@
 	return b.stream == nil || !b.started.Load()
 }
 
-// interrupt makes a Read that waits for the caller return. The connection to
-// the caller can only be closed after that.
+// interrupt makes a blocked Read of the caller's stream return. The connection
+// to the caller can only be closed after that.
 func (b *requestBody) interrupt() {
 	if b.stream != nil && b.aborted.CompareAndSwap(false, true) {
 		b.abort()
 	}
 }
 
-// openBody reads a small body whole and leaves a large one as a stream.
+// openBody buffers a body of up to limit bytes whole and leaves a larger one, or one
+// of unknown length, as a stream.
 func openBody(ctx *fasthttp.RequestCtx, limit int) (*requestBody, *outcome.Failure) {
 	length := ctx.Request.Header.ContentLength()
 	if length == 0 || length == -2 {
