--- a/pkg/entry/entry_budget.go
+++ b/pkg/entry/entry_budget.go
@@ -2,34 +2,35 @@
 
 import "sync"
 
-// Tuning of the retry budget.
+// Parameters of the retry budget.
 const (
-	// retryShare is how many retries each success pays for.
+	// retryShare is the number of retries that each success adds to the budget.
 	retryShare = 0.2
-	// retryReserve is how many retries may be made without successes.
+	// retryReserve is the number of retries that a service may make without any
+	// success, and the maximum of its budget.
 	retryReserve = 20
 )
 
-// Budget bounds the retries of each service to a share of its successes, so
-// that a service in trouble is not sent still more work.
+// Budget limits the retries of each service to a fraction of its successes, so
+// that retries do not add load to a failing service.
 type Budget struct {
 	mu     sync.Mutex
 	tokens map[string]float64
 }
 
-// NewBudget makes a budget in which each service has its whole reserve.
+// NewBudget returns a budget in which each service has its full reserve.
 func NewBudget() *Budget {
 	return &Budget{tokens: map[string]float64{}}
 }
 
-// Success pays in.
+// Success adds retryShare to the service's budget.
 func (b *Budget) Success(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens[service] = min(b.of(service)+retryShare, retryReserve)
 }
 
-// Take reports whether a retry may be made, and pays for it.
+// Take reports whether a retry may be made, and deducts it from the budget if so.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
