--- a/pkg/entry/entry_forward.go
+++ b/pkg/entry/entry_forward.go
@@ -6,9 +6,9 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// forward sends the request to another box, which answers in this system's own
-// terms: its word on the outcome is passed on. A box that is lost on the way
-// leaves the outcome unknown, unless nothing was sent to it.
+// forward sends the request to another box and returns that box's answer, or the
+// outcome that it reports. If the exchange with the box fails, the outcome is
+// unknown unless no byte was sent to it.
 func (e *Entry) forward(r *Request, address string, hop Hop) (*Answer, *outcome.Failure) {
 	h := r.outgoing(e.Now(), PathRequests+r.Service+r.Path)
 	h.SetHost(address)
