--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -14,18 +14,18 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// serveLocally admits the request to a backend server of this zone and sends it. A
-// backend server that provably did not run it is followed by one other.
+// serveLocally admits the request to a backend server that this box has slots of and
+// sends it. If that server certainly did not run it, one other server is tried.
 func (e *Entry) serveLocally(r *Request, avoid string) (*Answer, *outcome.Failure) {
 	gate := e.Gate(r.Service)
 	if gate == nil {
-		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "this box is no home of the service").WithRetryAfter(time.Second)
+		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "this box does not admit requests of the service").WithRetryAfter(time.Second)
 	}
 	permit, failure := gate.Acquire(r.ctx, admission.Request{CacheKey: r.cacheKey, Avoid: avoid})
 	if failure != nil {
 		return nil, failure
 	}
-	e.Log.Info("placed", map[string]any{
+	e.Log.Info("backend server selected", map[string]any{
 		"request": r.ID, "service": r.Service, "revision": r.view.Revision, "server": permit.Server.Name, "address": permit.Server.Address,
 	})
 	answer, failure := e.send(r, permit)
@@ -38,10 +38,10 @@
 	return nil, failure
 }
 
-// send runs the exchange with one backend server. The permit is released when
-// the exchange is over, which for a streamed answer is at its end.
+// send runs the exchange with one backend server. The permit ends with the
+// exchange; for a streamed answer that is when the stream is closed.
 func (e *Entry) send(r *Request, permit *admission.Permit) (answer *Answer, failure *outcome.Failure) {
-	// Only the first release counts; this one is for a fault on the way.
+	// Only the first release counts. This one applies if the code below panics.
 	defer func() {
 		if answer == nil {
 			permit.Release(admission.Broken)
@@ -55,13 +55,13 @@
 	}
 	pool := e.ServerPool(permit.Server.Address, permit.Server.Share)
 	x := r.exchangeRequest(h, idle)
-	// Asked as late as can be: the box may stand still at any moment.
+	// Checked as late as possible, since the box may be suspended at any moment.
 	x.Wanted = e.MaySend
 	got, err := pool.Do(r.ctx, x)
 	var withdrawn *exchange.WithdrawnError
 	if errors.As(err, &withdrawn) {
 		permit.Release(admission.Unused)
-		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "this box stood still; its part of the slots is being confirmed").WithRetryAfter(time.Second)
+		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "this box was suspended; its share of the slots is being confirmed").WithRetryAfter(time.Second)
 	}
 	if err != nil {
 		return nil, e.exchangeFailure(r, permit, err)
@@ -98,9 +98,9 @@
 
 func (e *Entry) exchangeFailure(r *Request, permit *admission.Permit, err error) *outcome.Failure {
 	if r.body.broken.Load() {
-		// What the caller sent is at fault, not the backend server.
+		// The caller's body caused the failure, not the backend server.
 		permit.Abandon(admission.Unused)
-		return outcome.NewUnknown(outcome.ReasonBadRequest, "the request's body broke off or is misframed")
+		return outcome.NewUnknown(outcome.ReasonBadRequest, "the request's body was cut short or has invalid framing")
 	}
 	f := e.Classify(err)
 	result := admission.Broken
@@ -118,8 +118,8 @@
 	return f
 }
 
-// readAnswer holds a small answer whole, so that the caller never sees part of
-// it; a larger one is passed on as it comes.
+// readAnswer buffers a small answer whole, so that the caller never gets part of it.
+// A larger answer is streamed.
 func (e *Entry) readAnswer(r *Request, permit *admission.Permit, got *exchange.Answer) (*Answer, *outcome.Failure) {
 	a := newAnswer(&got.Header, permit.Server.Name, e.Zone)
 	if got.Length >= 0 && got.Length <= e.BufferedBody {
@@ -138,7 +138,7 @@
 	return a, nil
 }
 
-// slotStream gives the slot back when the stream is closed.
+// slotStream is the body of a streamed answer; closing it ends the permit.
 type slotStream struct {
 	io.ReadCloser
 	permit   *admission.Permit
@@ -174,7 +174,7 @@
 	return a
 }
 
-// isForwardedHeader reports whether an answer's header concerns the caller.
+// isForwardedHeader reports whether a header of an answer is forwarded to the caller.
 func isForwardedHeader(name string) bool {
 	if len(name) >= len(headerPrefix) && name[:len(headerPrefix)] == headerPrefix {
 		return false
@@ -190,8 +190,8 @@
 	return true
 }
 
-// Classify says what a caller may be told of an exchange that failed. "Not
-// run" needs that no byte of the request was handed to the network.
+// Classify converts the error of an exchange into a failure. The outcome is "not
+// run" only if no byte of the request was handed to the network.
 func Classify(err error) *outcome.Failure {
 	var x *exchange.Error
 	if !errors.As(err, &x) {
