--- a/pkg/entry/entry_lookup.go
+++ b/pkg/entry/entry_lookup.go
@@ -13,7 +13,7 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// PathLookup is where callers ask which boxes to use.
+// PathLookup is the path at which callers look up which boxes to use.
 const PathLookup = "/v1/lookup"
 
 // Lookup is the answer to a look-up.
@@ -22,7 +22,7 @@
 	Client  string `json:"client"`
 	// Entries are the boxes to use, best first.
 	Entries []LookupEntry `json:"entries"`
-	// TTLMS is for how long the answer may be used, in milliseconds.
+	// TTLMS is the time in milliseconds for which the answer may be used.
 	TTLMS int64 `json:"ttl_ms"`
 }
 
@@ -31,8 +31,8 @@
 	Box     string `json:"box"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// KeyPrefix starts the idempotency keys that this box is to own; the
-	// caller adds "/" and an id of its own.
+	// KeyPrefix is the prefix of idempotency keys that this box owns; the caller
+	// appends "/" and an id of its own.
 	KeyPrefix string `json:"key_prefix"`
 }
 
@@ -58,7 +58,7 @@
 	}
 	client, err := parseClientOrBlock(clientText)
 	if err != nil {
-		return nil, badRequest("client: allowed is an IP number or a block such as 10.1.0.0/16")
+		return nil, badRequest("client: must be an IP address or a block such as 10.1.0.0/16")
 	}
 	if !e.Ready() {
 		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "").WithRetryAfter(time.Second)
@@ -73,12 +73,12 @@
 			Box: b.Box, Zone: b.Zone, Address: b.Callers, KeyPrefix: e.ticketOf(b).String(),
 		})
 	}
-	e.Log.Debug("look-up", map[string]any{"service": service, "client": clientText, "entries": len(answer.Entries)})
+	e.Log.Debug("answered a look-up", map[string]any{"service": service, "client": clientText, "entries": len(answer.Entries)})
 	return answer, nil
 }
 
-// ticketOf makes a ticket of the box. What was last heard of its age is less
-// than its age now, so the ticket ends early rather than late.
+// ticketOf returns a ticket of the box, issued now. The age last received from the
+// box is less than its present age, so the ticket expires early rather than late.
 func (e *Entry) ticketOf(b *decide.BoxView) once.Ticket {
 	t := once.Ticket{Box: b.Box, Incarnation: b.Incarnation, Issued: time.Duration(b.AgeMS) * time.Millisecond}
 	if b.Box == e.Self {
