--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -11,8 +11,8 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// runOnce runs a request that may not be repeated: at the box that owns its
-// key, and there at most once.
+// runOnce runs a request that may not be repeated. The box that owns its key
+// runs it at most once.
 func (e *Entry) runOnce(r *Request) (*Answer, *outcome.Failure) {
 	if r.Key == "" {
 		return nil, outcome.NewNotRun(outcome.ReasonKeyRequired, r.Method+" of this service may not be repeated")
@@ -34,8 +34,9 @@
 	return e.forwardToOwner(r, ticket)
 }
 
-// notRunOnlyIfFirst turns "not run" into "unknown" where an earlier request with the
-// key may have run, which only the caller can exclude.
+// notRunOnlyIfFirst changes the outcome "not run" to "unknown" unless this is the first
+// attempt: an earlier request with the key may have run, and only the caller can
+// rule that out.
 func (r *Request) notRunOnlyIfFirst(f *outcome.Failure) *outcome.Failure {
 	if f.Outcome == outcome.NotRun && !r.FirstAttempt {
 		f.Outcome = outcome.Unknown
@@ -43,8 +44,8 @@
 	return f
 }
 
-// forwardToOwner passes the request to the box that owns its key. That the owner did
-// not get this request says nothing of an earlier one with the same key.
+// forwardToOwner forwards the request to the box that owns its key. If the owner did not
+// receive it, an earlier request with the same key may still have run.
 func (e *Entry) forwardToOwner(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
@@ -53,7 +54,7 @@
 	if !known || owner.State == membership.Dead {
 		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonOwnerUnreachable, t.Box).WithRetryAfter(time.Second))
 	}
-	e.Log.Info("passed to the owner of its key", map[string]any{"request": r.ID, "service": r.Service, "owner": t.Box})
+	e.Log.Info("forwarded to the box that owns the key", map[string]any{"request": r.ID, "service": r.Service, "owner": t.Box})
 	a, f := e.forward(r, owner.Peers, HopOwner)
 	if f != nil && f.Reason == outcome.ReasonConnect {
 		f.Reason = outcome.ReasonOwnerUnreachable
@@ -62,7 +63,7 @@
 	return a, f
 }
 
-// runOwned runs the request here, or joins the run that its key already has.
+// runOwned runs the request here, or waits for the run that its key already has.
 func (e *Entry) runOwned(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
 	key := once.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
 	run, first, failure := e.Begin(key, t.Issued)
@@ -91,7 +92,8 @@
 	return answer, nil
 }
 
-// fingerprint tells requests apart that wrongly carry one key.
+// fingerprint returns a hash of the request, which detects different requests that
+// wrongly use the same key.
 func (r *Request) fingerprint() uint64 {
 	length := len(r.body.bytes)
 	if r.body.stream != nil {
