--- a/pkg/entry/entry_parse.go
+++ b/pkg/entry/entry_parse.go
@@ -16,19 +16,20 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// PathRequests is the path prefix of requests: PathRequests + service + path.
+// PathRequests is the path prefix of requests; the service's name and the path
+// follow it.
 const PathRequests = "/s/"
 
-// maxDeadline bounds what a caller may ask for.
+// maxDeadline is the longest deadline that a caller may request.
 const maxDeadline = 24 * time.Hour
 
-// rawHeaders is the header of a request as it came.
+// rawHeaders is the header of a request as received.
 type rawHeaders struct {
 	header *fasthttp.RequestHeader
 }
 
-// parse reads a request. On a failure the request is returned as far as it
-// was understood, so that the answer can carry its id.
+// parse parses a request. On a failure it also returns the part that it parsed, so
+// that the answer can carry the request's id.
 func (e *Entry) parse(ctx *fasthttp.RequestCtx, fromPeer bool) (*Request, *outcome.Failure) {
 	h := &ctx.Request.Header
 	r := &Request{ID: string(h.Peek(HeaderRequestID)), Method: string(h.Method()), raw: rawHeaders{header: h}}
@@ -37,7 +38,7 @@
 	}
 	if len(r.ID) > maxRequestIDBytes || !printable(r.ID) {
 		r.ID = newID()
-		return r, badRequest(HeaderRequestID + ": allowed are 1 to 128 printable characters")
+		return r, badRequest(HeaderRequestID + ": must be 1 to 128 printable characters")
 	}
 	if fromPeer {
 		r.Hop = Hop(h.Peek(HeaderHop))
@@ -93,7 +94,7 @@
 	}
 	client, err := netip.ParseAddr(text)
 	if err != nil {
-		return badRequest(HeaderClient + ": allowed is an IP number")
+		return badRequest(HeaderClient + ": must be an IP address")
 	}
 	r.Client = client.Unmap()
 	return nil
@@ -107,14 +108,14 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-		return badRequest(HeaderDeadline + ": allowed are 1 to 86400000 milliseconds")
+		return badRequest(HeaderDeadline + ": must be 1 to 86400000 milliseconds")
 	}
 	r.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	return nil
 }
 
-// outgoing makes the header for the next hop: what concerned the connection
-// or this system is left out, and what the next hop needs is set.
+// outgoing returns the header for the next hop: without hop-by-hop headers and
+// headers of this system, and with the id and the remaining deadline set.
 func (r *Request) outgoing(now time.Time, path string) *fasthttp.RequestHeader {
 	h := &fasthttp.RequestHeader{}
 	r.raw.header.CopyTo(h)
@@ -150,9 +151,9 @@
 	return hex.EncodeToString(b[:])
 }
 
-// withDeadline returns a context that ends at the request's deadline, or when hangup
-// does. Requests that may not be repeated do not end with their caller's
-// connection: the caller's repeat shall find their answer.
+// withDeadline returns a context that ends at the request's deadline or with hangup,
+// whichever comes first. A request that may not be repeated does not end with its
+// caller's connection, so that the caller's retry finds the answer.
 func (r *Request) withDeadline(hangup context.Context) (context.Context, context.CancelFunc) {
 	if !r.repeatable {
 		hangup = context.WithoutCancel(hangup)
