--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -7,7 +7,8 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// route offers the request to boxes until one answers or it may not go on.
+// route sends the request to one box after another until one answers or no further
+// attempt is allowed.
 func (e *Entry) route(r *Request) (*Answer, *outcome.Failure) {
 	target := decide.Request{Client: r.Client, Spread: decide.Hash(r.ID)}
 	var last *outcome.Failure
@@ -39,9 +40,9 @@
 	return nil, last
 }
 
-// decide routes the request. Where this box's own part is all in use and
-// another box is known to have free slots, that box gets the request at once
-// in place of a wait here; if it refuses, the request comes back to wait.
+// decide routes the request. If all slots of this box are in use and another box is
+// known to have free ones, it chooses that box instead of waiting here. If that box
+// refuses, a later attempt may choose this box again and wait.
 func (e *Entry) decide(r *Request, target *decide.Request) decide.Decision {
 	d := r.snapshot.Route(r.view, target)
 	if d.Box == nil || d.Box.Box != e.Self || target.Tried[0] != "" {
@@ -60,8 +61,9 @@
 	return d
 }
 
-// combineFailures joins the ends of two tries. Once one try may have run, the request may
-// have run, whatever the next box says of itself.
+// combineFailures returns the failure that stands after two attempts. If the outcome
+// of the earlier one is unknown, the request may have run, even if the later box
+// did not run it.
 func combineFailures(earlier, later *outcome.Failure) *outcome.Failure {
 	if earlier != nil && earlier.Outcome == outcome.Unknown && later.Outcome == outcome.NotRun {
 		return earlier
@@ -76,8 +78,8 @@
 	return e.forward(r, d.Box.Peers, HopZone)
 }
 
-// mayRetry reports whether the request may be sent a second time, and pays
-// for that from the budget.
+// mayRetry reports whether the request may be sent again, and deducts the retry
+// from the budget if so.
 func (e *Entry) mayRetry(r *Request, f *outcome.Failure) bool {
 	if r.ctx.Err() != nil || !r.body.replayable() {
 		return false
