--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -15,21 +15,21 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// Answer is an answer on its way to the caller.
+// Answer is an answer to return to the caller.
 type Answer struct {
 	Status int
 	Header [][2]string
-	// Body is the whole body, or Stream is and must be closed.
+	// Body is the whole body, unless Stream is set; Stream must be closed.
 	Body   []byte
 	Stream io.ReadCloser
-	// Length of the stream; -1 if it is not known.
+	// Length is the length of Stream in bytes, -1 if it is not known.
 	Length int
 	Server string
 	Zone   string
 }
 
-// Serve handles one request and calls done when its last byte was passed on.
-// fromPeer is true on the port that only boxes use.
+// Serve handles one request and calls done when it is finished: for a streamed
+// answer when the stream is closed. fromPeer is true on the port for other boxes.
 func (e *Entry) Serve(ctx *fasthttp.RequestCtx, fromPeer bool, done func()) {
 	started := e.Now()
 	r, failure := e.parse(ctx, fromPeer)
@@ -78,7 +78,8 @@
 	return e.route(r)
 }
 
-// writeAnswer writes an answer. finish is called when its last byte was passed on.
+// writeAnswer writes an answer. It calls finish, for a streamed answer when the stream
+// is closed.
 func (e *Entry) writeAnswer(ctx *fasthttp.RequestCtx, r *Request, a *Answer, finish func()) {
 	e.CountOutcome(string(outcome.Answered))
 	resp := &ctx.Response
@@ -107,7 +108,7 @@
 	resp.SetBodyStream(&answerStream{ReadCloser: a.Stream, finish: finish}, a.Length)
 }
 
-// answerStream runs finish after the stream was closed.
+// answerStream calls finish after the stream is closed.
 type answerStream struct {
 	io.ReadCloser
 	finish func()
@@ -129,8 +130,8 @@
 	RetryAfterMS int64           `json:"retry_after_ms,omitempty"`
 }
 
-// refuse writes a failure. If the request's body may not have been read, the
-// connection cannot go on.
+// refuse writes a failure. closeConnection is set if the request's body may not
+// have been read to its end, since the connection cannot be used again then.
 func (e *Entry) refuse(ctx *fasthttp.RequestCtx, r *Request, f *outcome.Failure, closeConnection bool) {
 	e.CountOutcome(string(f.Outcome) + "." + string(f.Reason))
 	e.Log.Info("request not answered", map[string]any{
@@ -144,7 +145,7 @@
 	}
 }
 
-// WriteFailure writes the one form in which failures are told.
+// WriteFailure writes a failure in the format that all failures have.
 func WriteFailure(ctx *fasthttp.RequestCtx, id string, f *outcome.Failure) {
 	resp := &ctx.Response
 	resp.Reset()
@@ -164,12 +165,12 @@
 	resp.SetBody(append(text, '\n'))
 }
 
-// failureFrom reads a failure that another box wrote.
+// failureFrom reads a failure from the answer of another box.
 func failureFrom(h *fasthttp.ResponseHeader) *outcome.Failure {
 	f := &outcome.Failure{
 		Outcome: outcome.Outcome(h.Peek(HeaderOutcome)),
 		Reason:  outcome.Reason(h.Peek(HeaderReason)),
-		Detail:  "said box " + string(h.Peek(HeaderBox)),
+		Detail:  "reported by box " + string(h.Peek(HeaderBox)),
 	}
 	if ms, err := strconv.ParseInt(string(h.Peek(HeaderRetryMS)), 10, 64); err == nil && ms > 0 {
 		f.RetryAfter = time.Duration(ms) * time.Millisecond
