--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -19,7 +19,8 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// TestClassify: "not run" needs that no byte was handed to the network.
+// TestClassify checks that the outcome is "not run" only if no byte was handed to the
+// network.
 func TestClassify(t *testing.T) {
 	is := is.New(t)
 	lost := errors.New("lost")
@@ -42,8 +43,8 @@
 	}
 }
 
-// TestUnknownOutcomeSurvivesRefusal is the failure in which a refusal by the second box hid
-// that the first may have run the request.
+// TestUnknownOutcomeSurvivesRefusal guards against a refusal by the second box that hides
+// that the first one may have run the request.
 func TestUnknownOutcomeSurvivesRefusal(t *testing.T) {
 	is := is.New(t)
 	unknown := outcome.NewUnknown(outcome.ReasonConnectionLost, "")
@@ -79,7 +80,7 @@
 	})
 }
 
-// TestPanicReleasesSlot: a fault after admission does not keep the slot.
+// TestPanicReleasesSlot checks that a panic after admission releases the slot.
 func TestPanicReleasesSlot(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(time.Now, 0)
@@ -94,13 +95,13 @@
 	is.True(gate.HasFree())
 }
 
-// brokenReader fails as a misframed body does.
+// brokenReader fails as the body of a request with invalid framing does.
 type brokenReader struct{}
 
-func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("misframed") }
+func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("invalid framing") }
 
-// TestBrokenUploadDoesNotEjectServer is the failure in which uploads that broke off
-// counted against the backend server and had it ejected.
+// TestBrokenUploadDoesNotEjectServer guards against interrupted uploads that
+// count as failures of the backend server and eject it.
 func TestBrokenUploadDoesNotEjectServer(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(time.Now, 0)
@@ -126,8 +127,8 @@
 	is.True(!aborted.broken.Load())
 }
 
-// TestServerIsNotOverusedAfterTimeouts: a server with one slot that takes a
-// while to notice a closed connection never holds two requests.
+// TestServerIsNotOverusedAfterTimeouts checks that a server with one slot, which
+// detects a closed connection only after a delay, never runs two requests.
 func TestServerIsNotOverusedAfterTimeouts(t *testing.T) {
 	is := is.New(t)
 	server := &slowDisconnectServer{detectDelay: 10 * time.Millisecond}
@@ -157,8 +158,8 @@
 	is.Equal(server.peak.Load(), int64(1))
 }
 
-// slowDisconnectServer is a server that works until it notices that its client left,
-// and some time more.
+// slowDisconnectServer is a server that runs a request until its client closes the
+// connection, and then for detectDelay longer.
 type slowDisconnectServer struct {
 	detectDelay       time.Duration
 	busy, peak, total atomic.Int64
