--- a/pkg/entry/headers.go
+++ b/pkg/entry/headers.go
@@ -1,7 +1,7 @@
 package entry
 
-// Headers between callers, boxes and backend servers. docs/callers.md
-// explains those that callers use.
+// Headers between callers, boxes and backend servers. docs/callers.md describes
+// those that callers use.
 const (
 	HeaderRequestID   = "Stoneworks-Request-Id"
 	HeaderDeadline    = "Stoneworks-Deadline-Ms"
@@ -21,25 +21,25 @@
 	maxRequestIDBytes = 128
 )
 
-// AttemptFirst is the value of HeaderAttempt by which a caller vouches that no
+// AttemptFirst is the value of HeaderAttempt by which a caller states that no
 // request with this key can have run before.
 const AttemptFirst = "first"
 
-// Hop says in which role a box handed a request to this one.
+// Hop tells a box why another box forwarded a request to it.
 type Hop string
 
-// The hops.
+// Values of Hop.
 const (
-	// HopNone: the request comes from a caller.
+	// HopNone means that the request comes from a caller.
 	HopNone Hop = ""
-	// HopOwner: this box owns the request's key.
+	// HopOwner means that the receiving box owns the request's key.
 	HopOwner Hop = "owner"
-	// HopZone: this box is to admit the request to its own zone's backend
-	// servers and to hand it no further.
+	// HopZone means that the receiving box sends the request to a backend server
+	// that it has slots of, and does not forward it.
 	HopZone Hop = "zone"
 )
 
-// hopByHop lists headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
