--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -1,5 +1,5 @@
-// Package box puts the parts of one box together: its four ports, its timers,
-// and the data that flows between the parts.
+// Package box assembles one box from its components: its four ports, its timers,
+// and the data that the components exchange.
 package box
 
 import (
@@ -49,15 +49,16 @@
 	Once        *once.Table
 	Timers      *timer.Service
 	Metrics     metrics.Registry
-	// NewPool makes the connections to one address, and NewGate the gate of
-	// one service; seams for tests.
+	// NewPool creates the connection pool of one address, and NewGate the gate of
+	// one service. Tests replace them.
 	NewPool func(address string, maxIdle int) *exchange.Pool
 	NewGate func() *admission.Gate
-	// UsableSlots is how many of a server's slots this box may use.
+	// UsableSlots returns how many of a server's slots this box may use.
 	UsableSlots func(box, server string, slots int, own []slots.Versioned, others []slots.Told) int
-	// ShiftCap is the share of traffic that may change region in a window.
+	// ShiftCap returns the share of a service's traffic that may change region in
+	// one window.
 	ShiftCap func(*model.Service) float64
-	// LeaveSteps are the steps of a planned stop.
+	// LeaveSteps are the steps of a planned stop, in order.
 	LeaveSteps []LeaveStep
 
 	handler *logging.AsyncHandler
@@ -67,18 +68,19 @@
 	started  time.Time
 	version  atomic.Uint64
 	snapshot atomic.Pointer[decide.Snapshot]
-	// leaving, closed and gone are the steps of a planned stop: no longer
-	// named by look-ups; takes no new request; holds no slot.
+	// leaving, closed and slotsReleased are set in turn during a planned stop:
+	// look-ups no longer return this box; it refuses new requests; it holds no
+	// slots but those of requests in flight.
 	leaving       atomic.Bool
 	closed        atomic.Bool
 	slotsReleased atomic.Bool
 	inFlight      atomic.Int64
-	// confirmed is false while this box may not use its part of the slots,
-	// because the process stood still and others may have taken it over.
+	// confirmed is false while this box may not use its share of the slots,
+	// because it was suspended and other boxes may have taken the share over.
 	confirmed atomic.Bool
-	// hadExcess is set while this box is above its part of some server.
+	// hadExcess is set while this box uses more than its share of some server.
 	hadExcess atomic.Bool
-	// seedsAsked is set when other boxes were seedsAsked for their configuration.
+	// seedsAsked is set when the seeds have been asked for their configuration.
 	seedsAsked atomic.Bool
 	platformOK
 
@@ -87,39 +89,40 @@
 	dialer    *net.Dialer
 
 	region string
-	// rebuildMu keeps rebuilds apart, so that an older view never follows
-	// a newer one.
+	// rebuildMu serializes rebuilds, so that an older view never replaces a newer
+	// one.
 	rebuildMu sync.Mutex
-	// selfRecordMu keeps the records that this box tells of itself in order.
+	// selfRecordMu keeps this box's own records in the order of their versions.
 	selfRecordMu sync.Mutex
 
 	mu sync.Mutex
-	// ownViews are the views of slots that count, and seenViews the versions
-	// of others' views, that the gates keep to and heartbeats tell.
+	// ownViews are this box's active views of slots, and seenViews the versions of
+	// other boxes' views. The gates apply both, and heartbeats report them.
 	ownViews  []membership.SlotViews
 	seenViews map[string]uint64
-	// appliedViews is what the gates keep to of the other boxes of the region.
+	// appliedViews holds, by box, which views of the region's other boxes the gates
+	// apply.
 	appliedViews map[string]appliedView
 	gates        map[string]*admission.Gate
 	walkers      map[string]*shift.Walker
-	// planSeen tells when this box first saw the plan that is in force.
+	// planSeen holds when this box first saw each service's present plan.
 	planSeen map[string]seenPlan
 	pools    map[string]*exchange.Pool
 	peers    map[string]*exchange.Pool
 
-	// background runs for as long as the box does.
+	// background holds the goroutines that run until Stop.
 	background       *conc.WaitGroup
 	context          context.Context
 	stop             context.CancelFunc
 	rebuildRequested chan struct{}
 }
 
-// platformOK remembers when the platform last answered.
+// platformContact records when the platform last answered, as an age of the box.
 type platformOK struct {
 	lastAnswer atomic.Int64
 }
 
-// New makes a box from its settings. Nothing runs before Start.
+// New creates a box from its settings. Nothing runs before Start.
 func New(s *settings.Settings, handler *logging.AsyncHandler) *Box {
 	level, err := log.ParseLevel(s.LogLevel)
 	if err != nil {
@@ -202,11 +205,11 @@
 	return func(d time.Duration) { t.Update(d) }
 }
 
-// Ready reports whether the box may decide: it has a whole configuration, and
-// has asked other boxes for a newer one.
+// Ready reports whether the box may serve requests: it has a complete configuration
+// and has asked other boxes for a newer one.
 func (b *Box) Ready() bool { return b.Store.Synced() && b.seedsAsked.Load() }
 
-// age returns how long this life of the box has lasted, standing still
+// age returns the time since this incarnation of the box started, suspensions
 // included.
 func (b *Box) age() time.Duration { return time.Since(b.started) }
 
@@ -216,7 +219,8 @@
 	return hex.EncodeToString(id[:])
 }
 
-// localAddress makes connections leave from the box's own IP number.
+// localAddress returns the box's own IP address as the source of its connections, or
+// nil if the box listens on no specific one.
 func localAddress(listen string) net.Addr {
 	host, _, err := net.SplitHostPort(listen)
 	ip := net.ParseIP(host)
