--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -62,7 +62,8 @@
 	return s
 }
 
-// planStatus tells what the plan is and how far this box is from it.
+// planStatus adds the plan's revision, this box's distance from the plan, and the
+// assignment that the box applies.
 func (b *Box) planStatus(service string, s *pb.ServiceStatus) {
 	o := b.Store.Get(config.PlanPrefix + service)
 	inForce := b.walker(service).InForce()
@@ -98,11 +99,11 @@
 	return "ready"
 }
 
-// explain decides for a request that is not sent.
+// explain returns the routing decision for a hypothetical request.
 func (b *Box) explain(r *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	client, err := netip.ParseAddr(r.GetClient())
 	if err != nil {
-		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP number"}}}
+		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP address"}}}
 	}
 	s := b.snapshot.Load()
 	view := s.Services[r.GetService()]
