--- a/pkg/box/box_peers.go
+++ b/pkg/box/box_peers.go
@@ -14,19 +14,19 @@
 )
 
 // compressAbove is the size in bytes above which messages between boxes are
-// compressed: heartbeats are records that are much alike.
+// compressed. Heartbeats compress well, since their records are much alike.
 const compressAbove = 512
 
-// PeerError is an answer of another box that is not 200.
+// PeerError is an answer of another box with a status other than 200.
 type PeerError struct {
 	Address string
 	Status  int
 }
 
 // Error implements error.
-func (e *PeerError) Error() string { return fmt.Sprintf("box at %s: status %d", e.Address, e.Status) }
+func (e *PeerError) Error() string { return fmt.Sprintf("box at %s: HTTP status %d", e.Address, e.Status) }
 
-// newPeerCaller returns the function by which this box calls others.
+// newPeerCaller returns the function that sends messages to other boxes.
 func (b *Box) newPeerCaller() func(ctx context.Context, address, path string, in, out any) error {
 	client := &fasthttp.Client{
 		Dial:                      b.dialAddress,
@@ -79,7 +79,8 @@
 	return fasthttp.AppendGzipBytesLevel(nil, text, fasthttp.CompressBestSpeed), true
 }
 
-// answerJSON makes a handler from a function of two messages.
+// answerJSON returns a handler that decodes a JSON message, calls answer, and encodes
+// its result.
 func answerJSON[In, Out any](answer func(In) Out) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		var in In
