--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -18,30 +18,31 @@
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// How the platform is called.
+// Intervals and limits of calls to the platform.
 const (
-	// WatchHolders is how many boxes of a zone hold the platform's watch; the
-	// others take configuration from them.
+	// WatchHolders is the number of boxes of a zone that watch the platform; the
+	// others get the configuration from them.
 	WatchHolders = 2
-	// firstPause and longestPause bound the pause after a failed call.
+	// firstPause and longestPause are the limits of the pause after a failed call.
 	firstPause   = 200 * time.Millisecond
 	longestPause = 5 * time.Second
-	// boxListEvery and boxesRarely are how often the list of boxes is read, by
-	// boxes that hold the watch and by the others.
+	// boxListEvery and boxesRarely are the intervals at which watch holders and
+	// the other boxes read the list of boxes.
 	boxListEvery = 2 * time.Second
 	boxesRarely  = 30 * time.Second
-	// relistEvery is how often the whole configuration is read again, in
-	// case a watch lost something.
+	// relistEvery is the interval at which a watch holder reads the whole
+	// configuration again, in case the watch missed a change.
 	relistEvery = time.Minute
-	// holdCheck is how often a box without the watch looks whether it should
-	// have it.
+	// holdCheck is the interval at which a box that does not watch checks whether
+	// it has become a watch holder.
 	holdCheck = 500 * time.Millisecond
-	// platformReachableFor is for how long an answer shows that the platform is
-	// reachable.
+	// platformReachableFor is the time for which the platform counts as reachable
+	// after an answer.
 	platformReachableFor = 30 * time.Second
 )
 
-// KeysKind is the platform's kind of claims of keys that have no ticket.
+// KeysKind is the kind of the platform's objects that record who owns a key without
+// a ticket.
 const KeysKind = "keys"
 
 func (b *Box) countPlatformCall(verb string) {
@@ -50,13 +51,15 @@
 
 func (b *Box) platformAnswered() { b.lastAnswer.Store(int64(b.age()) + 1) }
 
-// PlatformReachable reports whether the platform answered lately.
+// PlatformReachable reports whether the platform has answered within
+// platformReachableFor.
 func (b *Box) PlatformReachable() bool {
 	last := b.lastAnswer.Load()
 	return last > 0 && b.age()-time.Duration(last) < platformReachableFor
 }
 
-// holdsWatch reports whether this box is one of its zone's watch holders.
+// holdsWatch reports whether this box is one of its zone's watch holders: the first
+// WatchHolders live boxes in the order of a hash of their names.
 func (b *Box) holdsWatch() bool {
 	var names []string
 	for _, m := range b.Table.Members() {
@@ -79,8 +82,8 @@
 // Configuration
 // ================================================================
 
-// watchPlatform keeps the configuration in step with the platform while this
-// box is a watch holder, and reads it once in any case.
+// watchPlatform keeps the configuration up to date with the platform while this box
+// is a watch holder. Until the box is ready it reads the configuration in any case.
 func (b *Box) watchPlatform() {
 	pause := backoff{}
 	var since uint64
@@ -101,7 +104,7 @@
 			before := since
 			since, err = b.watch(before)
 			if since < before {
-				// The platform's own version fell: its store was put back.
+				// The platform's version fell: its store was restored to an older state.
 				listed = time.Time{}
 			}
 		}
@@ -128,9 +131,9 @@
 	return page.Version, nil
 }
 
-// writeBack writes back what is in force and newer than what the platform has: a
-// store that was put back to an older state must not outlive the boxes that
-// know better. A list that was only stale makes these writes conflict.
+// writeBack writes objects back to the platform that are newer here than there, so
+// that a store that was restored to an older state gets the newer revisions while a
+// box still has them. If the list was only stale, these writes fail with a conflict.
 func (b *Box) writeBack(page platform.Page) {
 	versions := map[string]uint64{}
 	stored := map[string]*config.Object{}
@@ -167,7 +170,7 @@
 	for _, p := range page.Objects {
 		o, err := config.Decode(p)
 		if err != nil {
-			b.log.Warn("ignored a configuration object", map[string]any{"error": err})
+			b.log.Warn("ignored a configuration object that cannot be decoded", map[string]any{"error": err})
 			continue
 		}
 		if here := b.Store.Get(o.Name); here != nil && here.Newer(o) {
@@ -207,7 +210,7 @@
 // ================================================================
 
 // claim makes this box the owner of a key by creating an object for it in the
-// platform, or returns the owner that was first.
+// platform, or returns the owner that claimed it earlier.
 func (b *Box) claim(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure) {
 	mine := once.Ticket{Box: b.Settings.Box, Incarnation: b.Incarnation, Issued: b.age()}
 	value, _ := json.Marshal(mine)
@@ -221,8 +224,8 @@
 	if !errors.As(err, &conflict) && !errors.As(err, &lost) {
 		return once.Ticket{}, platformDown(err)
 	}
-	// Someone was first, or the answer to our own claim was lost: what is
-	// stored now stands for good, since a claim is never written over.
+	// Another box was first, or the answer to this box's claim was lost. The stored
+	// claim is final, since a claim is never overwritten.
 	got, err := b.Platform.Get(ctx, KeysKind, object.Name)
 	if err != nil {
 		return once.Ticket{}, platformDown(err)
@@ -242,8 +245,8 @@
 // Pauses
 // ================================================================
 
-// backoff gives growing pauses, each random, so that boxes do not return to a
-// recovering platform together.
+// backoff returns exponentially growing pauses with jitter, so that boxes do not all
+// call a recovering platform at once.
 type backoff struct {
 	last time.Duration
 }
@@ -253,7 +256,7 @@
 	return jitter(p.last)
 }
 
-// jitter returns d, more or less a quarter.
+// jitter returns a random duration within a quarter of d.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
