--- a/pkg/box/box_ports.go
+++ b/pkg/box/box_ports.go
@@ -20,7 +20,7 @@
 	"github.com/stoneworks/stoneworks/pkg/rpc"
 )
 
-// The ports of a box.
+// Names of a box's ports.
 const (
 	portCallers   = "callers"
 	portPeers     = "peers"
@@ -28,10 +28,11 @@
 	portAdmin     = "admin"
 )
 
-// idleTimeout is how long a caller's connection may be idle.
+// idleTimeout is how long a connection to an HTTP port of this box may be idle.
 const idleTimeout = 60 * time.Second
 
-// newApp makes an HTTP server whose every fault is a typed answer.
+// newApp creates an HTTP server that answers its own errors in the format of
+// entry.WriteFailure.
 func (b *Box) newApp() *fiber.App {
 	return fiber.New(fiber.Config{
 		StreamRequestBody:            true,
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// serve starts the servers on the open ports.
+// serve starts the servers on the open listeners.
 func (b *Box) serve(listeners map[string]net.Listener) {
 	b.serveHTTP(listeners[portCallers], b.callersApp())
 	b.serveHTTP(listeners[portPeers], b.peersApp())
@@ -67,14 +68,14 @@
 	b.background.Go(func() {
 		err := app.Listener(l, fiber.ListenConfig{DisableStartupMessage: true})
 		if err != nil && b.context.Err() == nil {
-			b.log.Warn("server ended", map[string]any{"error": err})
+			b.log.Warn("HTTP server ended", map[string]any{"error": err})
 		}
 	})
 	context.AfterFunc(b.context, func() { _ = l.Close() })
 }
 
-// shutdownApps closes idle connections and waits until the last bytes of answers
-// are on their way.
+// shutdownApps closes idle connections and waits until the answers in progress are
+// sent, or until ctx ends.
 func (b *Box) shutdownApps(ctx context.Context) {
 	wg := conc.NewWaitGroup()
 	for _, app := range b.apps {
@@ -106,15 +107,15 @@
 	}
 }
 
-// recoverRequest keeps a fault of one request from ending the process and with
-// it all others. How far that request had come is not known.
+// recoverRequest recovers from a panic in one request, so that it does not end the
+// process and with it all other requests. Whether that request ran is not known.
 func (b *Box) recoverRequest(ctx *fasthttp.RequestCtx, done func()) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
 	done()
-	b.log.Warn("fault in a request", map[string]any{"fault": fault, "stack": string(debug.Stack())})
+	b.log.Warn("panic in a request", map[string]any{"fault": fault, "stack": string(debug.Stack())})
 	entry.WriteFailure(ctx, "none", outcome.NewUnknown(outcome.ReasonInternal, "see the log of "+b.Settings.Box))
 	ctx.Response.SetConnectionClose()
 }
@@ -160,7 +161,8 @@
 	context.AfterFunc(b.context, server.Stop)
 }
 
-// closePools is part of Stop: the listeners close with the context.
+// closePools closes the connections to backend servers and boxes. The listeners close
+// with the box's context.
 func (b *Box) closePools() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,7 +174,7 @@
 	}
 }
 
-// hashName makes a name that the platform takes from any key.
+// hashName turns a key of any form into a name that the platform accepts.
 func hashName(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:16])
