--- a/pkg/box/box_probes.go
+++ b/pkg/box/box_probes.go
@@ -12,24 +12,24 @@
 	"github.com/stoneworks/stoneworks/pkg/exchange"
 )
 
-// HealthPath is where a backend server tells how it is.
+// HealthPath is the path of a backend server's health endpoint.
 const HealthPath = "/stoneworks/health"
 
-// maxConcurrentProbes bounds the probes that run at the same time.
+// maxConcurrentProbes is the highest number of probes that run at the same time.
 const maxConcurrentProbes = 32
 
-// probeTimeout bounds one probe.
+// probeTimeout limits one round of probes.
 const probeTimeout = 500 * time.Millisecond
 
 // Health is a backend server's answer to a probe.
 type Health struct {
-	// Leaving is set when it wants no new work.
+	// Leaving is set when the server wants no new requests.
 	Leaving bool `json:"leaving"`
 }
 
-// probeServers asks each backend server that this box has a part of whether
-// it leaves. No answer is no news: health endpoints lag, and the exchanges
-// themselves show whether a server works.
+// probeServers asks each backend server that this box has a share of whether it is
+// leaving. A probe without an answer is ignored: health endpoints lag, and the
+// requests themselves show whether a server works.
 func (b *Box) probeServers() {
 	ctx, cancel := context.WithTimeout(b.context, probeTimeout)
 	defer cancel()
@@ -65,7 +65,7 @@
 		return
 	}
 	if gate.SetSelfLeaving(s.Name, health.Leaving) {
-		b.log.Info("backend server changed its mind", map[string]any{"service": service, "server": s.Name, "leaving": health.Leaving})
+		b.log.Info("backend server changed its leaving state", map[string]any{"service": service, "server": s.Name, "leaving": health.Leaving})
 	}
 }
 
