--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -12,25 +12,28 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// Intervals of the box's own work.
+// Intervals and time limits of a box.
 const (
 	rebuildEvery = 250 * time.Millisecond
 	probeEvery   = time.Second
 	planEvery    = 250 * time.Millisecond
 	expireEvery  = 10 * time.Second
-	// suspensionThreshold is how long the timers may have been silent before the box
-	// distrusts its own part of the slots.
+	// suspensionThreshold is the time without a step of the timers after which the
+	// box no longer uses its share of the slots until it is confirmed.
 	suspensionThreshold = 1500 * time.Millisecond
-	// drainPoll is how often a leaving box looks whether it is done.
+	// drainPoll is the interval at which a leaving box checks whether requests are
+	// in flight.
 	drainPoll = 20 * time.Millisecond
-	// forwardGrace is within what a box that heard of another's leaving has a
-	// snapshot that knows it, and its last hand-off has arrived.
+	// forwardGrace is the time within which a box that has heard that this one
+	// leaves uses a snapshot with that state, and its last forwarded request has
+	// arrived here.
 	forwardGrace = 4 * rebuildEvery
-	// finalHeartbeatTimeout bounds the last heartbeats.
+	// finalHeartbeatTimeout limits the final heartbeats, and the closing of connections.
 	finalHeartbeatTimeout = 2 * time.Second
 )
 
-// Start opens the ports and starts all work. The error is a *settings.ListenError.
+// Start opens the ports and starts the box's work. The error is a
+// *settings.ListenError.
 func (b *Box) Start() error {
 	listeners, err := b.listen()
 	if err != nil {
@@ -78,8 +81,8 @@
 	b.Timers.Every(expireEvery, b.Table.Expire)
 }
 
-// bootstrap asks some boxes for what they have in force before this box is
-// ready: what the platform answered first may be stale.
+// bootstrap asks some boxes for their configuration before this box becomes ready,
+// since the platform's first answer may be stale.
 func (b *Box) bootstrap() {
 	b.refreshSelf()
 	b.Exchanger.CallSeeds(b.context)
@@ -93,13 +96,13 @@
 }
 
 func (b *Box) refreshSelf() {
-	// One at a time: a record with a higher version must never tell older
-	// views, or an older excess, than the one before.
+	// Serialized: a record with a higher version must not contain older views, or
+	// an older excess, than the one before.
 	b.selfRecordMu.Lock()
 	defer b.selfRecordMu.Unlock()
 	s := b.Settings
-	// The views come first: an excess that is told must not be older than
-	// the view that it belongs to.
+	// The views are read first: the excess in a record must not be older than the
+	// view that it belongs to.
 	b.mu.Lock()
 	views, seen := b.ownViews, b.seenViews
 	b.mu.Unlock()
@@ -113,7 +116,7 @@
 	})
 }
 
-// configChanged puts a new revision in force on this box and passes it on.
+// configChanged applies a new revision on this box and pushes it to other boxes.
 func (b *Box) configChanged(o *config.Object) {
 	b.log.Info("configuration in force", map[string]any{"service": o.Name, "revision": o.Revision, "deleted": o.Deleted})
 	b.rebuild()
@@ -121,7 +124,7 @@
 	b.background.Go(func() { b.Exchanger.Push(b.context, []*config.Object{o}) })
 }
 
-// requestRebuild asks for a new snapshot soon.
+// requestRebuild requests a new snapshot and does not wait for it.
 func (b *Box) requestRebuild() {
 	select {
 	case b.rebuildRequested <- struct{}{}:
@@ -141,23 +144,22 @@
 }
 
 // ----------------------------------------------------------------
-// Standing still
+// Suspension
 // ----------------------------------------------------------------
 
-// afterSuspension is called by the timers after the process was not running.
+// afterSuspension is called by the timers after the process was suspended for the time gap.
 func (b *Box) afterSuspension(gap time.Duration) {
-	b.log.Warn("stood still", map[string]any{"for": gap})
+	b.log.Warn("resumed after a suspension", map[string]any{"for": gap})
 	b.confirmed.Store(false)
 	b.Table.ForgiveSilence()
 	b.background.Go(b.confirmShares)
 }
 
-// confirmShares asks every box of the zone for its view before this box uses its
-// part of the slots again.
+// confirmShares gets the views of all boxes of the region before this box uses its
+// share of the slots again.
 func (b *Box) confirmShares() {
-	// A box that does not answer may have taken this one's part meanwhile;
-	// only when it has been silent for so long that it is dead does its old
-	// word no longer count.
+	// A box that does not answer may have taken this one's share over. Its earlier
+	// views stop counting only when it has been silent for DeadAfter.
 	for end := b.age() + membership.DeadAfter; b.age() < end && b.context.Err() == nil; {
 		b.refreshSelf()
 		if b.Exchanger.CallAll(b.context) == 0 {
@@ -167,10 +169,11 @@
 	}
 	b.rebuild()
 	b.confirmed.Store(true)
-	b.log.Info("part of the slots confirmed", nil)
+	b.log.Info("share of the slots confirmed", nil)
 }
 
-// maySend reports whether this box's part of the slots is certainly its own.
+// maySend reports whether this box may use its share of the slots: it has not been
+// suspended, or has confirmed the share since.
 func (b *Box) maySend() bool {
 	return b.Timers.Silence() < suspensionThreshold && b.confirmed.Load()
 }
@@ -185,26 +188,26 @@
 	Do   func(ctx context.Context)
 }
 
-// leaveSteps lists the steps of a planned stop in their order: look-ups stop
-// naming the box; it goes on serving until no caller can still hold an answer
-// that names it; it takes nothing new and gives up all slots but those of
-// requests in flight; it refuses what boxes still hand to it; it finishes what
-// it holds; its last answers go out.
+// leaveSteps returns the steps of a planned stop in order: look-ups stop returning the
+// box; it serves until no caller can still have a look-up that names it; it refuses new
+// requests and releases all slots but those of requests in flight; it refuses requests
+// that boxes still forward to it; it finishes the requests in flight; it sends the last
+// answers and closes its connections.
 func (b *Box) leaveSteps() []LeaveStep {
 	return []LeaveStep{
 		{"announce", b.announceLeaving},
-		{"outlive look-ups", func(ctx context.Context) {
-			// Another box may name this one until it hears that it leaves, and
-			// its callers keep that answer for a whole time to live.
+		{"wait for look-ups to expire", func(ctx context.Context) {
+			// Another box may return this one in look-ups until it hears that it
+			// leaves, and callers use such an answer for its whole TTL.
 			b.sleep(ctx, b.Settings.LookupTTL+membership.SuspectAfter)
 		}},
-		{"give up slots", b.releaseSlots},
-		{"outlive hand-offs", func(ctx context.Context) {
-			// Boxes that have just heard it may have a request on its way; it
-			// must meet a refusal here and not a closed connection.
+		{"release slots", b.releaseSlots},
+		{"wait for forwarded requests", func(ctx context.Context) {
+			// A box that has just heard that this one leaves may have a request
+			// on its way. It must get a refusal and not a closed connection.
 			b.sleep(ctx, forwardGrace)
 		}},
-		{"finish", b.finishRequests},
+		{"finish requests", b.finishRequests},
 		{"close connections", func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, finalHeartbeatTimeout)
 			defer cancel()
@@ -213,7 +216,7 @@
 	}
 }
 
-// Leave takes the box out of service as planned.
+// Leave runs the steps of a planned stop.
 func (b *Box) Leave(ctx context.Context) {
 	for _, step := range b.LeaveSteps {
 		b.log.Info("leaving", map[string]any{"step": step.Name, "in_flight": b.inFlight.Load()})
@@ -229,16 +232,17 @@
 	b.Exchanger.CallAll(ctx)
 }
 
-// releaseSlots refuses what still comes, since it comes from callers that
-// ignore look-ups and could keep the box from ever being done.
+// releaseSlots refuses new requests and releases the slots. Requests that still
+// arrive come from callers that ignore look-ups, and could otherwise keep the box from
+// ever finishing.
 func (b *Box) releaseSlots(ctx context.Context) {
 	b.closed.Store(true)
 	b.slotsReleased.Store(true)
 	b.sendFinalHeartbeats(ctx)
 }
 
-// finishRequests waits for the last request, telling the others as the slots
-// become free.
+// finishRequests waits until no request is in flight, then tells the other boxes that
+// the slots are free.
 func (b *Box) finishRequests(ctx context.Context) {
 	for b.inFlight.Load() > 0 && ctx.Err() == nil {
 		b.sleep(ctx, drainPoll)
@@ -260,7 +264,7 @@
 	}
 }
 
-// Stop ends all work at once.
+// Stop ends all work without waiting for requests.
 func (b *Box) Stop() {
 	b.stop()
 	b.closePools()
