--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -10,10 +10,11 @@
 	"github.com/stoneworks/stoneworks/pkg/shift"
 )
 
-// headroomLimit is the use of a region's slots above which no shift adds to it.
+// headroomLimit is the share of a region's slots in use from which on no shift adds
+// traffic to the region.
 const headroomLimit = 0.8
 
-// seenPlan is a plan's stamp and when this box first saw it.
+// seenPlan holds a plan's stamp and the time at which this box first saw it.
 type seenPlan struct {
 	stamp config.Stamp
 	since time.Time
@@ -34,8 +35,8 @@
 	b.walker(service).Count(client, bucket)
 }
 
-// advanceAssignment walks a service's assignment towards its plan and returns it; nil
-// while there is no plan yet.
+// advanceAssignment moves a service's assignment towards its plan, within the cap, and
+// returns it. It returns nil while there is no plan yet.
 func (b *Box) advanceAssignment(s *model.Service) map[string]*decide.Assignment {
 	o := b.Store.Get(config.PlanPrefix + s.Name)
 	if o == nil || o.Plan == nil {
@@ -54,9 +55,9 @@
 // Planning
 // ================================================================
 
-// plan lets this box plan the services that fall to it. Which box plans is
-// only a matter of saving work: whoever plans, a step is written against the
-// revision that it was made from, so of two planners one fails.
+// plan plans the services whose planner is this box. Choosing one planner only saves
+// work: a step is written against the revision that it was computed from, so if two
+// boxes plan, one write fails.
 func (b *Box) plan() {
 	if !b.Ready() || !b.confirmed.Load() || b.closed.Load() {
 		return
@@ -87,7 +88,7 @@
 	facts := b.shiftFacts(s, members)
 	current := b.Store.Get(name)
 	if current == nil || current.Plan == nil {
-		// The first plan says what is: it moves nothing.
+		// The first plan describes the present assignment and moves no traffic.
 		facts.Usable = func(string) bool { return true }
 		b.writePlan(s, name, 0, shift.Target(&model.Service{Name: s.Name}, nil, facts), 0)
 		return
@@ -105,8 +106,8 @@
 	b.writePlan(s, name, current.Revision, next, shift.Distance(next, target))
 }
 
-// planSeenFor reports whether this box has seen the plan for a whole window, by
-// its own clock and without having stood still meanwhile.
+// planSeenFor reports whether this box has seen the same plan for a whole window by its
+// own clock, without a suspension meanwhile.
 func (b *Box) planSeenFor(name string, o *config.Object, window time.Duration) bool {
 	stamp := config.Stamp{Revision: o.Revision, ChangeID: o.ChangeID}
 	b.mu.Lock()
@@ -128,7 +129,8 @@
 	b.log.Info("planned", map[string]any{"service": s.Name, "revision": o.Revision, "left_to_target": left})
 }
 
-// shiftFacts tells which regions serve, and which of them are heard of.
+// shiftFacts returns which regions serve the service, and which of them can be
+// reached.
 func (b *Box) shiftFacts(s *model.Service, members []membership.Member) shift.Facts {
 	f := shift.Facts{ClientRegions: b.Topology.Regions()}
 	serving := map[string]bool{}
@@ -154,9 +156,9 @@
 	return f
 }
 
-// hasHeadroom reports whether a region may take more: its boxes' load is known
-// and well below their slots. Unknown load means no: a shift must not go where
-// nothing is measured.
+// hasHeadroom reports whether a region may get more traffic: the load of its boxes is
+// known and below headroomLimit of their slots. It returns false if the load is
+// unknown, since a shift must not go to a region without measurements.
 func (b *Box) hasHeadroom(service, region string, members []membership.Member) bool {
 	share, inUse := 0, 0
 	for _, m := range members {
