--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -9,9 +9,9 @@
 	"github.com/stoneworks/stoneworks/pkg/slots"
 )
 
-// updateGates gives every service's gate this box's part of the slots. What
-// lets another box take more, a change of the views that count or the end of
-// an excess, is told at once and does not wait for heartbeats.
+// updateGates gives the gate of every service this box's share of the slots. Changes
+// that let another box use more, namely a change of the active views or the end of an
+// excess, are sent at once and do not wait for heartbeats.
 func (b *Box) updateGates(services []decide.ServiceInput) {
 	members := b.Table.Members()
 	views := b.views(members)
@@ -46,8 +46,8 @@
 	}
 }
 
-// excessEnded reports whether this box was above its part of some server at
-// the last look and is no more.
+// excessEnded reports whether this box used more than its share of some server at the
+// last call and no longer does.
 func (b *Box) excessEnded() bool {
 	_, excess := b.load()
 	had := b.hadExcess.Swap(len(excess) > 0)
@@ -80,7 +80,7 @@
 
 func serverKey(service, server string) string { return service + "/" + server }
 
-// holdsSlotOf reports whether requests of this box are in flight at a server.
+// holdsSlotOf reports whether this box has requests in flight at a server.
 func (b *Box) holdsSlotOf(service, server string) bool {
 	gate := b.gate(service)
 	if gate == nil {
@@ -111,8 +111,8 @@
 	return g
 }
 
-// load tells the other boxes how much of this box's part is in use, and where
-// it is above its part.
+// load returns how much of this box's share is in use, by service, and the servers of
+// which it uses more than its share, with the excess. Heartbeats report both.
 func (b *Box) load() (loads []membership.ServiceLoad, excess map[string]int) {
 	b.mu.Lock()
 	gates := make(map[string]*admission.Gate, len(b.gates))
@@ -152,7 +152,7 @@
 	return b.pool(b.peers, address, maxIdlePeer)
 }
 
-// maxIdlePeer bounds the idle connections kept to another box.
+// maxIdlePeer is the highest number of idle connections kept to another box.
 const maxIdlePeer = 64
 
 func (b *Box) pool(pools map[string]*exchange.Pool, address string, maxIdle int) *exchange.Pool {
