--- a/pkg/box/box_snapshot.go
+++ b/pkg/box/box_snapshot.go
@@ -2,12 +2,12 @@
 
 import "github.com/stoneworks/stoneworks/pkg/decide"
 
-// rebuild makes a new snapshot and puts it in the place of the old one.
+// rebuild updates the gates and replaces the snapshot by a new one.
 func (b *Box) rebuild() {
 	b.rebuildMu.Lock()
 	defer b.rebuildMu.Unlock()
-	// The box's own record comes first: whether this box still takes part
-	// decides its views, and with them its shares and its excess.
+	// The box's own record is updated first: whether this box still shares slots
+	// determines its views, and with them its shares and its excess.
 	b.refreshSelf()
 	services := b.services()
 	b.updateGates(services)
