--- a/pkg/box/box_test.go
+++ b/pkg/box/box_test.go
@@ -25,8 +25,8 @@
 	return b
 }
 
-// TestPanicIsConfinedToItsRequest: a fault in one request answers that request and does
-// not end the process.
+// TestPanicIsConfinedToItsRequest checks that a panic in one request is answered as a
+// failure and does not end the process.
 func TestPanicIsConfinedToItsRequest(t *testing.T) {
 	is := is.New(t)
 	b := newTestBox(is)
@@ -41,8 +41,9 @@
 	is.Equal(b.inFlight.Load(), int64(0))
 }
 
-// TestViews: a zone's slots are its own boxes'; a zone without boxes is its
-// region's; a box that said goodbye takes no part.
+// TestViews checks that a zone's slots belong to its own boxes, that those of a zone
+// without boxes belong to the boxes of its region, and that a box that has released its
+// slots gets none.
 func TestViews(t *testing.T) {
 	is := is.New(t)
 	b := newTestBox(is)
