--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -8,14 +8,14 @@
 	"github.com/stoneworks/stoneworks/pkg/slots"
 )
 
-// sharesSlots reports whether a box shares the slots of its zone, as far as this
-// box knows: it is listed or was heard of lately, and has not given them up.
+// sharesSlots reports whether a box shares the slots of its zone, as far as this box
+// knows: it is listed or not dead, and has not released its slots.
 func sharesSlots(m membership.Member) bool {
 	return !m.Gone && (m.InList || m.State != membership.Dead)
 }
 
-// views returns the views that this box computes with: of every zone of its
-// region, by zone. A zone without boxes is adopted by the rest of the region.
+// views returns this box's present view of every zone of its region, by zone. The slots
+// of a zone without boxes are shared by all boxes of the region.
 func (b *Box) views(members []membership.Member) map[string]slots.View {
 	boxesOf := map[string][]string{}
 	var region []string
@@ -39,8 +39,8 @@
 	return views
 }
 
-// slotPeers returns the other boxes of the region whose word on slots counts.
-// The word of a box that is dead, and off the views, has lapsed.
+// slotPeers returns the other boxes of the region whose views and excess limit this
+// box's slots. A dead box that is in no view no longer counts.
 func (b *Box) slotPeers(members []membership.Member, views map[string]slots.View) []membership.Member {
 	var list []membership.Member
 	for _, m := range members {
@@ -55,9 +55,10 @@
 	return list
 }
 
-// anyPartial reports whether a box of the region, older than this one, is known
-// only by way of another region. What it holds is not known until it was heard
-// itself or is dead. A younger one holds nothing that this box has not seen.
+// anyPartial reports whether a box of the region that is older than this one is known
+// only from a record that came through another region. The slots that it holds are not
+// known until its full record arrives or it is dead. A younger box holds no slots that
+// this box does not know of.
 func (b *Box) anyPartial(speakers []membership.Member) bool {
 	for _, m := range speakers {
 		age := time.Duration(m.AgeMS)*time.Millisecond + m.Silent
@@ -68,8 +69,8 @@
 	return false
 }
 
-// reportsOf returns what the speakers said of one server. A box that is gone has
-// reportsOf its excess only.
+// reportsOf returns what the peers report of one server. For a box that has released
+// its slots this is its excess only.
 func reportsOf(speakers []membership.Member, zone, server string) []slots.Told {
 	all := make([]slots.Told, 0, len(speakers))
 	for _, m := range speakers {
@@ -90,8 +91,8 @@
 	return list
 }
 
-// activeViews returns this box's views that still count, with the present
-// ones as the last.
+// activeViews returns this box's views that some other box may still apply, the present
+// ones last.
 func (b *Box) activeViews(views map[string]slots.View, speakers []membership.Member) []membership.SlotViews {
 	zones := map[string][]string{}
 	for zone, v := range views {
@@ -116,8 +117,8 @@
 	return slots.Counting(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
 }
 
-// recordAppliedViews remembers for heartbeats what the gates now keep to, and reports
-// whether this box's views that count have changed.
+// recordAppliedViews stores which views the gates now apply, for heartbeats and
+// applyNewViews, and reports whether this box's active views have changed.
 func (b *Box) recordAppliedViews(own []membership.SlotViews, speakers []membership.Member) (changed bool) {
 	seen := map[string]uint64{}
 	heard := map[string]appliedView{}
@@ -134,7 +135,7 @@
 	return changed
 }
 
-// appliedView is what the gates keep to of another box.
+// appliedView identifies the views and the excess of another box that the gates apply.
 type appliedView struct {
 	version  uint64
 	counting int
@@ -154,8 +155,8 @@
 	return true
 }
 
-// applyNewViews is called when another box has told something. If its views are
-// new, this box keeps to them before it answers that it has seen them.
+// applyNewViews is called when records of other boxes have arrived. If their views are
+// new, the gates apply them before this box reports that it has seen them.
 func (b *Box) applyNewViews() {
 	b.mu.Lock()
 	known := b.appliedViews
