--- a/pkg/box/box_peers.go
+++ b/pkg/box/box_peers.go
@@ -24,7 +24,7 @@
 }
 
 // Error implements error.
-func (e *PeerError) Error() string { return fmt.Sprintf("box at %s: HTTP status %d", e.Address, e.Status) }
+func (e *PeerError) Error() string { return fmt.Sprintf("box at %s: status %d", e.Address, e.Status) }
 
 // newPeerCaller returns the function that sends messages to other boxes.
 func (b *Box) newPeerCaller() func(ctx context.Context, address, path string, in, out any) error {
