--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -28,8 +28,8 @@
 	longestPause = 5 * time.Second
 	// boxListEvery and boxesRarely are the intervals at which watch holders and
 	// the other boxes read the list of boxes.
-	boxListEvery = 2 * time.Second
-	boxesRarely  = 30 * time.Second
+	boxListEvery       = 2 * time.Second
+	boxListEveryOthers = 30 * time.Second
 	// relistEvery is the interval at which a watch holder reads the whole
 	// configuration again, in case the watch missed a change.
 	relistEvery = time.Minute
@@ -197,7 +197,7 @@
 		b.platformAnswered()
 		b.Table.SetListed(list)
 		b.requestRebuild()
-		wait := boxesRarely
+		wait := boxListEveryOthers
 		if b.holdsWatch() {
 			wait = boxListEvery
 		}
