--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -82,7 +82,7 @@
 	hadExcess atomic.Bool
 	// seedsAsked is set when the seeds have been asked for their configuration.
 	seedsAsked atomic.Bool
-	platformOK
+	platformContact
 
 	operators *rpc.Operators
 	apps      []*fiber.App
@@ -118,7 +118,7 @@
 }
 
 // platformContact records when the platform last answered, as an age of the box.
-type platformOK struct {
+type platformContact struct {
 	lastAnswer atomic.Int64
 }
 
