--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -15,22 +15,22 @@
 func (b *Box) updateGates(services []decide.ServiceInput) {
 	members := b.Table.Members()
 	views := b.views(members)
-	speakers := b.slotPeers(members, views)
-	own := b.activeViews(views, speakers)
+	peers := b.slotPeers(members, views)
+	own := b.activeViews(views, peers)
 	seen := map[string]bool{}
 	for _, s := range services {
 		seen[s.Spec.Name] = true
-		b.gateOf(s.Spec.Name).Update(b.serverConfigs(s.Spec, own, speakers))
+		b.gateOf(s.Spec.Name).Update(b.serverConfigs(s.Spec, own, peers))
 	}
 	b.dropGates(seen)
 	switch {
-	case b.recordAppliedViews(own, speakers) || b.excessEnded():
+	case b.recordAppliedViews(own, peers) || b.excessEnded():
 		b.refreshSelf()
 		b.background.Go(func() {
 			b.Exchanger.CallAll(b.context)
 			b.requestRebuild()
 		})
-	case b.anyPartial(speakers):
+	case b.anyPartial(peers):
 		b.background.Go(func() { b.Exchanger.CallAll(b.context) })
 	}
 }
