--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -54,7 +54,7 @@
 	return had && len(excess) == 0
 }
 
-func (b *Box) serverConfigs(s *model.Service, own []membership.SlotViews, speakers []membership.Member) []admission.ServerConfig {
+func (b *Box) serverConfigs(s *model.Service, own []membership.SlotViews, peers []membership.Member) []admission.ServerConfig {
 	var configs []admission.ServerConfig
 	latest := own[len(own)-1].Zones
 	for _, server := range s.BackendServers {
@@ -66,9 +66,9 @@
 		if server.Zone != b.Settings.Zone && view.Part(b.Settings.Box, key, server.Slots) == 0 && !b.holdsSlotOf(s.Name, server.Name) {
 			continue
 		}
-		others := reportsOf(speakers, server.Zone, key)
+		others := reportsOf(peers, server.Zone, key)
 		part := 0
-		if !b.anyPartial(speakers) {
+		if !b.anyPartial(peers) {
 			part = b.UsableSlots(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
 		}
 		configs = append(configs, admission.ServerConfig{
