--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -59,8 +59,8 @@
 // only from a record that came through another region. The slots that it holds are not
 // known until its full record arrives or it is dead. A younger box holds no slots that
 // this box does not know of.
-func (b *Box) anyPartial(speakers []membership.Member) bool {
-	for _, m := range speakers {
+func (b *Box) anyPartial(peers []membership.Member) bool {
+	for _, m := range peers {
 		age := time.Duration(m.AgeMS)*time.Millisecond + m.Silent
 		if m.Partial && m.Silent <= membership.DeadAfter && age > b.age() {
 			return true
