--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -71,9 +71,9 @@
 
 // reportsOf returns what the peers report of one server. For a box that has released
 // its slots this is its excess only.
-func reportsOf(speakers []membership.Member, zone, server string) []slots.Told {
-	all := make([]slots.Told, 0, len(speakers))
-	for _, m := range speakers {
+func reportsOf(peers []membership.Member, zone, server string) []slots.Told {
+	all := make([]slots.Told, 0, len(peers))
+	for _, m := range peers {
 		t := slots.Told{Excess: m.Excess[server]}
 		if !m.Gone {
 			t.Views = viewsOf(m.Views, zone)
