--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -93,7 +93,7 @@
 
 // activeViews returns this box's views that some other box may still apply, the present
 // ones last.
-func (b *Box) activeViews(views map[string]slots.View, speakers []membership.Member) []membership.SlotViews {
+func (b *Box) activeViews(views map[string]slots.View, peers []membership.Member) []membership.SlotViews {
 	zones := map[string][]string{}
 	for zone, v := range views {
 		zones[zone] = v
@@ -109,7 +109,7 @@
 		own = append(own, membership.SlotViews{Version: version, Zones: zones})
 	}
 	var seen []uint64
-	for _, m := range speakers {
+	for _, m := range peers {
 		if !m.Gone {
 			seen = append(seen, m.Seen[b.Settings.Box])
 		}
