--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -119,10 +119,10 @@
 
 // recordAppliedViews stores which views the gates now apply, for heartbeats and
 // applyNewViews, and reports whether this box's active views have changed.
-func (b *Box) recordAppliedViews(own []membership.SlotViews, speakers []membership.Member) (changed bool) {
+func (b *Box) recordAppliedViews(own []membership.SlotViews, peers []membership.Member) (changed bool) {
 	seen := map[string]uint64{}
 	heard := map[string]appliedView{}
-	for _, m := range speakers {
+	for _, m := range peers {
 		heard[m.Box] = appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
 		if v := m.ViewsVersion(); v > 0 {
 			seen[m.Box] = v
