--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -121,9 +121,9 @@
 // applyNewViews, and reports whether this box's active views have changed.
 func (b *Box) recordAppliedViews(own []membership.SlotViews, peers []membership.Member) (changed bool) {
 	seen := map[string]uint64{}
-	heard := map[string]appliedView{}
+	applied := map[string]appliedView{}
 	for _, m := range peers {
-		heard[m.Box] = appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
+		applied[m.Box] = appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
 		if v := m.ViewsVersion(); v > 0 {
 			seen[m.Box] = v
 		}
@@ -131,7 +131,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed = !sameVersions(b.ownViews, own)
-	b.ownViews, b.seenViews, b.appliedViews = own, seen, heard
+	b.ownViews, b.seenViews, b.appliedViews = own, seen, applied
 	return changed
 }
 
