--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -123,7 +123,7 @@
 	seen := map[string]uint64{}
 	applied := map[string]appliedView{}
 	for _, m := range peers {
-		applied[m.Box] = appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
+		applied[m.Box] = appliedView{version: m.ViewsVersion(), views: len(m.Views), excess: len(m.Excess), partial: m.Partial}
 		if v := m.ViewsVersion(); v > 0 {
 			seen[m.Box] = v
 		}
@@ -137,10 +137,10 @@
 
 // appliedView identifies the views and the excess of another box that the gates apply.
 type appliedView struct {
-	version  uint64
-	counting int
-	excess   int
-	partial  bool
+	version uint64
+	views   int
+	excess  int
+	partial bool
 }
 
 func sameVersions(a, b []membership.SlotViews) bool {
@@ -165,7 +165,7 @@
 		if m.Box == b.Settings.Box || m.State == membership.Dead || b.Topology.RegionOf(m.Zone) != b.region {
 			continue
 		}
-		if known[m.Box] != (appliedView{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}) {
+		if known[m.Box] != (appliedView{version: m.ViewsVersion(), views: len(m.Views), excess: len(m.Excess), partial: m.Partial}) {
 			b.rebuild()
 			return
 		}
