--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -67,12 +67,12 @@
 			continue
 		}
 		others := reportsOf(peers, server.Zone, key)
-		part := 0
+		share := 0
 		if !b.anyPartial(peers) {
-			part = b.UsableSlots(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
+			share = b.UsableSlots(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
 		}
 		configs = append(configs, admission.ServerConfig{
-			Name: server.Name, Address: server.Address, Share: part, Leaving: server.Leaving,
+			Name: server.Name, Address: server.Address, Share: share, Leaving: server.Leaving,
 		})
 	}
 	return configs
