--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -52,9 +52,9 @@
 	}
 	for _, server := range o.Service.BackendServers {
 		line := &pb.BackendServerStatus{Name: server.Name, Zone: server.Zone, State: "remote"}
-		if part, ok := own[server.Name]; ok {
-			line.State = serverState(part)
-			line.Share, line.InUse = int32(part.Share), int32(part.InUse)
+		if status, ok := own[server.Name]; ok {
+			line.State = serverState(status)
+			line.Share, line.InUse = int32(status.Share), int32(status.InUse)
 		}
 		s.BackendServers = append(s.BackendServers, line)
 	}
