--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -20,7 +20,7 @@
 	seen := map[string]bool{}
 	for _, s := range services {
 		seen[s.Spec.Name] = true
-		b.gateOf(s.Spec.Name).Update(b.serverConfigs(s.Spec, own, peers))
+		b.ensureGate(s.Spec.Name).Update(b.serverConfigs(s.Spec, own, peers))
 	}
 	b.dropGates(seen)
 	switch {
@@ -100,7 +100,7 @@
 	return b.gates[service]
 }
 
-func (b *Box) gateOf(service string) *admission.Gate {
+func (b *Box) ensureGate(service string) *admission.Gate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.gates[service]
