--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -74,7 +74,7 @@
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
 	b.Timers.OnPause(b.afterSuspension)
-	b.Timers.Every(peer.Beat, b.beat)
+	b.Timers.Every(peer.Beat, b.sendHeartbeat)
 	b.Timers.Every(rebuildEvery, b.rebuild)
 	b.Timers.Every(planEvery, b.plan)
 	b.Timers.Every(probeEvery, b.probeServers)
@@ -90,7 +90,7 @@
 	b.rebuild()
 }
 
-func (b *Box) beat() {
+func (b *Box) sendHeartbeat() {
 	b.refreshSelf()
 	b.Exchanger.DoBeat(b.context)
 }
