--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -58,9 +58,9 @@
 	return last > 0 && b.age()-time.Duration(last) < platformReachableFor
 }
 
-// holdsWatch reports whether this box is one of its zone's watch holders: the first
+// isWatchHolder reports whether this box is one of its zone's watch holders: the first
 // WatchHolders live boxes in the order of a hash of their names.
-func (b *Box) holdsWatch() bool {
+func (b *Box) isWatchHolder() bool {
 	var names []string
 	for _, m := range b.Table.Members() {
 		if m.Zone == b.Settings.Zone && (m.State == membership.Live || m.Box == b.Settings.Box) {
@@ -89,7 +89,7 @@
 	var since uint64
 	var listed time.Time
 	for b.context.Err() == nil {
-		if b.Ready() && !b.holdsWatch() {
+		if b.Ready() && !b.isWatchHolder() {
 			listed = time.Time{}
 			b.sleep(b.context, holdCheck)
 			continue
@@ -198,7 +198,7 @@
 		b.Table.SetListed(list)
 		b.requestRebuild()
 		wait := boxListEveryOthers
-		if b.holdsWatch() {
+		if b.isWatchHolder() {
 			wait = boxListEvery
 		}
 		b.sleep(b.context, jitter(wait))
