--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -33,9 +33,9 @@
 	// relistEvery is the interval at which a watch holder reads the whole
 	// configuration again, in case the watch missed a change.
 	relistEvery = time.Minute
-	// holdCheck is the interval at which a box that does not watch checks whether
+	// watchHolderCheckEvery is the interval at which a box that does not watch checks whether
 	// it has become a watch holder.
-	holdCheck = 500 * time.Millisecond
+	watchHolderCheckEvery = 500 * time.Millisecond
 	// platformReachableFor is the time for which the platform counts as reachable
 	// after an answer.
 	platformReachableFor = 30 * time.Second
@@ -91,7 +91,7 @@
 	for b.context.Err() == nil {
 		if b.Ready() && !b.isWatchHolder() {
 			listed = time.Time{}
-			b.sleep(b.context, holdCheck)
+			b.sleep(b.context, watchHolderCheckEvery)
 			continue
 		}
 		var err error
