--- a/pkg/entry/entry_budget.go
+++ b/pkg/entry/entry_budget.go
@@ -27,14 +27,14 @@
 func (b *Budget) Success(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens[service] = min(b.of(service)+retryShare, retryReserve)
+	b.tokens[service] = min(b.tokensOf(service)+retryShare, retryReserve)
 }
 
 // Take reports whether a retry may be made, and deducts it from the budget if so.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := b.of(service)
+	n := b.tokensOf(service)
 	if n < 1 {
 		return false
 	}
@@ -42,7 +42,7 @@
 	return true
 }
 
-func (b *Budget) of(service string) float64 {
+func (b *Budget) tokensOf(service string) float64 {
 	if n, ok := b.tokens[service]; ok {
 		return n
 	}
