--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -50,8 +50,8 @@
 	if body.stream == nil {
 		unwatch = exchange.WatchHangup(ctx.Conn(), hungUp)
 	}
-	within, cancel := r.withDeadline(hangup)
-	r.ctx = within
+	bounded, cancel := r.withDeadline(hangup)
+	r.ctx = bounded
 	finish := func() {
 		unwatch()
 		cancel()
