--- a/pkg/box/box_probes.go
+++ b/pkg/box/box_probes.go
@@ -12,28 +12,28 @@
 	"github.com/stoneworks/stoneworks/pkg/exchange"
 )
 
-// HealthPath is where a backend server tells how it is.
+// HealthPath is the path of a backend server's health endpoint.
 const HealthPath = "/stoneworks/health"
 
-// probesAtOnce bounds the probes that run at the same time.
-const probesAtOnce = 32
+// maxConcurrentProbes is the highest number of probes that run at the same time.
+const maxConcurrentProbes = 32
 
-// probeTimeout bounds one probe.
+// probeTimeout limits one round of probes.
 const probeTimeout = 500 * time.Millisecond
 
 // Health is a backend server's answer to a probe.
 type Health struct {
-	// Leaving is set when it wants no new work.
+	// Leaving is set when the server wants no new requests.
 	Leaving bool `json:"leaving"`
 }
 
-// probeServers asks each backend server that this box has a part of whether
-// it leaves. No answer is no news: health endpoints lag, and the exchanges
-// themselves show whether a server works.
+// probeServers asks each backend server that this box has a share of whether it is
+// leaving. A probe without an answer is ignored: health endpoints lag, and the
+// requests themselves show whether a server works.
 func (b *Box) probeServers() {
 	ctx, cancel := context.WithTimeout(b.context, probeTimeout)
 	defer cancel()
-	wg := pool.New().WithMaxGoroutines(probesAtOnce)
+	wg := pool.New().WithMaxGoroutines(maxConcurrentProbes)
 	for _, o := range b.Store.All() {
 		if !o.IsService() {
 			continue
@@ -65,12 +65,12 @@
 		return
 	}
 	if gate.SetSelfLeaving(s.Name, health.Leaving) {
-		b.log.Info("backend server changed its mind", map[string]any{"service": service, "server": s.Name, "leaving": health.Leaving})
+		b.log.Info("backend server changed its leaving state", map[string]any{"service": service, "server": s.Name, "leaving": health.Leaving})
 	}
 }
 
-// serverSaysLeaving is called when an answer carries the leaving signal.
-func (b *Box) serverSaysLeaving(service, server string) {
+// onServerLeaving is called when an answer carries the leaving signal.
+func (b *Box) onServerLeaving(service, server string) {
 	if gate := b.gate(service); gate != nil && gate.SetSelfLeaving(server, true) {
 		b.log.Info("backend server leaves", map[string]any{"service": service, "server": server})
 	}
--- a/pkg/box/box_slots.go
+++ b/pkg/box/box_slots.go
@@ -9,28 +9,28 @@
 	"github.com/stoneworks/stoneworks/pkg/slots"
 )
 
-// updateGates gives every service's gate this box's part of the slots. What
-// lets another box take more, a change of the views that count or the end of
-// an excess, is told at once and does not wait for heartbeats.
+// updateGates gives the gate of every service this box's share of the slots. Changes
+// that let another box use more, namely a change of the active views or the end of an
+// excess, are sent at once and do not wait for heartbeats.
 func (b *Box) updateGates(services []decide.ServiceInput) {
 	members := b.Table.Members()
 	views := b.views(members)
-	speakers := b.speakers(members, views)
-	own := b.countingViews(views, speakers)
+	peers := b.slotPeers(members, views)
+	own := b.activeViews(views, peers)
 	seen := map[string]bool{}
 	for _, s := range services {
 		seen[s.Spec.Name] = true
-		b.gateOf(s.Spec.Name).Update(b.serverConfigs(s.Spec, own, speakers))
+		b.ensureGate(s.Spec.Name).Update(b.serverConfigs(s.Spec, own, peers))
 	}
 	b.dropGates(seen)
 	switch {
-	case b.noteViews(own, speakers) || b.excessEnded():
+	case b.recordAppliedViews(own, peers) || b.excessEnded():
 		b.refreshSelf()
 		b.background.Go(func() {
 			b.Exchanger.CallAll(b.context)
-			b.wakeRebuild()
+			b.requestRebuild()
 		})
-	case b.anyPartial(speakers):
+	case b.anyPartial(peers):
 		b.background.Go(func() { b.Exchanger.CallAll(b.context) })
 	}
 }
@@ -46,15 +46,15 @@
 	}
 }
 
-// excessEnded reports whether this box was above its part of some server at
-// the last look and is no more.
+// excessEnded reports whether this box used more than its share of some server at the
+// last call and no longer does.
 func (b *Box) excessEnded() bool {
 	_, excess := b.load()
 	had := b.hadExcess.Swap(len(excess) > 0)
 	return had && len(excess) == 0
 }
 
-func (b *Box) serverConfigs(s *model.Service, own []membership.SlotViews, speakers []membership.Member) []admission.ServerConfig {
+func (b *Box) serverConfigs(s *model.Service, own []membership.SlotViews, peers []membership.Member) []admission.ServerConfig {
 	var configs []admission.ServerConfig
 	latest := own[len(own)-1].Zones
 	for _, server := range s.BackendServers {
@@ -66,13 +66,13 @@
 		if server.Zone != b.Settings.Zone && view.Share(b.Settings.Box, key, server.Slots) == 0 && !b.holdsSlotOf(s.Name, server.Name) {
 			continue
 		}
-		others := told(speakers, server.Zone, key)
-		part := 0
-		if !b.anyPartial(speakers) {
-			part = b.Usable(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
+		others := reportsOf(peers, server.Zone, key)
+		share := 0
+		if !b.anyPartial(peers) {
+			share = b.UsableSlots(b.Settings.Box, key, server.Slots, viewsOf(own, server.Zone), others)
 		}
 		configs = append(configs, admission.ServerConfig{
-			Name: server.Name, Address: server.Address, Share: part, Leaving: server.Leaving,
+			Name: server.Name, Address: server.Address, Share: share, Leaving: server.Leaving,
 		})
 	}
 	return configs
@@ -80,7 +80,7 @@
 
 func serverKey(service, server string) string { return service + "/" + server }
 
-// holdsSlotOf reports whether requests of this box are in flight at a server.
+// holdsSlotOf reports whether this box has requests in flight at a server.
 func (b *Box) holdsSlotOf(service, server string) bool {
 	gate := b.gate(service)
 	if gate == nil {
@@ -100,7 +100,7 @@
 	return b.gates[service]
 }
 
-func (b *Box) gateOf(service string) *admission.Gate {
+func (b *Box) ensureGate(service string) *admission.Gate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.gates[service]
@@ -111,8 +111,8 @@
 	return g
 }
 
-// load tells the other boxes how much of this box's part is in use, and where
-// it is above its part.
+// load returns how much of this box's share is in use, by service, and the servers of
+// which it uses more than its share, with the excess. Heartbeats report both.
 func (b *Box) load() (loads []membership.ServiceLoad, excess map[string]int) {
 	b.mu.Lock()
 	gates := make(map[string]*admission.Gate, len(b.gates))
@@ -152,7 +152,7 @@
 	return b.pool(b.peers, address, maxIdlePeer)
 }
 
-// maxIdlePeer bounds the idle connections kept to another box.
+// maxIdlePeer is the highest number of idle connections kept to another box.
 const maxIdlePeer = 64
 
 func (b *Box) pool(pools map[string]*exchange.Pool, address string, maxIdle int) *exchange.Pool {
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -7,11 +7,12 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// route offers the request to boxes until one answers or it may not go on.
+// route sends the request to one box after another until one answers or no further
+// attempt is allowed.
 func (e *Entry) route(r *Request) (*Answer, *outcome.Failure) {
 	target := decide.Request{Client: r.Client, Spread: decide.Hash(r.ID)}
 	var last *outcome.Failure
-	for try := range maxTries {
+	for try := range maxBoxAttempts {
 		d := e.decide(r, &target)
 		e.logDecision(r, d, try)
 		if try == 0 {
@@ -20,16 +21,16 @@
 		if d.Box == nil {
 			break
 		}
-		answer, failure := e.offer(r, d)
+		answer, failure := e.attempt(r, d)
 		if failure == nil {
 			e.Budget.Success(r.Service)
 			return answer, nil
 		}
-		last = worse(last, failure)
+		last = combineFailures(last, failure)
 		if try < len(target.Tried) {
 			target.Tried[try] = d.Box.Box
 		}
-		if !e.mayTryAgain(r, failure) {
+		if !e.mayRetry(r, failure) {
 			break
 		}
 	}
@@ -39,9 +40,9 @@
 	return nil, last
 }
 
-// decide routes the request. Where this box's own part is all in use and
-// another box is known to have free slots, that box gets the request at once
-// in place of a wait here; if it refuses, the request comes back to wait.
+// decide routes the request. If all slots of this box are in use and another box is
+// known to have free ones, it chooses that box instead of waiting here. If that box
+// refuses, a later attempt may choose this box again and wait.
 func (e *Entry) decide(r *Request, target *decide.Request) decide.Decision {
 	d := r.snapshot.Route(r.view, target)
 	if d.Box == nil || d.Box.Box != e.Self || target.Tried[0] != "" {
@@ -60,25 +61,26 @@
 	return d
 }
 
-// worse joins the ends of two tries. Once one try may have run, the request may
-// have run, whatever the next box says of itself.
-func worse(earlier, later *outcome.Failure) *outcome.Failure {
+// combineFailures returns the failure that stands after two attempts. If the outcome
+// of the earlier one is unknown, the request may have run, even if the later box
+// did not run it.
+func combineFailures(earlier, later *outcome.Failure) *outcome.Failure {
 	if earlier != nil && earlier.Outcome == outcome.Unknown && later.Outcome == outcome.NotRun {
 		return earlier
 	}
 	return later
 }
 
-func (e *Entry) offer(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
+func (e *Entry) attempt(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
 	if d.Box.Box == e.Self {
-		return e.local(r, "")
+		return e.serveLocally(r, "")
 	}
-	return e.handOff(r, d.Box.Peers, HopZone)
+	return e.forward(r, d.Box.Peers, HopZone)
 }
 
-// mayTryAgain reports whether the request may be sent a second time, and pays
-// for that from the budget.
-func (e *Entry) mayTryAgain(r *Request, f *outcome.Failure) bool {
+// mayRetry reports whether the request may be sent again, and deducts the retry
+// from the budget if so.
+func (e *Entry) mayRetry(r *Request, f *outcome.Failure) bool {
 	if r.ctx.Err() != nil || !r.body.replayable() {
 		return false
 	}
@@ -86,7 +88,7 @@
 	case outcome.ReasonCancelled, outcome.ReasonDeadline, outcome.ReasonBadRequest, outcome.ReasonNoSuchService:
 		return false
 	}
-	if f.Outcome == outcome.Unknown && !r.repeat {
+	if f.Outcome == outcome.Unknown && !r.repeatable {
 		return false
 	}
 	return e.Budget.Take(r.Service)
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -19,7 +19,8 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// TestClassify: "not run" needs that no byte was handed to the network.
+// TestClassify checks that the outcome is "not run" only if no byte was handed to the
+// network.
 func TestClassify(t *testing.T) {
 	is := is.New(t)
 	lost := errors.New("lost")
@@ -42,15 +43,15 @@
 	}
 }
 
-// TestUnknownIsKept is the failure in which a refusal by the second box hid
-// that the first may have run the request.
-func TestUnknownIsKept(t *testing.T) {
+// TestUnknownOutcomeSurvivesRefusal guards against a refusal by the second box that hides
+// that the first one may have run the request.
+func TestUnknownOutcomeSurvivesRefusal(t *testing.T) {
 	is := is.New(t)
 	unknown := outcome.NewUnknown(outcome.ReasonConnectionLost, "")
 	refused := outcome.NewNotRun(outcome.ReasonNoCapacity, "")
-	is.Equal(worse(unknown, refused), unknown)
-	is.Equal(worse(refused, unknown), unknown)
-	is.Equal(worse(nil, refused), refused)
+	is.Equal(combineFailures(unknown, refused), unknown)
+	is.Equal(combineFailures(refused, unknown), unknown)
+	is.Equal(combineFailures(nil, refused), refused)
 }
 
 func TestBudget(t *testing.T) {
@@ -79,8 +80,8 @@
 	})
 }
 
-// TestFaultGivesSlotBack: a fault after admission does not keep the slot.
-func TestFaultGivesSlotBack(t *testing.T) {
+// TestPanicReleasesSlot checks that a panic after admission releases the slot.
+func TestPanicReleasesSlot(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(time.Now, 0)
 	gate.Update([]admission.ServerConfig{{Name: "a", Share: 1}})
@@ -94,14 +95,14 @@
 	is.True(gate.HasFree())
 }
 
-// brokenReader fails as a misframed body does.
+// brokenReader fails as the body of a request with invalid framing does.
 type brokenReader struct{}
 
-func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("misframed") }
+func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("invalid framing") }
 
-// TestBrokenBodyIsTheCallers is the failure in which uploads that broke off
-// counted against the backend server and had it ejected.
-func TestBrokenBodyIsTheCallers(t *testing.T) {
+// TestBrokenUploadDoesNotEjectServer guards against interrupted uploads that
+// count as failures of the backend server and eject it.
+func TestBrokenUploadDoesNotEjectServer(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(time.Now, 0)
 	gate.Update([]admission.ServerConfig{{Name: "a", Share: 1}, {Name: "b", Share: 1}})
@@ -113,7 +114,7 @@
 		body := &requestBody{stream: brokenReader{}, length: -1, abort: func() {}}
 		_, err := body.Read(nil)
 		is.True(err != nil)
-		f := e.failed(&Request{body: body}, permit, &exchange.Error{Stage: exchange.StageHeader, Sent: true, Cause: err})
+		f := e.exchangeFailure(&Request{body: body}, permit, &exchange.Error{Stage: exchange.StageHeader, Sent: true, Cause: err})
 		is.Equal(f.Outcome, outcome.Unknown)
 		is.Equal(f.Reason, outcome.ReasonBadRequest)
 	}
@@ -126,11 +127,11 @@
 	is.True(!aborted.broken.Load())
 }
 
-// TestServerIsNotOverusedAfterTimeouts: a server with one slot that takes a
-// while to notice a closed connection never holds two requests.
+// TestServerIsNotOverusedAfterTimeouts checks that a server with one slot, which
+// detects a closed connection only after a delay, never runs two requests.
 func TestServerIsNotOverusedAfterTimeouts(t *testing.T) {
 	is := is.New(t)
-	server := &slowToNotice{notices: 10 * time.Millisecond}
+	server := &slowDisconnectServer{detectDelay: 10 * time.Millisecond}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
@@ -149,7 +150,7 @@
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		r := &Request{ctx: ctx, ID: "id", Service: "s", Method: "GET", Path: "/", Deadline: time.Now().Add(10 * time.Millisecond), view: &decide.ServiceView{}, body: &requestBody{}, raw: rawHeaders{header: &fasthttp.RequestHeader{}}}
-		_, failure := e.local(r, "")
+		_, failure := e.serveLocally(r, "")
 		is.True(failure != nil)
 		cancel()
 	}
@@ -157,14 +158,14 @@
 	is.Equal(server.peak.Load(), int64(1))
 }
 
-// slowToNotice is a server that works until it notices that its client left,
-// and some time more.
-type slowToNotice struct {
-	notices           time.Duration
+// slowDisconnectServer is a server that runs a request until its client closes the
+// connection, and then for detectDelay longer.
+type slowDisconnectServer struct {
+	detectDelay       time.Duration
 	busy, peak, total atomic.Int64
 }
 
-func (s *slowToNotice) serve(l net.Listener) {
+func (s *slowDisconnectServer) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -182,7 +183,7 @@
 			for old := s.peak.Load(); busy > old && !s.peak.CompareAndSwap(old, busy); old = s.peak.Load() {
 			}
 			_, _ = c.Read(buffer)
-			time.Sleep(s.notices)
+			time.Sleep(s.detectDelay)
 		}()
 	}
 }
