--- a/pkg/customerstats/ledger_test.go
+++ b/pkg/customerstats/ledger_test.go
@@ -32,7 +32,7 @@
 	is.Equal(settled, uint32(0))
 }
 
-// TestOldResultsDecay checks that results of some time ago no longer count.
+// TestOldResultsDecay checks that results of some time ago have little weight.
 func TestOldResultsDecay(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
