--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -26,15 +26,15 @@
 	// firstPause and longestPause are the limits of the pause after a failed call.
 	firstPause   = 200 * time.Millisecond
 	longestPause = 5 * time.Second
-	// boxListEvery and boxesRarely are the intervals at which watch holders and
-	// the other boxes read the list of boxes.
+	// boxListEvery and boxListEveryOthers are the intervals at which watch holders
+	// and the other boxes read the list of boxes.
 	boxListEvery       = 2 * time.Second
 	boxListEveryOthers = 30 * time.Second
 	// relistEvery is the interval at which a watch holder reads the whole
 	// configuration again, in case the watch missed a change.
 	relistEvery = time.Minute
-	// watchHolderCheckEvery is the interval at which a box that does not watch checks whether
-	// it has become a watch holder.
+	// watchHolderCheckEvery is the interval at which a box that does not watch
+	// checks whether it has become a watch holder.
 	watchHolderCheckEvery = 500 * time.Millisecond
 	// platformReachableFor is the time for which the platform counts as reachable
 	// after an answer.
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -147,7 +147,7 @@
 // Suspension
 // ----------------------------------------------------------------
 
-// afterSuspension is called by the timers after the process was suspended for the time gap.
+// afterSuspension is called by the timers after a suspension of the process of length gap.
 func (b *Box) afterSuspension(gap time.Duration) {
 	b.log.Warn("resumed after a suspension", map[string]any{"for": gap})
 	b.confirmed.Store(false)
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -40,7 +40,7 @@
 }
 
 // slotPeers returns the other boxes of the region whose views and excess limit this
-// box's slots. A dead box that is in no view no longer counts.
+// box's slots. A dead box that is not in its zone's view no longer counts.
 func (b *Box) slotPeers(members []membership.Member, views map[string]slots.View) []membership.Member {
 	var list []membership.Member
 	for _, m := range members {
@@ -91,8 +91,8 @@
 	return list
 }
 
-// activeViews returns this box's views that some other box may still apply, the present
-// ones last.
+// activeViews returns the last of this box's views that every other box has seen, and all
+// later ones; the present views come last.
 func (b *Box) activeViews(views map[string]slots.View, peers []membership.Member) []membership.SlotViews {
 	zones := map[string][]string{}
 	for zone, v := range views {
