--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -20,7 +20,7 @@
 	since time.Time
 }
 
-func (b *Box) walker(service string) *shift.Walker {
+func (b *Box) migrator(service string) *shift.Walker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.walkers[service]
@@ -32,7 +32,7 @@
 }
 
 func (b *Box) countBucket(service, client string, bucket int) {
-	b.walker(service).Count(client, bucket)
+	b.migrator(service).Count(client, bucket)
 }
 
 // advanceAssignment moves a service's assignment towards its plan, within the cap, and
@@ -42,7 +42,7 @@
 	if o == nil || o.Plan == nil {
 		return nil
 	}
-	w := b.walker(s.Name)
+	w := b.migrator(s.Name)
 	w.Advance(time.Now(), s.Name, o.Plan, b.ShiftCap(s), window(s))
 	return w.Assignments()
 }
