--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -104,7 +104,7 @@
 	// apply.
 	appliedViews map[string]appliedView
 	gates        map[string]*admission.Gate
-	walkers      map[string]*shift.Walker
+	migrators    map[string]*shift.Walker
 	// planSeen holds when this box first saw each service's present plan.
 	planSeen map[string]seenPlan
 	pools    map[string]*exchange.Pool
@@ -139,7 +139,7 @@
 		logger:           logging.New(handler, level),
 		started:          time.Now(),
 		gates:            map[string]*admission.Gate{},
-		walkers:          map[string]*shift.Walker{},
+		migrators:        map[string]*shift.Walker{},
 		planSeen:         map[string]seenPlan{},
 		pools:            map[string]*exchange.Pool{},
 		peers:            map[string]*exchange.Pool{},
--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -23,10 +23,10 @@
 func (b *Box) migrator(service string) *shift.Walker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.walkers[service]
+	w := b.migrators[service]
 	if w == nil {
 		w = shift.NewWalker()
-		b.walkers[service] = w
+		b.migrators[service] = w
 	}
 	return w
 }
