--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -85,7 +85,7 @@
 
 func (b *Box) planService(s *model.Service, members []membership.Member) {
 	name := config.PlanPrefix + s.Name
-	facts := b.shiftFacts(s, members)
+	facts := b.shiftConditions(s, members)
 	current := b.Store.Get(name)
 	if current == nil || current.Plan == nil {
 		// The first plan describes the present assignment and moves no traffic.
@@ -129,9 +129,9 @@
 	b.log.Info("planned", map[string]any{"service": s.Name, "revision": o.Revision, "left_to_target": left})
 }
 
-// shiftFacts returns which regions serve the service, and which of them can be
+// shiftConditions returns which regions serve the service, and which of them can be
 // reached.
-func (b *Box) shiftFacts(s *model.Service, members []membership.Member) shift.Facts {
+func (b *Box) shiftConditions(s *model.Service, members []membership.Member) shift.Facts {
 	f := shift.Facts{ClientRegions: b.Topology.Regions()}
 	serving := map[string]bool{}
 	for _, server := range s.BackendServers {
