--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -85,18 +85,18 @@
 
 func (b *Box) planService(s *model.Service, members []membership.Member) {
 	name := config.PlanPrefix + s.Name
-	facts := b.shiftConditions(s, members)
+	conditions := b.shiftConditions(s, members)
 	current := b.Store.Get(name)
 	if current == nil || current.Plan == nil {
 		// The first plan describes the present assignment and moves no traffic.
-		facts.Usable = func(string) bool { return true }
-		b.writePlan(s, name, 0, shift.Target(&model.Service{Name: s.Name}, nil, facts), 0)
+		conditions.Usable = func(string) bool { return true }
+		b.writePlan(s, name, 0, shift.Target(&model.Service{Name: s.Name}, nil, conditions), 0)
 		return
 	}
 	if !b.planSeenFor(name, current, window(s)) {
 		return
 	}
-	target := shift.Target(s, current.Plan, facts)
+	target := shift.Target(s, current.Plan, conditions)
 	next := shift.Step(s.Name, current.Plan, target, b.ShiftCap(s), func(region string) bool {
 		return b.hasHeadroom(s.Name, region, members)
 	})
