--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -190,7 +190,7 @@
 // Acquire takes a slot. The failure always says "not run".
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Permit, *outcome.Failure) {
 	g.mu.Lock()
-	if p := g.take(r); p != nil {
+	if p := g.tryAcquire(r); p != nil {
 		g.mu.Unlock()
 		return p, nil
 	}
@@ -209,22 +209,22 @@
 	}
 	expected := g.serviceTime * time.Duration(len(g.queue)+1) / time.Duration(slots)
 	if len(g.queue) >= slots*QueuePerSlot || expected > g.QueueWait {
-		return nil, g.full(expected)
+		return nil, g.noCapacity(expected)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.Now().Add(expected+g.serviceTime).After(deadline) {
-		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(spread(expected, r))
+		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(jitteredRetryAfter(expected, r))
 	}
 	w := &waiter{ready: make(chan *Permit, 1), request: r}
 	g.queue = append(g.queue, w)
 	return w, nil
 }
 
-func (g *Gate) full(expected time.Duration) *outcome.Failure {
+func (g *Gate) noCapacity(expected time.Duration) *outcome.Failure {
 	wait := min(max(expected, minRetryAfter), maxRetryAfter)
 	return outcome.NewNotRun(outcome.ReasonNoCapacity, "").WithRetryAfter(wait)
 }
 
-func spread(d time.Duration, r Request) time.Duration {
+func jitteredRetryAfter(d time.Duration, r Request) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter)
 	return d + time.Duration(r.CacheKey%uint64(d))
 }
@@ -253,7 +253,7 @@
 	if ctx.Err() != nil {
 		return nil, outcome.NewNotRun(outcome.ReasonCancelled, "while waiting for a slot")
 	}
-	return nil, g.full(expected)
+	return nil, g.noCapacity(expected)
 }
 
 func (g *Gate) remove(w *waiter) bool {
@@ -282,7 +282,7 @@
 // serveQueue hands free slots to the requests that have waited longest.
 func (g *Gate) serveQueue() {
 	for len(g.queue) > 0 {
-		p := g.take(g.queue[0].request)
+		p := g.tryAcquire(g.queue[0].request)
 		if p == nil {
 			return
 		}
--- a/pkg/box/box_run.go
+++ b/pkg/box/box_run.go
@@ -69,12 +69,12 @@
 }
 
 func (b *Box) subscribe() {
-	b.Store.Changed = b.configChanged
-	b.Exchanger.Failed = func(address string, err error) {
+	b.Store.OnChange = b.configChanged
+	b.Exchanger.OnFailure = func(address string, err error) {
 		b.log.Debug("peer did not answer", map[string]any{"address": address, "error": err})
 	}
 	b.Timers.OnPause(b.afterSuspension)
-	b.Timers.Every(peer.Beat, b.sendHeartbeat)
+	b.Timers.Every(peer.HeartbeatInterval, b.sendHeartbeat)
 	b.Timers.Every(rebuildEvery, b.rebuild)
 	b.Timers.Every(planEvery, b.plan)
 	b.Timers.Every(probeEvery, b.probeServers)
@@ -92,7 +92,7 @@
 
 func (b *Box) sendHeartbeat() {
 	b.refreshSelf()
-	b.Exchanger.DoBeat(b.context)
+	b.Exchanger.SendHeartbeats(b.context)
 }
 
 func (b *Box) refreshSelf() {
@@ -120,7 +120,7 @@
 func (b *Box) configChanged(o *config.Object) {
 	b.log.Info("configuration in force", map[string]any{"service": o.Name, "revision": o.Revision, "deleted": o.Deleted})
 	b.rebuild()
-	b.operators.Changed()
+	b.operators.NotifyWatchers()
 	b.background.Go(func() { b.Exchanger.Push(b.context, []*config.Object{o}) })
 }
 
@@ -151,7 +151,7 @@
 func (b *Box) afterSuspension(gap time.Duration) {
 	b.log.Warn("resumed after a suspension", map[string]any{"for": gap})
 	b.confirmed.Store(false)
-	b.Table.ForgiveSilence()
+	b.Table.ResetSilence()
 	b.background.Go(b.confirmShares)
 }
 
@@ -175,7 +175,7 @@
 // maySend reports whether this box may use its share of the slots: it has not been
 // suspended, or has confirmed the share since.
 func (b *Box) maySend() bool {
-	return b.Timers.Silence() < suspensionThreshold && b.confirmed.Load()
+	return b.Timers.SinceLastStep() < suspensionThreshold && b.confirmed.Load()
 }
 
 // ----------------------------------------------------------------
--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -20,12 +20,12 @@
 	since time.Time
 }
 
-func (b *Box) migrator(service string) *shift.Walker {
+func (b *Box) migrator(service string) *shift.Migrator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.migrators[service]
 	if w == nil {
-		w = shift.NewWalker()
+		w = shift.NewMigrator()
 		b.migrators[service] = w
 	}
 	return w
@@ -131,8 +131,8 @@
 
 // shiftConditions returns which regions serve the service, and which of them can be
 // reached.
-func (b *Box) shiftConditions(s *model.Service, members []membership.Member) shift.Facts {
-	f := shift.Facts{ClientRegions: b.Topology.Regions()}
+func (b *Box) shiftConditions(s *model.Service, members []membership.Member) shift.Conditions {
+	f := shift.Conditions{ClientRegions: b.Topology.Regions()}
 	serving := map[string]bool{}
 	for _, server := range s.BackendServers {
 		region := b.Topology.RegionOf(server.Zone)
--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -47,7 +47,7 @@
 		if m.Box == b.Settings.Box || m.State == membership.Listed || b.Topology.RegionOf(m.Zone) != b.region {
 			continue
 		}
-		if m.Silent > membership.DeadAfter && !views[m.Zone].Has(m.Box) {
+		if m.SilentFor > membership.DeadAfter && !views[m.Zone].Has(m.Box) {
 			continue
 		}
 		list = append(list, m)
@@ -61,8 +61,8 @@
 // this box does not know of.
 func (b *Box) anyPartial(peers []membership.Member) bool {
 	for _, m := range peers {
-		age := time.Duration(m.AgeMS)*time.Millisecond + m.Silent
-		if m.Partial && m.Silent <= membership.DeadAfter && age > b.age() {
+		age := time.Duration(m.AgeMS)*time.Millisecond + m.SilentFor
+		if m.Partial && m.SilentFor <= membership.DeadAfter && age > b.age() {
 			return true
 		}
 	}
@@ -71,10 +71,10 @@
 
 // reportsOf returns what the peers report of one server. For a box that has released
 // its slots this is its excess only.
-func reportsOf(peers []membership.Member, zone, server string) []slots.Told {
-	all := make([]slots.Told, 0, len(peers))
+func reportsOf(peers []membership.Member, zone, server string) []slots.PeerReport {
+	all := make([]slots.PeerReport, 0, len(peers))
 	for _, m := range peers {
-		t := slots.Told{Excess: m.Excess[server]}
+		t := slots.PeerReport{Excess: m.Excess[server]}
 		if !m.Gone {
 			t.Views = viewsOf(m.Views, zone)
 		}
@@ -83,10 +83,10 @@
 	return all
 }
 
-func viewsOf(views []membership.SlotViews, zone string) []slots.Versioned {
-	list := make([]slots.Versioned, 0, len(views))
+func viewsOf(views []membership.SlotViews, zone string) []slots.VersionedView {
+	list := make([]slots.VersionedView, 0, len(views))
 	for _, v := range views {
-		list = append(list, slots.Versioned{Version: v.Version, View: v.Zones[zone]})
+		list = append(list, slots.VersionedView{Version: v.Version, View: v.Zones[zone]})
 	}
 	return list
 }
@@ -114,7 +114,7 @@
 			seen = append(seen, m.Seen[b.Settings.Box])
 		}
 	}
-	return slots.Counting(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
+	return slots.ActiveViews(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
 }
 
 // recordAppliedViews stores which views the gates now apply, for heartbeats and
--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -56,8 +56,8 @@
 type Writer struct {
 	Platform *platform.Client
 	Store    *Store
-	// ReadBack bounds one change, with looking for a write whose answer was lost.
-	ReadBack time.Duration
+	// Timeout bounds one change, with looking for a write whose answer was lost.
+	Timeout time.Duration
 }
 
 // Change is what an operator wants to become of one object.
@@ -81,17 +81,17 @@
 // A conflict or a lost answer is followed by reading the object again: the
 // change id tells whether the write that is found there is ours.
 func (w *Writer) Apply(ctx context.Context, c Change) (*Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.ReadBack)
+	ctx, cancel := context.WithTimeout(ctx, w.Timeout)
 	defer cancel()
 	a := attempt{writer: w, change: c}
 	for {
-		o, err := a.once(ctx)
-		if o != nil || (err != nil && !a.again(err)) {
+		o, err := a.tryOnce(ctx)
+		if o != nil || (err != nil && !a.retryable(err)) {
 			return o, err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, a.giveUp(err)
+			return nil, a.finalError(err)
 		case <-time.After(retryPause):
 		}
 	}
@@ -101,14 +101,14 @@
 type attempt struct {
 	writer *Writer
 	change Change
-	// unsure is set once a write of ours may have taken effect.
-	unsure bool
-	// wrote is the revision that such a write has.
-	wrote uint64
+	// mayBeStored is set once a write of ours may have taken effect.
+	mayBeStored bool
+	// writtenRevision is the revision that such a write has.
+	writtenRevision uint64
 }
 
-// once reads the object and tries to write it.
-func (a *attempt) once(ctx context.Context) (*Object, error) {
+// tryOnce reads the object and tries to write it.
+func (a *attempt) tryOnce(ctx context.Context) (*Object, error) {
 	w, c := a.writer, a.change
 	stored, version, err := w.read(ctx, c.Name)
 	if err != nil {
@@ -116,10 +116,10 @@
 	}
 	current := w.newest(c.Name, stored)
 	if current != nil && current.ChangeID == c.ChangeID {
-		return w.inForce(current), nil
+		return w.activate(current), nil
 	}
 	if err := c.checkAgainst(current); err != nil {
-		if a.unsure && revisionOf(current) > a.wrote {
+		if a.mayBeStored && revisionOf(current) > a.writtenRevision {
 			return nil, &UnknownWriteError{Name: c.Name, ChangeID: c.ChangeID}
 		}
 		return nil, err
@@ -127,17 +127,17 @@
 	next := c.object(current)
 	err = w.put(ctx, next, version)
 	if err == nil {
-		return w.inForce(next), nil
+		return w.activate(next), nil
 	}
 	var lost *platform.UnknownWriteError
 	if errors.As(err, &lost) {
-		a.unsure, a.wrote = true, next.Revision
+		a.mayBeStored, a.writtenRevision = true, next.Revision
 	}
 	return nil, err
 }
 
-// again reports whether the error may pass when the object is read again.
-func (a *attempt) again(err error) bool {
+// retryable reports whether the error may pass when the object is read retryable.
+func (a *attempt) retryable(err error) bool {
 	var lost *platform.UnknownWriteError
 	var conflict *platform.ConflictError
 	var down *platform.UnavailableError
@@ -145,13 +145,13 @@
 	case errors.As(err, &lost), errors.As(err, &conflict):
 		return true
 	case errors.As(err, &down):
-		return a.unsure
+		return a.mayBeStored
 	}
 	return false
 }
 
-func (a *attempt) giveUp(err error) error {
-	if a.unsure {
+func (a *attempt) finalError(err error) error {
+	if a.mayBeStored {
 		return &UnknownWriteError{Name: a.change.Name, ChangeID: a.change.ChangeID}
 	}
 	var conflict *platform.ConflictError
@@ -217,7 +217,7 @@
 	return err
 }
 
-func (w *Writer) inForce(o *Object) *Object {
+func (w *Writer) activate(o *Object) *Object {
 	w.Store.Merge(o)
 	return o
 }
--- a/pkg/ctl/ctl_wait.go
+++ b/pkg/ctl/ctl_wait.go
@@ -11,12 +11,12 @@
 	pb "github.com/stoneworks/stoneworks/api/stoneworks/v1"
 )
 
-// waitPoll is the time between two looks at the boxes that lag.
+// waitPoll is the interval at which a box is queried until it has a change in force.
 const waitPoll = 50 * time.Millisecond
 
-// changed prints an accepted change and, with -wait, waits until every box
-// that can be reached has it in force.
-func (p *program) changed(ctx context.Context, c pb.OperatorsClient, reply *pb.ServiceReply, err error) error {
+// finishChange prints an accepted change and, with -wait, waits until all reachable boxes have
+// it in force.
+func (p *program) finishChange(ctx context.Context, c pb.OperatorsClient, reply *pb.ServiceReply, err error) error {
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// awaitEverywhere asks each box until it has the revision in force.
+// awaitEverywhere queries each box until it has the revision in force. It returns the boxes
+// that do not have it in time and those that cannot be reached.
 func (p *program) awaitEverywhere(ctx context.Context, boxes []*pb.BoxStatus, want *pb.ServiceReply) (missing, unreachable []string) {
 	wg := conc.NewWaitGroup()
 	results := make([]boxWait, len(boxes))
@@ -51,7 +52,7 @@
 	wg.Wait()
 	for i, r := range results {
 		switch r {
-		case boxLags:
+		case boxBehind:
 			missing = append(missing, boxes[i].Box)
 		case boxUnreachable:
 			unreachable = append(unreachable, boxes[i].Box)
@@ -64,8 +65,8 @@
 type boxWait int
 
 const (
-	boxHasIt boxWait = iota
-	boxLags
+	boxUpToDate boxWait = iota
+	boxBehind
 	boxUnreachable
 )
 
@@ -76,18 +77,18 @@
 	}
 	defer done()
 	for {
-		one, cancel := context.WithTimeout(ctx, time.Second)
-		status, err := client.GetStatus(one, &pb.GetStatusRequest{})
+		attempt, cancel := context.WithTimeout(ctx, time.Second)
+		status, err := client.GetStatus(attempt, &pb.GetStatusRequest{})
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			return boxUnreachable
 		}
 		if err == nil && hasRevision(status, want) {
-			return boxHasIt
+			return boxUpToDate
 		}
 		select {
 		case <-ctx.Done():
-			return boxLags
+			return boxBehind
 		case <-time.After(waitPoll):
 		}
 	}
--- a/pkg/standing/standing.go
+++ b/pkg/customerstats/customerstats.go
@@ -1,6 +1,6 @@
-// Package standing is what boxes tell operators of their customers, and its sum over
-// boxes. It is data and tables only.
-package standing
+// Package customerstats defines what boxes report to operators about their customers, and sums
+// it over boxes. It holds data and tables only.
+package customerstats
 
 import (
 	"fmt"
@@ -11,20 +11,20 @@
 	"text/tabwriter"
 )
 
-// Path is where a box tells it on its admin address.
+// Path is the path of the report on a box's admin address.
 const Path = "/v1/customers"
 
-// Box is what one box tells.
+// Box is the report of one box.
 type Box struct {
 	Box    string `json:"box"`
 	Zone   string `json:"zone"`
 	Region string `json:"region"`
-	// Version is that of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version   uint64     `json:"version"`
 	Customers []Customer `json:"customers"`
 }
 
-// Customer is one customer at one box. Counts are since the box started.
+// Customer is one customer at one box. Its counts are since the start of the box.
 type Customer struct {
 	Name string `json:"name"`
 	// Keys are the beginnings of the keys' digests; see customer.Digest.
@@ -38,20 +38,21 @@
 	Refused        uint32   `json:"refused"`
 	PerSecond      float64  `json:"per_second"`
 	Held           int      `json:"held"`
-	// Settled are its requests within its limit that have ended here, but for those that
-	// their clients left, and InTime those answered within their route's target.
-	Settled uint32 `json:"settled"`
-	InTime  uint32 `json:"in_time"`
+	// Completed counts the requests within the customer's limit that have ended at this box,
+	// except those that their clients abandoned. InTime counts those of them that were
+	// answered within their route's target.
+	Completed uint32 `json:"settled"`
+	InTime    uint32 `json:"in_time"`
 }
 
 // Row is a customer's sum over boxes.
 type Row struct {
 	Customer
-	// Regions are the sums by region, by name.
+	// Regions holds the sums for each region, by the region's name.
 	Regions map[string]*Customer
 }
 
-// Sum adds up what boxes told, by customer.
+// Sum adds up the reports of boxes, by customer.
 func Sum(boxes []Box) []Row {
 	rows := map[string]*Row{}
 	for _, b := range boxes {
@@ -59,7 +60,7 @@
 			r := rows[c.Name]
 			if r == nil {
 				r = &Row{Customer: c, Regions: map[string]*Customer{}}
-				r.Arrived, r.Admitted, r.Refused, r.PerSecond, r.Held, r.Settled, r.InTime = 0, 0, 0, 0, 0, 0, 0
+				r.Arrived, r.Admitted, r.Refused, r.PerSecond, r.Held, r.Completed, r.InTime = 0, 0, 0, 0, 0, 0, 0
 				rows[c.Name] = r
 			}
 			if r.Regions[b.Region] == nil {
@@ -82,11 +83,11 @@
 	c.Refused += o.Refused
 	c.PerSecond += o.PerSecond
 	c.Held += o.Held
-	c.Settled += o.Settled
+	c.Completed += o.Completed
 	c.InTime += o.InTime
 }
 
-// Print writes the rows as a table for a terminal: those first that were refused most.
+// Print writes the rows as a table for a terminal, sorted by refused requests, most first.
 func Print(w io.Writer, rows []Row) error {
 	slices.SortStableFunc(rows, func(a, b Row) int { return int(int64(b.Refused) - int64(a.Refused)) })
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -106,15 +107,16 @@
 	return printWorst(w, rows)
 }
 
-// printWorst writes how the worst-served tenth of the customers fare.
+// printWorst writes the share of requests answered in time of the worst-served tenth of the
+// customers.
 func printWorst(w io.Writer, rows []Row) error {
 	var shares []float64
 	for i := range rows {
-		if rows[i].Settled >= leastRequests {
+		if rows[i].Completed >= minRequests {
 			shares = append(shares, rows[i].share())
 		}
 	}
-	share, count := worstOf(shares)
+	share, count := worstTenth(shares)
 	if count == 0 {
 		return nil
 	}
@@ -122,11 +124,11 @@
 	return err
 }
 
-// share is the share of the customer's requests that were answered in time.
-func (c *Customer) share() float64 { return float64(c.InTime) / float64(max(1, c.Settled)) }
+// share returns the share of the customer's requests that were answered in time.
+func (c *Customer) share() float64 { return float64(c.InTime) / float64(max(1, c.Completed)) }
 
 func (c *Customer) inTime() string {
-	if c.Settled == 0 {
+	if c.Completed == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.0f%%", 100*c.share())
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -14,9 +14,9 @@
 	"github.com/stoneworks/stoneworks/pkg/admission"
 	"github.com/stoneworks/stoneworks/pkg/decide"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/logging"
 	"github.com/stoneworks/stoneworks/pkg/membership"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
@@ -42,7 +42,7 @@
 	LookupTTL   time.Duration
 	// BufferedBody is the largest size in bytes of a body that is buffered whole.
 	BufferedBody int
-	Log          *logging.Part
+	Log          *logging.Logger
 	Budget       *Budget
 
 	Now   func() time.Time
@@ -58,13 +58,13 @@
 	Member     func(box string) (membership.Member, bool)
 	// Begin starts the run of an idempotency key, or returns the run that the key
 	// already has; first is true if it started one.
-	Begin func(k once.Key, issued time.Duration) (run *once.Run, first bool, failure *outcome.Failure)
+	Begin func(k idempotency.Key, issued time.Duration) (run *idempotency.Execution, first bool, failure *outcome.Failure)
 	// MaySend reports whether this box may still use its share of the slots. It
 	// is called immediately before a request is sent.
 	MaySend func() bool
 	// Claim makes this box the owner of a key that has no ticket, unless another
 	// box claimed it first, and returns the owner's ticket.
-	Claim func(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure)
+	Claim func(ctx context.Context, service, key string) (idempotency.Ticket, *outcome.Failure)
 	// OnServerLeaving is called when an answer carries the backend server's leaving signal.
 	OnServerLeaving func(service, server string)
 	// Classify converts the error of an exchange into a failure.
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -94,7 +94,7 @@
 	resp.Header.Set(HeaderZone, a.Zone)
 	resp.Header.Set(HeaderBox, e.Self)
 	if r.body.aborted.Load() || (r.body.stream != nil && !r.body.started.Load()) {
-		linger.Ask(ctx.Conn())
+		linger.Enable(ctx.Conn())
 		resp.SetConnectionClose()
 	}
 	if a.Stream == nil {
@@ -140,7 +140,7 @@
 	WriteFailure(ctx, r.ID, f)
 	ctx.Response.Header.Set(HeaderBox, e.Self)
 	if closeConnection {
-		linger.Ask(ctx.Conn())
+		linger.Enable(ctx.Conn())
 		ctx.Response.SetConnectionClose()
 	}
 }
--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// body reads an answer's body and checks it against its framing: an end that
-// comes too early is an error, never io.EOF.
+// body reads an answer's body and checks it against its framing: a premature end is an error,
+// never io.EOF.
 type body struct {
-	running *running
-	left    int64
-	chunks  io.Reader
-	// toEnd: the body ends with its connection.
-	toEnd   bool
-	whole   bool
-	failure error
+	trip   *roundTrip
+	left   int64
+	chunks io.Reader
+	// untilClose is set if the body ends when its connection is closed.
+	untilClose bool
+	complete   bool
+	failure    error
 }
 
 // Read implements io.Reader.
@@ -23,11 +23,11 @@
 	switch {
 	case b.failure != nil:
 		return 0, b.failure
-	case b.whole:
+	case b.complete:
 		return 0, io.EOF
 	case b.chunks != nil:
 		return b.readChunks(p)
-	case b.toEnd:
+	case b.untilClose:
 		return b.readToEnd(p)
 	}
 	return b.readLength(p)
@@ -37,7 +37,7 @@
 	if int64(len(p)) > b.left {
 		p = p[:b.left]
 	}
-	n, err := b.running.conn.r.Read(p)
+	n, err := b.trip.conn.r.Read(p)
 	b.left -= int64(n)
 	if b.left == 0 {
 		b.finish()
@@ -50,7 +50,7 @@
 }
 
 func (b *body) readToEnd(p []byte) (int, error) {
-	n, err := b.running.conn.r.Read(p)
+	n, err := b.trip.conn.r.Read(p)
 	if errors.Is(err, io.EOF) {
 		b.finish()
 		return n, io.EOF
@@ -76,10 +76,10 @@
 	return n, nil
 }
 
-// readTrailer reads the lines after the last chunk up to the empty one.
+// readTrailer reads the lines after the last chunk up to the empty line.
 func (b *body) readTrailer() error {
 	for {
-		line, err := b.running.conn.r.ReadString('\n')
+		line, err := b.trip.conn.r.ReadString('\n')
 		if err != nil {
 			return err
 		}
@@ -90,21 +90,21 @@
 }
 
 func (b *body) finish() {
-	b.whole = true
-	b.running.end(true)
+	b.complete = true
+	b.trip.end(true)
 }
 
 func (b *body) fail(err error) error {
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
-	b.failure = &Error{Stage: StageBody, Sent: true, Cause: b.running.cause(err)}
-	b.running.end(false)
+	b.failure = &Error{Stage: StageBody, Sent: true, Cause: b.trip.cause(err)}
+	b.trip.end(false)
 	return b.failure
 }
 
-// Close gives up what has not been read.
+// Close discards what has not been read.
 func (b *body) Close() error {
-	b.running.end(b.whole)
+	b.trip.end(b.complete)
 	return nil
 }
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -16,7 +16,7 @@
 	"github.com/stoneworks/stoneworks/pkg/routing"
 )
 
-// hopByHop lists headers that concern one connection only.
+// hopByHop lists headers that apply to a single connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
@@ -28,11 +28,11 @@
 	var last *outcome.Failure
 	for range maxTries {
 		if failure := c.outOfTime(); failure != nil {
-			return orElse(last, failure)
+			return preferLast(last, failure)
 		}
 		lease, failure := c.choose()
 		if failure != nil {
-			return orElse(last, failure)
+			return preferLast(last, failure)
 		}
 		failure = c.try(lease)
 		if failure == nil {
@@ -46,31 +46,31 @@
 	return last
 }
 
-func orElse(last, failure *outcome.Failure) *outcome.Failure {
+func preferLast(last, failure *outcome.Failure) *outcome.Failure {
 	if last != nil {
 		return last
 	}
 	return failure
 }
 
-// outOfTime says that nothing can be sent any more. The machine may have been suspended since
-// the last server was asked.
+// outOfTime returns a failure if nothing can be sent any more. It synchronizes the clock
+// first, because the machine may have been suspended since the last server was asked.
 func (c *call) outOfTime() *outcome.Failure {
 	c.server.SyncClock()
 	if c.r.Context().Err() != nil {
 		return outcome.NewNotRun(outcome.ReasonCancelled, "the client left")
 	}
-	if c.deadline.Sub(c.server.Now()) < leastTime {
+	if c.deadline.Sub(c.server.Now()) < minTimeLeft {
 		return outcome.NewNotRun(outcome.ReasonDeadline, "").WithRetryAfter(notReadyRetry)
 	}
 	return nil
 }
 
-// choose takes a server for the request. Where the limit that the preferred one names may leave
-// room, but that is not known here, it is asked for once.
+// choose takes a server for the request. If it is not known here whether the limit that the
+// preferred server states allows another request, that is asked once.
 func (c *call) choose() (*backend.Lease, *outcome.Failure) {
 	r := &backend.Request{
-		Service: c.service, Key: c.placement(), Priority: c.priority(), LargeBody: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
+		Service: c.service, Key: c.placementKey(), Priority: c.priority(), LargeBody: c.route.Kind == routing.Upload, RegionAllowed: c.regionAllowed, Tried: c.tried,
 	}
 	lease, err := c.server.Set.Choose(r)
 	var choice *backend.ChoiceError
@@ -80,76 +80,77 @@
 	if err == nil {
 		return lease, nil
 	}
-	return nil, c.notChosen(err)
+	return nil, c.choiceFailure(err)
 }
 
-// chooseAsking asks for room by a server's limit and chooses anew: that server, if it has room,
-// or another one.
+// chooseAsking asks whether the server's limit allows another request and chooses again: that
+// server if it does, or another one.
 func (c *call) chooseAsking(r *backend.Request, server *backend.Server) (*backend.Lease, error) {
 	r.AdmissionAsked = true
-	if c.server.AwaitRoom(c.ctx, server) {
+	if c.server.AwaitServerLimit(c.ctx, server) {
 		r.GrantedBy = server.Incarnation()
 	}
 	lease, err := c.server.Set.Choose(r)
 	if r.GrantedBy != "" && (lease == nil || lease.Incarnation() != r.GrantedBy) {
-		// Something has changed while it was asked for.
-		c.server.ReleaseRoom(server)
+		// The candidates changed while the limit was being asked for.
+		c.server.ReleaseServerLimit(server)
 	}
 	return lease, err
 }
 
-// notChosen says why no server was chosen, and when the client may come back.
-func (c *call) notChosen(err error) *outcome.Failure {
+// choiceFailure returns why no server was chosen, and when the client may return.
+func (c *call) choiceFailure(err error) *outcome.Failure {
 	choice := &backend.ChoiceError{}
 	errors.As(err, &choice)
 	switch choice.Reason {
 	case backend.Full:
 		c.full = choice
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the server of its key is full").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.Limited:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it take no more for now, by limits that they name").WithRetryAfter(c.comeBackTo(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may serve it are at the rate limits that they state").WithRetryAfter(c.roomRetryAfter(choice.RetryAfter))
 	case backend.BackingOff:
-		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may take it have asked for rest").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoCapacity, "the servers that may serve it have asked this box to back off").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
 	case backend.Failing:
-		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may take it have failed a moment ago").WithRetryAfter(c.comeBackAfter(choice.RetryAfter))
+		return outcome.NewNotRun(outcome.ReasonNoServer, "the servers that may serve it have failed recently").WithRetryAfter(c.backoffRetryAfter(choice.RetryAfter))
 	}
 	if c.server.Starting() > 0 {
-		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.comeBackStarted())
+		return outcome.NewNotRun(outcome.ReasonNotReady, "the box does not know the servers yet").WithRetryAfter(c.startRetryAfter())
 	}
-	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may take it").WithRetryAfter(c.comeBack())
+	return outcome.NewNotRun(outcome.ReasonNoServer, "no server may serve it").WithRetryAfter(c.spreadRetryAfter())
 }
 
-// comeBackTo is when a server is expected to have room, spread by half of that either
-// way, so that those who were refused together do not return together.
-func (c *call) comeBackTo(room time.Duration) time.Duration {
+// roomRetryAfter returns when a server is expected to have a free slot, randomized by half of
+// that time either way, so that clients that were refused together do not return together.
+func (c *call) roomRetryAfter(room time.Duration) time.Duration {
 	if room <= 0 {
-		return c.comeBack()
+		return c.spreadRetryAfter()
 	}
 	p := c.server.Policy()
 	chance := float64(c.server.Random()%1024) / 1024
 	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(room))))
 }
 
-// comeBackAfter is when a server is sent requests again that has asked for rest, or failed, spread by a
-// quarter of that: sooner nobody is served.
-func (c *call) comeBackAfter(rest time.Duration) time.Duration {
+// backoffRetryAfter returns when requests are sent again to a server that has asked for a
+// backoff or has failed, plus a random part of up to a quarter of that time. A client that
+// returns sooner is not served.
+func (c *call) backoffRetryAfter(rest time.Duration) time.Duration {
 	if rest <= 0 {
-		return c.comeBack()
+		return c.spreadRetryAfter()
 	}
 	chance := float64(c.server.Random()%1024) / 1024
 	return rest + time.Duration(chance*float64(min(rest/4, c.server.Policy().ReturnMost)))
 }
 
-// comeBack spreads refused clients over a while, so that they do not return
-// all at once.
-func (c *call) comeBack() time.Duration {
+// spreadRetryAfter returns a random time, so that refused clients do not all return at once.
+func (c *call) spreadRetryAfter() time.Duration {
 	p := c.server.Policy()
 	return p.ReturnLeast + time.Duration(c.server.Random()%uint64(p.ReturnMost-p.ReturnLeast))
 }
 
-// mayTryAgain reports whether the request may be sent to another backend server.
-// What was certainly not run may; what may have run only if it may run more
-// than once. A repeat that reaches a backend server is taken from the budget.
+// mayTryAgain reports whether the request may be sent to another backend server. A request
+// that certainly did not run may be sent again; one that may have run, only if it is
+// idempotent. A retry of a request that has reached a backend server is taken from the retry
+// budget.
 func (c *call) mayTryAgain(f *outcome.Failure) bool {
 	if f.Reason == outcome.ReasonCancelled || !c.body.replayable() {
 		return false
@@ -158,10 +159,10 @@
 		return false
 	}
 	if c.sent == 0 {
-		// Nothing has reached a backend server, so this is no repeat.
+		// Nothing has reached a backend server, so this is not a retry.
 		return true
 	}
-	if c.sent >= max(1, c.route.MaxAttempts) || c.crashesTooMany() {
+	if c.sent >= max(1, c.route.MaxAttempts) || c.tooManyCrashes() {
 		return false
 	}
 	if !c.server.Budget.Spend(c.service) {
@@ -186,44 +187,44 @@
 		return c.failed(lease, start, err)
 	}
 	c.sent++
-	verdict := s.Dialect.ReadAnswer(&answer.Header)
-	s.Heard(&lease.Server, &verdict, start)
+	meta := s.Dialect.ReadAnswer(&answer.Header)
+	s.ObserveAnswer(&lease.Server, &meta, start)
 	switch {
-	case verdict.Stale, verdict.NotRun:
-		return c.rejected(lease, start, answer, verdict)
-	case answer.Header.StatusCode() < 300 && !verdict.Signed:
+	case meta.Stale, meta.NotRun:
+		return c.rejected(lease, start, answer, meta)
+	case answer.Header.StatusCode() < 300 && !meta.Signed:
 		_ = answer.Body.Close()
 		c.finish(lease, backend.Broken, nil, start, nil)
-		return outcome.NewUnknown(outcome.ReasonMalformed, "a success without a signature")
+		return outcome.NewUnknown(outcome.ReasonMalformed, "a successful answer without a signature")
 	}
-	return c.receive(lease, start, answer, verdict)
+	return c.receive(lease, start, answer, meta)
 }
 
-// rejected handles a backend server's word that it did not run the request.
-func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict Verdict) *outcome.Failure {
+// rejected handles an answer that states that the backend server did not run the request.
+func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, meta AnswerMeta) *outcome.Failure {
 	c.noteRefusal(answer)
-	// The body is read so that the connection can be used again.
+	// The body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 4<<10))
 	_ = answer.Body.Close()
 	result := backend.Shed
-	if verdict.Stale {
+	if meta.Stale {
 		result = backend.Stale
 	}
-	c.finish(lease, result, verdict.Load, start, nil)
+	c.finish(lease, result, meta.Load, start, nil)
 	failure := outcome.NewNotRun(outcome.ReasonShed, lease.ID)
-	if result == backend.Shed && verdict.Load.HasRoom() {
+	if result == backend.Shed && meta.Load.HasRoom() {
 		return failure.WithRetryAfter(c.server.Policy().ReturnRoom)
 	}
-	return failure.WithRetryAfter(c.comeBack())
+	return failure.WithRetryAfter(c.spreadRetryAfter())
 }
 
-// failed says what may be told of an exchange that failed.
+// failed records a failed exchange and returns what the client is told.
 func (c *call) failed(lease *backend.Lease, start time.Time, err error) *outcome.Failure {
 	sent := wasSent(err)
 	late := errors.Is(err, context.DeadlineExceeded)
 	gone := c.r.Context().Err() != nil
 	if sent && !gone {
-		c.server.Attempted(c.route.Name, lease, Attempt{Failed: !late, Late: late, Took: c.server.Now().Sub(start)})
+		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !late, TimedOut: late, Took: c.server.Now().Sub(start)})
 	}
 	switch {
 	case gone:
@@ -237,13 +238,12 @@
 	case late:
 		c.finish(lease, backend.TimedOut, nil, start, err)
 	default:
-		c.finish(lease, c.lost(lease, err), nil, start, err)
+		c.finish(lease, c.classifyLoss(lease, err), nil, start, err)
 	}
 	return classify(sent, late, gone, err)
 }
 
-// wasSent reports whether any byte of the request may have reached the
-// backend server.
+// wasSent reports whether any byte of the request may have reached the backend server.
 func wasSent(err error) bool {
 	var x *exchange.Error
 	return !errors.As(err, &x) || x.Sent
@@ -270,7 +270,7 @@
 	return outcome.NewUnknown(outcome.ReasonConnectionLost, err.Error())
 }
 
-// request prepares the exchange.
+// request builds the request that is sent to the backend server.
 func (c *call) request(lease *backend.Lease, now time.Time) *exchange.Request {
 	h := &fasthttp.RequestHeader{}
 	h.SetMethod(c.r.Method)
@@ -279,7 +279,7 @@
 	h.SetHost(c.r.Host)
 	listed := connectionListed(c.r.Header["Connection"])
 	for name, values := range c.r.Header {
-		if isHopByHop(name, listed) || c.server.Dialect.Internal(name) || c.keyed && c.server.Dialect.CarriesKey(name) {
+		if isHopByHop(name, listed) || c.server.Dialect.Internal(name) || c.hasCustomers && c.server.Dialect.CarriesKey(name) {
 			continue
 		}
 		for _, v := range values {
@@ -290,11 +290,11 @@
 	if c.customer != nil {
 		c.server.Dialect.WriteCustomer(h, c.customer.Name)
 	}
-	x := &exchange.Request{Header: h, Body: c.body.whole, MaxIdle: idleOnce, Once: !c.route.Idempotent()}
-	x.Wanted = func() bool { return lease.MaySend() && c.outOfTime() == nil }
-	x.Match = func(h *fasthttp.ResponseHeader) bool { return c.server.Dialect.Belongs(h, &c.meta) }
+	x := &exchange.Request{Header: h, Body: c.body.whole, MaxIdle: idleNonIdempotent, NonIdempotent: !c.route.Idempotent()}
+	x.MaySend = func() bool { return lease.MaySend() && c.outOfTime() == nil }
+	x.Match = func(h *fasthttp.ResponseHeader) bool { return c.server.Dialect.IsAnswerTo(h, &c.meta) }
 	if c.route.Idempotent() {
-		x.MaxIdle = idleRepeatable
+		x.MaxIdle = idleIdempotent
 	}
 	if c.body.stream != nil {
 		x.Stream, x.Length = c.body.stream, c.body.length
@@ -328,7 +328,7 @@
 	return false
 }
 
-// finish ends the use of the backend server and notes it for the log.
+// finish ends the use of the backend server and records it for the log.
 func (c *call) finish(lease *backend.Lease, result backend.Result, load *backend.Load, start time.Time, err error) {
 	lease.Done(result, load)
 	c.server.Count("backend." + result.String())
--- a/pkg/node/node_holds.go
+++ b/pkg/node/node_holds.go
@@ -53,7 +53,7 @@
 				return err
 			}
 		}
-		return n.store.Create(ctx, n.adapter.HoldsKind, r.Request.String(), quarantine.StoredOf(r, time.Now()))
+		return n.store.Create(ctx, n.adapter.HoldsKind, r.Request.String(), quarantine.NewStoredHold(r, time.Now()))
 	})
 }
 
@@ -94,7 +94,7 @@
 // loadHold loads one object. It removes an object whose hold has ended.
 func (n *Node) loadHold(o objects.Object) {
 	f, err := quarantine.ParseFingerprint(o.Name)
-	var stored quarantine.Stored
+	var stored quarantine.StoredHold
 	if err == nil {
 		err = json.Unmarshal(o.Spec, &stored)
 	}
@@ -107,6 +107,6 @@
 		n.removeHold(f)
 		return
 	}
-	n.Quarantine.Learn(r)
-	n.log.Info("hold read from the store", map[string]any{"fingerprint": f.String(), "crashed": r.Crashed, "left_ms": r.Left.Milliseconds()})
+	n.Quarantine.Merge(r)
+	n.log.Info("hold read from the store", map[string]any{"fingerprint": f.String(), "crashed": r.Crashed, "left_ms": r.Remaining.Milliseconds()})
 }
--- a/pkg/node/node_quarantine.go
+++ b/pkg/node/node_quarantine.go
@@ -35,14 +35,14 @@
 	spreadFanout = 3
 )
 
-func (n *Node) newQuarantine(log *logging.Part) {
-	n.Quarantine = quarantine.NewTable(func() quarantine.Terms {
+func (n *Node) newQuarantine(log *logging.Logger) {
+	n.Quarantine = quarantine.NewTable(func() quarantine.Config {
 		p := n.policy.Load()
-		return quarantine.Terms{Crashes: p.QuarantineAfter, Hold: p.QuarantineHold}
+		return quarantine.Config{Crashes: p.QuarantineAfter, Hold: p.QuarantineHold}
 	}, n.Clock.Now)
-	n.Quarantine.Changed = func(r quarantine.Record, what string) {
+	n.Quarantine.OnChange = func(r quarantine.Record, what string) {
 		log.Warn("request "+what, map[string]any{
-			"fingerprint": r.Request.String(), "crashed": r.Crashed, "excused": r.Excused, "left_ms": r.Left.Milliseconds(),
+			"fingerprint": r.Request.String(), "crashed": r.Crashed, "excused": r.Excused, "left_ms": r.Remaining.Milliseconds(),
 		})
 	}
 	held := metrics.NewFunctionalGauge(func() int64 { return int64(len(n.Quarantine.Holds())) })
@@ -53,7 +53,7 @@
 
 // noteCrash counts a crash against a request, at this box and soon at all boxes.
 func (n *Node) noteCrash(f quarantine.Fingerprint, server string) {
-	if begun := n.Quarantine.Crashed(f, server); begun != nil {
+	if begun := n.Quarantine.ObserveCrash(f, server); begun != nil {
 		n.background.Go(func() { n.storeHold(begun) })
 	}
 	if n.crashSendPending.Swap(true) {
@@ -79,7 +79,7 @@
 	}
 	var repeated, single []quarantine.Record
 	for _, r := range records {
-		if r.Counted() > 1 {
+		if r.CountedCrashes() > 1 {
 			repeated = append(repeated, r)
 		} else {
 			single = append(single, r)
@@ -120,7 +120,7 @@
 		return
 	}
 	for i := range m.Records {
-		n.Quarantine.Learn(m.Records[i])
+		n.Quarantine.Merge(m.Records[i])
 	}
 	metrics.GetOrRegisterCounter("quarantine.received", n.Metrics).Inc(int64(len(m.Records)))
 }
@@ -128,7 +128,7 @@
 // serveQuarantine returns to operators the requests that this box keeps from servers.
 func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	body := quarantine.Box{Box: n.Settings.Box, Held: quarantine.HeldOf(n.Quarantine.Holds())}
+	body := quarantine.BoxHolds{Box: n.Settings.Box, Held: quarantine.HeldRequests(n.Quarantine.Holds())}
 	if err := json.NewEncoder(w).Encode(body); err != nil {
 		n.log.Debug("list of held requests could not be sent", map[string]any{"error": err.Error()})
 	}
@@ -141,7 +141,7 @@
 	switch {
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
-	case !n.Quarantine.Answered(f):
+	case !n.Quarantine.ObserveAnswer(f):
 		http.Error(w, f.String()+" is not held", http.StatusNotFound)
 	default:
 		n.log.Info("request released by an operator", map[string]any{"fingerprint": f.String(), "from": r.RemoteAddr})
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -43,8 +43,8 @@
 
 // noteAnswer processes what an answer says about its server. An answer that another server gave
 // in place of the expected one says nothing about it.
-func (n *Node) noteAnswer(server *backend.Server, v *ingress.Verdict, sent time.Time) {
-	for _, problem := range v.Problems {
+func (n *Node) noteAnswer(server *backend.Server, v *ingress.AnswerMeta, sent time.Time) {
+	for _, problem := range v.HeaderErrors {
 		metrics.GetOrRegisterCounter("words.unread", n.Metrics).Inc(1)
 		if n.malformedHeaders.allow(n.uptime(), malformedHeaderEvery) {
 			n.log.Warn("malformed header in an answer", map[string]any{"server": server.ID, "error": problem.Error()})
@@ -67,24 +67,24 @@
 // to all boxes: otherwise each box would send it requests until the server told that box as well.
 
 // noteLeaving records that a server says that it leaves.
-func (n *Node) noteLeaving(server *backend.Server, v *ingress.Verdict) {
+func (n *Node) noteLeaving(server *backend.Server, v *ingress.AnswerMeta) {
 	if !v.Leaving {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
-	n.Statuses.Leave(server)
+	n.Statuses.MarkLeaving(server)
 	n.Set.MarkLeaving(server.Incarnation())
 }
 
 // noteBackoff records that a server asks this box to back off for a time. What it asks of one
 // box does not apply to others, so they are not informed.
-func (n *Node) noteBackoff(server *backend.Server, v *ingress.Verdict) {
-	if v.Rest == 0 {
+func (n *Node) noteBackoff(server *backend.Server, v *ingress.AnswerMeta) {
+	if v.Backoff == 0 {
 		return
 	}
 	metrics.GetOrRegisterCounter("words.rest", n.Metrics).Inc(1)
-	if n.Set.BackOff(server.Incarnation(), v.Rest) {
-		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Rest.Milliseconds()})
+	if n.Set.BackOff(server.Incarnation(), v.Backoff) {
+		n.log.Info("server asks this box to back off", map[string]any{"server": server.ID, "rest_ms": v.Backoff.Milliseconds()})
 	}
 }
 
@@ -118,7 +118,7 @@
 		listed[known[i].Server] = n.Set.HasIncarnation(known[i].Server)
 	}
 	n.Statuses.Expire(func(life string) bool { return listed[life] }, unlistedTime)
-	records := n.Statuses.InForce(endedLimitSpreadTime)
+	records := n.Statuses.Active(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(maxSpreadRecords, len(records))])
@@ -137,7 +137,7 @@
 		return
 	}
 	for _, r := range m.Records {
-		n.Statuses.Learn(r)
+		n.Statuses.Merge(r)
 		if r.Leaving {
 			n.Set.MarkLeaving(r.Server)
 		}
@@ -156,7 +156,7 @@
 // box knows.
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
-	records := n.Statuses.InForce(0)
+	records := n.Statuses.Active(0)
 	for _, r := range n.Set.BackedOff() {
 		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
@@ -165,10 +165,10 @@
 			records = append(records, serverstatus.Record{Server: life, Zone: r.Server.Zone})
 		}
 	}
-	body := serverstatus.SaidBox{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
+	body := serverstatus.BoxStatuses{Box: n.Settings.Box, Servers: []serverstatus.Status{}}
 	for _, r := range records {
-		said := serverstatus.Said{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
-		if r.Named {
+		said := serverstatus.Status{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
+		if r.HasLimit {
 			said.PerSecond = &r.PerSecond
 		}
 		body.Servers = append(body.Servers, said)
--- a/pkg/packet/packet.go
+++ b/pkg/packet/packet.go
@@ -15,8 +15,8 @@
 type Codec[T any] struct {
 	// Kind names the messages in errors.
 	Kind string
-	// First is the first byte of their datagrams.
-	First byte
+	// FirstByte is the first byte of their datagrams.
+	FirstByte byte
 }
 
 // Error says that a datagram is not a message of a kind, or that a message cannot be packed.
@@ -28,13 +28,15 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Kind + ": " + e.Problem }
 
-// Is reports whether a datagram claims to be a message of the kind.
-func (c Codec[T]) Is(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == c.First }
+// IsMessage reports whether a datagram claims to be a message of the kind.
+func (c Codec[T]) IsMessage(datagram []byte) bool {
+	return len(datagram) > 0 && datagram[0] == c.FirstByte
+}
 
 // Encode returns the message as a datagram. The error is an *Error.
 func (c Codec[T]) Encode(m *T) ([]byte, error) {
 	var b bytes.Buffer
-	b.WriteByte(c.First)
+	b.WriteByte(c.FirstByte)
 	e := msgpack.NewEncoder(&b)
 	e.UseArrayEncodedStructs(true)
 	e.UseCompactInts(true)
@@ -46,7 +48,7 @@
 
 // Decode reads a datagram. The error is an *Error.
 func (c Codec[T]) Decode(datagram []byte) (*T, error) {
-	if !c.Is(datagram) {
+	if !c.IsMessage(datagram) {
 		return nil, &Error{Kind: c.Kind, Problem: fmt.Sprintf("%d bytes of another kind or version", len(datagram))}
 	}
 	m := new(T)
--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -23,8 +23,8 @@
 
 // Tuning of the exchange.
 const (
-	// Beat is the time between two heartbeats.
-	Beat = 500 * time.Millisecond
+	// HeartbeatInterval is the time between two heartbeats.
+	HeartbeatInterval = 500 * time.Millisecond
 	// CallTimeout bounds one call to another box.
 	CallTimeout = time.Second
 	// PushFanout is how many boxes of its own zone a box passes a change on
@@ -41,8 +41,8 @@
 	PathSync     = "/v1/peer/sync"
 )
 
-// Beacon is a heartbeat and its answer.
-type Beacon struct {
+// Heartbeat is a heartbeat and its answer.
+type Heartbeat struct {
 	From    string              `json:"from"`
 	Records []membership.Record `json:"records"`
 	Digest  string              `json:"digest"`
@@ -55,13 +55,13 @@
 type Sync struct {
 	From    string           `json:"from"`
 	Objects []*config.Object `json:"objects,omitempty"`
-	// Ask wants an answer with all that is newer than Stamps. It is a field
+	// WantsNewer wants an answer with all that is newer than Stamps. It is a field
 	// of its own, since a box that has nothing yet sends no stamps at all.
-	Ask    bool                    `json:"ask,omitempty"`
-	Stamps map[string]config.Stamp `json:"stamps,omitempty"`
-	// Whole is set in an answer if, with its objects, the asking box has all
+	WantsNewer bool                    `json:"ask,omitempty"`
+	Stamps     map[string]config.Stamp `json:"stamps,omitempty"`
+	// Complete is set in an answer if, with its objects, the asking box has all
 	// that a box with a whole configuration has.
-	Whole bool `json:"whole,omitempty"`
+	Complete bool `json:"whole,omitempty"`
 }
 
 // Exchanger calls other boxes and answers them.
@@ -71,16 +71,16 @@
 	Seeds []string
 	Table *membership.Table
 	Store *config.Store
-	Log   *logging.Part
+	Log   *logging.Logger
 	// Call sends a message to a box's peers' address; a seam.
 	Call func(ctx context.Context, address, path string, in, out any) error
 	// SameRegion reports whether a zone is in this box's region.
 	SameRegion func(zone string) bool
-	// Heard is called after records of others were taken in, before this
+	// OnMerge is called after records of others were taken in, before this
 	// box says anything itself.
-	Heard func()
-	// Failed is told of each address that did not answer.
-	Failed func(address string, err error)
+	OnMerge func()
+	// OnFailure is told of each address that did not answer.
+	OnFailure func(address string, err error)
 
 	mu        sync.Mutex
 	lastSent  map[string]time.Time
@@ -88,12 +88,12 @@
 }
 
 // NewExchanger makes an exchanger.
-func NewExchanger(self, zone string, seeds []string, table *membership.Table, store *config.Store, log *logging.Part) *Exchanger {
+func NewExchanger(self, zone string, seeds []string, table *membership.Table, store *config.Store, log *logging.Logger) *Exchanger {
 	return &Exchanger{
 		Self: self, Zone: zone, Seeds: seeds, Table: table, Store: store, Log: log,
 		SameRegion: func(other string) bool { return other == zone },
-		Heard:      func() {},
-		Failed:     func(string, error) {},
+		OnMerge:    func() {},
+		OnFailure:  func(string, error) {},
 		lastSent:   map[string]time.Time{},
 	}
 }
@@ -102,8 +102,8 @@
 // Calling
 // ================================================================
 
-// DoBeat calls one box of this zone, one of another, and one that is silent.
-func (x *Exchanger) DoBeat(ctx context.Context) {
+// SendHeartbeats calls one box of this zone, one of another, and one that is silent.
+func (x *Exchanger) SendHeartbeats(ctx context.Context) {
 	wg := conc.NewWaitGroup()
 	for _, address := range x.targets() {
 		wg.Go(func() { x.callOne(ctx, address) })
@@ -193,35 +193,35 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	called := x.Table.Now()
-	message := x.beacon(address)
-	var reply Beacon
+	message := x.newHeartbeat(address)
+	var reply Heartbeat
 	if err := x.Call(ctx, address, PathExchange, message, &reply); err != nil {
-		x.Failed(address, err)
+		x.OnFailure(address, err)
 		return false
 	}
-	x.sentUpTo(address, called)
+	x.markSent(address, called)
 	x.Table.Merge(reply.Records)
-	x.Heard()
+	x.OnMerge()
 	if reply.Digest != x.Store.Digest() || (reply.Synced && !x.Store.Synced()) {
 		x.syncWith(ctx, address, reply)
 	}
 	return true
 }
 
-// beacon makes the heartbeat for a box, of which the address or the name is
+// newHeartbeat makes the heartbeat for a box, of which the address or the name is
 // known. What is only of use within a region is left out for other regions.
-func (x *Exchanger) beacon(to string) Beacon {
+func (x *Exchanger) newHeartbeat(to string) Heartbeat {
 	x.mu.Lock()
 	since := x.lastSent[to]
 	x.mu.Unlock()
-	records := x.Table.News(since)
+	records := x.Table.UpdatedSince(since)
 	if !x.isNear(to) {
 		for i := range records {
 			records[i].Views, records[i].Seen, records[i].Excess = nil, nil, nil
 			records[i].Partial = true
 		}
 	}
-	return Beacon{From: x.Self, Records: records, Digest: x.Store.Digest(), Synced: x.Store.Synced()}
+	return Heartbeat{From: x.Self, Records: records, Digest: x.Store.Digest(), Synced: x.Store.Synced()}
 }
 
 // isNear reports whether a box is in this box's region; one that is not known
@@ -238,23 +238,23 @@
 // answerKey is under which it is noted what a box was last answered.
 func answerKey(box string) string { return "answer\x00" + box }
 
-func (x *Exchanger) sentUpTo(to string, when time.Time) {
+func (x *Exchanger) markSent(to string, when time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.lastSent[to] = when
 }
 
-func (x *Exchanger) syncWith(ctx context.Context, address string, theirs Beacon) {
+func (x *Exchanger) syncWith(ctx context.Context, address string, theirs Heartbeat) {
 	message := Sync{
 		From: x.Self, Objects: x.Store.NewerThan(theirs.Stamps),
-		Ask: true, Stamps: x.Store.Stamps(),
+		WantsNewer: true, Stamps: x.Store.Stamps(),
 	}
 	var reply Sync
 	if err := x.Call(ctx, address, PathSync, message, &reply); err != nil {
-		x.Failed(address, err)
+		x.OnFailure(address, err)
 		return
 	}
-	x.take(reply)
+	x.merge(reply)
 }
 
 // Push passes objects that have just come into force on to a few boxes.
@@ -267,7 +267,7 @@
 			defer cancel()
 			var reply Sync
 			if err := x.Call(ctx, address, PathSync, message, &reply); err != nil {
-				x.Failed(address, err)
+				x.OnFailure(address, err)
 			}
 		})
 	}
@@ -297,36 +297,36 @@
 // Answering
 // ================================================================
 
-// AnswerBeacon takes in a heartbeat.
-func (x *Exchanger) AnswerBeacon(b Beacon) Beacon {
+// HandleHeartbeat takes in a heartbeat.
+func (x *Exchanger) HandleHeartbeat(b Heartbeat) Heartbeat {
 	key := answerKey(b.From)
 	now := x.Table.Now()
 	x.Table.Merge(b.Records)
-	x.Heard()
-	reply := x.beacon(key)
-	x.sentUpTo(key, now)
+	x.OnMerge()
+	reply := x.newHeartbeat(key)
+	x.markSent(key, now)
 	if b.Digest != reply.Digest {
 		reply.Stamps = x.Store.Stamps()
 	}
 	return reply
 }
 
-// AnswerSync takes in configuration and returns what is newer here.
-func (x *Exchanger) AnswerSync(s Sync) Sync {
-	x.take(s)
+// HandleSync takes in configuration and returns what is newer here.
+func (x *Exchanger) HandleSync(s Sync) Sync {
+	x.merge(s)
 	reply := Sync{From: x.Self}
-	if s.Ask {
-		reply.Whole = x.Store.Synced()
+	if s.WantsNewer {
+		reply.Complete = x.Store.Synced()
 		reply.Objects = x.Store.NewerThan(s.Stamps)
 	}
 	return reply
 }
 
-func (x *Exchanger) take(s Sync) {
+func (x *Exchanger) merge(s Sync) {
 	for _, o := range x.Store.Merge(s.Objects...) {
 		x.Log.Info("took configuration from a peer", map[string]any{"from": s.From, "service": o.Name, "revision": o.Revision})
 	}
-	if s.Whole && !x.Store.Synced() {
+	if s.Complete && !x.Store.Synced() {
 		x.Store.MarkSynced()
 	}
 }
--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -167,20 +167,20 @@
 	}
 }
 
-// Figure is one figure in a form for reading.
-type Figure struct {
+// Parameter is one figure in a form for reading.
+type Parameter struct {
 	Name  string
 	Value string
 	Unit  string
 }
 
-// Figures lists all figures in the order in which they are declared.
-func (p *Policy) Figures() []Figure {
+// Parameters lists all figures in the order in which they are declared.
+func (p *Policy) Parameters() []Parameter {
 	v := reflect.ValueOf(p).Elem()
-	list := make([]Figure, 0, v.NumField())
+	list := make([]Parameter, 0, v.NumField())
 	for i := range v.NumField() {
 		tag := v.Type().Field(i).Tag
-		list = append(list, Figure{
+		list = append(list, Parameter{
 			Name: tag.Get("yaml"), Value: fmt.Sprint(v.Field(i).Interface()), Unit: tag.Get("unit"),
 		})
 	}
@@ -201,7 +201,7 @@
 	v := reflect.ValueOf(p).Elem()
 	for i := range v.NumField() {
 		tag := v.Type().Field(i).Tag
-		if !within(v.Field(i), tag.Get("least"), tag.Get("most")) {
+		if !withinBounds(v.Field(i), tag.Get("least"), tag.Get("most")) {
 			faults = append(faults, Fault{
 				Name: tag.Get("yaml"), Value: fmt.Sprint(v.Field(i).Interface()),
 				Allowed: fmt.Sprintf("%s to %s (%s)", tag.Get("least"), tag.Get("most"), tag.Get("unit")),
@@ -230,17 +230,17 @@
 // shifts together. It is above 1, since both at once in one direction is rare.
 const maxShiftShare = 1.2
 
-// within reports whether a figure lies within its bounds.
-func within(v reflect.Value, least, most string) bool {
+// withinBounds reports whether a figure lies withinBounds its bounds.
+func withinBounds(v reflect.Value, least, most string) bool {
 	if d, ok := v.Interface().(time.Duration); ok {
-		return d >= duration(least) && d <= duration(most)
+		return d >= mustDuration(least) && d <= mustDuration(most)
 	}
 	f := v.Convert(reflect.TypeFor[float64]()).Float()
-	return f >= number(least) && f <= number(most)
+	return f >= mustNumber(least) && f <= mustNumber(most)
 }
 
-// duration reads a bound of this package's own tags.
-func duration(text string) time.Duration {
+// mustDuration reads a bound of this package's own tags.
+func mustDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		panic("policy: bound " + strconv.Quote(text))
@@ -248,8 +248,8 @@
 	return d
 }
 
-// number reads a bound of this package's own tags.
-func number(text string) float64 {
+// mustNumber reads a bound of this package's own tags.
+func mustNumber(text string) float64 {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic("policy: bound " + strconv.Quote(text))
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-func TestOperatorsAreToldWhatIsHeld(t *testing.T) {
+func TestPrintHeldRequests(t *testing.T) {
 	is := is.New(t)
-	held := HeldOf([]Record{
-		{Request: 0xb, Crashed: []string{"i-1", "i-2", "i-3"}, Left: 90 * time.Second},
-		{Request: 0xa, Crashed: []string{"i-4@1770320509021"}, Left: time.Second},
+	held := HeldRequests([]Record{
+		{Request: 0xb, Crashed: []string{"i-1", "i-2", "i-3"}, Remaining: 90 * time.Second},
+		{Request: 0xa, Crashed: []string{"i-4@1770320509021"}, Remaining: time.Second},
 	})
 	var text strings.Builder
-	is.NoErr(Print(&text, []Box{{Box: "box-1", Held: held}, {Box: "box-2"}}))
+	is.NoErr(Print(&text, []BoxHolds{{Box: "box-1", Held: held}, {Box: "box-2"}}))
 	is.Equal(text.String(), strings.Join([]string{
 		"FINGERPRINT       BOX    LEFT   SERVERS THAT CRASHED",
 		"000000000000000a  box-1  1s     i-4@1770320509021",
@@ -24,7 +24,7 @@
 	}, "\n"))
 }
 
-func TestFingerprintsAreRead(t *testing.T) {
+func TestParseFingerprint(t *testing.T) {
 	is := is.New(t)
 	f, err := ParseFingerprint(Fingerprint(0xcf299eaf).String())
 	is.NoErr(err)
@@ -40,12 +40,12 @@
 func TestStoredHoldsAreReadBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_770_320_509, 0)
-	r := Record{Request: 7, Crashed: []string{"i-1", "i-2@1770320509021", "i-3"}, Left: time.Minute}
-	stored := StoredOf(&r, now)
+	r := Record{Request: 7, Crashed: []string{"i-1", "i-2@1770320509021", "i-3"}, Remaining: time.Minute}
+	stored := NewStoredHold(&r, now)
 	back, ok := stored.Record(7, now.Add(10*time.Second))
 	is.True(ok)
-	is.Equal(back, Record{Request: 7, Crashed: r.Crashed, Left: 50 * time.Second})
-	for _, s := range []Stored{
+	is.Equal(back, Record{Request: 7, Crashed: r.Crashed, Remaining: 50 * time.Second})
+	for _, s := range []StoredHold{
 		{}, {Crashed: r.Crashed}, {UntilMS: stored.UntilMS}, {Crashed: []string{""}, UntilMS: stored.UntilMS},
 		{Crashed: []string{strings.Repeat("i", 200)}, UntilMS: stored.UntilMS}, {Crashed: make([]string, 100), UntilMS: stored.UntilMS},
 	} {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Terms say when a request is held.
-type Terms struct {
+// Config say when a request is held.
+type Config struct {
 	// Crashes is under how many backend servers' ends a request is held, and Hold for how
 	// long. Each further end under it doubles that.
 	Crashes int
@@ -16,17 +16,17 @@
 }
 
 const (
-	// mostRecords bounds the requests of which something is known: a few hundred were at
+	// maxRecords bounds the requests of which something is known: a few hundred were at
 	// some server when it crashed, on a day with 89 crashes.
-	mostRecords = 1024
-	// mostServers bounds the servers that a record names, so that it fits one packet.
-	mostServers = 16
-	// mostDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
-	mostDoublings = 8
-	// tellTimes is how often a change is told to all boxes, and tellAgain after what time
+	maxRecords = 1024
+	// maxServers bounds the servers that a record names, so that it fits one packet.
+	maxServers = 16
+	// maxDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
+	maxDoublings = 8
+	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time
 	// again: a datagram in a hundred is lost on a good day.
-	tellTimes = 2
-	tellAgain = 300 * time.Millisecond
+	broadcastCount = 2
+	tellAgain      = 300 * time.Millisecond
 )
 
 // Record is what a box knows of a request, as it tells others. Both lists only grow, and
@@ -38,14 +38,14 @@
 	// Excused are those of them that do not count any more, since a server has answered
 	// the request later: it had been at servers that crashed under other requests.
 	Excused []string
-	// Left is for how long the request is held yet, 0 if it is not.
-	Left time.Duration
+	// Remaining is for how long the request is held yet, 0 if it is not.
+	Remaining time.Duration
 }
 
-// Counted is how many crashes count against the request.
-func (r *Record) Counted() int { return counted(r.Crashed, r.Excused) }
+// CountedCrashes is how many crashes count against the request.
+func (r *Record) CountedCrashes() int { return countCrashes(r.Crashed, r.Excused) }
 
-func counted(crashed, excused []string) int {
+func countCrashes(crashed, excused []string) int {
 	n := 0
 	for _, server := range crashed {
 		if !slices.Contains(excused, server) {
@@ -57,18 +57,18 @@
 
 // Table is what one box knows of requests that were at servers when they crashed.
 type Table struct {
-	Terms func() Terms
+	Config func() Config
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Changed is told when a request is held or released, or what is known of it is
+	// OnChange is told when a request is held or released, or what is known of it is
 	// dropped for want of room. It runs under the table's lock and must not call it.
-	Changed func(r Record, what string)
+	OnChange func(r Record, what string)
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// known is the number of records, read without the lock: on a day without crashes a
+	// recordCount is the number of records, read without the lock: on a day without crashes a
 	// request costs no more than that.
-	known atomic.Int64
+	recordCount atomic.Int64
 }
 
 // record is a Record with what this box makes of it.
@@ -77,24 +77,24 @@
 	// changed is when anything was last learnt.
 	changed time.Time
 	// until is the end of the hold, and heldAt how many crashes counted when it began.
-	until  time.Time
-	heldAt int
-	// tells is how often the record is to be told yet, from tellAt on.
-	tells  int
-	tellAt time.Time
+	until       time.Time
+	heldCrashes int
+	// broadcastsLeft is how often the record is to be told yet, from tellAt on.
+	broadcastsLeft int
+	tellAt         time.Time
 }
 
 // NewTable makes an empty table.
-func NewTable(terms func() Terms, now func() time.Time) *Table {
-	return &Table{Terms: terms, Now: now, Changed: func(Record, string) {}, records: map[Fingerprint]*record{}}
+func NewTable(config func() Config, now func() time.Time) *Table {
+	return &Table{Config: config, Now: now, OnChange: func(Record, string) {}, records: map[Fingerprint]*record{}}
 }
 
 // Empty reports whether nothing is known of any request.
-func (t *Table) Empty() bool { return t.known.Load() == 0 }
+func (t *Table) Empty() bool { return t.recordCount.Load() == 0 }
 
-// Crashed notes that a server crashed while it had the request, and returns what is known of
+// ObserveCrash notes that a server crashed while it had the request, and returns what is known of
 // the request if that began to be held by it, nil if not.
-func (t *Table) Crashed(f Fingerprint, server string) (begun *Record) {
+func (t *Table) ObserveCrash(f Fingerprint, server string) (begun *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordOf(f)
@@ -102,13 +102,13 @@
 		return nil
 	}
 	before := t.Now().Before(r.until)
-	if len(r.crashed) == mostServers && !before {
+	if len(r.crashed) == maxServers && !before {
 		// The list may have no room for this one, which counts all the same.
-		r.heldAt--
+		r.heldCrashes--
 		r.crashed = r.crashed[1:]
 	}
-	t.join(f, r, Record{Request: f, Crashed: []string{server}})
-	t.tell(r)
+	t.mergeRecord(f, r, Record{Request: f, Crashed: []string{server}})
+	t.scheduleBroadcast(r)
 	if before || !t.Now().Before(r.until) {
 		return nil
 	}
@@ -116,33 +116,33 @@
 	return &known
 }
 
-// Answered notes that a server has answered the request: it crashes no servers. What held
+// ObserveAnswer notes that a server has answered the request: it crashes no servers. What held
 // against it is excused, at all boxes. It reports whether the request was held.
-func (t *Table) Answered(f Fingerprint) (released bool) {
+func (t *Table) ObserveAnswer(f Fingerprint) (released bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	if r == nil || r.counted() == 0 {
+	if r == nil || r.countedCrashes() == 0 {
 		return false
 	}
 	released = t.Now().Before(r.until)
-	t.join(f, r, Record{Request: f, Excused: r.crashed})
-	t.tell(r)
+	t.mergeRecord(f, r, Record{Request: f, Excused: r.crashed})
+	t.scheduleBroadcast(r)
 	return released
 }
 
-// Learn takes in what another box knows.
-func (t *Table) Learn(told Record) {
+// Merge takes in what another box knows.
+func (t *Table) Merge(other Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.recordOf(told.Request)
+	r := t.recordOf(other.Request)
 	if r == nil {
 		return
 	}
-	t.join(told.Request, r, told)
-	if told.Left > 0 && r.counted() < t.Terms().Crashes {
+	t.mergeRecord(other.Request, r, other)
+	if other.Remaining > 0 && r.countedCrashes() < t.Config().Crashes {
 		// The other box holds a request that was answered here.
-		t.tell(r)
+		t.scheduleBroadcast(r)
 	}
 }
 
@@ -163,7 +163,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	return r != nil && r.counted() > 0
+	return r != nil && r.countedCrashes() > 0
 }
 
 // Due returns the records that all boxes are to be told now.
@@ -173,10 +173,10 @@
 	now := t.Now()
 	var due []Record
 	for f, r := range t.records {
-		if r.tells == 0 || now.Before(r.tellAt) {
+		if r.broadcastsLeft == 0 || now.Before(r.tellAt) {
 			continue
 		}
-		r.tells--
+		r.broadcastsLeft--
 		r.tellAt = now.Add(tellAgain)
 		due = append(due, r.export(f, now))
 	}
@@ -203,7 +203,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	for f, r := range t.records {
-		if now.Sub(r.fresh()) > t.Terms().Hold {
+		if now.Sub(r.lastActive()) > t.Config().Hold {
 			t.drop(f)
 		}
 	}
@@ -213,10 +213,10 @@
 // One record
 // ----------------------------------------------------------------
 
-func (r *record) counted() int { return counted(r.crashed, r.excused) }
+func (r *record) countedCrashes() int { return countCrashes(r.crashed, r.excused) }
 
-// fresh is since when nothing has been learnt and nothing held.
-func (r *record) fresh() time.Time {
+// lastActive is since when nothing has been learnt and nothing held.
+func (r *record) lastActive() time.Time {
 	if r.until.After(r.changed) {
 		return r.until
 	}
@@ -225,63 +225,63 @@
 
 func (r *record) export(f Fingerprint, now time.Time) Record {
 	return Record{
-		Request: f, Crashed: slices.Clone(r.crashed), Excused: slices.Clone(r.excused), Left: max(0, r.until.Sub(now)),
+		Request: f, Crashed: slices.Clone(r.crashed), Excused: slices.Clone(r.excused), Remaining: max(0, r.until.Sub(now)),
 	}
 }
 
-// add puts names into a list that is in order and bounded, and reports whether it has changed.
+// mergeNames puts names into a list that is in order and bounded, and reports whether it has changed.
 // The first names in order stay, whichever came first: boxes that know of more crashes than a
 // list names come to name the same ones. If the latest stayed, boxes whose datagrams cross
 // would tell each other of them without end, and prolong their holds.
-func add(list, names []string) (joined []string, changed bool) {
+func mergeNames(list, names []string) (joined []string, changed bool) {
 	joined = slices.Concat(list, names)
 	slices.Sort(joined)
 	joined = slices.Compact(joined)
-	joined = joined[:min(len(joined), mostServers)]
+	joined = joined[:min(len(joined), maxServers)]
 	return joined, !slices.Equal(joined, list)
 }
 
-// join puts what was told together with what is known.
-func (t *Table) join(f Fingerprint, r *record, told Record) {
+// mergeRecord puts what was told together with what is known.
+func (t *Table) mergeRecord(f Fingerprint, r *record, other Record) {
 	var crashed, excused bool
-	r.excused, excused = add(r.excused, told.Excused)
-	r.crashed, crashed = add(r.crashed, told.Crashed)
+	r.excused, excused = mergeNames(r.excused, other.Excused)
+	r.crashed, crashed = mergeNames(r.crashed, other.Crashed)
 	if !crashed && !excused {
 		return
 	}
 	r.changed = t.Now()
-	t.judge(f, r, told.Left)
+	t.updateHold(f, r, other.Remaining)
 }
 
-// judge holds the request if more crashes count against it than when it was last held,
+// updateHold holds the request if more crashes count against it than when it was last held,
 // and releases it if fewer do than are needed. A hold that another box has begun ends as it
 // does there: counted anew by each that hears of it, it would never end.
-func (t *Table) judge(f Fingerprint, r *record, left time.Duration) {
-	now, terms := t.Now(), t.Terms()
-	n := r.counted()
+func (t *Table) updateHold(f Fingerprint, r *record, left time.Duration) {
+	now, config := t.Now(), t.Config()
+	n := r.countedCrashes()
 	switch {
-	case n < terms.Crashes:
-		r.heldAt = 0
+	case n < config.Crashes:
+		r.heldCrashes = 0
 		if now.Before(r.until) {
 			r.until = now
-			t.Changed(r.export(f, now), "released")
+			t.OnChange(r.export(f, now), "released")
 		}
-	case n > r.heldAt:
-		hold := terms.Hold << min(n-terms.Crashes, mostDoublings)
+	case n > r.heldCrashes:
+		hold := config.Hold << min(n-config.Crashes, maxDoublings)
 		if left > 0 {
 			hold = min(hold, left)
 		}
-		r.heldAt = n
+		r.heldCrashes = n
 		if until := now.Add(hold); until.After(r.until) {
 			r.until = until
 		}
-		t.Changed(r.export(f, now), "held")
+		t.OnChange(r.export(f, now), "held")
 	}
 }
 
-// tell has all boxes told of the record.
-func (t *Table) tell(r *record) {
-	r.tells = tellTimes
+// scheduleBroadcast has all boxes told of the record.
+func (t *Table) scheduleBroadcast(r *record) {
+	r.broadcastsLeft = broadcastCount
 	r.tellAt = time.Time{}
 }
 
@@ -295,13 +295,13 @@
 	if r := t.records[f]; r != nil {
 		return r
 	}
-	if len(t.records) >= mostRecords && !t.makeRoom() {
-		t.Changed(Record{Request: f}, "not noted")
+	if len(t.records) >= maxRecords && !t.makeRoom() {
+		t.OnChange(Record{Request: f}, "not noted")
 		return nil
 	}
 	r := &record{changed: t.Now()}
 	t.records[f] = r
-	t.known.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 	return r
 }
 
@@ -327,5 +327,5 @@
 
 func (t *Table) drop(f Fingerprint) {
 	delete(t.records, f)
-	t.known.Store(int64(len(t.records)))
+	t.recordCount.Store(int64(len(t.records)))
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -78,7 +78,7 @@
 	Context context.Context
 	Metrics metrics.Registry
 	// BoxLog is for lines about this box, StoreLog for lines about the store.
-	BoxLog, StoreLog *logging.Part
+	BoxLog, StoreLog *logging.Logger
 }
 
 // Replica is a box's copies of the objects in the store.
--- a/pkg/report/report_test.go
+++ b/pkg/report/report_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// linesOf reads a log that is given as the fields of its lines.
+// linesOf reads a log with a line for each of the given texts of JSON fields.
 func linesOf(t *testing.T, fields ...string) []trace.Line {
 	t.Helper()
 	var b strings.Builder
@@ -38,16 +38,16 @@
 		{answered + `"took_ms":380,"try1":"i-1 answered","try1_slots":4,"try1_known":true,"try1_busy":4`, Late, CauseQueued},
 		{answered + `"took_ms":380,"try1":"i-1 answered","try1_slots":4,"try1_known":true,"try1_busy":3,"try1_remote":true`, Late, CauseRemote},
 		{answered + `"took_ms":380,"try1":"i-1 answered","try1_slots":4,"try1_known":true`, Late, CauseSlow},
-		{answered + `"took_ms":380,"try1":"i-1 shed","try2":"i-2 answered"`, Late, CauseTriedAgain},
+		{answered + `"took_ms":380,"try1":"i-1 shed","try2":"i-2 answered"`, Late, CauseRetried},
 		{`"text":"request: not answered: shop","service":"shop","status":503,"took_ms":0`, Refused, CauseNotTried},
 		{`"text":"request: not answered: studio","service":"shop","status":429,"took_ms":0,"reason":"over_limit"`, Refused, CauseOverLimit},
-		{`"text":"request: not answered: 1f","service":"shop","status":503,"took_ms":0,"reason":"crashes_backend_servers"`, Refused, CauseHeld},
+		{`"text":"request: not answered: 1f","service":"shop","status":503,"took_ms":0,"reason":"crashes_backend_servers"`, Refused, CauseQuarantined},
 		{`"text":"request: not answered: i-1","service":"shop","status":503,"took_ms":9,"try1":"i-1 shed"`, Refused, CauseServerFailed},
 		{`"text":"request: not answered: reset","service":"shop","status":502,"took_ms":9,"try1":"i-1 broken"`, Lost, CauseServerFailed},
-		{`"text":"request: not answered: late","service":"shop","status":504,"took_ms":900,"try1":"i-1 broken","try2":"i-1 late"`, Lost, CauseTriedAgain},
+		{`"text":"request: not answered: late","service":"shop","status":504,"took_ms":900,"try1":"i-1 broken","try2":"i-1 late"`, Lost, CauseRetried},
 	} {
 		is := is.New(t)
-		r, err := Make(linesOf(t, e.line), time.Second)
+		r, err := Summarize(linesOf(t, e.line), time.Second)
 		is.NoErr(err)
 		is.Equal(r.All.Requests(), 1)
 		is.Equal(r.All.Outcomes[e.outcome], 1)
@@ -57,11 +57,11 @@
 	}
 }
 
-// TestSampledLinesCountForTheRequestsTheyStandFor: sums are of requests, not
-// of lines, by service and by the time at which requests began.
-func TestSampledLinesCountForTheRequestsTheyStandFor(t *testing.T) {
+// TestSampledLinesAreWeighted checks that a report counts requests, not lines, by service and
+// by the time at which the requests began.
+func TestSampledLinesAreWeighted(t *testing.T) {
 	is := is.New(t)
-	r, err := Make(linesOf(t,
+	r, err := Summarize(linesOf(t,
 		answered+`"took_ms":120,"requests":32,"try1":"i-1 answered"`,
 		answered+`"took_ms":1500,"try1":"i-1 answered","try1_known":true`,
 		`"text":"request: not answered: desk","service":"desk","status":503,"took_ms":0`,
@@ -72,30 +72,30 @@
 	is.Equal(r.Sampled, 32)
 	is.Equal(len(r.Services), 2)
 	is.Equal(r.Services[0].Name, "desk")
-	is.Equal(r.Services[1].Outcomes, [outcomes]int{32, 1, 0, 0})
+	is.Equal(r.Services[1].Outcomes, [outcomeCount]int{32, 1, 0, 0})
 	is.Equal(len(r.Spans), 2)
-	is.Equal(r.Spans[0].Requests(), 33) // the late one began a second and a half before its line
+	is.Equal(r.Spans[0].Requests(), 33) // the late request began 1.5 s before its line
 	is.Equal(r.Spans[0].Start.Format("15:04:05"), "09:59:58")
 	is.Equal(r.Spans[1].Requests(), 1)
 }
 
 func TestLogsWithoutRequestsAreAnError(t *testing.T) {
-	_, err := Make(linesOf(t, `"text":"box: started"`), time.Second)
+	_, err := Summarize(linesOf(t, `"text":"box: started"`), time.Second)
 	var empty *EmptyError
 	is.New(t).True(errors.As(err, &empty))
 }
 
-// TestPageStandsAlone: the page shows plots and fetches nothing.
-func TestPageStandsAlone(t *testing.T) {
+// TestPageIsSelfContained checks that the page contains its plots and loads nothing.
+func TestPageIsSelfContained(t *testing.T) {
 	is := is.New(t)
-	r, err := Make(linesOf(t,
+	r, err := Summarize(linesOf(t,
 		answered+`"took_ms":120,"try1":"i-1 answered"`,
 		answered+`"took_ms":420,"try1":"i-1 answered"`,
 		strings.Replace(answered, "shop", "<script>", 1)+`"took_ms":420,"try1":"i-1 answered"`,
 	), time.Second)
 	is.NoErr(err)
 	var b bytes.Buffer
-	is.NoErr(r.Page(&b))
+	is.NoErr(r.WriteHTML(&b))
 	page := b.String()
 	is.Equal(strings.Count(page, "<svg"), 2)
 	is.True(!strings.Contains(page, "<script>"))
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -254,7 +254,7 @@
 }
 
 // Wire encodes and decodes reports.
-var Wire = packet.Codec[Report]{Kind: "rollout reports", First: wireVersion}
+var Wire = packet.Codec[Report]{Kind: "rollout reports", FirstByte: wireVersion}
 
 // Reports returns this box's reports for the boxes that evaluate versions.
 func (t *Table) Reports() []Report {
--- a/pkg/serverstatus/serverstatus.go
+++ b/pkg/serverstatus/serverstatus.go
@@ -19,26 +19,26 @@
 	// Server names the life, see backend.Server.Life, and Zone is where it runs.
 	Server string
 	Zone   string
-	// Named: it names a limit, PerSecond in requests a second.
-	Named     bool
+	// HasLimit: it names a limit, PerSecond in requests a second.
+	HasLimit  bool
 	PerSecond float64
-	// Number orders the changes of the limit.
-	Number uint32
+	// LimitVersion orders the changes of the limit.
+	LimitVersion uint32
 	// Leaving: it leaves.
 	Leaving bool
 }
 
-// holdsOver reports whether the record's limit holds and not that of the other one, of the same server.
-func (r *Record) holdsOver(other *Record) bool {
-	if r.Number != other.Number {
-		return r.Number > other.Number
+// supersedes reports whether the record's limit holds and not that of the other one, of the same server.
+func (r *Record) supersedes(other *Record) bool {
+	if r.LimitVersion != other.LimitVersion {
+		return r.LimitVersion > other.LimitVersion
 	}
 	return r.isStricter(other)
 }
 
 func (r *Record) isStricter(other *Record) bool {
-	if r.Named != other.Named {
-		return r.Named
+	if r.HasLimit != other.HasLimit {
+		return r.HasLimit
 	}
-	return r.Named && r.PerSecond < other.PerSecond
+	return r.HasLimit && r.PerSecond < other.PerSecond
 }
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// mostRecords bounds the servers of which something is known: of a fleet's 1,400 servers
+	// maxRecords bounds the servers of which something is known: of a fleet's 1,400 servers
 	// all may name limits at once.
-	mostRecords = 4096
-	// tellTimes is how often a change is told to all boxes, and tellAgain after what time again:
+	maxRecords = 4096
+	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time again:
 	// a datagram in a hundred is lost on a good day.
-	tellTimes = 2
-	tellAgain = 300 * time.Millisecond
-	// tellPause is the least time between two changes of a server that are told: one may name
+	broadcastCount = 2
+	tellAgain      = 300 * time.Millisecond
+	// minBroadcastInterval is the least time between two changes of a server that are told: one may name
 	// another limit in each answer.
-	tellPause = time.Second
+	minBroadcastInterval = time.Second
 )
 
 // Table is what one box knows of what servers say.
 type Table struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// Changed is told when a server's limit begins, changes or ends, when a server leaves, and when
+	// OnChange is told when a server's limit begins, changes or ends, when a server leaves, and when
 	// one is forgotten since it has gone. It runs under the table's lock and must not call it.
-	Changed func(r Record, what Change)
+	OnChange func(r Record, what Change)
 
 	mu      sync.Mutex
 	records map[string]*entry
-	// named is how many servers name a limit, and leaving how many leave, read without the lock: on
+	// limitCount is how many servers name a limit, and leavingCount how many leave, read without the lock: on
 	// a day without limits a request costs no more than that.
-	named, leaving atomic.Int64
+	limitCount, leavingCount atomic.Int64
 }
 
 // Change is what becomes of a server's limit.
@@ -43,16 +43,16 @@
 
 // The changes.
 const (
-	// Begun: the server names a limit, and did not before.
-	Begun Change = iota
-	// Changed: it names another one.
-	Changed
-	// Ended: it names none any more.
-	Ended
-	// Leaves: the server leaves.
-	Leaves
-	// Forgotten: it has gone, and is not heard of again.
-	Forgotten
+	// LimitBegun: the server names a limit, and did not before.
+	LimitBegun Change = iota
+	// LimitChanged: it names another one.
+	LimitChanged
+	// LimitEnded: it names none any more.
+	LimitEnded
+	// ServerLeaving: the server leaves.
+	ServerLeaving
+	// ServerForgotten: it has gone, and is not heard of again.
+	ServerForgotten
 )
 
 // changeNames are the changes' names in logs, by value.
@@ -64,53 +64,53 @@
 // entry is a Record with what this box makes of it.
 type entry struct {
 	Record
-	// heard is when an answer to this box last named the limit, or another box told of it first.
-	heard time.Time
-	// tells is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
-	tells          int
-	tellAt, toldAt time.Time
+	// limitSeen is when an answer to this box last named the limit, or another box told of it first.
+	limitSeen time.Time
+	// broadcastsLeft is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
+	broadcastsLeft               int
+	nextBroadcast, lastBroadcast time.Time
 	// changed is when the record last did.
 	changed time.Time
-	// missing is since when the server is not listed, zero while it is.
-	missing time.Time
+	// unlistedSince is since when the server is not listed, zero while it is.
+	unlistedSince time.Time
 }
 
 // NewTable makes an empty table.
 func NewTable(now func() time.Time) *Table {
-	return &Table{Now: now, Changed: func(Record, Change) {}, records: map[string]*entry{}}
+	return &Table{Now: now, OnChange: func(Record, Change) {}, records: map[string]*entry{}}
 }
 
 // Empty reports whether no server is known to name a limit.
-func (t *Table) Empty() bool { return t.named.Load() == 0 }
+func (t *Table) Empty() bool { return t.limitCount.Load() == 0 }
 
-// Answered takes in an answer of a server to a request of this box that was sent at some time.
+// ObserveAnswer takes in an answer of a server to a request of this box that was sent at some time.
 // With ran false the server has not run the request; that such an answer names no limit says
 // nothing.
-func (t *Table) Answered(server *backend.Server, limit backend.RateLimit, ran bool, sent time.Time) {
+func (t *Table) ObserveAnswer(server *backend.Server, limit backend.RateLimit, ran bool, sent time.Time) {
 	if !limit.Present && t.Empty() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	life := server.Incarnation()
-	e := t.records[life]
+	incarnation := server.Incarnation()
+	e := t.records[incarnation]
 	switch {
 	case limit.Present:
-		t.namedBy(e, Record{Server: life, Zone: server.Zone, Named: true, PerSecond: limit.PerSecond})
-	case e != nil && e.Named && ran && sent.After(e.heard):
-		t.set(e, Record{Server: life, Zone: server.Zone, Number: e.Number + 1})
-		e.tell()
+		t.applyAnswer(e, Record{Server: incarnation, Zone: server.Zone, HasLimit: true, PerSecond: limit.PerSecond})
+	case e != nil && e.HasLimit && ran && sent.After(e.limitSeen):
+		t.setLimit(e, Record{Server: incarnation, Zone: server.Zone, LimitVersion: e.LimitVersion + 1})
+		e.scheduleBroadcast()
 	}
 }
 
-// Leave takes in that a server says that it leaves.
-func (t *Table) Leave(server *backend.Server) {
+// MarkLeaving takes in that a server says that it leaves.
+func (t *Table) MarkLeaving(server *backend.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	life := server.Incarnation()
-	e := t.records[life]
+	incarnation := server.Incarnation()
+	e := t.records[incarnation]
 	if e == nil {
-		if e = t.add(life); e == nil {
+		if e = t.add(incarnation); e == nil {
 			return
 		}
 	}
@@ -119,80 +119,80 @@
 	}
 	e.Zone = server.Zone
 	t.setLeaving(e)
-	e.tell()
+	e.scheduleBroadcast()
 }
 
 // IsLeaving reports whether a life of a server is known to leave.
-func (t *Table) IsLeaving(life string) bool {
-	if t.leaving.Load() == 0 {
+func (t *Table) IsLeaving(incarnation string) bool {
+	if t.leavingCount.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.records[life]
+	e := t.records[incarnation]
 	return e != nil && e.Leaving
 }
 
-// namedBy takes in a limit that an answer names.
-func (t *Table) namedBy(e *entry, r Record) {
+// applyAnswer takes in a limit that an answer names.
+func (t *Table) applyAnswer(e *entry, r Record) {
 	if e == nil {
 		if e = t.add(r.Server); e == nil {
 			return
 		}
 	}
-	e.heard = t.Now()
-	if e.Named && e.PerSecond == r.PerSecond {
+	e.limitSeen = t.Now()
+	if e.HasLimit && e.PerSecond == r.PerSecond {
 		return
 	}
-	r.Number = e.Number + 1
-	t.set(e, r)
-	e.tell()
+	r.LimitVersion = e.LimitVersion + 1
+	t.setLimit(e, r)
+	e.scheduleBroadcast()
 }
 
-// Learn takes in what another box knows.
-func (t *Table) Learn(told Record) {
-	if !(told.PerSecond >= 0) {
+// Merge takes in what another box knows.
+func (t *Table) Merge(other Record) {
+	if !(other.PerSecond >= 0) {
 		// No box tells that; whatever it came from says nothing of a limit.
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.records[told.Server]
+	e := t.records[other.Server]
 	if e == nil {
-		if e = t.add(told.Server); e == nil {
+		if e = t.add(other.Server); e == nil {
 			return
 		}
 	}
-	if told.Leaving && !e.Leaving {
-		e.Zone = told.Zone
+	if other.Leaving && !e.Leaving {
+		e.Zone = other.Zone
 		t.setLeaving(e)
 	}
-	if !told.holdsOver(&e.Record) {
-		if told.Named && !e.Named {
+	if !other.supersedes(&e.Record) {
+		if other.HasLimit && !e.HasLimit {
 			// The other box has started since, and counts from the beginning: once it knows this
 			// record, what the server names next gets a number that holds.
-			e.tell()
+			e.scheduleBroadcast()
 		}
 		return
 	}
-	if told.Named {
-		e.heard = t.Now()
+	if other.HasLimit {
+		e.limitSeen = t.Now()
 	}
-	t.set(e, told)
+	t.setLimit(e, other)
 }
 
-// Of returns the limit of a life of a server, and whether it names one.
-func (t *Table) Of(life string) (perSecond float64, named bool) {
+// LimitOf returns the limit of a life of a server, and whether it names one.
+func (t *Table) LimitOf(incarnation string) (perSecond float64, limited bool) {
 	if t.Empty() {
 		return 0, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.records[life]
+	e := t.records[incarnation]
 	if e == nil {
 		return 0, false
 	}
-	return e.PerSecond, e.Named
+	return e.PerSecond, e.HasLimit
 }
 
 // Due returns the records that all boxes are to be told now.
@@ -202,12 +202,12 @@
 	now := t.Now()
 	var due []Record
 	for _, e := range t.records {
-		first := e.tells == tellTimes
-		if e.tells == 0 || now.Before(e.tellAt) || first && !e.toldAt.IsZero() && now.Sub(e.toldAt) < tellPause {
+		first := e.broadcastsLeft == broadcastCount
+		if e.broadcastsLeft == 0 || now.Before(e.nextBroadcast) || first && !e.lastBroadcast.IsZero() && now.Sub(e.lastBroadcast) < minBroadcastInterval {
 			continue
 		}
-		e.tells--
-		e.tellAt, e.toldAt = now.Add(tellAgain), now
+		e.broadcastsLeft--
+		e.nextBroadcast, e.lastBroadcast = now.Add(tellAgain), now
 		due = append(due, e.Record)
 	}
 	return due
@@ -216,11 +216,11 @@
 // All returns all records, in the order of servers.
 func (t *Table) All() []Record { return t.list(func(*entry) bool { return true }) }
 
-// InForce returns the records of servers that name limits or leave, or whose limit has changed
+// Active returns the records of servers that name limits or leave, or whose limit has changed
 // within the time.
-func (t *Table) InForce(within time.Duration) []Record {
+func (t *Table) Active(within time.Duration) []Record {
 	now := t.Now()
-	return t.list(func(e *entry) bool { return e.Named || e.Leaving || now.Sub(e.changed) < within })
+	return t.list(func(e *entry) bool { return e.HasLimit || e.Leaving || now.Sub(e.changed) < within })
 }
 
 func (t *Table) list(wanted func(e *entry) bool) []Record {
@@ -241,14 +241,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	for life, e := range t.records {
+	for incarnation, e := range t.records {
 		switch {
-		case listed(life):
-			e.missing = time.Time{}
-		case e.missing.IsZero():
-			e.missing = now
-		case now.Sub(e.missing) > after:
-			t.drop(life)
+		case listed(incarnation):
+			e.unlistedSince = time.Time{}
+		case e.unlistedSince.IsZero():
+			e.unlistedSince = now
+		case now.Sub(e.unlistedSince) > after:
+			t.drop(incarnation)
 		}
 	}
 }
@@ -257,39 +257,39 @@
 // One record
 // ----------------------------------------------------------------
 
-// tell has all boxes told of the record.
-func (e *entry) tell() {
-	e.tells = tellTimes
-	e.tellAt = time.Time{}
+// scheduleBroadcast has all boxes told of the record.
+func (e *entry) scheduleBroadcast() {
+	e.broadcastsLeft = broadcastCount
+	e.nextBroadcast = time.Time{}
 }
 
 // setLeaving notes that a server leaves.
 func (t *Table) setLeaving(e *entry) {
 	e.Leaving = true
-	t.leaving.Add(1)
-	t.Changed(e.Record, Leaves)
+	t.leavingCount.Add(1)
+	t.OnChange(e.Record, ServerLeaving)
 }
 
-// set puts a limit in force.
-func (t *Table) set(e *entry, r Record) {
+// setLimit puts a limit in force.
+func (t *Table) setLimit(e *entry, r Record) {
 	before := e.Record
 	r.Leaving = before.Leaving
 	e.Record, e.changed = r, t.Now()
 	switch {
-	case r.Named && !before.Named:
-		t.named.Add(1)
-		t.Changed(r, Begun)
-	case r.Named && before.PerSecond != r.PerSecond:
-		t.Changed(r, Changed)
-	case !r.Named && before.Named:
-		t.named.Add(-1)
-		t.Changed(r, Ended)
+	case r.HasLimit && !before.HasLimit:
+		t.limitCount.Add(1)
+		t.OnChange(r, LimitBegun)
+	case r.HasLimit && before.PerSecond != r.PerSecond:
+		t.OnChange(r, LimitChanged)
+	case !r.HasLimit && before.HasLimit:
+		t.limitCount.Add(-1)
+		t.OnChange(r, LimitEnded)
 	}
 }
 
 // add makes a record for a server; nil if there is no room.
 func (t *Table) add(server string) *entry {
-	if len(t.records) >= mostRecords && !t.makeRoom() {
+	if len(t.records) >= maxRecords && !t.makeRoom() {
 		return nil
 	}
 	e := &entry{Record: Record{Server: server}}
@@ -299,23 +299,23 @@
 
 // makeRoom drops a record of a server that neither names a limit nor leaves.
 func (t *Table) makeRoom() bool {
-	for life, e := range t.records {
-		if !e.Named && !e.Leaving {
-			t.drop(life)
+	for incarnation, e := range t.records {
+		if !e.HasLimit && !e.Leaving {
+			t.drop(incarnation)
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Table) drop(life string) {
-	e := t.records[life]
-	delete(t.records, life)
-	if e.Named {
-		t.named.Add(-1)
+func (t *Table) drop(incarnation string) {
+	e := t.records[incarnation]
+	delete(t.records, incarnation)
+	if e.HasLimit {
+		t.limitCount.Add(-1)
 	}
 	if e.Leaving {
-		t.leaving.Add(-1)
+		t.leavingCount.Add(-1)
 	}
-	t.Changed(e.Record, Forgotten)
+	t.OnChange(e.Record, ServerForgotten)
 }
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `box: dakar-a-1
+const validSettings = `box: dakar-a-1
 zone: dakar-a
 listen: {callers: "127.0.0.1:1", peers: "127.0.0.1:2", operators: "127.0.0.1:3", admin: "127.0.0.1:4"}
 platform: {address: "127.0.0.1:5"}
@@ -16,17 +16,17 @@
   - {zone: dakar-a, region: dakar}
 `
 
-func TestGood(t *testing.T) {
+func TestValidSettingsAreParsed(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("box.yaml", []byte(good))
+	s, err := Parse("box.yaml", []byte(validSettings))
 	is.NoErr(err)
 	is.Equal(s.Advertise.Peers, "127.0.0.1:2")
 	is.Equal(s.Limits.OnceRecords, Defaults().Limits.OnceRecords)
 }
 
-func TestEveryFaultAtOnce(t *testing.T) {
+func TestAllFaultsAreReported(t *testing.T) {
 	is := is.New(t)
-	text := strings.Replace(good, "zone: dakar-a\n", "zone: dakar-z\n", 1) +
+	text := strings.Replace(validSettings, "zone: dakar-a\n", "zone: dakar-z\n", 1) +
 		"lookup_ttl: soon\nlookups: 5\nlimits:\n  header_bytes: many\n"
 	_, err := Parse("box.yaml", []byte(text))
 	var faults *Error
@@ -34,39 +34,39 @@
 	is.Equal(len(faults.Faults), 4)
 	is.Equal(faults.Faults[0].Line, 7)
 	is.Equal(faults.Faults[3].Key, "zone")
-	_, err = Parse("box.yaml", []byte(strings.Replace(good, "zone: dakar-a\n", "zone: dakar-z\n", 1)))
+	_, err = Parse("box.yaml", []byte(strings.Replace(validSettings, "zone: dakar-a\n", "zone: dakar-z\n", 1)))
 	is.True(errors.As(err, &faults))
 	is.Equal(faults.Faults[0].Line, 2)
 }
 
 func TestMachineIsChecked(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("box.yaml", []byte(good+"machine: {cores: 0.16, link_mbps: 10}\n"))
+	s, err := Parse("box.yaml", []byte(validSettings+"machine: {cores: 0.16, link_mbps: 10}\n"))
 	is.NoErr(err)
 	is.Equal(s.Machine, Machine{Cores: 0.16, LinkMbps: 10})
-	_, err = Parse("box.yaml", []byte(good+"machine: {cores: -1, link_mbps: much}\n"))
+	_, err = Parse("box.yaml", []byte(validSettings+"machine: {cores: -1, link_mbps: much}\n"))
 	var faults *Error
 	is.True(errors.As(err, &faults))
 	is.Equal(len(faults.Faults), 2)
 }
 
-// TestSwitchesAreRead. The story: a box whose settings said enforce_revocation did not start, on any deployment
-// whose keys must be revoked in time. The cause: the decoder knew no switches and took one for text, which ends
-// in a panic.
-func TestSwitchesAreRead(t *testing.T) {
+// TestBooleansAreDecoded guards against a box that does not start if its settings contain
+// enforce_revocation, which a deployment needs where keys must be revoked in time: the decoder
+// had no case for booleans and decoded them as text, which panics.
+func TestBooleansAreDecoded(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("box.yaml", []byte(good+"bounds: {enforce_revocation: true}\n"))
+	s, err := Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: true}\n"))
 	is.NoErr(err)
 	is.True(s.Bounds.EnforceRevocation)
-	for _, odd := range []string{"yes", "1", "[true]", "~"} {
-		_, err = Parse("box.yaml", []byte(good+"bounds: {enforce_revocation: "+odd+"}\n"))
+	for _, invalid := range []string{"yes", "1", "[true]", "~"} {
+		_, err = Parse("box.yaml", []byte(validSettings+"bounds: {enforce_revocation: "+invalid+"}\n"))
 		var faults *Error
 		is.True(errors.As(err, &faults))
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("a: [b, {c: d}]"))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		_, _ = Parse("box.yaml", text)
--- a/pkg/shift/plan.go
+++ b/pkg/shift/plan.go
@@ -50,8 +50,8 @@
 	return all
 }
 
-// With returns a copy in which some buckets of a client region have others.
-func (p *Plan) With(client string, moves map[int]string) *Plan {
+// WithMoves returns a copy in which some buckets of a client region have others.
+func (p *Plan) WithMoves(client string, moves map[int]string) *Plan {
 	next := &Plan{Regions: append([]string(nil), p.Regions...), Assign: map[string]string{}}
 	for c, letters := range p.Assign {
 		next.Assign[c] = letters
@@ -82,8 +82,8 @@
 // Targets
 // ================================================================
 
-// Facts is what a target depends on besides the service itself.
-type Facts struct {
+// Conditions is what a target depends on besides the service itself.
+type Conditions struct {
 	// ClientRegions lists all regions of the deployment.
 	ClientRegions []string
 	// Serving lists the regions with backend servers for the service.
@@ -94,7 +94,7 @@
 
 // Target returns the assignment that the operator's settings ask for under the
 // facts. Where nothing usable is left, the current assignment stands.
-func Target(s *model.Service, current *Plan, f Facts) *Plan {
+func Target(s *model.Service, current *Plan, f Conditions) *Plan {
 	next := &Plan{Assign: map[string]string{}}
 	var usable []string
 	for _, r := range f.Serving {
@@ -108,7 +108,7 @@
 		for bucket := range decide.Buckets {
 			moves[bucket] = choose(wanted[bucket], client, bucket, f.Serving, usable, current)
 		}
-		next = next.With(client, moves)
+		next = next.WithMoves(client, moves)
 	}
 	return next
 }
@@ -206,7 +206,7 @@
 			}
 		}
 		if len(moves) > 0 {
-			next = next.With(client, moves)
+			next = next.WithMoves(client, moves)
 		}
 	}
 	return next
