--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -2,8 +2,8 @@
 // routes it, sends it to a backend server or another box, and returns the answer.
 //
 // Routing is in package decide, admission to slots in admission, the records of
-// idempotency keys in once, and HTTP exchanges in exchange. This package calls
-// them in order and determines which outcome a caller is told after a failure.
+// idempotency keys in idempotency, and HTTP exchanges in exchange. This package
+// calls them in order and determines which outcome a failed request reports.
 package entry
 
 import (
@@ -56,8 +56,8 @@
 	ServerPool func(address string, connections int) *exchange.Pool
 	PeerPool   func(address string) *exchange.Pool
 	Member     func(box string) (membership.Member, bool)
-	// Begin starts the run of an idempotency key, or returns the run that the key
-	// already has; first is true if it started one.
+	// Begin starts an execution for an idempotency key, or returns the one that the
+	// key already has; first is true if it started one.
 	Begin func(k idempotency.Key, issued time.Duration) (run *idempotency.Execution, first bool, failure *outcome.Failure)
 	// MaySend reports whether this box may still use its share of the slots. It
 	// is called immediately before a request is sent.
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -63,7 +63,8 @@
 	return a, f
 }
 
-// runOwned runs the request here, or waits for the run that its key already has.
+// runOwned runs the request here, or waits for the execution that its key
+// already has.
 func (e *Entry) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	key := idempotency.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
 	run, first, failure := e.Begin(key, t.Issued)
