--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -46,7 +46,7 @@
 	Platform    *platform.Client
 	Exchanger   *peer.Exchanger
 	Entry       *entry.Entry
-	Once        *idempotency.Table
+	Idempotency *idempotency.Table
 	Timers      *timer.Service
 	Metrics     metrics.Registry
 	// NewPool creates the connection pool of one address, and NewGate the gate of
@@ -163,7 +163,7 @@
 	b.UsableSlots = slots.Usable
 	b.ShiftCap = func(s *model.Service) float64 { return s.ShiftCap }
 	b.LeaveSteps = b.leaveSteps()
-	b.Once = idempotency.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
+	b.Idempotency = idempotency.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
 	b.Entry = b.newEntry()
 	b.operators = b.newOperators()
 	b.confirmed.Store(true)
@@ -189,7 +189,7 @@
 		ServerPool:      b.serverPool,
 		PeerPool:        b.peerPool,
 		Member:          b.Table.Get,
-		Begin:           b.Once.Begin,
+		Begin:           b.Idempotency.Begin,
 		MaySend:         b.maySend,
 		Claim:           b.claim,
 		OnServerLeaving: b.onServerLeaving,
--- a/pkg/box/box_ports.go
+++ b/pkg/box/box_ports.go
@@ -142,7 +142,7 @@
 	})
 	app.Get("/metrics", func(c fiber.Ctx) error {
 		metrics.GetOrRegisterGauge("log.dropped", b.Metrics).Update(b.handler.Dropped())
-		metrics.GetOrRegisterGauge("once.records", b.Metrics).Update(int64(b.Once.Len()))
+		metrics.GetOrRegisterGauge("once.records", b.Metrics).Update(int64(b.Idempotency.Len()))
 		metrics.GetOrRegisterGauge("requests.in_flight", b.Metrics).Update(b.inFlight.Load())
 		c.Set("Content-Type", "application/json")
 		metrics.WriteJSONOnce(b.Metrics, c.Response().BodyWriter())
