--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -23,12 +23,12 @@
 func (b *Box) migrator(service string) *shift.Migrator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.migrators[service]
-	if w == nil {
-		w = shift.NewMigrator()
-		b.migrators[service] = w
+	m := b.migrators[service]
+	if m == nil {
+		m = shift.NewMigrator()
+		b.migrators[service] = m
 	}
-	return w
+	return m
 }
 
 func (b *Box) countBucket(service, client string, bucket int) {
