--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -42,9 +42,9 @@
 	if o == nil || o.Plan == nil {
 		return nil
 	}
-	w := b.migrator(s.Name)
-	w.Advance(time.Now(), s.Name, o.Plan, b.ShiftCap(s), window(s))
-	return w.Assignments()
+	m := b.migrator(s.Name)
+	m.Advance(time.Now(), s.Name, o.Plan, b.ShiftCap(s), window(s))
+	return m.Assignments()
 }
 
 func window(s *model.Service) time.Duration {
