--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -67,12 +67,12 @@
 // already has.
 func (e *Entry) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	key := idempotency.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
-	run, first, failure := e.Begin(key, t.Issued)
+	execution, first, failure := e.Begin(key, t.Issued)
 	if failure != nil {
 		return nil, failure
 	}
 	if !first {
-		kept, failure := run.Wait(r.ctx)
+		kept, failure := execution.Wait(r.ctx)
 		if failure != nil {
 			return nil, failure
 		}
@@ -80,16 +80,16 @@
 	}
 	answer, failure := e.route(r)
 	if failure != nil {
-		run.Fail(failure)
+		execution.Fail(failure)
 		return nil, failure
 	}
 	if answer.Stream == nil {
-		run.Complete(&idempotency.Answer{
+		execution.Complete(&idempotency.Answer{
 			Status: answer.Status, Header: answer.Header, Body: bytes.Clone(answer.Body), Server: answer.Server, Zone: answer.Zone,
 		})
 		return answer, nil
 	}
-	run.Complete(nil)
+	execution.Complete(nil)
 	return answer, nil
 }
 
