--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -58,7 +58,7 @@
 	Member     func(box string) (membership.Member, bool)
 	// Begin starts an execution for an idempotency key, or returns the one that the
 	// key already has; first is true if it started one.
-	Begin func(k idempotency.Key, issued time.Duration) (run *idempotency.Execution, first bool, failure *outcome.Failure)
+	Begin func(k idempotency.Key, issued time.Duration) (execution *idempotency.Execution, first bool, failure *outcome.Failure)
 	// MaySend reports whether this box may still use its share of the slots. It
 	// is called immediately before a request is sent.
 	MaySend func() bool
