--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -45,7 +45,7 @@
 	Writer      *config.Writer
 	Platform    *platform.Client
 	Exchanger   *peer.Exchanger
-	Entry       *entry.Entry
+	Entry       *entry.Handler
 	Idempotency *idempotency.Table
 	Timers      *timer.Service
 	Metrics     metrics.Registry
@@ -172,9 +172,9 @@
 	return b
 }
 
-func (b *Box) newEntry() *entry.Entry {
+func (b *Box) newEntry() *entry.Handler {
 	s := b.Settings
-	return &entry.Entry{
+	return &entry.Handler{
 		Self: s.Box, Zone: s.Zone, Incarnation: b.Incarnation,
 		LookupTTL:       s.LookupTTL,
 		BufferedBody:    s.Limits.BufferedBodyBytes,
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -34,8 +34,8 @@
 	idlePeer = 20 * time.Second
 )
 
-// Entry serves requests. Its function fields are dependencies that tests replace.
-type Entry struct {
+// Handler serves requests. Its function fields are dependencies that tests replace.
+type Handler struct {
 	Self        string
 	Zone        string
 	Incarnation string
--- a/pkg/entry/entry_forward.go
+++ b/pkg/entry/entry_forward.go
@@ -9,7 +9,7 @@
 // forward sends the request to another box and returns that box's answer, or the
 // outcome that it reports. If the exchange with the box fails, the outcome is
 // unknown unless no byte was sent to it.
-func (e *Entry) forward(r *Request, address string, hop Hop) (*Answer, *outcome.Failure) {
+func (e *Handler) forward(r *Request, address string, hop Hop) (*Answer, *outcome.Failure) {
 	h := r.outgoing(e.Now(), PathRequests+r.Service+r.Path)
 	h.SetHost(address)
 	h.Set(HeaderHop, string(hop))
--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -16,7 +16,7 @@
 
 // serveLocally admits the request to a backend server that this box has slots of and
 // sends it. If that server certainly did not run it, one other server is tried.
-func (e *Entry) serveLocally(r *Request, avoid string) (*Answer, *outcome.Failure) {
+func (e *Handler) serveLocally(r *Request, avoid string) (*Answer, *outcome.Failure) {
 	gate := e.Gate(r.Service)
 	if gate == nil {
 		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "this box does not admit requests of the service").WithRetryAfter(time.Second)
@@ -40,7 +40,7 @@
 
 // send runs the exchange with one backend server. The permit ends with the
 // exchange; for a streamed answer that is when the stream is closed.
-func (e *Entry) send(r *Request, permit *admission.Permit) (answer *Answer, failure *outcome.Failure) {
+func (e *Handler) send(r *Request, permit *admission.Permit) (answer *Answer, failure *outcome.Failure) {
 	// Only the first release counts. This one applies if the code below panics.
 	defer func() {
 		if answer == nil {
@@ -96,7 +96,7 @@
 	return f
 }
 
-func (e *Entry) exchangeFailure(r *Request, permit *admission.Permit, err error) *outcome.Failure {
+func (e *Handler) exchangeFailure(r *Request, permit *admission.Permit, err error) *outcome.Failure {
 	if r.body.broken.Load() {
 		// The caller's body caused the failure, not the backend server.
 		permit.Abandon(admission.Unused)
@@ -120,7 +120,7 @@
 
 // readAnswer buffers a small answer whole, so that the caller never gets part of it.
 // A larger answer is streamed.
-func (e *Entry) readAnswer(r *Request, permit *admission.Permit, got *exchange.Answer) (*Answer, *outcome.Failure) {
+func (e *Handler) readAnswer(r *Request, permit *admission.Permit, got *exchange.Answer) (*Answer, *outcome.Failure) {
 	a := newAnswer(&got.Header, permit.Server.Name, e.Zone)
 	if got.Length >= 0 && got.Length <= e.BufferedBody {
 		body := make([]byte, got.Length)
--- a/pkg/entry/entry_lookup.go
+++ b/pkg/entry/entry_lookup.go
@@ -37,7 +37,7 @@
 }
 
 // ServeLookup answers a look-up.
-func (e *Entry) ServeLookup(ctx *fasthttp.RequestCtx) {
+func (e *Handler) ServeLookup(ctx *fasthttp.RequestCtx) {
 	answer, failure := e.lookup(ctx)
 	if failure != nil {
 		e.CountOutcome(string(failure.Outcome) + "." + string(failure.Reason))
@@ -50,7 +50,7 @@
 	ctx.Response.SetBody(append(text, '\n'))
 }
 
-func (e *Entry) lookup(ctx *fasthttp.RequestCtx) (*Lookup, *outcome.Failure) {
+func (e *Handler) lookup(ctx *fasthttp.RequestCtx) (*Lookup, *outcome.Failure) {
 	arguments := ctx.QueryArgs()
 	service, clientText := string(arguments.Peek("service")), string(arguments.Peek("client"))
 	if clientText == "" {
@@ -79,7 +79,7 @@
 
 // ticketOf returns a ticket of the box, issued now. The age last received from the
 // box is less than its present age, so the ticket expires early rather than late.
-func (e *Entry) ticketOf(b *decide.BoxView) idempotency.Ticket {
+func (e *Handler) ticketOf(b *decide.BoxView) idempotency.Ticket {
 	t := idempotency.Ticket{Box: b.Box, Incarnation: b.Incarnation, Issued: time.Duration(b.AgeMS) * time.Millisecond}
 	if b.Box == e.Self {
 		t.Incarnation, t.Issued = e.Incarnation, e.Age()
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -13,7 +13,7 @@
 
 // runOnce runs a request that may not be repeated. The box that owns its key
 // runs it at most once.
-func (e *Entry) runOnce(r *Request) (*Answer, *outcome.Failure) {
+func (e *Handler) runOnce(r *Request) (*Answer, *outcome.Failure) {
 	if r.Key == "" {
 		return nil, outcome.NewNotRun(outcome.ReasonKeyRequired, r.Method+" of this service may not be repeated")
 	}
@@ -46,7 +46,7 @@
 
 // forwardToOwner forwards the request to the box that owns its key. If the owner did not
 // receive it, an earlier request with the same key may still have run.
-func (e *Entry) forwardToOwner(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
+func (e *Handler) forwardToOwner(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
 		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
@@ -65,7 +65,7 @@
 
 // runOwned runs the request here, or waits for the execution that its key
 // already has.
-func (e *Entry) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
+func (e *Handler) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	key := idempotency.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
 	execution, first, failure := e.Begin(key, t.Issued)
 	if failure != nil {
--- a/pkg/entry/entry_parse.go
+++ b/pkg/entry/entry_parse.go
@@ -30,7 +30,7 @@
 
 // parse parses a request. On a failure it also returns the part that it parsed, so
 // that the answer can carry the request's id.
-func (e *Entry) parse(ctx *fasthttp.RequestCtx, fromPeer bool) (*Request, *outcome.Failure) {
+func (e *Handler) parse(ctx *fasthttp.RequestCtx, fromPeer bool) (*Request, *outcome.Failure) {
 	h := &ctx.Request.Header
 	r := &Request{ID: string(h.Peek(HeaderRequestID)), Method: string(h.Method()), raw: rawHeaders{header: h}}
 	if r.ID == "" {
--- a/pkg/entry/entry_route.go
+++ b/pkg/entry/entry_route.go
@@ -9,7 +9,7 @@
 
 // route sends the request to one box after another until one answers or no further
 // attempt is allowed.
-func (e *Entry) route(r *Request) (*Answer, *outcome.Failure) {
+func (e *Handler) route(r *Request) (*Answer, *outcome.Failure) {
 	target := decide.Request{Client: r.Client, Spread: decide.Hash(r.ID)}
 	var last *outcome.Failure
 	for try := range maxBoxAttempts {
@@ -43,7 +43,7 @@
 // decide routes the request. If all slots of this box are in use and another box is
 // known to have free ones, it chooses that box instead of waiting here. If that box
 // refuses, a later attempt may choose this box again and wait.
-func (e *Entry) decide(r *Request, target *decide.Request) decide.Decision {
+func (e *Handler) decide(r *Request, target *decide.Request) decide.Decision {
 	d := r.snapshot.Route(r.view, target)
 	if d.Box == nil || d.Box.Box != e.Self || target.Tried[0] != "" {
 		return d
@@ -71,7 +71,7 @@
 	return later
 }
 
-func (e *Entry) attempt(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
+func (e *Handler) attempt(r *Request, d decide.Decision) (*Answer, *outcome.Failure) {
 	if d.Box.Box == e.Self {
 		return e.serveLocally(r, "")
 	}
@@ -80,7 +80,7 @@
 
 // mayRetry reports whether the request may be sent again, and deducts the retry
 // from the budget if so.
-func (e *Entry) mayRetry(r *Request, f *outcome.Failure) bool {
+func (e *Handler) mayRetry(r *Request, f *outcome.Failure) bool {
 	if r.ctx.Err() != nil || !r.body.replayable() {
 		return false
 	}
@@ -94,7 +94,7 @@
 	return e.Budget.Take(r.Service)
 }
 
-func (e *Entry) logDecision(r *Request, d decide.Decision, try int) {
+func (e *Handler) logDecision(r *Request, d decide.Decision, try int) {
 	box := ""
 	if d.Box != nil {
 		box = d.Box.Box
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -30,7 +30,7 @@
 
 // Serve handles one request and calls done when it is finished: for a streamed
 // answer when the stream is closed. fromPeer is true on the port for other boxes.
-func (e *Entry) Serve(ctx *fasthttp.RequestCtx, fromPeer bool, done func()) {
+func (e *Handler) Serve(ctx *fasthttp.RequestCtx, fromPeer bool, done func()) {
 	started := e.Now()
 	r, failure := e.parse(ctx, fromPeer)
 	if failure != nil {
@@ -68,7 +68,7 @@
 	e.writeAnswer(ctx, r, answer, finish)
 }
 
-func (e *Entry) run(r *Request) (*Answer, *outcome.Failure) {
+func (e *Handler) run(r *Request) (*Answer, *outcome.Failure) {
 	if r.Hop == HopZone {
 		return e.serveLocally(r, "")
 	}
@@ -80,7 +80,7 @@
 
 // writeAnswer writes an answer. It calls finish, for a streamed answer when the stream
 // is closed.
-func (e *Entry) writeAnswer(ctx *fasthttp.RequestCtx, r *Request, a *Answer, finish func()) {
+func (e *Handler) writeAnswer(ctx *fasthttp.RequestCtx, r *Request, a *Answer, finish func()) {
 	e.CountOutcome(string(outcome.Answered))
 	resp := &ctx.Response
 	resp.SetStatusCode(a.Status)
@@ -132,7 +132,7 @@
 
 // refuse writes a failure. closeConnection is set if the request's body may not
 // have been read to its end, since the connection cannot be used again then.
-func (e *Entry) refuse(ctx *fasthttp.RequestCtx, r *Request, f *outcome.Failure, closeConnection bool) {
+func (e *Handler) refuse(ctx *fasthttp.RequestCtx, r *Request, f *outcome.Failure, closeConnection bool) {
 	e.CountOutcome(string(f.Outcome) + "." + string(f.Reason))
 	e.Log.Info("request not answered", map[string]any{
 		"request": r.ID, "service": r.Service, "outcome": f.Outcome, "reason": f.Reason, "detail": f.Detail,
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -87,7 +87,7 @@
 	gate.Update([]admission.ServerConfig{{Name: "a", Share: 1}})
 	permit, failure := gate.Acquire(context.Background(), admission.Request{})
 	is.True(failure == nil)
-	e := &Entry{MaySend: func() bool { panic("fault") }}
+	e := &Handler{MaySend: func() bool { panic("fault") }}
 	func() {
 		defer func() { is.True(recover() != nil) }()
 		_, _ = e.send(&Request{}, permit)
@@ -107,7 +107,7 @@
 	gate := admission.NewGate(time.Now, 0)
 	gate.Update([]admission.ServerConfig{{Name: "a", Share: 1}, {Name: "b", Share: 1}})
 	gate.After = func(_ time.Duration, do func()) { do() }
-	e := &Entry{Classify: Classify}
+	e := &Handler{Classify: Classify}
 	for range 10 {
 		permit, failure := gate.Acquire(context.Background(), admission.Request{})
 		is.True(failure == nil)
@@ -141,7 +141,7 @@
 	pool := exchange.NewPool(l.Addr().String(), 1, func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	})
-	e := &Entry{
+	e := &Handler{
 		Now: time.Now, Log: logging.For(logging.New(logging.NewAsyncJSONHandler(io.Discard), logging.ParseLevel("error")), "test"),
 		Gate:       func(string) *admission.Gate { return gate },
 		ServerPool: func(string, int) *exchange.Pool { return pool },
