--- a/pkg/box/box.go
+++ b/pkg/box/box.go
@@ -45,8 +45,8 @@
 	Writer      *config.Writer
 	Platform    *platform.Client
 	Exchanger   *peer.Exchanger
-	Entry       *entry.Entry
-	Once        *idempotency.Table
+	Entry       *entry.Handler
+	Idempotency *idempotency.Table
 	Timers      *timer.Service
 	Metrics     metrics.Registry
 	// NewPool creates the connection pool of one address, and NewGate the gate of
@@ -104,7 +104,7 @@
 	// apply.
 	appliedViews map[string]appliedView
 	gates        map[string]*admission.Gate
-	walkers      map[string]*shift.Migrator
+	migrators    map[string]*shift.Migrator
 	// planSeen holds when this box first saw each service's present plan.
 	planSeen map[string]seenPlan
 	pools    map[string]*exchange.Pool
@@ -139,7 +139,7 @@
 		logger:           logging.New(handler, level),
 		started:          time.Now(),
 		gates:            map[string]*admission.Gate{},
-		walkers:          map[string]*shift.Migrator{},
+		migrators:        map[string]*shift.Migrator{},
 		planSeen:         map[string]seenPlan{},
 		pools:            map[string]*exchange.Pool{},
 		peers:            map[string]*exchange.Pool{},
@@ -163,7 +163,7 @@
 	b.UsableSlots = slots.Usable
 	b.ShiftCap = func(s *model.Service) float64 { return s.ShiftCap }
 	b.LeaveSteps = b.leaveSteps()
-	b.Once = idempotency.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
+	b.Idempotency = idempotency.NewTable(s.Limits.OnceRecords, s.Limits.OnceAge, b.age)
 	b.Entry = b.newEntry()
 	b.operators = b.newOperators()
 	b.confirmed.Store(true)
@@ -172,9 +172,9 @@
 	return b
 }
 
-func (b *Box) newEntry() *entry.Entry {
+func (b *Box) newEntry() *entry.Handler {
 	s := b.Settings
-	return &entry.Entry{
+	return &entry.Handler{
 		Self: s.Box, Zone: s.Zone, Incarnation: b.Incarnation,
 		LookupTTL:       s.LookupTTL,
 		BufferedBody:    s.Limits.BufferedBodyBytes,
@@ -189,7 +189,7 @@
 		ServerPool:      b.serverPool,
 		PeerPool:        b.peerPool,
 		Member:          b.Table.Get,
-		Begin:           b.Once.Begin,
+		Begin:           b.Idempotency.Begin,
 		MaySend:         b.maySend,
 		Claim:           b.claim,
 		OnServerLeaving: b.onServerLeaving,
--- a/pkg/box/box_shift.go
+++ b/pkg/box/box_shift.go
@@ -20,19 +20,19 @@
 	since time.Time
 }
 
-func (b *Box) walker(service string) *shift.Migrator {
+func (b *Box) migrator(service string) *shift.Migrator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.walkers[service]
-	if w == nil {
-		w = shift.NewMigrator()
-		b.walkers[service] = w
+	m := b.migrators[service]
+	if m == nil {
+		m = shift.NewMigrator()
+		b.migrators[service] = m
 	}
-	return w
+	return m
 }
 
 func (b *Box) countBucket(service, client string, bucket int) {
-	b.walker(service).Count(client, bucket)
+	b.migrator(service).Count(client, bucket)
 }
 
 // advanceAssignment moves a service's assignment towards its plan, within the cap, and
@@ -42,9 +42,9 @@
 	if o == nil || o.Plan == nil {
 		return nil
 	}
-	w := b.walker(s.Name)
-	w.Advance(time.Now(), s.Name, o.Plan, b.ShiftCap(s), window(s))
-	return w.Assignments()
+	m := b.migrator(s.Name)
+	m.Advance(time.Now(), s.Name, o.Plan, b.ShiftCap(s), window(s))
+	return m.Assignments()
 }
 
 func window(s *model.Service) time.Duration {
@@ -85,18 +85,18 @@
 
 func (b *Box) planService(s *model.Service, members []membership.Member) {
 	name := config.PlanPrefix + s.Name
-	facts := b.shiftFacts(s, members)
+	conditions := b.shiftConditions(s, members)
 	current := b.Store.Get(name)
 	if current == nil || current.Plan == nil {
 		// The first plan describes the present assignment and moves no traffic.
-		facts.Usable = func(string) bool { return true }
-		b.writePlan(s, name, 0, shift.Target(&model.Service{Name: s.Name}, nil, facts), 0)
+		conditions.Usable = func(string) bool { return true }
+		b.writePlan(s, name, 0, shift.Target(&model.Service{Name: s.Name}, nil, conditions), 0)
 		return
 	}
 	if !b.planSeenFor(name, current, window(s)) {
 		return
 	}
-	target := shift.Target(s, current.Plan, facts)
+	target := shift.Target(s, current.Plan, conditions)
 	next := shift.Step(s.Name, current.Plan, target, b.ShiftCap(s), func(region string) bool {
 		return b.hasHeadroom(s.Name, region, members)
 	})
@@ -129,9 +129,9 @@
 	b.log.Info("planned", map[string]any{"service": s.Name, "revision": o.Revision, "left_to_target": left})
 }
 
-// shiftFacts returns which regions serve the service, and which of them can be
+// shiftConditions returns which regions serve the service, and which of them can be
 // reached.
-func (b *Box) shiftFacts(s *model.Service, members []membership.Member) shift.Conditions {
+func (b *Box) shiftConditions(s *model.Service, members []membership.Member) shift.Conditions {
 	f := shift.Conditions{ClientRegions: b.Topology.Regions()}
 	serving := map[string]bool{}
 	for _, server := range s.BackendServers {
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -13,7 +13,7 @@
 
 // runOnce runs a request that may not be repeated. The box that owns its key
 // runs it at most once.
-func (e *Entry) runOnce(r *Request) (*Answer, *outcome.Failure) {
+func (e *Handler) runOnce(r *Request) (*Answer, *outcome.Failure) {
 	if r.Key == "" {
 		return nil, outcome.NewNotRun(outcome.ReasonKeyRequired, r.Method+" of this service may not be repeated")
 	}
@@ -46,7 +46,7 @@
 
 // forwardToOwner forwards the request to the box that owns its key. If the owner did not
 // receive it, an earlier request with the same key may still have run.
-func (e *Entry) forwardToOwner(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
+func (e *Handler) forwardToOwner(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
 		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
@@ -63,15 +63,16 @@
 	return a, f
 }
 
-// runOwned runs the request here, or waits for the run that its key already has.
-func (e *Entry) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
+// runOwned runs the request here, or waits for the execution that its key
+// already has.
+func (e *Handler) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	key := idempotency.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
-	run, first, failure := e.Begin(key, t.Issued)
+	execution, first, failure := e.Begin(key, t.Issued)
 	if failure != nil {
 		return nil, failure
 	}
 	if !first {
-		kept, failure := run.Wait(r.ctx)
+		kept, failure := execution.Wait(r.ctx)
 		if failure != nil {
 			return nil, failure
 		}
@@ -79,16 +80,16 @@
 	}
 	answer, failure := e.route(r)
 	if failure != nil {
-		run.Fail(failure)
+		execution.Fail(failure)
 		return nil, failure
 	}
 	if answer.Stream == nil {
-		run.Complete(&idempotency.Answer{
+		execution.Complete(&idempotency.Answer{
 			Status: answer.Status, Header: answer.Header, Body: bytes.Clone(answer.Body), Server: answer.Server, Zone: answer.Zone,
 		})
 		return answer, nil
 	}
-	run.Complete(nil)
+	execution.Complete(nil)
 	return answer, nil
 }
 
