--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -41,10 +41,10 @@
 	StoreBlink Kind = "store-blink"
 	StoreMute  Kind = "store-mute"
 	LinkMute   Kind = "link-mute"
-	// RequestDeadly is a request that ends each server that runs it and comes again, at all
+	// RequestCrashes is a request that ends each server that runs it and comes again, at all
 	// boxes; ServerReborn a server that ends and starts again under its id; EntryForeign
 	// entries of servers that another writer has written.
-	RequestDeadly Kind = "request-deadly"
+	RequestCrashes Kind = "request-deadly"
 	ServerReborn  Kind = "server-reborn"
 	EntryForeign  Kind = "entry-foreign"
 	// ServerLimited is a server, or all of a service, that names the requests a second that it
@@ -72,10 +72,10 @@
 		ServerDrain, ServerCrash, ServerReuse, ServerSpoils, LinkDelay, LinkReset, LinkSilent, LinkOneWay, Configure, Evacuate,
 	}
 	SilentKinds = append(append(Catalogue{}, FirstKinds...), StoreBlink, StoreMute, LinkMute)
-	DeadlyKinds = append(append(Catalogue{}, SilentKinds...), RequestDeadly, ServerReborn, EntryForeign)
+	DeadlyKinds = append(append(Catalogue{}, SilentKinds...), RequestCrashes, ServerReborn, EntryForeign)
 	LimitKinds  = Catalogue{
 		BoxStop, BoxKill, BoxPause, BoxReload, StoreSilent, StoreCut, ServerDrain, ServerCrash, ServerReborn, ServerSpoils,
-		LinkReset, Configure, Evacuate, RequestDeadly, ServerLimited,
+		LinkReset, Configure, Evacuate, RequestCrashes, ServerLimited,
 	}
 	FormerKinds = append(append(Catalogue{}, DeadlyKinds...), ServerLimited)
 	WordKinds   = append(append(Catalogue{}, LimitKinds...), StoreBusy, StoreBlink, StoreMute, ServerLeaves, ServerRests)
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -120,7 +120,7 @@
 		r.configure()
 	case Evacuate:
 		r.evacuate(e)
-	case RequestDeadly:
+	case RequestCrashes:
 		r.sendDeadly(e)
 	case ServerReborn:
 		r.endServer(server)
