--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -45,7 +45,7 @@
 	// boxes; ServerReborn a server that ends and starts again under its id; EntryForeign
 	// entries of servers that another writer has written.
 	RequestCrashes Kind = "request-deadly"
-	ServerReborn  Kind = "server-reborn"
+	ServerRestarts  Kind = "server-reborn"
 	EntryForeign  Kind = "entry-foreign"
 	// ServerLimited is a server, or all of a service, that names the requests a second that it
 	// takes from all boxes together.
@@ -72,9 +72,9 @@
 		ServerDrain, ServerCrash, ServerReuse, ServerSpoils, LinkDelay, LinkReset, LinkSilent, LinkOneWay, Configure, Evacuate,
 	}
 	SilentKinds = append(append(Catalogue{}, FirstKinds...), StoreBlink, StoreMute, LinkMute)
-	DeadlyKinds = append(append(Catalogue{}, SilentKinds...), RequestCrashes, ServerReborn, EntryForeign)
+	DeadlyKinds = append(append(Catalogue{}, SilentKinds...), RequestCrashes, ServerRestarts, EntryForeign)
 	LimitKinds  = Catalogue{
-		BoxStop, BoxKill, BoxPause, BoxReload, StoreSilent, StoreCut, ServerDrain, ServerCrash, ServerReborn, ServerSpoils,
+		BoxStop, BoxKill, BoxPause, BoxReload, StoreSilent, StoreCut, ServerDrain, ServerCrash, ServerRestarts, ServerSpoils,
 		LinkReset, Configure, Evacuate, RequestCrashes, ServerLimited,
 	}
 	FormerKinds = append(append(Catalogue{}, DeadlyKinds...), ServerLimited)
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -122,7 +122,7 @@
 		r.evacuate(e)
 	case RequestCrashes:
 		r.sendDeadly(e)
-	case ServerReborn:
+	case ServerRestarts:
 		r.endServer(server)
 	case ServerLimited:
 		r.nameLimits(server, e)
