--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -29,7 +29,7 @@
 	ServerDrain  Kind = "server-drain"
 	ServerCrash  Kind = "server-crash"
 	ServerReuse  Kind = "server-reuse"
-	ServerSpoils Kind = "server-spoils"
+	ServerCorrupts Kind = "server-spoils"
 	LinkDelay    Kind = "link-delay"
 	LinkReset    Kind = "link-reset"
 	LinkSilent   Kind = "link-silent"
@@ -69,12 +69,12 @@
 var (
 	FirstKinds = Catalogue{
 		BoxStop, BoxKill, BoxPause, BoxReload, StoreBusy, StoreMany, StoreSilent, StoreReset, StoreForgets, StoreCut,
-		ServerDrain, ServerCrash, ServerReuse, ServerSpoils, LinkDelay, LinkReset, LinkSilent, LinkOneWay, Configure, Evacuate,
+		ServerDrain, ServerCrash, ServerReuse, ServerCorrupts, LinkDelay, LinkReset, LinkSilent, LinkOneWay, Configure, Evacuate,
 	}
 	SilentKinds = append(append(Catalogue{}, FirstKinds...), StoreBlink, StoreMute, LinkMute)
 	DeadlyKinds = append(append(Catalogue{}, SilentKinds...), RequestCrashes, ServerRestarts, EntryForeign)
 	LimitKinds  = Catalogue{
-		BoxStop, BoxKill, BoxPause, BoxReload, StoreSilent, StoreCut, ServerDrain, ServerCrash, ServerRestarts, ServerSpoils,
+		BoxStop, BoxKill, BoxPause, BoxReload, StoreSilent, StoreCut, ServerDrain, ServerCrash, ServerRestarts, ServerCorrupts,
 		LinkReset, Configure, Evacuate, RequestCrashes, ServerLimited,
 	}
 	FormerKinds = append(append(Catalogue{}, DeadlyKinds...), ServerLimited)
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -112,7 +112,7 @@
 		r.cutFromStore(box, e)
 	case ServerDrain, ServerCrash, ServerReuse:
 		r.replaceServer(server, e)
-	case ServerSpoils:
+	case ServerCorrupts:
 		r.spoilAnswers(server, e)
 	case LinkDelay, LinkReset, LinkSilent, LinkOneWay:
 		r.harmLink(server, e)
@@ -272,7 +272,7 @@
 const spoilShare = 4
 
 func (r *run) spoilAnswers(s *listedServer, e Event) {
-	end := r.open(ServerSpoils, s.server.ID)
+	end := r.open(ServerCorrupts, s.server.ID)
 	server, count := s.server, e.Target
 	server.SetFault(func(*machines.Run) machines.Fault {
 		count++
