--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -62,9 +62,9 @@
 // same catalogue for ever, so kinds are added in a new one.
 type Catalogue []Kind
 
-// FirstKinds, SilentKinds, DeadlyKinds, LimitKinds, FormerKinds, WordKinds, LaterKinds and AllKinds are the
+// FirstKinds, SilentKinds, DeadlyKinds, LimitKinds, FormerKinds, StatusHeaderKinds, LaterKinds and AllKinds are the
 // catalogues. LimitKinds are those under which a server's limit still binds: what a link holds back
-// arrives together. WordKinds are those with what servers say of themselves, beside crashes, cuts from
+// arrives together. StatusHeaderKinds are those with what servers say of themselves, beside crashes, cuts from
 // the store and its silence.
 var (
 	FirstKinds = Catalogue{
@@ -78,13 +78,13 @@
 		LinkReset, Configure, Evacuate, RequestCrashes, ServerLimited,
 	}
 	FormerKinds = append(append(Catalogue{}, DeadlyKinds...), ServerLimited)
-	WordKinds   = append(append(Catalogue{}, LimitKinds...), StoreBusy, StoreBlink, StoreMute, ServerLeaves, ServerRests)
+	StatusHeaderKinds   = append(append(Catalogue{}, LimitKinds...), StoreBusy, StoreBlink, StoreMute, ServerLeaves, ServerRests)
 	LaterKinds  = append(append(Catalogue{}, FormerKinds...), ServerLeaves, ServerRests)
 	AllKinds    = append(append(Catalogue{}, LaterKinds...), ServiceMoves)
 )
 
 // Catalogues are named by numbers, from 1, in seeds.txt and on the command line.
-var Catalogues = []Catalogue{FirstKinds, SilentKinds, DeadlyKinds, LimitKinds, FormerKinds, WordKinds, LaterKinds, AllKinds}
+var Catalogues = []Catalogue{FirstKinds, SilentKinds, DeadlyKinds, LimitKinds, FormerKinds, StatusHeaderKinds, LaterKinds, AllKinds}
 
 // Event is one thing that happens.
 type Event struct {
