--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -62,7 +62,7 @@
 // same catalogue for ever, so kinds are added in a new one.
 type Catalogue []Kind
 
-// FirstKinds, SilentKinds, DeadlyKinds, LimitKinds, FormerKinds, StatusHeaderKinds, LaterKinds and AllKinds are the
+// FirstKinds, SilentKinds, CrashKinds, LimitKinds, FormerKinds, StatusHeaderKinds, LaterKinds and AllKinds are the
 // catalogues. LimitKinds are those under which a server's limit still binds: what a link holds back
 // arrives together. StatusHeaderKinds are those with what servers say of themselves, beside crashes, cuts from
 // the store and its silence.
@@ -72,19 +72,19 @@
 		ServerDrain, ServerCrash, ServerReuse, ServerCorrupts, LinkDelay, LinkReset, LinkSilent, LinkOneWay, Configure, Evacuate,
 	}
 	SilentKinds = append(append(Catalogue{}, FirstKinds...), StoreBlink, StoreMute, LinkMute)
-	DeadlyKinds = append(append(Catalogue{}, SilentKinds...), RequestCrashes, ServerRestarts, EntryForeign)
+	CrashKinds = append(append(Catalogue{}, SilentKinds...), RequestCrashes, ServerRestarts, EntryForeign)
 	LimitKinds  = Catalogue{
 		BoxStop, BoxKill, BoxPause, BoxReload, StoreSilent, StoreCut, ServerDrain, ServerCrash, ServerRestarts, ServerCorrupts,
 		LinkReset, Configure, Evacuate, RequestCrashes, ServerLimited,
 	}
-	FormerKinds = append(append(Catalogue{}, DeadlyKinds...), ServerLimited)
+	FormerKinds = append(append(Catalogue{}, CrashKinds...), ServerLimited)
 	StatusHeaderKinds   = append(append(Catalogue{}, LimitKinds...), StoreBusy, StoreBlink, StoreMute, ServerLeaves, ServerRests)
 	LaterKinds  = append(append(Catalogue{}, FormerKinds...), ServerLeaves, ServerRests)
 	AllKinds    = append(append(Catalogue{}, LaterKinds...), ServiceMoves)
 )
 
 // Catalogues are named by numbers, from 1, in seeds.txt and on the command line.
-var Catalogues = []Catalogue{FirstKinds, SilentKinds, DeadlyKinds, LimitKinds, FormerKinds, StatusHeaderKinds, LaterKinds, AllKinds}
+var Catalogues = []Catalogue{FirstKinds, SilentKinds, CrashKinds, LimitKinds, FormerKinds, StatusHeaderKinds, LaterKinds, AllKinds}
 
 // Event is one thing that happens.
 type Event struct {
