--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -48,7 +48,7 @@
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
 	r.deadly.set(target)
 	r.note(func(h *History) { h.Deadly = append(h.Deadly, target) })
-	end := min(deadlyTimes*e.For, r.Plan.Length-e.At)
+	end := min(deadlyTimes*e.Duration, r.Plan.Length-e.At)
 	until := time.Now().Add(end)
 	r.striking.Go(func() {
 		for i := e.Target; time.Now().Before(until); i++ {
@@ -129,7 +129,7 @@
 	if replaced {
 		r.fleet.Store.Put("servers", server.ID, spec)
 	}
-	r.later(e.For, func() {
+	r.later(e.Duration, func() {
 		r.fleet.Store.Delete("servers", name)
 		again := false
 		r.note(func(*History) { again = replaced && s.server == server && !s.left })
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -35,7 +35,7 @@
 	perSecond := namedLimits[e.Target%len(namedLimits)]
 	for _, other := range r.servers {
 		if other == s || e.Target%4 == 0 && other.service == s.service {
-			r.nameLimit(other, perSecond, min(limitTimes*e.For, r.Plan.Length-e.At))
+			r.nameLimit(other, perSecond, min(limitTimes*e.Duration, r.Plan.Length-e.At))
 		}
 	}
 }
--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -40,7 +40,7 @@
 // bad version. An order runs at a time for each service.
 func (r *run) moveService(s *listedServer, e Event) {
 	m := Move{Service: s.service, Version: fmt.Sprintf("v-%d", e.At.Milliseconds()), Bad: e.Target%2 == 0, From: time.Now()}
-	d := min(moveTimes*e.For, r.Plan.Length-e.At)
+	d := min(moveTimes*e.Duration, r.Plan.Length-e.At)
 	m.To = m.From.Add(d)
 	runs := false
 	r.note(func(h *History) {
--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -93,7 +93,7 @@
 	// Target is the number of the box, server or zone that it strikes, modulo
 	// how many there are.
 	Target int
-	For    time.Duration
+	Duration    time.Duration
 }
 
 // Plan is all that happens in a run.
@@ -127,7 +127,7 @@
 			At:     firstEvent + time.Duration(random.Int63n(int64(window))),
 			Kind:   kinds[random.Intn(len(kinds))],
 			Target: random.Intn(1 << 16),
-			For:    shortest + time.Duration(random.Int63n(int64(longest-shortest))),
+			Duration:    shortest + time.Duration(random.Int63n(int64(longest-shortest))),
 		}
 		p.Events = append(p.Events, e)
 		if random.Float64() >= seriesShare {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -305,6 +305,6 @@
 
 func printPlan(out io.Writer, p *Plan) {
 	for _, e := range p.Events {
-		fmt.Fprintf(out, "  %6.2f s  %-13s %d for %.1f s\n", e.At.Seconds(), e.Kind, e.Target%p.Boxes, e.For.Seconds())
+		fmt.Fprintf(out, "  %6.2f s  %-13s %d for %.1f s\n", e.At.Seconds(), e.Kind, e.Target%p.Boxes, e.Duration.Seconds())
 	}
 }
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -173,7 +173,7 @@
 func (r *run) pauseBox(b *processes.Box, e Event) {
 	end := r.open(BoxPause, b.IP)
 	b.Signal(syscall.SIGSTOP)
-	r.later(e.For, func() {
+	r.later(e.Duration, func() {
 		b.Signal(syscall.SIGCONT)
 		end()
 	})
@@ -197,7 +197,7 @@
 		}
 		return machines.Serving
 	})
-	r.later(e.For, func() {
+	r.later(e.Duration, func() {
 		r.fleet.Store.SetTreat(nil)
 		end()
 	})
@@ -207,7 +207,7 @@
 func (r *run) silenceStore(e Event) {
 	end := r.open(StoreBlink, "")
 	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
-	r.later(e.For/blinkShare, func() {
+	r.later(e.Duration/blinkShare, func() {
 		r.fleet.Store.SetTreat(nil)
 		end()
 	})
@@ -220,7 +220,7 @@
 		cut := source == b.IP
 		return faultproxy.Fault{HoldRequests: cut, HoldAnswers: cut}
 	})
-	r.later(e.For, func() {
+	r.later(e.Duration, func() {
 		r.store.Clear()
 		end()
 	})
@@ -281,7 +281,7 @@
 		}
 		return spoils[count/spoilShare%len(spoils)]
 	})
-	r.later(e.For, func() {
+	r.later(e.Duration, func() {
 		server.SetFault(nil)
 		end()
 	})
@@ -303,7 +303,7 @@
 		}
 		return fault
 	})
-	r.later(e.For, func() {
+	r.later(e.Duration, func() {
 		s.link.Clear()
 		end()
 	})
@@ -312,5 +312,5 @@
 func (r *run) evacuate(e Event) {
 	zone := machines.Zones[e.Target%len(machines.Zones)].Zone
 	r.fleet.Store.Put("evacuations", zone, map[string]any{})
-	r.later(e.For, func() { r.fleet.Store.Delete("evacuations", zone) })
+	r.later(e.Duration, func() { r.fleet.Store.Delete("evacuations", zone) })
 }
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -33,7 +33,7 @@
 	}
 	old := s.server
 	old.Say(machines.SaysLeaving, "1")
-	r.later(min(e.For, mostUnlisted)+boundDrain, func() {
+	r.later(min(e.Duration, mostUnlisted)+boundDrain, func() {
 		r.fleet.List(old, s.service, s.zone, "draining", 0)
 		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
 		time.Sleep(replaceAfter)
@@ -56,7 +56,7 @@
 		var server *machines.Server
 		r.note(func(*History) { server = other.server })
 		server.AskForRest(seconds)
-		r.later(min(restTimes*e.For, r.Plan.Length-e.At), func() { server.AskForRest("") })
+		r.later(min(restTimes*e.Duration, r.Plan.Length-e.At), func() { server.AskForRest("") })
 	}
 }
 
