--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -111,7 +111,7 @@
 	leastEvents  = 8
 	mostEvents   = 20
 	minDuration     = 300 * time.Millisecond
-	longest      = 3500 * time.Millisecond
+	maxDuration      = 3500 * time.Millisecond
 	seriesShare  = 0.25
 	seriesPause  = 350 * time.Millisecond
 	seriesLength = 3
@@ -127,7 +127,7 @@
 			At:     firstEvent + time.Duration(random.Int63n(int64(window))),
 			Kind:   kinds[random.Intn(len(kinds))],
 			Target: random.Intn(1 << 16),
-			Duration:    minDuration + time.Duration(random.Int63n(int64(longest-minDuration))),
+			Duration:    minDuration + time.Duration(random.Int63n(int64(maxDuration-minDuration))),
 		}
 		p.Events = append(p.Events, e)
 		if random.Float64() >= seriesShare {
