--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -108,7 +108,7 @@
 const (
 	firstEvent   = 1 * time.Second
 	lastEvent    = 2500 * time.Millisecond // before the end
-	leastEvents  = 8
+	minEvents  = 8
 	mostEvents   = 20
 	minDuration     = 300 * time.Millisecond
 	maxDuration      = 3500 * time.Millisecond
@@ -122,7 +122,7 @@
 	random := rand.New(rand.NewSource(seed))
 	p := &Plan{Seed: seed, Boxes: boxes, Length: length}
 	window := length - firstEvent - lastEvent
-	for range leastEvents + random.Intn(mostEvents-leastEvents) {
+	for range minEvents + random.Intn(mostEvents-minEvents) {
 		e := Event{
 			At:     firstEvent + time.Duration(random.Int63n(int64(window))),
 			Kind:   kinds[random.Intn(len(kinds))],
