--- a/test/soak/plan.go
+++ b/test/soak/plan.go
@@ -109,7 +109,7 @@
 	firstEvent   = 1 * time.Second
 	lastEvent    = 2500 * time.Millisecond // before the end
 	minEvents  = 8
-	mostEvents   = 20
+	maxEvents   = 20
 	minDuration     = 300 * time.Millisecond
 	maxDuration      = 3500 * time.Millisecond
 	seriesShare  = 0.25
@@ -122,7 +122,7 @@
 	random := rand.New(rand.NewSource(seed))
 	p := &Plan{Seed: seed, Boxes: boxes, Length: length}
 	window := length - firstEvent - lastEvent
-	for range minEvents + random.Intn(mostEvents-minEvents) {
+	for range minEvents + random.Intn(maxEvents-minEvents) {
 		e := Event{
 			At:     firstEvent + time.Duration(random.Int63n(int64(window))),
 			Kind:   kinds[random.Intn(len(kinds))],
