--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -25,7 +25,7 @@
 
 // The deployment of a run.
 const (
-	leastServers  = 2 // of each service in each zone
+	minServers  = 2 // of each service in each zone
 	slots         = 4
 	work          = 15 * time.Millisecond
 	startTime     = 15 * time.Second
@@ -40,7 +40,7 @@
 // serversEach returns how many servers of each service a zone has: as many as it
 // has boxes. Clients come with the boxes; with fewer servers the load alone would
 // have requests refused.
-func serversEach(boxes int) int { return max(leastServers, boxes/len(machines.Zones)) }
+func serversEach(boxes int) int { return max(minServers, boxes/len(machines.Zones)) }
 
 // Options are those of one run.
 type Options struct {
