--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -75,7 +75,7 @@
 	var list []*machines.Server
 	for i := range moveServers {
 		id := fmt.Sprintf("%s-%s-%d", m.Service, m.Version, i)
-		server, err := machines.NewServer(r.Network+".100", id, slots, work)
+		server, err := machines.NewServer(r.Network+".100", id, slots, serviceTime)
 		if err != nil {
 			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
 			continue
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -27,7 +27,7 @@
 const (
 	minServers  = 2 // of each service in each zone
 	slots         = 4
-	work          = 15 * time.Millisecond
+	serviceTime          = 15 * time.Millisecond
 	startTime     = 15 * time.Second
 	settleTime    = 3500 * time.Millisecond
 	recoveryTime  = 1500 * time.Millisecond
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -54,7 +54,7 @@
 
 // serve puts a new server behind the proxy of an entry.
 func (r *run) serve(s *listedServer, id string) error {
-	server, err := machines.NewServer(r.Network+".100", id, slots, work)
+	server, err := machines.NewServer(r.Network+".100", id, slots, serviceTime)
 	if err != nil {
 		return err
 	}
