--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -50,7 +50,7 @@
 	r.note(func(h *History) { h.Deadly = append(h.Deadly, target) })
 	end := min(deadlyTimes*e.Duration, r.Plan.Length-e.At)
 	until := time.Now().Add(end)
-	r.striking.Go(func() {
+	r.injections.Go(func() {
 		for i := e.Target; time.Now().Before(until); i++ {
 			b := r.boxes[i%len(r.boxes)]
 			c := &machines.Client{Address: b.Clients()}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -65,7 +65,7 @@
 	random   *rand.Rand
 	version  int
 	began    time.Time
-	striking conc.WaitGroup
+	injections conc.WaitGroup
 }
 
 // Run plays one plan and returns what was broken. The error says that the run
@@ -166,7 +166,7 @@
 		r.strike(e)
 	}
 	clients.Wait()
-	r.striking.Wait()
+	r.injections.Wait()
 	for _, b := range r.boxes {
 		_ = b.WaitReady(startTime)
 	}
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -139,7 +139,7 @@
 
 // later does something when the event is over.
 func (r *run) later(d time.Duration, do func()) {
-	r.striking.Go(func() {
+	r.injections.Go(func() {
 		time.Sleep(d)
 		do()
 	})
@@ -150,7 +150,7 @@
 	end := r.open(e.Kind, b.IP)
 	exited := b.Exited()
 	b.Signal(signal)
-	r.striking.Go(func() {
+	r.injections.Go(func() {
 		defer end()
 		// A paused process takes a signal only when it goes on.
 		select {
