--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -171,12 +171,12 @@
 		_ = b.WaitReady(startTime)
 	}
 	time.Sleep(settleTime)
-	r.recover()
+	r.measureRecovery()
 	time.Sleep(lateRunTime)
 }
 
-// recover counts what is answered after all faults are over.
-func (r *run) recover() {
+// measureRecovery counts what is answered after all faults are over.
+func (r *run) measureRecovery() {
 	before := 0
 	r.note(func(h *History) { before = len(h.Requests) })
 	var clients conc.WaitGroup
