--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -163,7 +163,7 @@
 	r.startClients(&clients, end)
 	for _, e := range r.Plan.Events {
 		time.Sleep(time.Until(r.began.Add(e.At)))
-		r.strike(e)
+		r.inject(e)
 	}
 	clients.Wait()
 	r.injections.Wait()
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -82,8 +82,8 @@
 	})
 }
 
-// strike does one event. What ends later is done in the background.
-func (r *run) strike(e Event) {
+// inject does one event. What ends later is done in the background.
+func (r *run) inject(e Event) {
 	box := r.boxes[e.Target%len(r.boxes)]
 	server := r.servers[e.Target%len(r.servers)]
 	switch e.Kind {
