--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -96,7 +96,7 @@
 	case BoxReload:
 		box.Signal(syscall.SIGHUP)
 	case StoreBusy, StoreMany, StoreSilent, StoreReset:
-		r.troubleStore(e)
+		r.disruptStore(e)
 	case StoreBlink:
 		r.silenceStore(e)
 	case StoreMute:
@@ -179,8 +179,8 @@
 	})
 }
 
-// troubleStore has the store turn some or all boxes away.
-func (r *run) troubleStore(e Event) {
+// disruptStore has the store turn some or all boxes away.
+func (r *run) disruptStore(e Event) {
 	mode := map[Kind]machines.Mode{
 		StoreBusy: machines.Busy, StoreMany: machines.Many, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
 	}[e.Kind]
