--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -115,7 +115,7 @@
 	case ServerCorrupts:
 		r.spoilAnswers(server, e)
 	case LinkDelay, LinkReset, LinkSilent, LinkOneWay:
-		r.harmLink(server, e)
+		r.disruptLink(server, e)
 	case Configure:
 		r.configure()
 	case Evacuate:
@@ -287,8 +287,8 @@
 	})
 }
 
-// harmLink harms the link of every box, or of one, to a server.
-func (r *run) harmLink(s *listedServer, e Event) {
+// disruptLink harms the link of every box, or of one, to a server.
+func (r *run) disruptLink(s *listedServer, e Event) {
 	fault := map[Kind]faultproxy.Fault{
 		LinkDelay: {Delay: delay}, LinkReset: {Reset: true}, LinkSilent: {HoldAnswers: true, HoldRequests: true}, LinkOneWay: {HoldAnswers: true},
 	}[e.Kind]
