--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -113,7 +113,7 @@
 	case ServerDrain, ServerCrash, ServerReuse:
 		r.replaceServer(server, e)
 	case ServerCorrupts:
-		r.spoilAnswers(server, e)
+		r.corruptAnswers(server, e)
 	case LinkDelay, LinkReset, LinkSilent, LinkOneWay:
 		r.disruptLink(server, e)
 	case Configure:
@@ -271,7 +271,7 @@
 // spoilShare of a spoiled server's answers are spoiled, one in so many.
 const spoilShare = 4
 
-func (r *run) spoilAnswers(s *listedServer, e Event) {
+func (r *run) corruptAnswers(s *listedServer, e Event) {
 	end := r.open(ServerCorrupts, s.server.ID)
 	server, count := s.server, e.Target
 	server.SetFault(func(*machines.Run) machines.Fault {
