--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -263,8 +263,8 @@
 	})
 }
 
-// spoils are the ways in which servers spoil answers.
-var spoils = []machines.Fault{
+// corruptions are the ways in which servers spoil answers.
+var corruptions = []machines.Fault{
 	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.Foreign, machines.Garbage, machines.Mute,
 }
 
@@ -279,7 +279,7 @@
 		if count%spoilShare != 0 {
 			return machines.NoFault
 		}
-		return spoils[count/spoilShare%len(spoils)]
+		return corruptions[count/spoilShare%len(corruptions)]
 	})
 	r.later(e.Duration, func() {
 		server.SetFault(nil)
