--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -268,18 +268,18 @@
 	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.Foreign, machines.Garbage, machines.Mute,
 }
 
-// spoilShare of a spoiled server's answers are spoiled, one in so many.
-const spoilShare = 4
+// corruptOneIn of a spoiled server's answers are spoiled, one in so many.
+const corruptOneIn = 4
 
 func (r *run) corruptAnswers(s *listedServer, e Event) {
 	end := r.open(ServerCorrupts, s.server.ID)
 	server, count := s.server, e.Target
 	server.SetFault(func(*machines.Run) machines.Fault {
 		count++
-		if count%spoilShare != 0 {
+		if count%corruptOneIn != 0 {
 			return machines.NoFault
 		}
-		return corruptions[count/spoilShare%len(corruptions)]
+		return corruptions[count/corruptOneIn%len(corruptions)]
 	})
 	r.later(e.Duration, func() {
 		server.SetFault(nil)
