--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -70,7 +70,7 @@
 // endServer ends a server that starts again under its id.
 func (r *run) endServer(s *listedServer) {
 	server, left := s.server, false
-	r.note(func(*History) { left, s.left = s.left, true })
+	r.note(func(*History) { left, s.departed = s.departed, true })
 	if left {
 		return
 	}
@@ -83,7 +83,7 @@
 // and under another one while the old entry lapses.
 func (r *run) serverEnded(s *listedServer, server *machines.Server) {
 	left, number := false, 0
-	r.note(func(*History) { left, s.left, number = s.left, true, len(r.fleet.Servers) })
+	r.note(func(*History) { left, s.departed, number = s.departed, true, len(r.fleet.Servers) })
 	if left {
 		return
 	}
@@ -124,7 +124,7 @@
 	name := fmt.Sprintf("foreign-%d", e.Target)
 	r.fleet.Store.Put("servers", name, spec)
 	server, left := s.server, false
-	r.note(func(*History) { left = s.left })
+	r.note(func(*History) { left = s.departed })
 	replaced := e.Target%2 == 1 && !left
 	if replaced {
 		r.fleet.Store.Put("servers", server.ID, spec)
@@ -132,7 +132,7 @@
 	r.later(e.Duration, func() {
 		r.fleet.Store.Delete("servers", name)
 		again := false
-		r.note(func(*History) { again = replaced && s.server == server && !s.left })
+		r.note(func(*History) { again = replaced && s.server == server && !s.departed })
 		if again {
 			r.fleet.List(server, s.service, s.zone, "ready", 0)
 		}
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -44,7 +44,7 @@
 	var server *machines.Server
 	index := -1
 	r.note(func(h *History) {
-		if s.left || slices.ContainsFunc(h.Limited, func(l Limited) bool { return l.Server == s.key }) {
+		if s.departed || slices.ContainsFunc(h.Limited, func(l Limited) bool { return l.Server == s.key }) {
 			// It has ended, or has named one before: what it names changes once.
 			return
 		}
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -21,7 +21,7 @@
 	link    *faultproxy.Proxy
 	service string
 	zone    string
-	left    bool
+	departed    bool
 	// key names the server's life in the history: an id may have several.
 	key string
 }
@@ -62,7 +62,7 @@
 	server.SetDeadly(r.isDeadly, func() { r.serverEnded(s, server) })
 	s.link.SetTarget(server.Address)
 	r.note(func(*History) {
-		s.server, s.left, s.key = server, false, id
+		s.server, s.departed, s.key = server, false, id
 		for n := 2; r.fleet.Servers[s.key] != nil; n++ {
 			s.key = fmt.Sprintf("%s#%d", id, n)
 		}
@@ -229,10 +229,10 @@
 // replaceServer has a server leave, announced or not, and another one come at
 // its address.
 func (r *run) replaceServer(s *listedServer, e Event) {
-	if s.left {
+	if s.departed {
 		return
 	}
-	s.left = true
+	s.departed = true
 	old := s.server
 	r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
 	wait := replaceAfter
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -27,7 +27,7 @@
 // say so.
 func (r *run) leaveInAnswers(s *listedServer, e Event) {
 	left := false
-	r.note(func(*History) { left, s.left = s.left, true })
+	r.note(func(*History) { left, s.departed = s.departed, true })
 	if left {
 		return
 	}
