--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -44,12 +44,12 @@
 	var server *machines.Server
 	index := -1
 	r.note(func(h *History) {
-		if s.departed || slices.ContainsFunc(h.Limited, func(l Limited) bool { return l.Server == s.key }) {
+		if s.departed || slices.ContainsFunc(h.Limited, func(l Limited) bool { return l.Server == s.historyKey }) {
 			// It has ended, or has named one before: what it names changes once.
 			return
 		}
 		server, index = s.server, len(h.Limited)
-		h.Limited = append(h.Limited, Limited{Server: s.key, PerSecond: perSecond, From: time.Now()})
+		h.Limited = append(h.Limited, Limited{Server: s.historyKey, PerSecond: perSecond, From: time.Now()})
 	})
 	if server == nil {
 		return
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -22,8 +22,8 @@
 	service string
 	zone    string
 	departed    bool
-	// key names the server's life in the history: an id may have several.
-	key string
+	// historyKey names the server's life in the history: an id may have several.
+	historyKey string
 }
 
 const (
@@ -62,11 +62,11 @@
 	server.SetDeadly(r.isDeadly, func() { r.serverEnded(s, server) })
 	s.link.SetTarget(server.Address)
 	r.note(func(*History) {
-		s.server, s.departed, s.key = server, false, id
-		for n := 2; r.fleet.Servers[s.key] != nil; n++ {
-			s.key = fmt.Sprintf("%s#%d", id, n)
+		s.server, s.departed, s.historyKey = server, false, id
+		for n := 2; r.fleet.Servers[s.historyKey] != nil; n++ {
+			s.historyKey = fmt.Sprintf("%s#%d", id, n)
 		}
-		r.fleet.Servers[s.key] = server
+		r.fleet.Servers[s.historyKey] = server
 	})
 	r.fleet.List(server, s.service, s.zone, "ready", 0)
 	return nil
@@ -234,7 +234,7 @@
 	}
 	s.departed = true
 	old := s.server
-	r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
+	r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 	wait := replaceAfter
 	switch e.Kind {
 	case ServerDrain:
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -35,7 +35,7 @@
 	old.Say(machines.SaysLeaving, "1")
 	r.later(min(e.Duration, mostUnlisted)+boundDrain, func() {
 		r.fleet.List(old, s.service, s.zone, "draining", 0)
-		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
+		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 		time.Sleep(replaceAfter)
 		if err := r.serve(s, fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())); err != nil {
 			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
