--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -31,8 +31,8 @@
 	delay = 60 * time.Millisecond
 	// blinkShare is which part of an event's time a store is silent for a moment.
 	blinkShare = 3
-	// muteFound is after what time a connection that has gone silent breaks.
-	muteFound = 3 * time.Second
+	// muteTimeout is after what time a connection that has gone silent breaks.
+	muteTimeout = 3 * time.Second
 	// replaceAfter is when a server that left has a successor.
 	replaceAfter = 800 * time.Millisecond
 	// restartPause is the pause before a process that ended starts again.
@@ -101,10 +101,10 @@
 		r.silenceStore(e)
 	case StoreMute:
 		r.open(StoreMute, "")()
-		r.store.Silence(muteFound)
+		r.store.Silence(muteTimeout)
 	case LinkMute:
 		r.open(LinkMute, "")()
-		server.link.Silence(muteFound)
+		server.link.Silence(muteTimeout)
 	case StoreForgets:
 		r.open(StoreForgets, "")()
 		r.fleet.Store.Compact()
