--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -29,8 +29,8 @@
 const (
 	// delay is what a slow link adds to each piece of data.
 	delay = 60 * time.Millisecond
-	// blinkShare is which part of an event's time a store is silent for a moment.
-	blinkShare = 3
+	// blinkDivisor is which part of an event's time a store is silent for a moment.
+	blinkDivisor = 3
 	// muteTimeout is after what time a connection that has gone silent breaks.
 	muteTimeout = 3 * time.Second
 	// replaceAfter is when a server that left has a successor.
@@ -207,7 +207,7 @@
 func (r *run) silenceStore(e Event) {
 	end := r.open(StoreBlink, "")
 	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
-	r.later(e.Duration/blinkShare, func() {
+	r.later(e.Duration/blinkDivisor, func() {
 		r.fleet.Store.SetTreat(nil)
 		end()
 	})
