--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -43,8 +43,8 @@
 	return r.deadly.now[target]
 }
 
-// sendDeadly has a client send a request again and again that ends the servers that run it.
-func (r *run) sendDeadly(e Event) {
+// sendCrashing has a client send a request again and again that ends the servers that run it.
+func (r *run) sendCrashing(e Event) {
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
 	r.deadly.set(target)
 	r.note(func(h *History) { h.Deadly = append(h.Deadly, target) })
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -121,7 +121,7 @@
 	case Evacuate:
 		r.evacuate(e)
 	case RequestCrashes:
-		r.sendDeadly(e)
+		r.sendCrashing(e)
 	case ServerRestarts:
 		r.endServer(server)
 	case ServerLimited:
