--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -37,7 +37,7 @@
 	d.now[target] = true
 }
 
-func (r *run) isDeadly(target string) bool {
+func (r *run) isCrashing(target string) bool {
 	r.deadly.mu.Lock()
 	defer r.deadly.mu.Unlock()
 	return r.deadly.now[target]
