--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -79,9 +79,9 @@
 	r.startAgain(s, server.ID, func() {})
 }
 
-// serverEnded starts another server for one that a request has ended: in turn under its id,
+// replaceCrashed starts another server for one that a request has ended: in turn under its id,
 // and under another one while the old entry lapses.
-func (r *run) serverEnded(s *listedServer, server *machines.Server) {
+func (r *run) replaceCrashed(s *listedServer, server *machines.Server) {
 	left, number := false, 0
 	r.note(func(*History) { left, s.departed, number = s.departed, true, len(r.fleet.Servers) })
 	if left {
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	server.Advertised = s.link.Address()
-	server.SetDeadly(r.isCrashing, func() { r.serverEnded(s, server) })
+	server.SetDeadly(r.isCrashing, func() { r.replaceCrashed(s, server) })
 	s.link.SetTarget(server.Address)
 	r.note(func(*History) {
 		s.server, s.departed, s.historyKey = server, false, id
