--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// endServer ends a server that starts again under its id.
-func (r *run) endServer(s *listedServer) {
+// restartServer ends a server that starts again under its id.
+func (r *run) restartServer(s *listedServer) {
 	server, left := s.server, false
 	r.note(func(*History) { left, s.departed = s.departed, true })
 	if left {
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -123,7 +123,7 @@
 	case RequestCrashes:
 		r.sendCrashing(e)
 	case ServerRestarts:
-		r.endServer(server)
+		r.restartServer(server)
 	case ServerLimited:
 		r.nameLimits(server, e)
 	case ServerLeaves:
