--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -22,13 +22,13 @@
 	lapse = 1500 * time.Millisecond
 )
 
-// deadlyTargets are the targets that end servers now.
-type deadlyTargets struct {
+// crashingTargets are the targets that end servers now.
+type crashingTargets struct {
 	mu  sync.Mutex
 	now map[string]bool
 }
 
-func (d *deadlyTargets) set(target string) {
+func (d *crashingTargets) set(target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.now == nil {
