--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -38,15 +38,15 @@
 }
 
 func (r *run) isCrashing(target string) bool {
-	r.deadly.mu.Lock()
-	defer r.deadly.mu.Unlock()
-	return r.deadly.now[target]
+	r.crashing.mu.Lock()
+	defer r.crashing.mu.Unlock()
+	return r.crashing.now[target]
 }
 
 // sendCrashing has a client send a request again and again that ends the servers that run it.
 func (r *run) sendCrashing(e Event) {
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
-	r.deadly.set(target)
+	r.crashing.set(target)
 	r.note(func(h *History) { h.Deadly = append(h.Deadly, target) })
 	end := min(deadlyTimes*e.Duration, r.Plan.Length-e.At)
 	until := time.Now().Add(end)
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -57,7 +57,7 @@
 type run struct {
 	Options
 	recorder
-	deadly   crashingTargets
+	crashing   crashingTargets
 	fleet    *machines.Fleet
 	boxes    []*processes.Box
 	store    *faultproxy.Proxy
