--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -112,15 +112,15 @@
 	})
 }
 
-// foreign are entries that name no server.
-var foreign = []any{
+// foreignEntries are entries that name no server.
+var foreignEntries = []any{
 	"text", 7, nil, []int{1}, map[string]any{}, map[string]any{"service": "shop", "state": "ready"},
 	map[string]any{"service": 7, "address": true, "zone": "east-a", "version": "v1", "slots": "many", "state": "tired", "cold-remaining-ms": 0, "call-seq": 1},
 }
 
 // writeForeign has another writer write entries, also in the place of a server's.
 func (r *run) writeForeign(s *listedServer, e Event) {
-	spec := foreign[e.Target%len(foreign)]
+	spec := foreignEntries[e.Target%len(foreignEntries)]
 	name := fmt.Sprintf("foreign-%d", e.Target)
 	r.fleet.Store.Put("servers", name, spec)
 	server, left := s.server, false
