--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -22,7 +22,7 @@
 		id := fmt.Sprint("r", i)
 		sent := after(time.Duration(i) * time.Second)
 		h.Requests = append(h.Requests, Request{
-			ID: id, Kind: kind, Method: "POST", Target: "/x/" + id, Body: id, Box: "b1", Life: 1, Timeout: time.Second,
+			ID: id, Kind: kind, Method: "POST", Target: "/x/" + id, Body: id, Box: "b1", Incarnation: 1, Timeout: time.Second,
 			Sent: sent, Ended: sent.Add(20 * time.Millisecond), Status: 200, Whole: true, Signed: true,
 		})
 		header := http.Header{"X-Stoneworks-Tenant": {usualCustomer}}
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -99,7 +99,7 @@
 func newRequest(b *processes.Box, route *machines.Route, random *rand.Rand) Request {
 	q := Request{
 		ID: newID(), Kind: route.Kind, Method: "GET", Target: route.Prefix + fmt.Sprint(random.Intn(1000)),
-		Box: b.IP, Life: b.Life(), Timeout: time.Duration(route.TimeoutMS) * time.Millisecond, Sent: time.Now(),
+		Box: b.IP, Incarnation: b.Life(), Timeout: time.Duration(route.TimeoutMS) * time.Millisecond, Sent: time.Now(),
 	}
 	if route.Kind != "safe" {
 		q.Method, q.Body = "POST", "body of "+q.ID
@@ -178,7 +178,7 @@
 		version := max(1, newest-n%2)
 		life, at := b.Life(), time.Now()
 		q := Request{
-			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Life: life,
+			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Incarnation: life,
 			Timeout: time.Second + 200*time.Millisecond, Sent: at,
 		}
 		answer := c.Do(q.Method, q.Target, q.ID, "", claims(keyOf(usualCustomer))+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -70,7 +70,7 @@
 		if newest > 1 {
 			q := r.aside(c, b, keyOfVersion(newest-1))
 			r.note(func(h *History) {
-				h.OldKeys = append(h.OldKeys, Probe{Box: q.Box, Life: q.Life, Version: newest - 1, At: q.Sent, Status: q.Status})
+				h.OldKeys = append(h.OldKeys, Probe{Box: q.Box, Life: q.Incarnation, Version: newest - 1, At: q.Sent, Status: q.Status})
 			})
 		}
 		time.Sleep(probePause)
@@ -80,7 +80,7 @@
 // aside sends a request that is no part of what is asked of the recovery.
 func (r *run) aside(c *machines.Client, b *processes.Box, key string) Request {
 	q := Request{
-		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Life: b.Life(),
+		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Incarnation: b.Life(),
 		Timeout: time.Second + 200*time.Millisecond, Sent: time.Now(),
 	}
 	answer := c.Do(q.Method, q.Target, q.ID, "", claims(key)+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -22,7 +22,7 @@
 	// Box is the IP number of the box that it was sent to, Life which of its
 	// lives.
 	Box     string
-	Life    int
+	Incarnation    int
 	Timeout time.Duration
 	Sent    time.Time
 	Ended   time.Time
