--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -287,7 +287,7 @@
 		if p.Status != http.StatusOK {
 			continue
 		}
-		key := life{p.Box, p.Life}
+		key := life{p.Box, p.Incarnation}
 		if p.Version < newest[key] {
 			found = append(found, fmt.Sprintf("%s followed version %d after %d", p.Box, p.Version, newest[key]))
 		}
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -30,7 +30,7 @@
 		h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: sent})
 	}
 	h.Configurations = []Acknowledged{{Version: 1, At: start}}
-	h.Probes = []Probe{{Box: "b1", Life: 1, Version: 1, At: after(5 * time.Second), Status: 200}}
+	h.Probes = []Probe{{Box: "b1", Incarnation: 1, Version: 1, At: after(5 * time.Second), Status: 200}}
 	h.Recovery.Sent, h.Recovery.Answered = 100, 100
 	return h
 }
@@ -65,7 +65,7 @@
 		},
 		"old-keys": func(h *History) {
 			h.Configurations = append(h.Configurations, Acknowledged{Version: 2, At: after(20 * time.Second)})
-			h.OldKeys = []Probe{{Box: "b1", Life: 1, Version: 1, At: after(24 * time.Second), Status: 200}}
+			h.OldKeys = []Probe{{Box: "b1", Incarnation: 1, Version: 1, At: after(24 * time.Second), Status: 200}}
 		},
 		"whole":        func(h *History) { h.Requests[0].Whole = false },
 		"at-most-once": func(h *History) { h.Runs["s2"] = h.Runs["s1"][1:2] },
@@ -97,8 +97,8 @@
 		"no-regress": func(h *History) {
 			h.Configurations = append(h.Configurations, Acknowledged{Version: 2, At: after(time.Second)})
 			h.Probes = []Probe{
-				{Box: "b1", Life: 1, Version: 2, At: after(2 * time.Second), Status: 200},
-				{Box: "b1", Life: 1, Version: 1, At: after(3 * time.Second), Status: 200},
+				{Box: "b1", Incarnation: 1, Version: 2, At: after(2 * time.Second), Status: 200},
+				{Box: "b1", Incarnation: 1, Version: 1, At: after(3 * time.Second), Status: 200},
 			}
 		},
 		"deadly-kept": func(h *History) {
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -198,7 +198,7 @@
 				h.Left = append(h.Left, q)
 			}
 			if life == b.Life() {
-				h.Probes = append(h.Probes, Probe{Box: b.IP, Life: life, Version: version, At: at, Status: q.Status})
+				h.Probes = append(h.Probes, Probe{Box: b.IP, Incarnation: life, Version: version, At: at, Status: q.Status})
 			}
 		})
 		time.Sleep(probePause)
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -70,7 +70,7 @@
 		if newest > 1 {
 			q := r.aside(c, b, keyOfVersion(newest-1))
 			r.note(func(h *History) {
-				h.OldKeys = append(h.OldKeys, Probe{Box: q.Box, Life: q.Incarnation, Version: newest - 1, At: q.Sent, Status: q.Status})
+				h.OldKeys = append(h.OldKeys, Probe{Box: q.Box, Incarnation: q.Incarnation, Version: newest - 1, At: q.Sent, Status: q.Status})
 			})
 		}
 		time.Sleep(probePause)
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -40,7 +40,7 @@
 // that only one version has.
 type Probe struct {
 	Box     string
-	Life    int
+	Incarnation    int
 	Version int
 	At      time.Time
 	Status  int
