--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -87,7 +87,7 @@
 // whole: a success is the whole answer of a server to this very request.
 func whole(h *History) (found []string) {
 	for _, r := range h.Requests {
-		if r.Status >= 200 && r.Status < 300 && (!r.Whole || !r.Signed) {
+		if r.Status >= 200 && r.Status < 300 && (!r.BodyMatches || !r.Signed) {
 			found = append(found, fmt.Sprintf("%s: a success that is not the whole answer", r.ID))
 		}
 	}
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -23,7 +23,7 @@
 		sent := after(time.Duration(i) * time.Second)
 		h.Requests = append(h.Requests, Request{
 			ID: id, Kind: kind, Method: "POST", Target: "/x/" + id, Body: id, Box: "b1", Incarnation: 1, Timeout: time.Second,
-			Sent: sent, Ended: sent.Add(20 * time.Millisecond), Status: 200, Whole: true, Signed: true,
+			Sent: sent, Ended: sent.Add(20 * time.Millisecond), Status: 200, BodyMatches: true, Signed: true,
 		})
 		header := http.Header{"X-Stoneworks-Tenant": {usualCustomer}}
 		h.Runs["s1"] = append(h.Runs["s1"], machines.Run{ID: id, Method: "POST", Target: "/x/" + id, Body: id, At: sent, Header: header})
@@ -67,7 +67,7 @@
 			h.Configurations = append(h.Configurations, Acknowledged{Version: 2, At: after(20 * time.Second)})
 			h.OldKeys = []Probe{{Box: "b1", Incarnation: 1, Version: 1, At: after(24 * time.Second), Status: 200}}
 		},
-		"whole":        func(h *History) { h.Requests[0].Whole = false },
+		"whole":        func(h *History) { h.Requests[0].BodyMatches = false },
 		"at-most-once": func(h *History) { h.Runs["s2"] = h.Runs["s1"][1:2] },
 		"refused-not-run": func(h *History) {
 			h.Requests[2].Status = 503
@@ -118,7 +118,7 @@
 			h.Limited = []Limited{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 			for i := range 12 {
 				id, at := fmt.Sprint("n", i), after(13*time.Second+time.Duration(i)*100*time.Millisecond)
-				h.Requests = append(h.Requests, Request{ID: id, Whole: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
+				h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
 				h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: at})
 			}
 		},
@@ -126,7 +126,7 @@
 			h.Moves = []Move{{Service: "shop", Version: "v2", Servers: []string{"s9"}, Bad: true, From: start, To: after(10 * time.Second)}}
 			for i := range exposedSlack + 30 {
 				id := fmt.Sprint("e", i)
-				h.Requests = append(h.Requests, Request{ID: id, Whole: true, Signed: true, Timeout: time.Second, Sent: after(time.Second), Ended: after(time.Second)})
+				h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: after(time.Second), Ended: after(time.Second)})
 				h.Arrivals["s9"] = append(h.Arrivals["s9"], machines.Arrival{ID: id, From: "b1", At: after(time.Second)})
 			}
 		},
@@ -170,7 +170,7 @@
 	h.Limited = []Limited{{Server: "s1", PerSecond: 0, From: start, Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 	for i := range 30 {
 		id, at := fmt.Sprint("n", i), after(10*time.Second+time.Duration(i)*10*time.Millisecond)
-		h.Requests = append(h.Requests, Request{ID: id, Whole: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
+		h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
 		h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: at})
 	}
 	is.Equal(Judge(h), nil)
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -146,7 +146,7 @@
 		return
 	}
 	q.Status = answer.Status
-	q.Whole = answer.Body == machines.AnswerBody(q.ID)
+	q.BodyMatches = answer.Body == machines.AnswerBody(q.ID)
 	q.Signed = answer.Header.Get("X-Stoneworks-Response-Signature") != ""
 	if !q.Signed {
 		q.Reason = strings.TrimSpace(answer.Body)
@@ -187,7 +187,7 @@
 			c.Close()
 		} else {
 			q.Status = answer.Status
-			q.Whole = answer.Status != http.StatusOK || answer.Body == machines.AnswerBody(q.ID)
+			q.BodyMatches = answer.Status != http.StatusOK || answer.Body == machines.AnswerBody(q.ID)
 			q.Signed = answer.Header.Get("X-Stoneworks-Response-Signature") != ""
 		}
 		r.note(func(h *History) {
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -28,8 +28,8 @@
 	Ended   time.Time
 	// Status is 0 if no answer came.
 	Status int
-	// Whole: the body is that of the answer to this request.
-	Whole bool
+	// BodyMatches: the body is that of the answer to this request.
+	BodyMatches bool
 	// Signed: the answer carries a server's signature.
 	Signed bool
 	// Reason is why a box refused it.
