--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -133,7 +133,7 @@
 // unaltered: servers run only what clients sent, as they sent it.
 func unaltered(h *History) (found []string) {
 	sent := map[string]*Request{}
-	for _, list := range [][]Request{h.Requests, h.Left} {
+	for _, list := range [][]Request{h.Requests, h.SideRequests} {
 		for i := range list {
 			sent[list[i].ID] = &list[i]
 		}
@@ -304,7 +304,7 @@
 func deadlyKept(h *History) (found []string) {
 	for _, target := range h.Deadly {
 		ids := map[string]bool{}
-		for _, q := range h.Left {
+		for _, q := range h.SideRequests {
 			if q.Target == target {
 				ids[q.ID] = true
 			}
@@ -342,7 +342,7 @@
 	for _, target := range h.Deadly {
 		deadly[target] = true
 	}
-	for _, list := range [][]Request{h.Requests, h.Left} {
+	for _, list := range [][]Request{h.Requests, h.SideRequests} {
 		for _, q := range list {
 			if q.Reason == string(outcome.ReasonCrashesServers) && !deadly[q.Target] {
 				found = append(found, fmt.Sprintf("%s (%s) was kept from servers", q.ID, q.Target))
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -59,7 +59,7 @@
 		"limit": func(h *History) {
 			for i := range 200 {
 				id := fmt.Sprint("l", i)
-				h.Left = append(h.Left, Request{ID: id})
+				h.SideRequests = append(h.SideRequests, Request{ID: id})
 				h.Runs["s1"] = append(h.Runs["s1"], machines.Run{ID: id, At: start, Header: http.Header{"X-Stoneworks-Tenant": {limitedCustomer}}})
 			}
 		},
@@ -105,14 +105,14 @@
 			h.Deadly = []string{"/read/deadly"}
 			for i := range 9 {
 				id, at := fmt.Sprint("d", i), after(time.Duration(i)*time.Second)
-				h.Left = append(h.Left, Request{ID: id, Kind: "safe", Method: "GET", Target: "/read/deadly"})
+				h.SideRequests = append(h.SideRequests, Request{ID: id, Kind: "safe", Method: "GET", Target: "/read/deadly"})
 				header := http.Header{"X-Stoneworks-Tenant": {usualCustomer}}
 				h.Runs["s1"] = append(h.Runs["s1"], machines.Run{ID: id, Method: "GET", Target: "/read/deadly", At: at, Header: header})
 				h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: at.Add(time.Duration(i/3) * time.Second)})
 			}
 		},
 		"others-sent": func(h *History) {
-			h.Left = append(h.Left, Request{ID: "o", Kind: "safe", Target: "/read/7", Status: 503, Reason: "crashes_backend_servers"})
+			h.SideRequests = append(h.SideRequests, Request{ID: "o", Kind: "safe", Target: "/read/7", Status: 503, Reason: "crashes_backend_servers"})
 		},
 		"server-limit": func(h *History) {
 			h.Limited = []Limited{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -195,7 +195,7 @@
 			if q.Status == http.StatusOK {
 				h.Requests = append(h.Requests, q)
 			} else {
-				h.Left = append(h.Left, q)
+				h.SideRequests = append(h.SideRequests, q)
 			}
 			if life == b.Life() {
 				h.Probes = append(h.Probes, Probe{Box: b.IP, Incarnation: life, Version: version, At: at, Status: q.Status})
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -90,7 +90,7 @@
 	} else {
 		q.Status = answer.Status
 	}
-	r.note(func(h *History) { h.Left = append(h.Left, q) })
+	r.note(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
 	return q
 }
 
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -58,7 +58,7 @@
 				ID: newID(), Kind: "safe", Method: "GET", Target: target, Box: b.IP, Incarnation: b.Life(),
 				Timeout: time.Duration(routes[0].TimeoutMS) * time.Millisecond, Sent: time.Now(),
 			}
-			r.note(func(h *History) { h.Left = append(h.Left, q) })
+			r.note(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
 			extra := claims(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", e.Target%keys)
 			c.Do(q.Method, q.Target, q.ID, "", extra)
 			c.Close()
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -71,8 +71,8 @@
 // History is all that a run left behind.
 type History struct {
 	Requests []Request
-	// Left are probes that were not answered with a success.
-	Left   []Request
+	// SideRequests are probes that were not answered with a success.
+	SideRequests   []Request
 	Probes []Probe
 	// OldKeys are requests with a key that only the given version had.
 	OldKeys []Probe
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -67,7 +67,7 @@
 // sends later than the time of draining. A box that was stopped or paused since may.
 func leavingKept(h *History) (found []string) {
 	sent := map[string]*Request{}
-	for _, list := range [][]Request{h.Requests, h.Left} {
+	for _, list := range [][]Request{h.Requests, h.SideRequests} {
 		for i := range list {
 			sent[list[i].ID] = &list[i]
 		}
