--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -302,7 +302,7 @@
 
 // deadlyKept: a request that has ended three servers is kept from others.
 func deadlyKept(h *History) (found []string) {
-	for _, target := range h.Deadly {
+	for _, target := range h.CrashingTargets {
 		ids := map[string]bool{}
 		for _, q := range h.SideRequests {
 			if q.Target == target {
@@ -339,7 +339,7 @@
 // othersSent: no other request is taken for one that ends servers.
 func othersSent(h *History) (found []string) {
 	deadly := map[string]bool{}
-	for _, target := range h.Deadly {
+	for _, target := range h.CrashingTargets {
 		deadly[target] = true
 	}
 	for _, list := range [][]Request{h.Requests, h.SideRequests} {
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -102,7 +102,7 @@
 			}
 		},
 		"deadly-kept": func(h *History) {
-			h.Deadly = []string{"/read/deadly"}
+			h.CrashingTargets = []string{"/read/deadly"}
 			for i := range 9 {
 				id, at := fmt.Sprint("d", i), after(time.Duration(i)*time.Second)
 				h.SideRequests = append(h.SideRequests, Request{ID: id, Kind: "safe", Method: "GET", Target: "/read/deadly"})
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -47,7 +47,7 @@
 func (r *run) sendCrashing(e Event) {
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
 	r.crashing.set(target)
-	r.note(func(h *History) { h.Deadly = append(h.Deadly, target) })
+	r.note(func(h *History) { h.CrashingTargets = append(h.CrashingTargets, target) })
 	end := min(deadlyTimes*e.Duration, r.Plan.Length-e.At)
 	until := time.Now().Add(end)
 	r.injections.Go(func() {
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -76,8 +76,8 @@
 	Probes []Probe
 	// OldKeys are requests with a key that only the given version had.
 	OldKeys []Probe
-	// Deadly are the targets that end the servers that run them.
-	Deadly []string
+	// CrashingTargets are the targets that end the servers that run them.
+	CrashingTargets []string
 	// Limited are the limits that servers named.
 	Limited []Limited
 	// Moves are the orders to move a service to a new version.
