--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -115,7 +115,7 @@
 			h.SideRequests = append(h.SideRequests, Request{ID: "o", Kind: "safe", Target: "/read/7", Status: 503, Reason: "crashes_backend_servers"})
 		},
 		"server-limit": func(h *History) {
-			h.Limited = []Limited{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
+			h.Limited = []AnnouncedLimit{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 			for i := range 12 {
 				id, at := fmt.Sprint("n", i), after(13*time.Second+time.Duration(i)*100*time.Millisecond)
 				h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
@@ -167,7 +167,7 @@
 func TestLimitsCountWhoWasTold(t *testing.T) {
 	is := is.New(t)
 	h := calm()
-	h.Limited = []Limited{{Server: "s1", PerSecond: 0, From: start, Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
+	h.Limited = []AnnouncedLimit{{Server: "s1", PerSecond: 0, From: start, Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 	for i := range 30 {
 		id, at := fmt.Sprint("n", i), after(10*time.Second+time.Duration(i)*10*time.Millisecond)
 		h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -79,7 +79,7 @@
 	// CrashingTargets are the targets that end the servers that run them.
 	CrashingTargets []string
 	// Limited are the limits that servers named.
-	Limited []Limited
+	Limited []AnnouncedLimit
 	// Moves are the orders to move a service to a new version.
 	Moves []Move
 	// Leavings and Rests are, by server, the answers that said that it leaves, and those that asked
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -19,8 +19,8 @@
 // namedLimits are the limits that servers name, in requests a second.
 var namedLimits = []float64{2.7, 0, 1, 5, 20}
 
-// Limited is a limit that a server names for a time.
-type Limited struct {
+// AnnouncedLimit is a limit that a server names for a time.
+type AnnouncedLimit struct {
 	Server    string
 	PerSecond float64
 	From      time.Time
@@ -44,12 +44,12 @@
 	var server *machines.Server
 	index := -1
 	r.note(func(h *History) {
-		if s.departed || slices.ContainsFunc(h.Limited, func(l Limited) bool { return l.Server == s.historyKey }) {
+		if s.departed || slices.ContainsFunc(h.Limited, func(l AnnouncedLimit) bool { return l.Server == s.historyKey }) {
 			// It has ended, or has named one before: what it names changes once.
 			return
 		}
 		server, index = s.server, len(h.Limited)
-		h.Limited = append(h.Limited, Limited{Server: s.historyKey, PerSecond: perSecond, From: time.Now()})
+		h.Limited = append(h.Limited, AnnouncedLimit{Server: s.historyKey, PerSecond: perSecond, From: time.Now()})
 	})
 	if server == nil {
 		return
@@ -92,7 +92,7 @@
 }
 
 // toldArrivals are the times of the requests that count against a limit, in order.
-func (h *History) toldArrivals(l *Limited) []time.Time {
+func (h *History) toldArrivals(l *AnnouncedLimit) []time.Time {
 	told := map[string]time.Time{}
 	for _, n := range l.Namings {
 		if _, known := told[n.To]; !known {
