--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -78,8 +78,8 @@
 	OldKeys []Probe
 	// CrashingTargets are the targets that end the servers that run them.
 	CrashingTargets []string
-	// Limited are the limits that servers named.
-	Limited []AnnouncedLimit
+	// AnnouncedLimits are the limits that servers named.
+	AnnouncedLimits []AnnouncedLimit
 	// Moves are the orders to move a service to a new version.
 	Moves []Move
 	// Leavings and Rests are, by server, the answers that said that it leaves, and those that asked
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -44,12 +44,12 @@
 	var server *machines.Server
 	index := -1
 	r.note(func(h *History) {
-		if s.departed || slices.ContainsFunc(h.Limited, func(l AnnouncedLimit) bool { return l.Server == s.historyKey }) {
+		if s.departed || slices.ContainsFunc(h.AnnouncedLimits, func(l AnnouncedLimit) bool { return l.Server == s.historyKey }) {
 			// It has ended, or has named one before: what it names changes once.
 			return
 		}
-		server, index = s.server, len(h.Limited)
-		h.Limited = append(h.Limited, AnnouncedLimit{Server: s.historyKey, PerSecond: perSecond, From: time.Now()})
+		server, index = s.server, len(h.AnnouncedLimits)
+		h.AnnouncedLimits = append(h.AnnouncedLimits, AnnouncedLimit{Server: s.historyKey, PerSecond: perSecond, From: time.Now()})
 	})
 	if server == nil {
 		return
@@ -57,7 +57,7 @@
 	server.Say(machines.SaysLimit, strconv.FormatFloat(perSecond, 'g', -1, 64))
 	r.later(d, func() {
 		server.Say(machines.SaysLimit, "")
-		r.note(func(h *History) { h.Limited[index].To = time.Now() })
+		r.note(func(h *History) { h.AnnouncedLimits[index].To = time.Now() })
 	})
 }
 
@@ -73,8 +73,8 @@
 // serverLimits: from the time of contact on after a server has first named a limit, it gets no more
 // than that allows, of all boxes together that it has told and that were not struck.
 func serverLimits(h *History) (found []string) {
-	for i := range h.Limited {
-		l := &h.Limited[i]
+	for i := range h.AnnouncedLimits {
+		l := &h.AnnouncedLimits[i]
 		allowed := limitOverage*l.PerSecond*limitWindow.Seconds() + limitSlack
 		counted := h.toldArrivals(l)
 		for k, end := range counted {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -205,8 +205,8 @@
 		h.Leavings[id] = s.Said(machines.SaysLeaving)
 		h.Rests[id] = s.Said(machines.SaysRest)
 	}
-	for i := range h.Limited {
-		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].Said(machines.SaysLimit)
+	for i := range h.AnnouncedLimits {
+		h.AnnouncedLimits[i].Namings = r.fleet.Servers[h.AnnouncedLimits[i].Server].Said(machines.SaysLimit)
 	}
 	h.KeysLogged = r.keysLogged()
 	return h
