--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -115,7 +115,7 @@
 			h.SideRequests = append(h.SideRequests, Request{ID: "o", Kind: "safe", Target: "/read/7", Status: 503, Reason: "crashes_backend_servers"})
 		},
 		"server-limit": func(h *History) {
-			h.AnnouncedLimits = []AnnouncedLimit{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
+			h.AnnouncedLimits = []AnnouncedLimit{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Announcements: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 			for i := range 12 {
 				id, at := fmt.Sprint("n", i), after(13*time.Second+time.Duration(i)*100*time.Millisecond)
 				h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
@@ -167,18 +167,18 @@
 func TestLimitsCountWhoWasTold(t *testing.T) {
 	is := is.New(t)
 	h := calm()
-	h.AnnouncedLimits = []AnnouncedLimit{{Server: "s1", PerSecond: 0, From: start, Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
+	h.AnnouncedLimits = []AnnouncedLimit{{Server: "s1", PerSecond: 0, From: start, Announcements: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 	for i := range 30 {
 		id, at := fmt.Sprint("n", i), after(10*time.Second+time.Duration(i)*10*time.Millisecond)
 		h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
 		h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: at})
 	}
 	is.Equal(Judge(h), nil)
-	h.AnnouncedLimits[0].Namings[0].At = after(9 * time.Second)
+	h.AnnouncedLimits[0].Announcements[0].At = after(9 * time.Second)
 	is.Equal(len(Judge(h)), 1)
-	h.AnnouncedLimits[0].Namings[0].To = "b2"
+	h.AnnouncedLimits[0].Announcements[0].To = "b2"
 	is.Equal(Judge(h), nil)
-	h.AnnouncedLimits[0].Namings[0].To = "b1"
+	h.AnnouncedLimits[0].Announcements[0].To = "b1"
 	h.Spans = []Span{{Kind: BoxPause, What: "b1", From: after(8 * time.Second), To: after(9 * time.Second)}}
 	is.Equal(Judge(h), nil)
 	h.Spans[0].What = "b2"
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -26,8 +26,8 @@
 	From      time.Time
 	// To is zero if it names the limit until the end.
 	To time.Time
-	// Namings are the answers that name it.
-	Namings []machines.Saying
+	// Announcements are the answers that name it.
+	Announcements []machines.Saying
 }
 
 // nameLimits has a server name a limit, and for one event in four all servers of its service.
@@ -94,7 +94,7 @@
 // toldArrivals are the times of the requests that count against a limit, in order.
 func (h *History) toldArrivals(l *AnnouncedLimit) []time.Time {
 	told := map[string]time.Time{}
-	for _, n := range l.Namings {
+	for _, n := range l.Announcements {
 		if _, known := told[n.To]; !known {
 			told[n.To] = n.At
 		}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -206,7 +206,7 @@
 		h.Rests[id] = s.Said(machines.SaysRest)
 	}
 	for i := range h.AnnouncedLimits {
-		h.AnnouncedLimits[i].Namings = r.fleet.Servers[h.AnnouncedLimits[i].Server].Said(machines.SaysLimit)
+		h.AnnouncedLimits[i].Announcements = r.fleet.Servers[h.AnnouncedLimits[i].Server].Said(machines.SaysLimit)
 	}
 	h.KeysLogged = r.keysLogged()
 	return h
