--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -30,8 +30,8 @@
 	Announcements []machines.Saying
 }
 
-// nameLimits has a server name a limit, and for one event in four all servers of its service.
-func (r *run) nameLimits(s *listedServer, e Event) {
+// announceLimits has a server name a limit, and for one event in four all servers of its service.
+func (r *run) announceLimits(s *listedServer, e Event) {
 	perSecond := namedLimits[e.Target%len(namedLimits)]
 	for _, other := range r.servers {
 		if other == s || e.Target%4 == 0 && other.service == s.service {
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -125,7 +125,7 @@
 	case ServerRestarts:
 		r.restartServer(server)
 	case ServerLimited:
-		r.nameLimits(server, e)
+		r.announceLimits(server, e)
 	case ServerLeaves:
 		r.leaveInAnswers(server, e)
 	case ServerRests:
