--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -35,12 +35,12 @@
 	perSecond := namedLimits[e.Target%len(namedLimits)]
 	for _, other := range r.servers {
 		if other == s || e.Target%4 == 0 && other.service == s.service {
-			r.nameLimit(other, perSecond, min(limitTimes*e.Duration, r.Plan.Length-e.At))
+			r.announceLimit(other, perSecond, min(limitTimes*e.Duration, r.Plan.Length-e.At))
 		}
 	}
 }
 
-func (r *run) nameLimit(s *listedServer, perSecond float64, d time.Duration) {
+func (r *run) announceLimit(s *listedServer, perSecond float64, d time.Duration) {
 	var server *machines.Server
 	index := -1
 	r.note(func(h *History) {
