--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -16,8 +16,8 @@
 // limitTimes is for how many times of its event's time a server names a limit.
 const limitTimes = 3
 
-// namedLimits are the limits that servers name, in requests a second.
-var namedLimits = []float64{2.7, 0, 1, 5, 20}
+// announcedRates are the limits that servers name, in requests a second.
+var announcedRates = []float64{2.7, 0, 1, 5, 20}
 
 // AnnouncedLimit is a limit that a server names for a time.
 type AnnouncedLimit struct {
@@ -32,7 +32,7 @@
 
 // announceLimits has a server name a limit, and for one event in four all servers of its service.
 func (r *run) announceLimits(s *listedServer, e Event) {
-	perSecond := namedLimits[e.Target%len(namedLimits)]
+	perSecond := announcedRates[e.Target%len(announcedRates)]
 	for _, other := range r.servers {
 		if other == s || e.Target%4 == 0 && other.service == s.service {
 			r.announceLimit(other, perSecond, min(limitTimes*e.Duration, r.Plan.Length-e.At))
