--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -44,7 +44,7 @@
 		"customer":  func(h *History) { h.Runs["s1"][0].Header.Set("X-Stoneworks-Tenant", "somebody-else") },
 		"keys-kept": func(h *History) { h.Runs["s1"][1].Header.Set("Authorization", "Bearer "+keyOf(usualCustomer)) },
 		"leaving-kept": func(h *History) {
-			h.Leavings = map[string][]machines.Saying{"s1": {{To: "b1", ID: "r0", At: start, Value: "1"}}}
+			h.LeavingHeaders = map[string][]machines.Saying{"s1": {{To: "b1", ID: "r0", At: start, Value: "1"}}}
 			late := h.Requests[0]
 			late.ID, late.Sent, late.Ended = "late", after(3*time.Second), after(3*time.Second+time.Millisecond)
 			h.Requests = append(h.Requests, late)
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -82,9 +82,9 @@
 	AnnouncedLimits []AnnouncedLimit
 	// Moves are the orders to move a service to a new version.
 	Moves []Move
-	// Leavings and Rests are, by server, the answers that said that it leaves, and those that asked
+	// LeavingHeaders and Rests are, by server, the answers that said that it leaves, and those that asked
 	// for rest.
-	Leavings map[string][]machines.Saying
+	LeavingHeaders map[string][]machines.Saying
 	Rests    map[string][]machines.Saying
 	// KeysLogged are lines of logs with a key in them.
 	KeysLogged     []string
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -197,12 +197,12 @@
 	h := &r.history
 	h.Runs = map[string][]machines.Run{}
 	h.Arrivals = map[string][]machines.Arrival{}
-	h.Leavings = map[string][]machines.Saying{}
+	h.LeavingHeaders = map[string][]machines.Saying{}
 	h.Rests = map[string][]machines.Saying{}
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
-		h.Leavings[id] = s.Said(machines.SaysLeaving)
+		h.LeavingHeaders[id] = s.Said(machines.SaysLeaving)
 		h.Rests[id] = s.Said(machines.SaysRest)
 	}
 	for i := range h.AnnouncedLimits {
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -72,7 +72,7 @@
 			sent[list[i].ID] = &list[i]
 		}
 	}
-	for server, list := range h.Leavings {
+	for server, list := range h.LeavingHeaders {
 		told := map[string]time.Time{}
 		for _, said := range list {
 			q := sent[said.ID]
