--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -51,7 +51,7 @@
 			h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: "late", From: "b1", At: late.Sent})
 		},
 		"rest-kept": func(h *History) {
-			h.Rests = map[string][]machines.Saying{"s1": {{To: "b1", ID: "r0", At: start, Value: "3"}}}
+			h.RetryAfterHeaders = map[string][]machines.Saying{"s1": {{To: "b1", ID: "r0", At: start, Value: "3"}}}
 			for i := range 3 {
 				h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: fmt.Sprint("again", i), From: "b1", At: after(2500 * time.Millisecond)})
 			}
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -85,7 +85,7 @@
 	// LeavingHeaders and Rests are, by server, the answers that said that it leaves, and those that asked
 	// for rest.
 	LeavingHeaders map[string][]machines.Saying
-	Rests    map[string][]machines.Saying
+	RetryAfterHeaders    map[string][]machines.Saying
 	// KeysLogged are lines of logs with a key in them.
 	KeysLogged     []string
 	Runs           map[string][]machines.Run
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -198,12 +198,12 @@
 	h.Runs = map[string][]machines.Run{}
 	h.Arrivals = map[string][]machines.Arrival{}
 	h.LeavingHeaders = map[string][]machines.Saying{}
-	h.Rests = map[string][]machines.Saying{}
+	h.RetryAfterHeaders = map[string][]machines.Saying{}
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
 		h.LeavingHeaders[id] = s.Said(machines.SaysLeaving)
-		h.Rests[id] = s.Said(machines.SaysRest)
+		h.RetryAfterHeaders[id] = s.Said(machines.SaysRest)
 	}
 	for i := range h.AnnouncedLimits {
 		h.AnnouncedLimits[i].Announcements = r.fleet.Servers[h.AnnouncedLimits[i].Server].Said(machines.SaysLimit)
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -104,7 +104,7 @@
 
 // restKept: a server that has asked a box for rest gets next to nothing of it for that time.
 func restKept(h *History) (found []string) {
-	for server, list := range h.Rests {
+	for server, list := range h.RetryAfterHeaders {
 		for _, asked := range list {
 			seconds, err := strconv.ParseFloat(asked.Value, 64)
 			if err != nil {
