--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -29,7 +29,7 @@
 		h.Runs["s1"] = append(h.Runs["s1"], machines.Run{ID: id, Method: "POST", Target: "/x/" + id, Body: id, At: sent, Header: header})
 		h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: sent})
 	}
-	h.Configurations = []Acknowledged{{Version: 1, At: start}}
+	h.Configurations = []AcceptedConfiguration{{Version: 1, At: start}}
 	h.Probes = []Probe{{Box: "b1", Incarnation: 1, Version: 1, At: after(5 * time.Second), Status: 200}}
 	h.Recovery.Sent, h.Recovery.Answered = 100, 100
 	return h
@@ -64,7 +64,7 @@
 			}
 		},
 		"old-keys": func(h *History) {
-			h.Configurations = append(h.Configurations, Acknowledged{Version: 2, At: after(20 * time.Second)})
+			h.Configurations = append(h.Configurations, AcceptedConfiguration{Version: 2, At: after(20 * time.Second)})
 			h.OldKeys = []Probe{{Box: "b1", Incarnation: 1, Version: 1, At: after(24 * time.Second), Status: 200}}
 		},
 		"whole":        func(h *History) { h.Requests[0].BodyMatches = false },
@@ -95,7 +95,7 @@
 		},
 		"configuration": func(h *History) { h.Probes[0].Status = 404 },
 		"no-regress": func(h *History) {
-			h.Configurations = append(h.Configurations, Acknowledged{Version: 2, At: after(time.Second)})
+			h.Configurations = append(h.Configurations, AcceptedConfiguration{Version: 2, At: after(time.Second)})
 			h.Probes = []Probe{
 				{Box: "b1", Incarnation: 1, Version: 2, At: after(2 * time.Second), Status: 200},
 				{Box: "b1", Incarnation: 1, Version: 1, At: after(3 * time.Second), Status: 200},
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -62,8 +62,8 @@
 	At     time.Time
 }
 
-// Acknowledged is a configuration that the store took.
-type Acknowledged struct {
+// AcceptedConfiguration is a configuration that the store took.
+type AcceptedConfiguration struct {
 	Version int
 	At      time.Time
 }
@@ -91,7 +91,7 @@
 	Runs           map[string][]machines.Run
 	Arrivals       map[string][]machines.Arrival
 	Departures     []Departure
-	Configurations []Acknowledged
+	Configurations []AcceptedConfiguration
 	Spans          []Span
 	// Recovery counts the requests sent after all faults were over.
 	Recovery struct{ Sent, Answered int }
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -78,7 +78,7 @@
 	r.fleet.Customers = customersOf(r.version)
 	r.fleet.Configure(r.version, append([]machines.Route{markerRoute(r.version)}, routes...)...)
 	r.note(func(h *History) {
-		h.Configurations = append(h.Configurations, Acknowledged{Version: r.version, At: time.Now()})
+		h.Configurations = append(h.Configurations, AcceptedConfiguration{Version: r.version, At: time.Now()})
 	})
 }
 
