--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -46,8 +46,8 @@
 	Status  int
 }
 
-// Span is a time in which something was struck.
-type Span struct {
+// FaultPeriod is a time in which something was struck.
+type FaultPeriod struct {
 	Kind Kind
 	// What is the box's IP number or the server's id; empty for all.
 	What string
@@ -92,7 +92,7 @@
 	Arrivals       map[string][]machines.Arrival
 	Departures     []Departure
 	Configurations []AcceptedConfiguration
-	Spans          []Span
+	Spans          []FaultPeriod
 	// Recovery counts the requests sent after all faults were over.
 	Recovery struct{ Sent, Answered int }
 }
@@ -114,7 +114,7 @@
 	index := 0
 	r.note(func(h *History) {
 		index = len(h.Spans)
-		h.Spans = append(h.Spans, Span{Kind: kind, What: what, From: time.Now()})
+		h.Spans = append(h.Spans, FaultPeriod{Kind: kind, What: what, From: time.Now()})
 	})
 	return func() {
 		r.note(func(h *History) { h.Spans[index].To = time.Now() })
