--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -49,8 +49,8 @@
 // FaultPeriod is a time in which something was struck.
 type FaultPeriod struct {
 	Kind Kind
-	// What is the box's IP number or the server's id; empty for all.
-	What string
+	// Target is the box's IP number or the server's id; empty for all.
+	Target string
 	From time.Time
 	To   time.Time
 }
@@ -114,7 +114,7 @@
 	index := 0
 	r.note(func(h *History) {
 		index = len(h.Spans)
-		h.Spans = append(h.Spans, FaultPeriod{Kind: kind, What: what, From: time.Now()})
+		h.Spans = append(h.Spans, FaultPeriod{Kind: kind, Target: what, From: time.Now()})
 	})
 	return func() {
 		r.note(func(h *History) { h.Spans[index].To = time.Now() })
@@ -125,7 +125,7 @@
 // any moment from from to to.
 func (h *History) struck(what string, from, to time.Time, kinds ...Kind) bool {
 	for _, s := range h.Spans {
-		if s.What != "" && what != "" && s.What != what {
+		if s.Target != "" && what != "" && s.Target != what {
 			continue
 		}
 		if s.From.After(to) || !s.To.IsZero() && s.To.Before(from) {
