--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -87,7 +87,7 @@
 		"in-time": func(h *History) { h.Requests[0].Ended = h.Requests[0].Sent.Add(2 * time.Second) },
 		"planned-stop": func(h *History) {
 			h.Requests[0].Status = 0
-			h.Spans = []FaultPeriod{{Kind: BoxStop, Target: "b1", From: start}}
+			h.FaultPeriods = []FaultPeriod{{Kind: BoxStop, Target: "b1", From: start}}
 		},
 		"drain": func(h *History) {
 			h.Departures = []Departure{{Server: "s1", At: start.Add(-time.Second)}}
@@ -156,9 +156,9 @@
 	h := calm()
 	h.Requests[0].Ended = h.Requests[0].Sent.Add(2 * time.Second)
 	h.Probes[0].Status = 404
-	h.Spans = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: start, To: after(10 * time.Second)}}
+	h.FaultPeriods = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: start, To: after(10 * time.Second)}}
 	is.Equal(Judge(h), nil)
-	h.Spans[0].Target = "b2"
+	h.FaultPeriods[0].Target = "b2"
 	is.Equal(len(Judge(h)), 2)
 }
 
@@ -179,9 +179,9 @@
 	h.AnnouncedLimits[0].Announcements[0].To = "b2"
 	is.Equal(Judge(h), nil)
 	h.AnnouncedLimits[0].Announcements[0].To = "b1"
-	h.Spans = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: after(8 * time.Second), To: after(9 * time.Second)}}
+	h.FaultPeriods = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: after(8 * time.Second), To: after(9 * time.Second)}}
 	is.Equal(Judge(h), nil)
-	h.Spans[0].Target = "b2"
+	h.FaultPeriods[0].Target = "b2"
 	h.AnnouncedLimits[0].To = after(10 * time.Second)
 	is.Equal(Judge(h), nil) // it named none any more
 }
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -92,7 +92,7 @@
 	Arrivals       map[string][]machines.Arrival
 	Departures     []Departure
 	Configurations []AcceptedConfiguration
-	Spans          []FaultPeriod
+	FaultPeriods          []FaultPeriod
 	// Recovery counts the requests sent after all faults were over.
 	Recovery struct{ Sent, Answered int }
 }
@@ -113,18 +113,18 @@
 func (r *recorder) open(kind Kind, what string) (end func()) {
 	index := 0
 	r.note(func(h *History) {
-		index = len(h.Spans)
-		h.Spans = append(h.Spans, FaultPeriod{Kind: kind, Target: what, From: time.Now()})
+		index = len(h.FaultPeriods)
+		h.FaultPeriods = append(h.FaultPeriods, FaultPeriod{Kind: kind, Target: what, From: time.Now()})
 	})
 	return func() {
-		r.note(func(h *History) { h.Spans[index].To = time.Now() })
+		r.note(func(h *History) { h.FaultPeriods[index].To = time.Now() })
 	}
 }
 
 // struck reports whether one of the kinds struck the part, or all parts, at
 // any moment from from to to.
 func (h *History) struck(what string, from, to time.Time, kinds ...Kind) bool {
-	for _, s := range h.Spans {
+	for _, s := range h.FaultPeriods {
 		if s.Target != "" && what != "" && s.Target != what {
 			continue
 		}
