--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -90,7 +90,7 @@
 		default:
 			r.ask(c, &q, random)
 		}
-		r.note(func(h *History) { h.Requests = append(h.Requests, q) })
+		r.update(func(h *History) { h.Requests = append(h.Requests, q) })
 		time.Sleep(clientPause)
 	}
 }
@@ -134,7 +134,7 @@
 		} else {
 			q.Ended = time.Now()
 		}
-		r.note(func(h *History) { h.Requests = append(h.Requests, *q) })
+		r.update(func(h *History) { h.Requests = append(h.Requests, *q) })
 	}
 }
 
@@ -174,7 +174,7 @@
 	defer c.Close()
 	for n := 0; time.Now().Before(end); n++ {
 		newest := 0
-		r.note(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
+		r.update(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
 		version := max(1, newest-n%2)
 		life, at := b.Life(), time.Now()
 		q := Request{
@@ -190,7 +190,7 @@
 			q.BodyMatches = answer.Status != http.StatusOK || answer.Body == machines.AnswerBody(q.ID)
 			q.Signed = answer.Header.Get("X-Stoneworks-Response-Signature") != ""
 		}
-		r.note(func(h *History) {
+		r.update(func(h *History) {
 			// It is no part of what is asked of the recovery.
 			if q.Status == http.StatusOK {
 				h.Requests = append(h.Requests, q)
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -66,10 +66,10 @@
 	defer c.Close()
 	for time.Now().Before(end) {
 		newest := 0
-		r.note(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
+		r.update(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
 		if newest > 1 {
 			q := r.aside(c, b, keyOfVersion(newest-1))
-			r.note(func(h *History) {
+			r.update(func(h *History) {
 				h.OldKeys = append(h.OldKeys, Probe{Box: q.Box, Incarnation: q.Incarnation, Version: newest - 1, At: q.Sent, Status: q.Status})
 			})
 		}
@@ -90,7 +90,7 @@
 	} else {
 		q.Status = answer.Status
 	}
-	r.note(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
+	r.update(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
 	return q
 }
 
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -47,7 +47,7 @@
 func (r *run) sendCrashing(e Event) {
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
 	r.crashing.set(target)
-	r.note(func(h *History) { h.CrashingTargets = append(h.CrashingTargets, target) })
+	r.update(func(h *History) { h.CrashingTargets = append(h.CrashingTargets, target) })
 	end := min(deadlyTimes*e.Duration, r.Plan.Length-e.At)
 	until := time.Now().Add(end)
 	r.injections.Go(func() {
@@ -58,7 +58,7 @@
 				ID: newID(), Kind: "safe", Method: "GET", Target: target, Box: b.IP, Incarnation: b.Life(),
 				Timeout: time.Duration(routes[0].TimeoutMS) * time.Millisecond, Sent: time.Now(),
 			}
-			r.note(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
+			r.update(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
 			extra := claims(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", e.Target%keys)
 			c.Do(q.Method, q.Target, q.ID, "", extra)
 			c.Close()
@@ -70,7 +70,7 @@
 // restartServer ends a server that starts again under its id.
 func (r *run) restartServer(s *listedServer) {
 	server, left := s.server, false
-	r.note(func(*History) { left, s.departed = s.departed, true })
+	r.update(func(*History) { left, s.departed = s.departed, true })
 	if left {
 		return
 	}
@@ -83,7 +83,7 @@
 // and under another one while the old entry lapses.
 func (r *run) replaceCrashed(s *listedServer, server *machines.Server) {
 	left, number := false, 0
-	r.note(func(*History) { left, s.departed, number = s.departed, true, len(r.fleet.Servers) })
+	r.update(func(*History) { left, s.departed, number = s.departed, true, len(r.fleet.Servers) })
 	if left {
 		return
 	}
@@ -124,7 +124,7 @@
 	name := fmt.Sprintf("foreign-%d", e.Target)
 	r.fleet.Store.Put("servers", name, spec)
 	server, left := s.server, false
-	r.note(func(*History) { left = s.departed })
+	r.update(func(*History) { left = s.departed })
 	replaced := e.Target%2 == 1 && !left
 	if replaced {
 		r.fleet.Store.Put("servers", server.ID, spec)
@@ -132,7 +132,7 @@
 	r.later(e.Duration, func() {
 		r.fleet.Store.Delete("servers", name)
 		again := false
-		r.note(func(*History) { again = replaced && s.server == server && !s.departed })
+		r.update(func(*History) { again = replaced && s.server == server && !s.departed })
 		if again {
 			r.fleet.List(server, s.service, s.zone, "ready", 0)
 		}
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -103,7 +103,7 @@
 	history History
 }
 
-func (r *recorder) note(change func(h *History)) {
+func (r *recorder) update(change func(h *History)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.history)
@@ -112,12 +112,12 @@
 // open notes that something is struck from now on; the return value ends it.
 func (r *recorder) open(kind Kind, what string) (end func()) {
 	index := 0
-	r.note(func(h *History) {
+	r.update(func(h *History) {
 		index = len(h.FaultPeriods)
 		h.FaultPeriods = append(h.FaultPeriods, FaultPeriod{Kind: kind, Target: what, From: time.Now()})
 	})
 	return func() {
-		r.note(func(h *History) { h.FaultPeriods[index].To = time.Now() })
+		r.update(func(h *History) { h.FaultPeriods[index].To = time.Now() })
 	}
 }
 
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -43,7 +43,7 @@
 func (r *run) announceLimit(s *listedServer, perSecond float64, d time.Duration) {
 	var server *machines.Server
 	index := -1
-	r.note(func(h *History) {
+	r.update(func(h *History) {
 		if s.departed || slices.ContainsFunc(h.AnnouncedLimits, func(l AnnouncedLimit) bool { return l.Server == s.historyKey }) {
 			// It has ended, or has named one before: what it names changes once.
 			return
@@ -57,7 +57,7 @@
 	server.Say(machines.SaysLimit, strconv.FormatFloat(perSecond, 'g', -1, 64))
 	r.later(d, func() {
 		server.Say(machines.SaysLimit, "")
-		r.note(func(h *History) { h.AnnouncedLimits[index].To = time.Now() })
+		r.update(func(h *History) { h.AnnouncedLimits[index].To = time.Now() })
 	})
 }
 
--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -43,7 +43,7 @@
 	d := min(moveTimes*e.Duration, r.Plan.Length-e.At)
 	m.To = m.From.Add(d)
 	runs := false
-	r.note(func(h *History) {
+	r.update(func(h *History) {
 		for _, other := range h.Moves {
 			runs = runs || other.Service == m.Service && other.To.After(m.From)
 		}
@@ -60,7 +60,7 @@
 		r.fleet.Store.Delete("rollouts", m.Service)
 		for _, server := range servers {
 			r.fleet.List(server, m.Service, s.zone, "draining", 0)
-			r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: server.ID, At: time.Now()}) })
+			r.update(func(h *History) { h.Departures = append(h.Departures, Departure{Server: server.ID, At: time.Now()}) })
 		}
 		time.Sleep(boundDrain)
 		for _, server := range servers {
@@ -91,7 +91,7 @@
 			})
 		}
 		list = append(list, server)
-		r.note(func(h *History) {
+		r.update(func(h *History) {
 			r.fleet.Servers[id] = server
 			for j := range h.Moves {
 				if h.Moves[j].Version == m.Version {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -178,11 +178,11 @@
 // measureRecovery counts what is answered after all faults are over.
 func (r *run) measureRecovery() {
 	before := 0
-	r.note(func(h *History) { before = len(h.Requests) })
+	r.update(func(h *History) { before = len(h.Requests) })
 	var clients conc.WaitGroup
 	r.startClients(&clients, time.Now().Add(recoveryTime))
 	clients.Wait()
-	r.note(func(h *History) {
+	r.update(func(h *History) {
 		for _, q := range h.Requests[before:] {
 			h.Recovery.Sent++
 			if q.Status == 200 {
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -61,7 +61,7 @@
 	server.Advertised = s.link.Address()
 	server.SetDeadly(r.isCrashing, func() { r.replaceCrashed(s, server) })
 	s.link.SetTarget(server.Address)
-	r.note(func(*History) {
+	r.update(func(*History) {
 		s.server, s.departed, s.historyKey = server, false, id
 		for n := 2; r.fleet.Servers[s.historyKey] != nil; n++ {
 			s.historyKey = fmt.Sprintf("%s#%d", id, n)
@@ -77,7 +77,7 @@
 	r.version++
 	r.fleet.Customers = customersOf(r.version)
 	r.fleet.Configure(r.version, append([]machines.Route{markerRoute(r.version)}, routes...)...)
-	r.note(func(h *History) {
+	r.update(func(h *History) {
 		h.Configurations = append(h.Configurations, AcceptedConfiguration{Version: r.version, At: time.Now()})
 	})
 }
@@ -161,7 +161,7 @@
 		}
 		time.Sleep(restartPause)
 		// Of several that ended the same life one starts the next.
-		r.note(func(*History) {
+		r.update(func(*History) {
 			if b.Exited() == exited {
 				_ = b.Start()
 			}
@@ -234,7 +234,7 @@
 	}
 	s.departed = true
 	old := s.server
-	r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
+	r.update(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 	wait := replaceAfter
 	switch e.Kind {
 	case ServerDrain:
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -27,7 +27,7 @@
 // say so.
 func (r *run) leaveInAnswers(s *listedServer, e Event) {
 	left := false
-	r.note(func(*History) { left, s.departed = s.departed, true })
+	r.update(func(*History) { left, s.departed = s.departed, true })
 	if left {
 		return
 	}
@@ -35,7 +35,7 @@
 	old.Say(machines.SaysLeaving, "1")
 	r.later(min(e.Duration, mostUnlisted)+boundDrain, func() {
 		r.fleet.List(old, s.service, s.zone, "draining", 0)
-		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
+		r.update(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 		time.Sleep(replaceAfter)
 		if err := r.serve(s, fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())); err != nil {
 			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
@@ -54,7 +54,7 @@
 			continue
 		}
 		var server *machines.Server
-		r.note(func(*History) { server = other.server })
+		r.update(func(*History) { server = other.server })
 		server.AskForRest(seconds)
 		r.later(min(restTimes*e.Duration, r.Plan.Length-e.At), func() { server.AskForRest("") })
 	}
