--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -109,8 +109,8 @@
 	change(&r.history)
 }
 
-// open notes that something is struck from now on; the return value ends it.
-func (r *recorder) open(kind Kind, what string) (end func()) {
+// beginFault notes that something is struck from now on; the return value ends it.
+func (r *recorder) beginFault(kind Kind, what string) (end func()) {
 	index := 0
 	r.update(func(h *History) {
 		index = len(h.FaultPeriods)
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -100,13 +100,13 @@
 	case StoreBlink:
 		r.silenceStore(e)
 	case StoreMute:
-		r.open(StoreMute, "")()
+		r.beginFault(StoreMute, "")()
 		r.store.Silence(muteTimeout)
 	case LinkMute:
-		r.open(LinkMute, "")()
+		r.beginFault(LinkMute, "")()
 		server.link.Silence(muteTimeout)
 	case StoreForgets:
-		r.open(StoreForgets, "")()
+		r.beginFault(StoreForgets, "")()
 		r.fleet.Store.Compact()
 	case StoreCut:
 		r.cutFromStore(box, e)
@@ -147,7 +147,7 @@
 
 // endBox ends a box and starts it again.
 func (r *run) endBox(b *processes.Box, e Event, signal syscall.Signal) {
-	end := r.open(e.Kind, b.IP)
+	end := r.beginFault(e.Kind, b.IP)
 	exited := b.Exited()
 	b.Signal(signal)
 	r.injections.Go(func() {
@@ -171,7 +171,7 @@
 }
 
 func (r *run) pauseBox(b *processes.Box, e Event) {
-	end := r.open(BoxPause, b.IP)
+	end := r.beginFault(BoxPause, b.IP)
 	b.Signal(syscall.SIGSTOP)
 	r.later(e.Duration, func() {
 		b.Signal(syscall.SIGCONT)
@@ -190,7 +190,7 @@
 	for i, b := range r.boxes {
 		struck[b.IP] = all || i%2 == e.Target/2%2
 	}
-	end := r.open(e.Kind, "")
+	end := r.beginFault(e.Kind, "")
 	r.fleet.Store.SetTreat(func(ip, _ string) machines.Mode {
 		if struck[ip] {
 			return mode
@@ -205,7 +205,7 @@
 
 // silenceStore has the store say nothing to any box for a moment.
 func (r *run) silenceStore(e Event) {
-	end := r.open(StoreBlink, "")
+	end := r.beginFault(StoreBlink, "")
 	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
 	r.later(e.Duration/blinkDivisor, func() {
 		r.fleet.Store.SetTreat(nil)
@@ -215,7 +215,7 @@
 
 // cutFromStore silences the link between a box and the store.
 func (r *run) cutFromStore(b *processes.Box, e Event) {
-	end := r.open(StoreCut, "")
+	end := r.beginFault(StoreCut, "")
 	r.store.Set(func(source string) faultproxy.Fault {
 		cut := source == b.IP
 		return faultproxy.Fault{HoldRequests: cut, HoldAnswers: cut}
@@ -272,7 +272,7 @@
 const corruptOneIn = 4
 
 func (r *run) corruptAnswers(s *listedServer, e Event) {
-	end := r.open(ServerCorrupts, s.server.ID)
+	end := r.beginFault(ServerCorrupts, s.server.ID)
 	server, count := s.server, e.Target
 	server.SetFault(func(*machines.Run) machines.Fault {
 		count++
@@ -296,7 +296,7 @@
 	if e.Target%2 == 1 {
 		only = r.boxes[e.Target/2%len(r.boxes)].IP
 	}
-	end := r.open(e.Kind, "")
+	end := r.beginFault(e.Kind, "")
 	s.link.Set(func(source string) faultproxy.Fault {
 		if only != "" && source != only {
 			return faultproxy.Fault{}
