--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -207,7 +207,7 @@
 func inTime(h *History) (found []string) {
 	for _, r := range h.Requests {
 		took := r.Ended.Sub(r.Sent)
-		if r.Status == 0 || took <= r.Timeout+boundLate+pace || h.struck(r.Box, r.Sent, r.Ended, BoxPause, BoxKill, BoxStop) {
+		if r.Status == 0 || took <= r.Timeout+boundLate+pace || h.hadFault(r.Box, r.Sent, r.Ended, BoxPause, BoxKill, BoxStop) {
 			continue
 		}
 		found = append(found, fmt.Sprintf("%s was answered with %d after %s", r.ID, r.Status, took.Round(time.Millisecond)))
@@ -219,10 +219,10 @@
 func plannedStop(h *History) (found []string) {
 	arrivals := h.arrivalsByID()
 	for _, r := range h.Requests {
-		if r.Status != 0 || len(arrivals[r.ID]) == 0 || !h.struck(r.Box, r.Sent, r.Ended, BoxStop) {
+		if r.Status != 0 || len(arrivals[r.ID]) == 0 || !h.hadFault(r.Box, r.Sent, r.Ended, BoxStop) {
 			continue
 		}
-		if h.struck(r.Box, r.Sent.Add(-boundContact), r.Ended, BoxKill, BoxPause) || r.Ended.Sub(r.Sent) > r.Timeout {
+		if h.hadFault(r.Box, r.Sent.Add(-boundContact), r.Ended, BoxKill, BoxPause) || r.Ended.Sub(r.Sent) > r.Timeout {
 			continue
 		}
 		found = append(found, fmt.Sprintf("%s reached a server, and its connection to %s ended without an answer", r.ID, r.Box))
@@ -237,7 +237,7 @@
 // contact before from on, so that bounds in time do not bind the box.
 func (h *History) touched(box string, from, to time.Time) bool {
 	from = from.Add(-boundContact)
-	return h.struck(box, from, to, BoxStop, BoxKill, BoxPause) || h.struck("", from, to, storeKinds...)
+	return h.hadFault(box, from, to, BoxStop, BoxKill, BoxPause) || h.hadFault("", from, to, storeKinds...)
 }
 
 // drain: a server that leaves gets nothing after a while.
@@ -245,7 +245,7 @@
 	for _, d := range h.Departures {
 		for _, a := range h.Arrivals[d.Server] {
 			after := a.At.Sub(d.At)
-			if after <= boundDrain+pace || h.touched(a.From, d.At, a.At) || h.struck("", d.At, a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute) {
+			if after <= boundDrain+pace || h.touched(a.From, d.At, a.At) || h.hadFault("", d.At, a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s reached %s through %s %s after it left", a.ID, d.Server, a.From, after.Round(time.Millisecond)))
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// struck reports whether one of the kinds struck the part, or all parts, at
+// hadFault reports whether one of the kinds hadFault the part, or all parts, at
 // any moment from from to to.
-func (h *History) struck(what string, from, to time.Time, kinds ...Kind) bool {
+func (h *History) hadFault(what string, from, to time.Time, kinds ...Kind) bool {
 	for _, s := range h.FaultPeriods {
 		if s.Target != "" && what != "" && s.Target != what {
 			continue
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -104,8 +104,8 @@
 		at, known := told[a.From]
 		switch {
 		case !known || a.At.Sub(at) < limitTold || !l.To.IsZero() && a.At.After(l.To):
-		case h.struck(a.From, a.At.Add(-boundContact), a.At, BoxStop, BoxKill, BoxPause):
-		case h.struck("", a.At.Add(-boundContact), a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute):
+		case h.hadFault(a.From, a.At.Add(-boundContact), a.At, BoxStop, BoxKill, BoxPause):
+		case h.hadFault("", a.At.Add(-boundContact), a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute):
 			// What a link holds back arrives together.
 		default:
 			counted = append(counted, a.At)
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -86,7 +86,7 @@
 		for _, a := range h.Arrivals[server] {
 			at, known := told[a.From]
 			q := sent[a.ID]
-			if !known || q == nil || q.Sent.Sub(at) <= boundDrain || h.struck(a.From, at, a.At, BoxStop, BoxKill, BoxPause) {
+			if !known || q == nil || q.Sent.Sub(at) <= boundDrain || h.hadFault(a.From, at, a.At, BoxStop, BoxKill, BoxPause) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s was sent %s after %s had passed on that %s leaves, and reached it", a.ID, q.Sent.Sub(at).Round(time.Millisecond), a.From, server))
@@ -117,7 +117,7 @@
 					n, last = n+1, a.At
 				}
 			}
-			if n <= mostInRest || h.struck(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.struck("", asked.At.Add(-boundContact), last, cuts...) {
+			if n <= mostInRest || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, cuts...) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s asked %s for %s of rest and got %d requests from it in that time", server, asked.To, rest, n))
