--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -233,9 +233,9 @@
 // storeKinds are the faults in which a box may not hear of changes in time.
 var storeKinds = []Kind{StoreBusy, StoreMany, StoreSilent, StoreReset, StoreForgets, StoreCut, StoreBlink, StoreMute}
 
-// touched reports whether the box or the store was struck from the time of
+// isExempt reports whether the box or the store was struck from the time of
 // contact before from on, so that bounds in time do not bind the box.
-func (h *History) touched(box string, from, to time.Time) bool {
+func (h *History) isExempt(box string, from, to time.Time) bool {
 	from = from.Add(-boundContact)
 	return h.hadFault(box, from, to, BoxStop, BoxKill, BoxPause) || h.hadFault("", from, to, storeKinds...)
 }
@@ -245,7 +245,7 @@
 	for _, d := range h.Departures {
 		for _, a := range h.Arrivals[d.Server] {
 			after := a.At.Sub(d.At)
-			if after <= boundDrain+pace || h.touched(a.From, d.At, a.At) || h.hadFault("", d.At, a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute) {
+			if after <= boundDrain+pace || h.isExempt(a.From, d.At, a.At) || h.hadFault("", d.At, a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s reached %s through %s %s after it left", a.ID, d.Server, a.From, after.Round(time.Millisecond)))
@@ -263,7 +263,7 @@
 		}
 		for _, p := range h.Probes {
 			late := p.At.Sub(c.At) > boundConfig+pace
-			if p.Version != c.Version || !late || !until.IsZero() && p.At.After(until) || h.touched(p.Box, c.At, p.At) {
+			if p.Version != c.Version || !late || !until.IsZero() && p.At.After(until) || h.isExempt(p.Box, c.At, p.At) {
 				continue
 			}
 			if p.Status == http.StatusNotFound {
@@ -324,7 +324,7 @@
 		third, late := ended[2], 0
 		for _, list := range h.Arrivals {
 			for _, a := range list {
-				if ids[a.ID] && a.At.Sub(third) > boundContact+pace && !h.touched(a.From, a.At, a.At) {
+				if ids[a.ID] && a.At.Sub(third) > boundContact+pace && !h.isExempt(a.From, a.At, a.At) {
 					late++
 				}
 			}
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -153,7 +153,7 @@
 	for _, c := range h.Configurations {
 		for _, p := range h.OldKeys {
 			late := p.At.Sub(c.At) > boundConfig+pace
-			if p.Version != c.Version-1 || !late || p.Status != http.StatusOK || h.touched(p.Box, c.At, p.At) {
+			if p.Version != c.Version-1 || !late || p.Status != http.StatusOK || h.isExempt(p.Box, c.At, p.At) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s served by a key %s after it was taken away", p.Box, p.At.Sub(c.At).Round(time.Millisecond)))
