--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -73,8 +73,8 @@
 	{"recovery", recovery},
 }
 
-// Judge returns all violations.
-func Judge(h *History) []Violation {
+// FindViolations returns all violations.
+func FindViolations(h *History) []Violation {
 	var list []Violation
 	for _, c := range Checks {
 		for _, detail := range c.Find(h) {
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -39,7 +39,7 @@
 // found by its check, and by no other.
 func TestEachCheckCanFail(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Judge(calm()), nil)
+	is.Equal(FindViolations(calm()), nil)
 	controls := map[string]func(h *History){
 		"customer":  func(h *History) { h.Runs["s1"][0].Header.Set("X-Stoneworks-Tenant", "somebody-else") },
 		"keys-kept": func(h *History) { h.Runs["s1"][1].Header.Set("Authorization", "Bearer "+keyOf(usualCustomer)) },
@@ -140,7 +140,7 @@
 		}
 		h := calm()
 		spoil(h)
-		found := Judge(h)
+		found := FindViolations(h)
 		if len(found) == 0 {
 			t.Errorf("%s does not find what breaks it", c.Name)
 		}
@@ -157,9 +157,9 @@
 	h.Requests[0].Ended = h.Requests[0].Sent.Add(2 * time.Second)
 	h.Probes[0].Status = 404
 	h.FaultPeriods = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: start, To: after(10 * time.Second)}}
-	is.Equal(Judge(h), nil)
+	is.Equal(FindViolations(h), nil)
 	h.FaultPeriods[0].Target = "b2"
-	is.Equal(len(Judge(h)), 2)
+	is.Equal(len(FindViolations(h)), 2)
 }
 
 // TestLimitsCountWhoWasTold: of what a limited server gets, what boxes sent that it had not told, or
@@ -173,17 +173,17 @@
 		h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
 		h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: id, From: "b1", At: at})
 	}
-	is.Equal(Judge(h), nil)
+	is.Equal(FindViolations(h), nil)
 	h.AnnouncedLimits[0].Announcements[0].At = after(9 * time.Second)
-	is.Equal(len(Judge(h)), 1)
+	is.Equal(len(FindViolations(h)), 1)
 	h.AnnouncedLimits[0].Announcements[0].To = "b2"
-	is.Equal(Judge(h), nil)
+	is.Equal(FindViolations(h), nil)
 	h.AnnouncedLimits[0].Announcements[0].To = "b1"
 	h.FaultPeriods = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: after(8 * time.Second), To: after(9 * time.Second)}}
-	is.Equal(Judge(h), nil)
+	is.Equal(FindViolations(h), nil)
 	h.FaultPeriods[0].Target = "b2"
 	h.AnnouncedLimits[0].To = after(10 * time.Second)
-	is.Equal(Judge(h), nil) // it named none any more
+	is.Equal(FindViolations(h), nil) // it named none any more
 }
 
 func TestPlansReplay(t *testing.T) {
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -78,7 +78,7 @@
 	}
 	r.play()
 	h := r.collect()
-	found := Judge(h)
+	found := FindViolations(h)
 	fmt.Fprintf(o.Out, "seed %d: %d events, %d requests (%s), %d probes, %d broken\n",
 		o.Plan.Seed, len(o.Plan.Events), len(h.Requests), statuses(h), len(h.Probes), len(found))
 	return found, nil
