--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -22,9 +22,9 @@
 	boundGrace   = 4 * time.Second
 	// boundLate is how much later than its route's time an answer may come.
 	boundLate = 500 * time.Millisecond
-	// pace is added to bounds in time: this machine runs many processes, and
+	// timingSlack is added to bounds in time: this machine runs many processes, and
 	// its clock is not a simulated one.
-	pace        = 400 * time.Millisecond
+	timingSlack        = 400 * time.Millisecond
 	maxAttempts = 2
 	retryRatio  = 0.2
 	retrySlack  = 50
@@ -207,7 +207,7 @@
 func inTime(h *History) (found []string) {
 	for _, r := range h.Requests {
 		took := r.Ended.Sub(r.Sent)
-		if r.Status == 0 || took <= r.Timeout+boundLate+pace || h.hadFault(r.Box, r.Sent, r.Ended, BoxPause, BoxKill, BoxStop) {
+		if r.Status == 0 || took <= r.Timeout+boundLate+timingSlack || h.hadFault(r.Box, r.Sent, r.Ended, BoxPause, BoxKill, BoxStop) {
 			continue
 		}
 		found = append(found, fmt.Sprintf("%s was answered with %d after %s", r.ID, r.Status, took.Round(time.Millisecond)))
@@ -245,7 +245,7 @@
 	for _, d := range h.Departures {
 		for _, a := range h.Arrivals[d.Server] {
 			after := a.At.Sub(d.At)
-			if after <= boundDrain+pace || h.isExempt(a.From, d.At, a.At) || h.hadFault("", d.At, a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute) {
+			if after <= boundDrain+timingSlack || h.isExempt(a.From, d.At, a.At) || h.hadFault("", d.At, a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s reached %s through %s %s after it left", a.ID, d.Server, a.From, after.Round(time.Millisecond)))
@@ -262,7 +262,7 @@
 			until = h.Configurations[i+1].At
 		}
 		for _, p := range h.Probes {
-			late := p.At.Sub(c.At) > boundConfig+pace
+			late := p.At.Sub(c.At) > boundConfig+timingSlack
 			if p.Version != c.Version || !late || !until.IsZero() && p.At.After(until) || h.isExempt(p.Box, c.At, p.At) {
 				continue
 			}
@@ -324,7 +324,7 @@
 		third, late := ended[2], 0
 		for _, list := range h.Arrivals {
 			for _, a := range list {
-				if ids[a.ID] && a.At.Sub(third) > boundContact+pace && !h.isExempt(a.From, a.At, a.At) {
+				if ids[a.ID] && a.At.Sub(third) > boundContact+timingSlack && !h.isExempt(a.From, a.At, a.At) {
 					late++
 				}
 			}
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -152,7 +152,7 @@
 func oldKeys(h *History) (found []string) {
 	for _, c := range h.Configurations {
 		for _, p := range h.OldKeys {
-			late := p.At.Sub(c.At) > boundConfig+pace
+			late := p.At.Sub(c.At) > boundConfig+timingSlack
 			if p.Version != c.Version-1 || !late || p.Status != http.StatusOK || h.isExempt(p.Box, c.At, p.At) {
 				continue
 			}
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -80,7 +80,7 @@
 		for k, end := range counted {
 			begun := end.Add(-limitWindow)
 			from, _ := slices.BinarySearchFunc(counted, begun, time.Time.Compare)
-			if end.Sub(l.From) < boundContact+pace || float64(k+1-from) <= allowed {
+			if end.Sub(l.From) < boundContact+timingSlack || float64(k+1-from) <= allowed {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s named %g a second and got %d in %s, %s after it had named that, allowed %.0f",
