--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -29,9 +29,9 @@
 	retryRatio  = 0.2
 	retrySlack  = 50
 	retryWindow = 10 * time.Second
-	// leastRecovered is the share of requests that must be answered once all
+	// minRecovered is the share of requests that must be answered once all
 	// faults are over.
-	leastRecovered = 0.95
+	minRecovered = 0.95
 )
 
 // Violation is a promise that was broken.
@@ -355,7 +355,7 @@
 // recovery: once all faults are over, requests are answered.
 func recovery(h *History) []string {
 	r := h.Recovery
-	if r.Sent == 0 || float64(r.Answered) < leastRecovered*float64(r.Sent) {
+	if r.Sent == 0 || float64(r.Answered) < minRecovered*float64(r.Sent) {
 		return []string{fmt.Sprintf("%d of %d requests answered after all faults were over", r.Answered, r.Sent)}
 	}
 	return nil
