--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -296,9 +296,9 @@
 	return found
 }
 
-// lateDeadly is how many retries of a request that has ended three servers may still reach
+// maxLateArrivals is how many retries of a request that has ended three servers may still reach
 // others once boxes had the time of contact to tell each other.
-const lateDeadly = 3
+const maxLateArrivals = 3
 
 // deadlyKept: a request that has ended three servers is kept from others.
 func deadlyKept(h *History) (found []string) {
@@ -329,7 +329,7 @@
 				}
 			}
 		}
-		if late > lateDeadly {
+		if late > maxLateArrivals {
 			found = append(found, fmt.Sprintf("%s reached servers %d times after three had ended under it, %d in all", target, late, len(ended)))
 		}
 	}
