--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -25,9 +25,9 @@
 	probePause  = 150 * time.Millisecond
 	keys        = 40
 	clientWaits = 3 * time.Second
-	// goneShare of the requests are left before they are answered, after
+	// abandonShare of the requests are left before they are answered, after
 	// goneAfter.
-	goneShare = 0.02
+	abandonShare = 0.02
 	goneAfter = 8 * time.Millisecond
 	// aheadShare of the requests that may be repeated are sent with up to mostAhead others, before
 	// the first one is answered.
@@ -81,7 +81,7 @@
 		route := routes[random.Intn(len(routes))]
 		q := newRequest(b, &route, random)
 		switch {
-		case random.Float64() < goneShare:
+		case random.Float64() < abandonShare:
 			r.leave(c, &q, random)
 		case route.Kind == "safe" && random.Float64() < aheadShare:
 			r.askAhead(c, b, &route, random)
