--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -28,7 +28,7 @@
 	// abandonShare of the requests are left before they are answered, after
 	// goneAfter.
 	abandonShare = 0.02
-	goneAfter = 8 * time.Millisecond
+	abandonAfter = 8 * time.Millisecond
 	// aheadShare of the requests that may be repeated are sent with up to mostAhead others, before
 	// the first one is answered.
 	aheadShare = 0.2
@@ -156,7 +156,7 @@
 // leave sends a request and closes the connection before the answer.
 func (r *run) leave(c *machines.Client, q *Request, random *rand.Rand) {
 	if c.Send(q.Method, q.Target, q.ID, q.Body, extraOf(random)) == nil {
-		time.Sleep(goneAfter)
+		time.Sleep(abandonAfter)
 	}
 	c.Close()
 	// The client knows nothing of it, as if it had waited too long.
