--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -29,9 +29,9 @@
 	// goneAfter.
 	abandonShare = 0.02
 	abandonAfter = 8 * time.Millisecond
-	// aheadShare of the requests that may be repeated are sent with up to mostAhead others, before
+	// pipelineShare of the requests that may be repeated are sent with up to mostAhead others, before
 	// the first one is answered.
-	aheadShare = 0.2
+	pipelineShare = 0.2
 	mostAhead  = 5
 )
 
@@ -83,7 +83,7 @@
 		switch {
 		case random.Float64() < abandonShare:
 			r.leave(c, &q, random)
-		case route.Kind == "safe" && random.Float64() < aheadShare:
+		case route.Kind == "safe" && random.Float64() < pipelineShare:
 			r.askAhead(c, b, &route, random)
 			time.Sleep(clientPause)
 			continue
