--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -32,7 +32,7 @@
 	// pipelineShare of the requests that may be repeated are sent with up to mostAhead others, before
 	// the first one is answered.
 	pipelineShare = 0.2
-	mostAhead  = 5
+	maxPipelined  = 5
 )
 
 // routes are those that every configuration has.
@@ -116,7 +116,7 @@
 func (r *run) askAhead(c *machines.Client, b *processes.Box, route *machines.Route, random *rand.Rand) {
 	var sent []Request
 	isOpen := true
-	for range 2 + random.Intn(mostAhead-1) {
+	for range 2 + random.Intn(maxPipelined-1) {
 		q := newRequest(b, route, random)
 		sent = append(sent, q)
 		if c.Send(q.Method, q.Target, q.ID, q.Body, extraOf(random)) != nil {
