--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -84,7 +84,7 @@
 		case random.Float64() < abandonShare:
 			r.leave(c, &q, random)
 		case route.Kind == "safe" && random.Float64() < pipelineShare:
-			r.askAhead(c, b, &route, random)
+			r.sendPipelined(c, b, &route, random)
 			time.Sleep(clientPause)
 			continue
 		default:
@@ -111,9 +111,9 @@
 	read(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraOf(random)))
 }
 
-// askAhead sends requests before the first of them is answered. Those behind an answer that closes the
+// sendPipelined sends requests before the first of them is answered. Those behind an answer that closes the
 // connection, or breaks off, get none; they may have run, since they may be repeated.
-func (r *run) askAhead(c *machines.Client, b *processes.Box, route *machines.Route, random *rand.Rand) {
+func (r *run) sendPipelined(c *machines.Client, b *processes.Box, route *machines.Route, random *rand.Rand) {
 	var sent []Request
 	isOpen := true
 	for range 2 + random.Intn(maxPipelined-1) {
