--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -82,7 +82,7 @@
 		q := newRequest(b, &route, random)
 		switch {
 		case random.Float64() < abandonShare:
-			r.leave(c, &q, random)
+			r.abandon(c, &q, random)
 		case route.Kind == "safe" && random.Float64() < pipelineShare:
 			r.sendPipelined(c, b, &route, random)
 			time.Sleep(clientPause)
@@ -153,8 +153,8 @@
 	}
 }
 
-// leave sends a request and closes the connection before the answer.
-func (r *run) leave(c *machines.Client, q *Request, random *rand.Rand) {
+// abandon sends a request and closes the connection before the answer.
+func (r *run) abandon(c *machines.Client, q *Request, random *rand.Rand) {
 	if c.Send(q.Method, q.Target, q.ID, q.Body, extraOf(random)) == nil {
 		time.Sleep(abandonAfter)
 	}
