--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -88,7 +88,7 @@
 			time.Sleep(clientPause)
 			continue
 		default:
-			r.ask(c, &q, random)
+			r.send(c, &q, random)
 		}
 		r.update(func(h *History) { h.Requests = append(h.Requests, q) })
 		time.Sleep(clientPause)
@@ -107,7 +107,7 @@
 	return q
 }
 
-func (r *run) ask(c *machines.Client, q *Request, random *rand.Rand) {
+func (r *run) send(c *machines.Client, q *Request, random *rand.Rand) {
 	read(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraOf(random)))
 }
 
