--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -108,7 +108,7 @@
 }
 
 func (r *run) send(c *machines.Client, q *Request, random *rand.Rand) {
-	read(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraOf(random)))
+	recordAnswer(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraOf(random)))
 }
 
 // sendPipelined sends requests before the first of them is answered. Those behind an answer that closes the
@@ -129,7 +129,7 @@
 		q := &sent[i]
 		if isOpen {
 			answer := c.Read()
-			read(c, q, answer)
+			recordAnswer(c, q, answer)
 			isOpen = answer.Problem == nil && !answer.Last
 		} else {
 			q.Ended = time.Now()
@@ -138,8 +138,8 @@
 	}
 }
 
-// read notes what a client got.
-func read(c *machines.Client, q *Request, answer *machines.Answer) {
+// recordAnswer notes what a client got.
+func recordAnswer(c *machines.Client, q *Request, answer *machines.Answer) {
 	q.Ended = time.Now()
 	if answer.Problem != nil {
 		c.Close()
