--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -108,7 +108,7 @@
 }
 
 func (r *run) send(c *machines.Client, q *Request, random *rand.Rand) {
-	recordAnswer(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraOf(random)))
+	recordAnswer(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraHeaders(random)))
 }
 
 // sendPipelined sends requests before the first of them is answered. Those behind an answer that closes the
@@ -119,7 +119,7 @@
 	for range 2 + random.Intn(maxPipelined-1) {
 		q := newRequest(b, route, random)
 		sent = append(sent, q)
-		if c.Send(q.Method, q.Target, q.ID, q.Body, extraOf(random)) != nil {
+		if c.Send(q.Method, q.Target, q.ID, q.Body, extraHeaders(random)) != nil {
 			c.Close()
 			isOpen = false
 			break
@@ -155,7 +155,7 @@
 
 // abandon sends a request and closes the connection before the answer.
 func (r *run) abandon(c *machines.Client, q *Request, random *rand.Rand) {
-	if c.Send(q.Method, q.Target, q.ID, q.Body, extraOf(random)) == nil {
+	if c.Send(q.Method, q.Target, q.ID, q.Body, extraHeaders(random)) == nil {
 		time.Sleep(abandonAfter)
 	}
 	c.Close()
@@ -163,7 +163,7 @@
 	q.Ended = q.Sent.Add(q.Timeout + time.Nanosecond)
 }
 
-func extraOf(random *rand.Rand) string {
+func extraHeaders(random *rand.Rand) string {
 	return claims(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: %d\r\n", random.Intn(keys), clientWaits.Milliseconds())
 }
 
