--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -66,7 +66,7 @@
 			random := rand.New(rand.NewSource(r.random.Int63()))
 			group.Go(func() { r.client(b, random, end) })
 		}
-		group.Go(func() { r.prober(b, end) })
+		group.Go(func() { r.probeConfiguration(b, end) })
 		group.Go(func() { r.presser(b, end) })
 		group.Go(func() { r.keyProber(b, end) })
 	}
@@ -167,9 +167,9 @@
 	return claims(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: %d\r\n", random.Intn(keys), clientWaits.Milliseconds())
 }
 
-// prober asks the box for the paths of the newest configuration and of the one
+// probeConfiguration asks the box for the paths of the newest configuration and of the one
 // before, in turn.
-func (r *run) prober(b *processes.Box, end time.Time) {
+func (r *run) probeConfiguration(b *processes.Box, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
 	for n := 0; time.Now().Before(end); n++ {
