--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -50,8 +50,8 @@
 	return "Authorization: Bearer " + key + "\r\nX-Stoneworks-Tenant: somebody-else\r\n"
 }
 
-// presser sends the limited customer's requests to a box, far more than it may.
-func (r *run) presser(b *processes.Box, end time.Time) {
+// sendOverLimit sends the limited customer's requests to a box, far more than it may.
+func (r *run) sendOverLimit(b *processes.Box, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
 	for time.Now().Before(end) {
