--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -25,7 +25,7 @@
 	// limitRate and limitBurst are the limit of the limited customer.
 	limitRate  = 25
 	limitBurst = 10
-	pressPause = 15 * time.Millisecond
+	overLimitPause = 15 * time.Millisecond
 	// quotaWindow, quotaOverage and quotaSlack are the settings' defaults.
 	quotaWindow  = 5 * time.Second
 	quotaOverage = 0.1
@@ -56,7 +56,7 @@
 	defer c.Close()
 	for time.Now().Before(end) {
 		r.aside(c, b, keyOf(limitedCustomer))
-		time.Sleep(pressPause)
+		time.Sleep(overLimitPause)
 	}
 }
 
