--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -68,7 +68,7 @@
 		}
 		group.Go(func() { r.probeConfiguration(b, end) })
 		group.Go(func() { r.sendOverLimit(b, end) })
-		group.Go(func() { r.keyProber(b, end) })
+		group.Go(func() { r.probeOldKey(b, end) })
 	}
 }
 
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// keyProber asks a box with the key that only the version before the newest had.
-func (r *run) keyProber(b *processes.Box, end time.Time) {
+// probeOldKey asks a box with the key that only the version before the newest had.
+func (r *run) probeOldKey(b *processes.Box, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
 	for time.Now().Before(end) {
