--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -55,7 +55,7 @@
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
 	for time.Now().Before(end) {
-		r.aside(c, b, keyOf(limitedCustomer))
+		r.sendSideRequest(c, b, keyOf(limitedCustomer))
 		time.Sleep(overLimitPause)
 	}
 }
@@ -68,7 +68,7 @@
 		newest := 0
 		r.update(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
 		if newest > 1 {
-			q := r.aside(c, b, keyOfVersion(newest-1))
+			q := r.sendSideRequest(c, b, keyOfVersion(newest-1))
 			r.update(func(h *History) {
 				h.OldKeys = append(h.OldKeys, Probe{Box: q.Box, Incarnation: q.Incarnation, Version: newest - 1, At: q.Sent, Status: q.Status})
 			})
@@ -77,8 +77,8 @@
 	}
 }
 
-// aside sends a request that is no part of what is asked of the recovery.
-func (r *run) aside(c *machines.Client, b *processes.Box, key string) Request {
+// sendSideRequest sends a request that is no part of what is asked of the recovery.
+func (r *run) sendSideRequest(c *machines.Client, b *processes.Box, key string) Request {
 	q := Request{
 		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Incarnation: b.Life(),
 		Timeout: time.Second + 200*time.Millisecond, Sent: time.Now(),
