--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -164,7 +164,7 @@
 }
 
 func extraHeaders(random *rand.Rand) string {
-	return claims(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: %d\r\n", random.Intn(keys), clientWaits.Milliseconds())
+	return customerHeaders(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: %d\r\n", random.Intn(keys), clientWaits.Milliseconds())
 }
 
 // probeConfiguration asks the box for the paths of the newest configuration and of the one
@@ -181,7 +181,7 @@
 			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Incarnation: life,
 			Timeout: time.Second + 200*time.Millisecond, Sent: at,
 		}
-		answer := c.Do(q.Method, q.Target, q.ID, "", claims(keyOf(usualCustomer))+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
+		answer := c.Do(q.Method, q.Target, q.ID, "", customerHeaders(keyOf(usualCustomer))+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
 		q.Ended = time.Now()
 		if answer.Problem != nil {
 			c.Close()
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// claims are the headers of a request of a customer, which also claims to be of
+// customerHeaders are the headers of a request of a customer, which also customerHeaders to be of
 // another one.
-func claims(key string) string {
+func customerHeaders(key string) string {
 	return "Authorization: Bearer " + key + "\r\nX-Stoneworks-Tenant: somebody-else\r\n"
 }
 
@@ -83,7 +83,7 @@
 		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Incarnation: b.Life(),
 		Timeout: time.Second + 200*time.Millisecond, Sent: time.Now(),
 	}
-	answer := c.Do(q.Method, q.Target, q.ID, "", claims(key)+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
+	answer := c.Do(q.Method, q.Target, q.ID, "", customerHeaders(key)+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
 	q.Ended = time.Now()
 	if answer.Problem != nil {
 		c.Close()
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -59,7 +59,7 @@
 				Timeout: time.Duration(routes[0].TimeoutMS) * time.Millisecond, Sent: time.Now(),
 			}
 			r.update(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
-			extra := claims(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", e.Target%keys)
+			extra := customerHeaders(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", e.Target%keys)
 			c.Do(q.Method, q.Target, q.ID, "", extra)
 			c.Close()
 			time.Sleep(deadlyPause)
