--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -20,8 +20,8 @@
 const (
 	usualCustomer   = "studio"
 	limitedCustomer = "label"
-	// keysPart is part of every key, so that a search for it finds any.
-	keysPart = "soak-key"
+	// keyPrefix is part of every key, so that a search for it finds any.
+	keyPrefix = "soak-key"
 	// limitRate and limitBurst are the limit of the limited customer.
 	limitRate  = 25
 	limitBurst = 10
@@ -32,10 +32,10 @@
 	quotaSlack   = 20
 )
 
-func keyOf(customer string) string { return keysPart + "-" + customer }
+func keyOf(customer string) string { return keyPrefix + "-" + customer }
 
 // keyOfVersion is a key of the usual customer that only one version has.
-func keyOfVersion(version int) string { return fmt.Sprintf("%s-version-%d-", keysPart, version) }
+func keyOfVersion(version int) string { return fmt.Sprintf("%s-version-%d-", keyPrefix, version) }
 
 func customersOf(version int) []machines.Customer {
 	return []machines.Customer{
@@ -116,7 +116,7 @@
 func keysKept(h *History) (found []string) {
 	for server, list := range h.Runs {
 		for _, run := range list {
-			if strings.Contains(fmt.Sprint(run.Header), keysPart) {
+			if strings.Contains(fmt.Sprint(run.Header), keyPrefix) {
 				found = append(found, fmt.Sprintf("%s got a key with %s", server, run.ID))
 			}
 		}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -220,7 +220,7 @@
 			found = append(found, err.Error())
 		}
 		for _, line := range strings.Split(string(text), "\n") {
-			if strings.Contains(line, keysPart) {
+			if strings.Contains(line, keyPrefix) {
 				found = append(found, "logged: "+line)
 			}
 		}
