--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -127,7 +127,7 @@
 	case ServerLimited:
 		r.announceLimits(server, e)
 	case ServerLeaves:
-		r.leaveInAnswers(server, e)
+		r.announceLeaving(server, e)
 	case ServerRests:
 		r.askForRest(server, e)
 	case EntryForeign:
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -23,9 +23,9 @@
 // askedRests are the seconds of rest that servers ask for.
 var askedRests = []string{"3", "1", "0.4", "2.5"}
 
-// leaveInAnswers has a server leave that the store's list has as ready for a while: only its answers
+// announceLeaving has a server leave that the store's list has as ready for a while: only its answers
 // say so.
-func (r *run) leaveInAnswers(s *listedServer, e Event) {
+func (r *run) announceLeaving(s *listedServer, e Event) {
 	left := false
 	r.update(func(*History) { left, s.departed = s.departed, true })
 	if left {
