--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -20,8 +20,8 @@
 	mostUnlisted = 2 * time.Second
 )
 
-// askedRests are the seconds of rest that servers ask for.
-var askedRests = []string{"3", "1", "0.4", "2.5"}
+// retryAfterValues are the seconds of rest that servers ask for.
+var retryAfterValues = []string{"3", "1", "0.4", "2.5"}
 
 // announceLeaving has a server leave that the store's list has as ready for a while: only its answers
 // say so.
@@ -48,7 +48,7 @@
 // askForRest has a server turn all requests away and ask for rest, and for one event in four all
 // servers of its service.
 func (r *run) askForRest(s *listedServer, e Event) {
-	seconds := askedRests[e.Target%len(askedRests)]
+	seconds := retryAfterValues[e.Target%len(retryAfterValues)]
 	for _, other := range r.servers {
 		if other != s && (e.Target%4 != 0 || other.service != s.service) {
 			continue
