--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -129,7 +129,7 @@
 	case ServerLeaves:
 		r.announceLeaving(server, e)
 	case ServerRests:
-		r.askForRest(server, e)
+		r.rejectWithRetryAfter(server, e)
 	case EntryForeign:
 		r.writeForeign(server, e)
 	case ServiceMoves:
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// askForRest has a server turn all requests away and ask for rest, and for one event in four all
+// rejectWithRetryAfter has a server turn all requests away and ask for rest, and for one event in four all
 // servers of its service.
-func (r *run) askForRest(s *listedServer, e Event) {
+func (r *run) rejectWithRetryAfter(s *listedServer, e Event) {
 	seconds := retryAfterValues[e.Target%len(retryAfterValues)]
 	for _, other := range r.servers {
 		if other != s && (e.Target%4 != 0 || other.service != s.service) {
