--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -13,8 +13,8 @@
 // ================================================================
 
 const (
-	// restTimes is for how many times of its event's time a server asks for rest.
-	restTimes = 2
+	// backoffFactor is for how many times of its event's time a server asks for rest.
+	backoffFactor = 2
 	// mostUnlisted bounds for how long a server that leaves is listed as ready, besides the time of
 	// draining, in which boxes may still send it requests.
 	mostUnlisted = 2 * time.Second
@@ -56,7 +56,7 @@
 		var server *machines.Server
 		r.update(func(*History) { server = other.server })
 		server.AskForRest(seconds)
-		r.later(min(restTimes*e.Duration, r.Plan.Length-e.At), func() { server.AskForRest("") })
+		r.later(min(backoffFactor*e.Duration, r.Plan.Length-e.At), func() { server.AskForRest("") })
 	}
 }
 
