--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -96,9 +96,9 @@
 }
 
 const (
-	// restTold is how long after a server has asked for rest requests may still be on their way, and
+	// backoffDelay is how long after a server has asked for rest requests may still be on their way, and
 	// mostInRest how many may reach it from that box from then on until the time is over.
-	restTold   = 500 * time.Millisecond
+	backoffDelay   = 500 * time.Millisecond
 	mostInRest = 2
 )
 
@@ -113,7 +113,7 @@
 			rest := time.Duration(seconds * float64(time.Second))
 			n, last := 0, time.Time{}
 			for _, a := range h.Arrivals[server] {
-				if after := a.At.Sub(asked.At); a.From == asked.To && after >= restTold && after < rest {
+				if after := a.At.Sub(asked.At); a.From == asked.To && after >= backoffDelay && after < rest {
 					n, last = n+1, a.At
 				}
 			}
