--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -99,7 +99,7 @@
 	// backoffDelay is how long after a server has asked for rest requests may still be on their way, and
 	// mostInRest how many may reach it from that box from then on until the time is over.
 	backoffDelay   = 500 * time.Millisecond
-	mostInRest = 2
+	maxDuringBackoff = 2
 )
 
 // restKept: a server that has asked a box for rest gets next to nothing of it for that time.
@@ -117,7 +117,7 @@
 					n, last = n+1, a.At
 				}
 			}
-			if n <= mostInRest || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, cuts...) {
+			if n <= maxDuringBackoff || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, cuts...) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s asked %s for %s of rest and got %d requests from it in that time", server, asked.To, rest, n))
