--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -15,9 +15,9 @@
 const (
 	// backoffFactor is for how many times of its event's time a server asks for rest.
 	backoffFactor = 2
-	// mostUnlisted bounds for how long a server that leaves is listed as ready, besides the time of
+	// maxUnlisted bounds for how long a server that leaves is listed as ready, besides the time of
 	// draining, in which boxes may still send it requests.
-	mostUnlisted = 2 * time.Second
+	maxUnlisted = 2 * time.Second
 )
 
 // retryAfterValues are the seconds of rest that servers ask for.
@@ -33,7 +33,7 @@
 	}
 	old := s.server
 	old.Say(machines.SaysLeaving, "1")
-	r.later(min(e.Duration, mostUnlisted)+boundDrain, func() {
+	r.later(min(e.Duration, maxUnlisted)+boundDrain, func() {
 		r.fleet.List(old, s.service, s.zone, "draining", 0)
 		r.update(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 		time.Sleep(replaceAfter)
