--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// cuts are the faults in which what a server says may not reach a box, or late.
-var cuts = []Kind{LinkDelay, LinkReset, LinkSilent, LinkOneWay, LinkMute}
+// linkKinds are the faults in which what a server says may not reach a box, or late.
+var linkKinds = []Kind{LinkDelay, LinkReset, LinkSilent, LinkOneWay, LinkMute}
 
 // leavingKept: a box that has passed on a server's word that it leaves sends it nothing that a client
 // sends later than the time of draining. A box that was stopped or paused since may.
@@ -117,7 +117,7 @@
 					n, last = n+1, a.At
 				}
 			}
-			if n <= maxDuringBackoff || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, cuts...) {
+			if n <= maxDuringBackoff || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, linkKinds...) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s asked %s for %s of rest and got %d requests from it in that time", server, asked.To, rest, n))
