--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -62,12 +62,12 @@
 }
 
 // The bound on a server that names a limit: in any time of limitWindow it gets at most the limit's
-// requests x limitOverage + limitSlack of boxes that it had told for limitTold.
+// requests x limitOverage + limitSlack of boxes that it had told for limitDelay.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
-	limitTold    = 500 * time.Millisecond
+	limitDelay    = 500 * time.Millisecond
 )
 
 // serverLimits: from the time of contact on after a server has first named a limit, it gets no more
@@ -103,7 +103,7 @@
 	for _, a := range h.Arrivals[l.Server] {
 		at, known := told[a.From]
 		switch {
-		case !known || a.At.Sub(at) < limitTold || !l.To.IsZero() && a.At.After(l.To):
+		case !known || a.At.Sub(at) < limitDelay || !l.To.IsZero() && a.At.After(l.To):
 		case h.hadFault(a.From, a.At.Add(-boundContact), a.At, BoxStop, BoxKill, BoxPause):
 		case h.hadFault("", a.At.Add(-boundContact), a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute):
 			// What a link holds back arrives together.
