--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -13,8 +13,8 @@
 // Servers that name the requests a second that they take from all boxes together.
 // ================================================================
 
-// limitTimes is for how many times of its event's time a server names a limit.
-const limitTimes = 3
+// limitFactor is for how many times of its event's time a server names a limit.
+const limitFactor = 3
 
 // announcedRates are the limits that servers name, in requests a second.
 var announcedRates = []float64{2.7, 0, 1, 5, 20}
@@ -35,7 +35,7 @@
 	perSecond := announcedRates[e.Target%len(announcedRates)]
 	for _, other := range r.servers {
 		if other == s || e.Target%4 == 0 && other.service == s.service {
-			r.announceLimit(other, perSecond, min(limitTimes*e.Duration, r.Plan.Length-e.At))
+			r.announceLimit(other, perSecond, min(limitFactor*e.Duration, r.Plan.Length-e.At))
 		}
 	}
 }
