--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -16,8 +16,8 @@
 	moveServers = 3
 	// badShare of a bad version's answers are failures, one in so many.
 	badShare = 2
-	// moveTimes is for how many times of its event's time an order lasts.
-	moveTimes = 2
+	// moveFactor is for how many times of its event's time an order lasts.
+	moveFactor = 2
 	// exposedShare and exposedSlack bound the requests that a bad version gets, of its service's and in
 	// requests.
 	exposedShare = 0.1
@@ -40,7 +40,7 @@
 // bad version. An order runs at a time for each service.
 func (r *run) moveService(s *listedServer, e Event) {
 	m := Move{Service: s.service, Version: fmt.Sprintf("v-%d", e.At.Milliseconds()), Bad: e.Target%2 == 0, From: time.Now()}
-	d := min(moveTimes*e.Duration, r.Plan.Length-e.At)
+	d := min(moveFactor*e.Duration, r.Plan.Length-e.At)
 	m.To = m.From.Add(d)
 	runs := false
 	r.update(func(h *History) {
