--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -14,8 +14,8 @@
 const (
 	// moveServers is how many servers of a new version start.
 	moveServers = 3
-	// badShare of a bad version's answers are failures, one in so many.
-	badShare = 2
+	// failOneIn of a bad version's answers are failures, one in so many.
+	failOneIn = 2
 	// moveFactor is for how many times of its event's time an order lasts.
 	moveFactor = 2
 	// exposedShare and exposedSlack bound the requests that a bad version gets, of its service's and in
@@ -84,7 +84,7 @@
 		if m.Bad {
 			count := 0
 			server.SetFault(func(*machines.Run) machines.Fault {
-				if count++; count%badShare == 0 {
+				if count++; count%failOneIn == 0 {
 					return machines.Fail
 				}
 				return machines.NoFault
