--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -18,9 +18,9 @@
 	failOneIn = 2
 	// moveFactor is for how many times of its event's time an order lasts.
 	moveFactor = 2
-	// exposedShare and exposedSlack bound the requests that a bad version gets, of its service's and in
+	// exposureShare and exposedSlack bound the requests that a bad version gets, of its service's and in
 	// requests.
-	exposedShare = 0.1
+	exposureShare = 0.1
 	exposedSlack = 50
 )
 
@@ -128,7 +128,7 @@
 				}
 			}
 		}
-		if float64(fresh) > exposedShare*float64(all)+exposedSlack {
+		if float64(fresh) > exposureShare*float64(all)+exposedSlack {
 			found = append(found, fmt.Sprintf("%s of %s, which is bad, got %d of %d requests", m.Version, m.Service, fresh, all))
 		}
 	}
