--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -124,7 +124,7 @@
 		},
 		"exposure": func(h *History) {
 			h.Moves = []Move{{Service: "shop", Version: "v2", Servers: []string{"s9"}, Bad: true, From: start, To: after(10 * time.Second)}}
-			for i := range exposedSlack + 30 {
+			for i := range exposureSlack + 30 {
 				id := fmt.Sprint("e", i)
 				h.Requests = append(h.Requests, Request{ID: id, BodyMatches: true, Signed: true, Timeout: time.Second, Sent: after(time.Second), Ended: after(time.Second)})
 				h.Arrivals["s9"] = append(h.Arrivals["s9"], machines.Arrival{ID: id, From: "b1", At: after(time.Second)})
--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -21,7 +21,7 @@
 	// exposureShare and exposedSlack bound the requests that a bad version gets, of its service's and in
 	// requests.
 	exposureShare = 0.1
-	exposedSlack = 50
+	exposureSlack = 50
 )
 
 // Move is an order to move a service to a new version.
@@ -128,7 +128,7 @@
 				}
 			}
 		}
-		if float64(fresh) > exposureShare*float64(all)+exposedSlack {
+		if float64(fresh) > exposureShare*float64(all)+exposureSlack {
 			found = append(found, fmt.Sprintf("%s of %s, which is bad, got %d of %d requests", m.Version, m.Service, fresh, all))
 		}
 	}
