--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -15,8 +15,8 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// calm is a history in which nothing is broken: one request of each kind.
-func calm() *History {
+// cleanHistory is a history in which nothing is broken: one request of each kind.
+func cleanHistory() *History {
 	h := &History{Runs: map[string][]machines.Run{}, Arrivals: map[string][]machines.Arrival{}}
 	for i, kind := range []string{"safe", "unsafe", "upload"} {
 		id := fmt.Sprint("r", i)
@@ -39,7 +39,7 @@
 // found by its check, and by no other.
 func TestEachCheckCanFail(t *testing.T) {
 	is := is.New(t)
-	is.Equal(FindViolations(calm()), nil)
+	is.Equal(FindViolations(cleanHistory()), nil)
 	controls := map[string]func(h *History){
 		"customer":  func(h *History) { h.Runs["s1"][0].Header.Set("X-Stoneworks-Tenant", "somebody-else") },
 		"keys-kept": func(h *History) { h.Runs["s1"][1].Header.Set("Authorization", "Bearer "+keyOf(usualCustomer)) },
@@ -138,7 +138,7 @@
 			t.Errorf("%s has no control", c.Name)
 			continue
 		}
-		h := calm()
+		h := cleanHistory()
 		spoil(h)
 		found := FindViolations(h)
 		if len(found) == 0 {
@@ -153,7 +153,7 @@
 // TestExcuses: bounds in time do not bind a box that was struck.
 func TestExcuses(t *testing.T) {
 	is := is.New(t)
-	h := calm()
+	h := cleanHistory()
 	h.Requests[0].Ended = h.Requests[0].Sent.Add(2 * time.Second)
 	h.Probes[0].Status = 404
 	h.FaultPeriods = []FaultPeriod{{Kind: BoxPause, Target: "b1", From: start, To: after(10 * time.Second)}}
@@ -166,7 +166,7 @@
 // had told just now, or that were struck, is not counted.
 func TestLimitsCountWhoWasTold(t *testing.T) {
 	is := is.New(t)
-	h := calm()
+	h := cleanHistory()
 	h.AnnouncedLimits = []AnnouncedLimit{{Server: "s1", PerSecond: 0, From: start, Announcements: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
 	for i := range 30 {
 		id, at := fmt.Sprint("n", i), after(10*time.Second+time.Duration(i)*10*time.Millisecond)
