--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs boxes as separate processes against stand-ins of the
-// users' machines, strikes them from outside while clients use them, and
-// checks what must always hold. What happens is drawn from a seed.
+// Package soak runs boxes as separate processes against stand-ins of the users' machines,
+// injects faults while clients send requests, and checks the guarantees of the system. The
+// faults are drawn from a seed.
 package soak
 
 import (
@@ -23,11 +23,11 @@
 	"github.com/stoneworks/stoneworks/test/processes"
 )
 
-// The deployment of a run.
+// The deployment and the phases of a run.
 const (
-	minServers  = 2 // of each service in each zone
+	minServers    = 2 // of each service in each zone
 	slots         = 4
-	serviceTime          = 15 * time.Millisecond
+	serviceTime   = 15 * time.Millisecond
 	startTime     = 15 * time.Second
 	settleTime    = 3500 * time.Millisecond
 	recoveryTime  = 1500 * time.Millisecond
@@ -37,39 +37,39 @@
 
 var services = []string{"shop", "desk"}
 
-// serversEach returns how many servers of each service a zone has: as many as it
-// has boxes. Clients come with the boxes; with fewer servers the load alone would
-// have requests refused.
+// serversEach returns the number of servers of each service in a zone: one for each box of the
+// zone, and at least minServers. The load grows with the boxes too; with fewer servers it would
+// exceed their slots, and boxes would refuse requests without any fault.
 func serversEach(boxes int) int { return max(minServers, boxes/len(machines.Zones)) }
 
-// Options are those of one run.
+// Options are the options of one run.
 type Options struct {
 	Bin string
-	// Dir takes settings and logs.
+	// Dir is the folder for settings and logs.
 	Dir string
-	// Network is the first three numbers of all addresses of the run.
+	// Network is the first three octets of all addresses of the run.
 	Network string
 	Plan    *Plan
 	Out     io.Writer
 }
 
-// run is one run on its way.
+// run is the state of one run.
 type run struct {
 	Options
 	recorder
 	crashing   crashingTargets
-	fleet    *machines.Fleet
-	boxes    []*processes.Box
-	store    *faultproxy.Proxy
-	servers  []*listedServer
-	random   *rand.Rand
-	version  int
-	began    time.Time
+	fleet      *machines.Fleet
+	boxes      []*processes.Box
+	store      *faultproxy.Proxy
+	servers    []*listedServer
+	random     *rand.Rand
+	version    int
+	began      time.Time
 	injections conc.WaitGroup
 }
 
-// Run plays one plan and returns what was broken. The error says that the run
-// could not be played.
+// Run plays one plan and returns the violations. The error says that the run could not be
+// played.
 func Run(o Options) ([]Violation, error) {
 	r := &run{Options: o, random: rand.New(rand.NewSource(o.Plan.Seed))}
 	defer r.close()
@@ -79,12 +79,12 @@
 	r.play()
 	h := r.collect()
 	found := FindViolations(h)
-	fmt.Fprintf(o.Out, "seed %d: %d events, %d requests (%s), %d probes, %d broken\n",
+	fmt.Fprintf(o.Out, "seed %d: %d events, %d requests (%s), %d probes, %d violations\n",
 		o.Plan.Seed, len(o.Plan.Events), len(h.Requests), statuses(h), len(h.Probes), len(found))
 	return found, nil
 }
 
-// statuses counts the requests by their status; 0 stands for no answer.
+// statuses returns the number of requests by status; status 0 is a request without an answer.
 func statuses(h *History) string {
 	counts := map[int]int{}
 	for _, q := range h.Requests {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// play strikes while clients send, then lets the system recover.
+// play injects the faults while clients send requests, then lets the system recover.
 func (r *run) play() {
 	r.began = time.Now()
 	end := r.began.Add(r.Plan.Length)
@@ -175,7 +175,7 @@
 	time.Sleep(lateRunTime)
 }
 
-// measureRecovery counts what is answered after all faults are over.
+// measureRecovery sends requests after all faults are over and counts the answered ones.
 func (r *run) measureRecovery() {
 	before := 0
 	r.update(func(h *History) { before = len(h.Requests) })
@@ -192,7 +192,7 @@
 	})
 }
 
-// collect adds what servers saw.
+// collect adds the records of the servers and the logs of the boxes to the history.
 func (r *run) collect() *History {
 	h := &r.history
 	h.Runs = map[string][]machines.Run{}
@@ -212,7 +212,7 @@
 	return h
 }
 
-// keysLogged returns the lines of the boxes' logs that have a key in them.
+// keysLogged returns the lines of the boxes' logs that contain a key.
 func (r *run) keysLogged() (found []string) {
 	for _, b := range r.boxes {
 		text, err := os.ReadFile(filepath.Join(r.Dir, b.Name+".log"))
@@ -229,26 +229,26 @@
 }
 
 // ----------------------------------------------------------------
-// The program
+// The command
 // ----------------------------------------------------------------
 
-// Main runs the program and returns its exit code.
+// Main runs the command and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("stoneworks-soak", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	bin := flags.String("bin", "bin", "where the programs are")
-	seed := flags.Int64("seed", 0, "play this seed only; 0 draws fresh ones")
-	runs := flags.Int("runs", 10, "how many fresh seeds to play, one after the other")
+	bin := flags.String("bin", "bin", "the folder of the programs")
+	seed := flags.Int64("seed", 0, "play only this seed; 0 draws new ones")
+	runs := flags.Int("runs", 10, "how many new seeds to play, one after the other")
 	catalogue := flags.Int("kinds", len(Catalogues), "the catalogue of kinds that a seed draws from; see plan.go")
 	boxes := flags.Int("boxes", 6, "how many boxes to run")
 	length := flags.Duration("for", defaultLength, "how long clients send in each run")
-	networks := flags.String("networks", "127.94", "the first two numbers of all addresses")
-	plan := flags.Bool("plan", false, "print what happens, too")
+	networks := flags.String("networks", "127.94", "the first two octets of all addresses")
+	plan := flags.Bool("plan", false, "also print the events")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
 	if *catalogue < 1 || *catalogue > len(Catalogues) {
-		fmt.Fprintf(stderr, "there are catalogues 1 to %d\n", len(Catalogues))
+		fmt.Fprintf(stderr, "-kinds must be a catalogue from 1 to %d\n", len(Catalogues))
 		return 2
 	}
 	seeds := []int64{*seed}
@@ -279,14 +279,15 @@
 			broken++
 		}
 	}
-	fmt.Fprintf(stdout, "soak: %d seeds, %d with a promise broken\n", len(seeds), broken)
+	fmt.Fprintf(stdout, "soak: %d seeds, %d with violations\n", len(seeds), broken)
 	if broken > 0 {
 		return 1
 	}
 	return 0
 }
 
-// playOne plays a seed. The logs of one that broke a promise are kept.
+// playOne plays a seed. If that fails or finds violations, it keeps the logs and prints their
+// folder.
 func playOne(p *Plan, bin, network string, stdout io.Writer) (ok bool, err error) {
 	dir, err := os.MkdirTemp("", "stoneworks-soak-")
 	if err != nil {
@@ -299,7 +300,7 @@
 	for _, v := range found {
 		fmt.Fprintf(stdout, "BROKEN %s: %s\n", v.Check, v.Detail)
 	}
-	fmt.Fprintf(stdout, "logs in %s; again: make soak SEED=%d BOXES=%d\n", dir, p.Seed, p.Boxes)
+	fmt.Fprintf(stdout, "logs are in %s; repeat with: make soak SEED=%d BOXES=%d\n", dir, p.Seed, p.Boxes)
 	return false, err
 }
 
