--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -11,31 +11,33 @@
 )
 
 // ================================================================
-// Strikes: each kind of event, done from outside.
+// Fault injection: how each kind of event is carried out.
 // ================================================================
 
-// listedServer is an entry in the store's list, behind a proxy of its own. It
-// may be served by one server after another.
+// listedServer is an entry of the store's list with a proxy of its own. Several servers may
+// serve it one after the other.
 type listedServer struct {
-	server  *machines.Server
-	link    *faultproxy.Proxy
-	service string
-	zone    string
-	departed    bool
-	// historyKey names the server's life in the history: an id may have several.
+	server   *machines.Server
+	link     *faultproxy.Proxy
+	service  string
+	zone     string
+	departed bool
+	// historyKey identifies this incarnation of the server in the history, since an id may
+	// have several.
 	historyKey string
 }
 
 const (
-	// delay is what a slow link adds to each piece of data.
+	// delay is how long a slow link delays each piece of data.
 	delay = 60 * time.Millisecond
-	// blinkDivisor is which part of an event's time a store is silent for a moment.
+	// blinkDivisor divides an event's duration to give the time for which the store does not
+	// answer.
 	blinkDivisor = 3
-	// muteTimeout is after what time a connection that has gone silent breaks.
+	// muteTimeout is the time until a silenced connection breaks.
 	muteTimeout = 3 * time.Second
-	// replaceAfter is when a server that left has a successor.
+	// replaceAfter is the time until a server that left is replaced.
 	replaceAfter = 800 * time.Millisecond
-	// restartPause is the pause before a process that ended starts again.
+	// restartPause is the time until a process that exited is started again.
 	restartPause = 200 * time.Millisecond
 )
 
@@ -52,7 +54,7 @@
 	return r.serve(s, fmt.Sprintf("%s-%d", service, number))
 }
 
-// serve puts a new server behind the proxy of an entry.
+// serve starts a server behind the proxy of an entry and lists it as ready.
 func (r *run) serve(s *listedServer, id string) error {
 	server, err := machines.NewServer(r.Network+".100", id, slots, serviceTime)
 	if err != nil {
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// configure puts the next configuration in the store.
+// configure writes the next version of the configuration to the store.
 func (r *run) configure() {
 	r.version++
 	r.fleet.Customers = customersOf(r.version)
@@ -82,7 +84,7 @@
 	})
 }
 
-// inject does one event. What ends later is done in the background.
+// inject carries out one event. Whatever ends later runs in the background.
 func (r *run) inject(e Event) {
 	box := r.boxes[e.Target%len(r.boxes)]
 	server := r.servers[e.Target%len(r.servers)]
@@ -137,7 +139,7 @@
 	}
 }
 
-// later does something when the event is over.
+// later calls do in the background after d.
 func (r *run) later(d time.Duration, do func()) {
 	r.injections.Go(func() {
 		time.Sleep(d)
@@ -145,14 +147,15 @@
 	})
 }
 
-// endBox ends a box and starts it again.
+// endBox stops a box with a signal and starts it again.
 func (r *run) endBox(b *processes.Box, e Event, signal syscall.Signal) {
 	end := r.beginFault(e.Kind, b.IP)
 	exited := b.Exited()
 	b.Signal(signal)
 	r.injections.Go(func() {
 		defer end()
-		// A paused process takes a signal only when it goes on.
+		// A paused process handles SIGTERM only after it continues; one that still runs after
+		// boundGrace is killed.
 		select {
 		case <-exited:
 		case <-time.After(boundGrace):
@@ -160,7 +163,8 @@
 			<-exited
 		}
 		time.Sleep(restartPause)
-		// Of several that ended the same life one starts the next.
+		// Several events may have stopped the same incarnation; the first of them starts the
+		// next.
 		r.update(func(*History) {
 			if b.Exited() == exited {
 				_ = b.Start()
@@ -179,12 +183,13 @@
 	})
 }
 
-// disruptStore has the store turn some or all boxes away.
+// disruptStore makes the store answer 503 or 429, not answer, or reset connections, for some
+// or all boxes.
 func (r *run) disruptStore(e Event) {
 	mode := map[Kind]machines.Mode{
 		StoreBusy: machines.Busy, StoreMany: machines.Many, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
 	}[e.Kind]
-	// Every other such event strikes all boxes, the others every second one.
+	// Events with an even target affect all boxes, the others every second box.
 	all := e.Target%2 == 0
 	struck := map[string]bool{}
 	for i, b := range r.boxes {
@@ -203,7 +208,7 @@
 	})
 }
 
-// silenceStore has the store say nothing to any box for a moment.
+// silenceStore makes the store not answer any box for a short time.
 func (r *run) silenceStore(e Event) {
 	end := r.beginFault(StoreBlink, "")
 	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
@@ -213,7 +218,7 @@
 	})
 }
 
-// cutFromStore silences the link between a box and the store.
+// cutFromStore silences the link between a box and the store in both directions.
 func (r *run) cutFromStore(b *processes.Box, e Event) {
 	end := r.beginFault(StoreCut, "")
 	r.store.Set(func(source string) faultproxy.Fault {
@@ -226,8 +231,7 @@
 	})
 }
 
-// replaceServer has a server leave, announced or not, and another one come at
-// its address.
+// replaceServer makes a server leave, announced or not, and starts another one at its address.
 func (r *run) replaceServer(s *listedServer, e Event) {
 	if s.departed {
 		return
@@ -244,7 +248,7 @@
 		old.Close()
 		r.fleet.Store.Delete("servers", old.ID)
 	case ServerReuse:
-		// The address goes to another service at once, and the entry is late.
+		// The other service gets the address at once, while the old entry is still listed.
 		old.Close()
 		if s.service == services[0] {
 			s.service = services[1]
@@ -256,19 +260,19 @@
 	id := fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())
 	r.later(wait, func() {
 		if err := r.serve(s, id); err != nil {
-			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
+			fmt.Fprintf(r.Out, "starting a server failed: %v\n", err)
 		}
 		r.fleet.Store.Delete("servers", old.ID)
 		old.Close()
 	})
 }
 
-// corruptions are the ways in which servers spoil answers.
+// corruptions are the ways in which servers corrupt answers.
 var corruptions = []machines.Fault{
 	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.Foreign, machines.Garbage, machines.Mute,
 }
 
-// corruptOneIn of a spoiled server's answers are spoiled, one in so many.
+// corruptOneIn is the interval of corrupted answers: one in so many.
 const corruptOneIn = 4
 
 func (r *run) corruptAnswers(s *listedServer, e Event) {
@@ -287,7 +291,7 @@
 	})
 }
 
-// disruptLink harms the link of every box, or of one, to a server.
+// disruptLink disrupts the link to a server for all boxes or for one.
 func (r *run) disruptLink(s *listedServer, e Event) {
 	fault := map[Kind]faultproxy.Fault{
 		LinkDelay: {Delay: delay}, LinkReset: {Reset: true}, LinkSilent: {HoldAnswers: true, HoldRequests: true}, LinkOneWay: {HoldAnswers: true},
