--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -9,20 +9,20 @@
 )
 
 // ================================================================
-// Requests that end the servers that run them, servers that start again under their
-// ids, and entries of another writer.
+// Requests that crash the servers that run them, servers that restart under their ids, and
+// entries written by another writer.
 // ================================================================
 
 const (
-	// deadlyPause is how often a deadly request comes again, in turn to each box, and
-	// deadlyTimes for how many times of its event's time.
+	// crashingPause is the time between two attempts of a crashing request, which go to the
+	// boxes in turn; crashingFactor times the event's duration is how long they are sent.
 	deadlyPause = 60 * time.Millisecond
 	deadlyTimes = 3
-	// lapse is after what time the entry of a server goes that has ended.
+	// entryLapse is how long the entry of a crashed server stays listed.
 	lapse = 1500 * time.Millisecond
 )
 
-// crashingTargets are the targets that end servers now.
+// crashingTargets are the targets whose requests currently crash servers.
 type crashingTargets struct {
 	mu  sync.Mutex
 	now map[string]bool
@@ -43,7 +43,7 @@
 	return r.crashing.now[target]
 }
 
-// sendCrashing has a client send a request again and again that ends the servers that run it.
+// sendCrashing repeatedly sends a request that crashes the servers that run it.
 func (r *run) sendCrashing(e Event) {
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
 	r.crashing.set(target)
@@ -67,7 +67,7 @@
 	})
 }
 
-// restartServer ends a server that starts again under its id.
+// restartServer stops a server and starts another one under its id.
 func (r *run) restartServer(s *listedServer) {
 	server, left := s.server, false
 	r.update(func(*History) { left, s.departed = s.departed, true })
@@ -79,8 +79,8 @@
 	r.startAgain(s, server.ID, func() {})
 }
 
-// replaceCrashed starts another server for one that a request has ended: in turn under its id,
-// and under another one while the old entry lapses.
+// replaceCrashed starts a server in place of one that a request has crashed. It alternates
+// between the same id and a new id; with a new id the old entry stays listed until it lapses.
 func (r *run) replaceCrashed(s *listedServer, server *machines.Server) {
 	left, number := false, 0
 	r.update(func(*History) { left, s.departed, number = s.departed, true, len(r.fleet.Servers) })
@@ -98,27 +98,28 @@
 	})
 }
 
-// startAgain starts a server in the place of one that has ended, and does something then.
+// startAgain starts a server in place of one that has stopped, then calls then.
 func (r *run) startAgain(s *listedServer, id string, then func()) {
 	r.later(replaceAfter, func() {
 		if err := r.serve(s, id); err != nil {
-			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
+			fmt.Fprintf(r.Out, "starting a server failed: %v\n", err)
 			return
 		}
 		if err := s.link.Up(); err != nil {
-			fmt.Fprintf(r.Out, "a server's address is not free: %v\n", err)
+			fmt.Fprintf(r.Out, "reopening a server's address failed: %v\n", err)
 		}
 		then()
 	})
 }
 
-// foreignEntries are entries that name no server.
+// foreignEntries are entries that are not valid server entries.
 var foreignEntries = []any{
 	"text", 7, nil, []int{1}, map[string]any{}, map[string]any{"service": "shop", "state": "ready"},
 	map[string]any{"service": 7, "address": true, "zone": "east-a", "version": "v1", "slots": "many", "state": "tired", "cold-remaining-ms": 0, "call-seq": 1},
 }
 
-// writeForeign has another writer write entries, also in the place of a server's.
+// writeForeign writes invalid entries, as another writer might, for half of the events also in
+// place of a server's entry.
 func (r *run) writeForeign(s *listedServer, e Event) {
 	spec := foreignEntries[e.Target%len(foreignEntries)]
 	name := fmt.Sprintf("foreign-%d", e.Target)
