--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -10,27 +10,28 @@
 )
 
 // ================================================================
-// Servers that name the requests a second that they take from all boxes together.
+// Servers that announce how many requests a second they accept from all boxes together.
 // ================================================================
 
-// limitFactor is for how many times of its event's time a server names a limit.
+// limitFactor times the event's duration is how long a server announces a limit.
 const limitFactor = 3
 
-// announcedRates are the limits that servers name, in requests a second.
+// announcedRates are the limits that servers announce, in requests a second.
 var announcedRates = []float64{2.7, 0, 1, 5, 20}
 
-// AnnouncedLimit is a limit that a server names for a time.
+// AnnouncedLimit is a limit that a server announces for a time.
 type AnnouncedLimit struct {
 	Server    string
 	PerSecond float64
 	From      time.Time
-	// To is zero if it names the limit until the end.
+	// To is zero if the limit is announced until the end.
 	To time.Time
-	// Announcements are the answers that name it.
+	// Announcements are the headers of the answers that announce it.
 	Announcements []machines.Saying
 }
 
-// announceLimits has a server name a limit, and for one event in four all servers of its service.
+// announceLimits makes a server announce a limit; for one event in four, all servers of its
+// service do.
 func (r *run) announceLimits(s *listedServer, e Event) {
 	perSecond := announcedRates[e.Target%len(announcedRates)]
 	for _, other := range r.servers {
@@ -45,7 +46,8 @@
 	index := -1
 	r.update(func(h *History) {
 		if s.departed || slices.ContainsFunc(h.AnnouncedLimits, func(l AnnouncedLimit) bool { return l.Server == s.historyKey }) {
-			// It has ended, or has named one before: what it names changes once.
+			// The server has left, or has announced a limit before: each announces a single
+			// limit.
 			return
 		}
 		server, index = s.server, len(h.AnnouncedLimits)
@@ -61,17 +63,19 @@
 	})
 }
 
-// The bound on a server that names a limit: in any time of limitWindow it gets at most the limit's
-// requests x limitOverage + limitSlack of boxes that it had told for limitDelay.
+// The bound on a server that announces a limit: in any period of limitWindow it gets at most
+// limitOverage times the requests of the limit plus limitSlack, from boxes that it told of the
+// limit at least limitDelay before.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
-	limitDelay    = 500 * time.Millisecond
+	limitDelay   = 500 * time.Millisecond
 )
 
-// serverLimits: from the time of contact on after a server has first named a limit, it gets no more
-// than that allows, of all boxes together that it has told and that were not struck.
+// serverLimits finds servers that got more requests than their announced limit allows once
+// boundContact has passed since the first announcement. Only the requests of boxes that the
+// server told and that had no fault count.
 func serverLimits(h *History) (found []string) {
 	for i := range h.AnnouncedLimits {
 		l := &h.AnnouncedLimits[i]
@@ -83,7 +87,7 @@
 			if end.Sub(l.From) < boundContact+timingSlack || float64(k+1-from) <= allowed {
 				continue
 			}
-			found = append(found, fmt.Sprintf("%s named %g a second and got %d in %s, %s after it had named that, allowed %.0f",
+			found = append(found, fmt.Sprintf("%s announced a limit of %g requests a second and got %d in %s, %s after the first announcement; %.0f are allowed",
 				l.Server, l.PerSecond, k+1-from, limitWindow, end.Sub(l.From).Round(time.Millisecond), allowed))
 			break
 		}
@@ -91,7 +95,7 @@
 	return found
 }
 
-// toldArrivals are the times of the requests that count against a limit, in order.
+// toldArrivals returns the times of the requests that count against a limit, in order.
 func (h *History) toldArrivals(l *AnnouncedLimit) []time.Time {
 	told := map[string]time.Time{}
 	for _, n := range l.Announcements {
@@ -106,7 +110,7 @@
 		case !known || a.At.Sub(at) < limitDelay || !l.To.IsZero() && a.At.After(l.To):
 		case h.hadFault(a.From, a.At.Add(-boundContact), a.At, BoxStop, BoxKill, BoxPause):
 		case h.hadFault("", a.At.Add(-boundContact), a.At, LinkDelay, LinkSilent, LinkOneWay, LinkMute):
-			// What a link holds back arrives together.
+			// Requests that a link held back arrive together.
 		default:
 			counted = append(counted, a.At)
 		}
