--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -9,22 +9,23 @@
 )
 
 // ================================================================
-// Servers that say in their answers that they leave, and servers that ask boxes for rest.
+// Servers that announce in their answers that they leave, and servers that ask boxes for a
+// backoff.
 // ================================================================
 
 const (
-	// backoffFactor is for how many times of its event's time a server asks for rest.
+	// backoffFactor times the event's duration is how long a server asks for a backoff.
 	backoffFactor = 2
-	// maxUnlisted bounds for how long a server that leaves is listed as ready, besides the time of
-	// draining, in which boxes may still send it requests.
+	// maxUnlisted bounds how long a leaving server is still listed as ready, in addition to
+	// the time of draining, in which boxes may still send it requests.
 	maxUnlisted = 2 * time.Second
 )
 
-// retryAfterValues are the seconds of rest that servers ask for.
+// retryAfterValues are the values of Retry-After that servers send, in seconds.
 var retryAfterValues = []string{"3", "1", "0.4", "2.5"}
 
-// announceLeaving has a server leave that the store's list has as ready for a while: only its answers
-// say so.
+// announceLeaving makes a server announce in its answers that it leaves, while the store lists
+// it as ready for some time longer.
 func (r *run) announceLeaving(s *listedServer, e Event) {
 	left := false
 	r.update(func(*History) { left, s.departed = s.departed, true })
@@ -38,15 +39,15 @@
 		r.update(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 		time.Sleep(replaceAfter)
 		if err := r.serve(s, fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())); err != nil {
-			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
+			fmt.Fprintf(r.Out, "starting a server failed: %v\n", err)
 		}
 		r.fleet.Store.Delete("servers", old.ID)
 		old.Close()
 	})
 }
 
-// rejectWithRetryAfter has a server turn all requests away and ask for rest, and for one event in four all
-// servers of its service.
+// rejectWithRetryAfter makes a server reject all requests with Retry-After; for one event in
+// four, all servers of its service do.
 func (r *run) rejectWithRetryAfter(s *listedServer, e Event) {
 	seconds := retryAfterValues[e.Target%len(retryAfterValues)]
 	for _, other := range r.servers {
@@ -60,11 +61,12 @@
 	}
 }
 
-// linkKinds are the faults in which what a server says may not reach a box, or late.
+// linkKinds are the faults that may delay the answers of a server to a box, or lose them.
 var linkKinds = []Kind{LinkDelay, LinkReset, LinkSilent, LinkOneWay, LinkMute}
 
-// leavingKept: a box that has passed on a server's word that it leaves sends it nothing that a client
-// sends later than the time of draining. A box that was stopped or paused since may.
+// leavingKept finds requests that a server got although it leaves: the box had passed on an
+// answer that announced it, and a client sent the request more than boundDrain after that. A
+// box that was stopped or paused since is exempt.
 func leavingKept(h *History) (found []string) {
 	sent := map[string]*Request{}
 	for _, list := range [][]Request{h.Requests, h.SideRequests} {
@@ -89,20 +91,22 @@
 			if !known || q == nil || q.Sent.Sub(at) <= boundDrain || h.hadFault(a.From, at, a.At, BoxStop, BoxKill, BoxPause) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("%s was sent %s after %s had passed on that %s leaves, and reached it", a.ID, q.Sent.Sub(at).Round(time.Millisecond), a.From, server))
+			found = append(found, fmt.Sprintf("%s was sent %s after %s passed on that %s leaves, and still reached that server", a.ID, q.Sent.Sub(at).Round(time.Millisecond), a.From, server))
 		}
 	}
 	return found
 }
 
 const (
-	// backoffDelay is how long after a server has asked for rest requests may still be on their way, and
-	// mostInRest how many may reach it from that box from then on until the time is over.
-	backoffDelay   = 500 * time.Millisecond
+	// backoffDelay is how long after a server has asked for a backoff requests may still be on
+	// their way. maxDuringBackoff is how many may reach it from that box after that until the
+	// backoff is over.
+	backoffDelay     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// restKept: a server that has asked a box for rest gets next to nothing of it for that time.
+// restKept finds servers that asked a box for a backoff and got more than maxDuringBackoff
+// requests from it during that time.
 func restKept(h *History) (found []string) {
 	for server, list := range h.RetryAfterHeaders {
 		for _, asked := range list {
@@ -120,7 +124,7 @@
 			if n <= maxDuringBackoff || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, linkKinds...) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("%s asked %s for %s of rest and got %d requests from it in that time", server, asked.To, rest, n))
+			found = append(found, fmt.Sprintf("%s asked %s for a backoff of %s and got %d requests from it in that time", server, asked.To, rest, n))
 			break
 		}
 	}
