--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -8,36 +8,36 @@
 )
 
 // ================================================================
-// Services that operators move to a new version of their servers, good or bad.
+// Rollouts of services to a new version of their servers, good or bad.
 // ================================================================
 
 const (
-	// moveServers is how many servers of a new version start.
+	// moveServers is the number of servers of a new version.
 	moveServers = 3
-	// failOneIn of a bad version's answers are failures, one in so many.
+	// failOneIn is the interval of failures among a bad version's answers: one in so many.
 	failOneIn = 2
-	// moveFactor is for how many times of its event's time an order lasts.
+	// moveFactor times the event's duration is how long a rollout lasts.
 	moveFactor = 2
-	// exposureShare and exposedSlack bound the requests that a bad version gets, of its service's and in
-	// requests.
+	// exposureShare and exposureSlack bound the requests that a bad version gets, as a share
+	// of all requests during the rollout and in requests on top of it.
 	exposureShare = 0.1
 	exposureSlack = 50
 )
 
-// Move is an order to move a service to a new version.
+// Move is a rollout of a service to a new version.
 type Move struct {
 	Service string
 	Version string
-	// Servers are those of the new version.
+	// Servers are the ids of the new version's servers.
 	Servers []string
 	Bad     bool
 	From    time.Time
-	// To is when the order's time was over.
+	// To is when the rollout ends.
 	To time.Time
 }
 
-// moveService starts servers of a new version and orders that a service moves to it. One order in two is of a
-// bad version. An order runs at a time for each service.
+// moveService starts servers of a new version and a rollout of the service to it. Half of the
+// rollouts are of a bad version. A service has one rollout at a time.
 func (r *run) moveService(s *listedServer, e Event) {
 	m := Move{Service: s.service, Version: fmt.Sprintf("v-%d", e.At.Milliseconds()), Bad: e.Target%2 == 0, From: time.Now()}
 	d := min(moveFactor*e.Duration, r.Plan.Length-e.At)
@@ -70,14 +70,14 @@
 	})
 }
 
-// startVersion starts the servers of a new version.
+// startVersion starts the servers of a new version and lists them as ready.
 func (r *run) startVersion(m *Move, zone string) []*machines.Server {
 	var list []*machines.Server
 	for i := range moveServers {
 		id := fmt.Sprintf("%s-%s-%d", m.Service, m.Version, i)
 		server, err := machines.NewServer(r.Network+".100", id, slots, serviceTime)
 		if err != nil {
-			fmt.Fprintf(r.Out, "a server did not start: %v\n", err)
+			fmt.Fprintf(r.Out, "starting a server failed: %v\n", err)
 			continue
 		}
 		server.Version = m.Version
@@ -104,8 +104,8 @@
 	return list
 }
 
-// exposure: a bad version gets a small part of the requests of its service for as long as its order lasts,
-// whatever else happens.
+// exposure finds bad versions that got more than a small part of all requests during their
+// rollout, whatever other faults there were.
 func exposure(h *History) (found []string) {
 	for i := range h.Moves {
 		m := &h.Moves[i]
@@ -129,7 +129,7 @@
 			}
 		}
 		if float64(fresh) > exposureShare*float64(all)+exposureSlack {
-			found = append(found, fmt.Sprintf("%s of %s, which is bad, got %d of %d requests", m.Version, m.Service, fresh, all))
+			found = append(found, fmt.Sprintf("bad version %s of %s got %d of %d requests", m.Version, m.Service, fresh, all))
 		}
 	}
 	return found
