--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -8,8 +8,8 @@
 )
 
 // ================================================================
-// What a run left behind: what clients and servers saw, and when which part
-// of the system was struck. The checks look at nothing else.
+// The records of a run: what clients and servers observed, and when which part of the system
+// had a fault. The checks use nothing else.
 // ================================================================
 
 // Request is one attempt of a client.
@@ -19,85 +19,86 @@
 	Method string
 	Target string
 	Body   string
-	// Box is the IP number of the box that it was sent to, Life which of its
-	// lives.
-	Box     string
-	Incarnation    int
-	Timeout time.Duration
-	Sent    time.Time
-	Ended   time.Time
+	// Box is the IP address of the box that it was sent to, Incarnation the number of that
+	// box's incarnation.
+	Box         string
+	Incarnation int
+	Timeout     time.Duration
+	Sent        time.Time
+	Ended       time.Time
 	// Status is 0 if no answer came.
 	Status int
-	// BodyMatches: the body is that of the answer to this request.
+	// BodyMatches reports whether the body is that of the answer to this request.
 	BodyMatches bool
-	// Signed: the answer carries a server's signature.
+	// Signed reports whether the answer carries a server's signature.
 	Signed bool
-	// Reason is why a box refused it.
+	// Reason is the reason that a box gave for refusing it.
 	Reason string
 }
 
-// Probe is a question which configuration a box follows: it asks for a path
-// that only one version has.
+// Probe is a request that tests whether a box follows a version of the configuration: its path
+// or key exists only in that version.
 type Probe struct {
-	Box     string
-	Incarnation    int
-	Version int
-	At      time.Time
-	Status  int
+	Box         string
+	Incarnation int
+	Version     int
+	At          time.Time
+	Status      int
 }
 
-// FaultPeriod is a time in which something was struck.
+// FaultPeriod is the time of a fault.
 type FaultPeriod struct {
 	Kind Kind
-	// Target is the box's IP number or the server's id; empty for all.
+	// Target is the box's IP address or the server's id; it is empty if all are affected.
 	Target string
-	From time.Time
-	To   time.Time
+	From   time.Time
+	To     time.Time
 }
 
-// Departure is a server that left: it was listed as draining, or taken off
-// the list.
+// Departure is a server that left: it was listed as draining, or removed from the list.
 type Departure struct {
 	Server string
 	At     time.Time
 }
 
-// AcceptedConfiguration is a configuration that the store took.
+// AcceptedConfiguration is a configuration that the store accepted.
 type AcceptedConfiguration struct {
 	Version int
 	At      time.Time
 }
 
-// History is all that a run left behind.
+// History is the record of a run.
 type History struct {
 	Requests []Request
-	// SideRequests are probes that were not answered with a success.
-	SideRequests   []Request
-	Probes []Probe
+	// SideRequests are requests that do not count in the recovery: probes of the configuration
+	// that did not succeed, and requests of the customer with a limit, with removed keys and
+	// that crash servers.
+	SideRequests []Request
+	Probes       []Probe
 	// OldKeys are requests with a key that only the given version had.
 	OldKeys []Probe
-	// CrashingTargets are the targets that end the servers that run them.
+	// CrashingTargets are the targets whose requests crash servers.
 	CrashingTargets []string
-	// AnnouncedLimits are the limits that servers named.
+	// AnnouncedLimits are the limits that servers announced.
 	AnnouncedLimits []AnnouncedLimit
-	// Moves are the orders to move a service to a new version.
+	// Moves are the rollouts of services to new versions.
 	Moves []Move
-	// LeavingHeaders and Rests are, by server, the answers that said that it leaves, and those that asked
-	// for rest.
-	LeavingHeaders map[string][]machines.Saying
-	RetryAfterHeaders    map[string][]machines.Saying
-	// KeysLogged are lines of logs with a key in them.
+	// LeavingHeaders and RetryAfterHeaders are, by server, the headers of answers that
+	// announced that it leaves, and those that asked for a backoff.
+	LeavingHeaders    map[string][]machines.Saying
+	RetryAfterHeaders map[string][]machines.Saying
+	// KeysLogged are the log lines that contain a key.
 	KeysLogged     []string
 	Runs           map[string][]machines.Run
 	Arrivals       map[string][]machines.Arrival
 	Departures     []Departure
 	Configurations []AcceptedConfiguration
-	FaultPeriods          []FaultPeriod
+	FaultPeriods   []FaultPeriod
 	// Recovery counts the requests sent after all faults were over.
 	Recovery struct{ Sent, Answered int }
 }
 
-// recorder takes in what happens, from many goroutines.
+// recorder records the history; its methods are safe for concurrent use.
 type recorder struct {
 	mu      sync.Mutex
 	history History
@@ -109,7 +110,7 @@
 	change(&r.history)
 }
 
-// beginFault notes that something is struck from now on; the return value ends it.
+// beginFault records the start of a fault; the returned function records its end.
 func (r *recorder) beginFault(kind Kind, what string) (end func()) {
 	index := 0
 	r.update(func(h *History) {
@@ -121,8 +122,8 @@
 	}
 }
 
-// hadFault reports whether one of the kinds hadFault the part, or all parts, at
-// any moment from from to to.
+// hadFault reports whether the target, or all targets, had a fault of one of the kinds at any
+// time between from and to. An empty target matches any.
 func (h *History) hadFault(what string, from, to time.Time, kinds ...Kind) bool {
 	for _, s := range h.FaultPeriods {
 		if s.Target != "" && what != "" && s.Target != what {
