--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -10,44 +10,43 @@
 )
 
 // ================================================================
-// The promises, each checked from what clients and servers saw. A check has a
-// control in check_test.go: a history that breaks it.
+// The guarantees of the system, checked against what clients and servers observed. Each check
+// has a control in check_test.go: a history that violates it.
 // ================================================================
 
-// The bounds that the boxes of a soak run with.
+// The bounds with which the boxes of a soak run.
 const (
 	boundContact = 2 * time.Second
 	boundDrain   = 2500 * time.Millisecond
 	boundConfig  = 2500 * time.Millisecond
 	boundGrace   = 4 * time.Second
-	// boundLate is how much later than its route's time an answer may come.
+	// boundLate is how much later than its route's timeout an answer may come.
 	boundLate = 500 * time.Millisecond
-	// timingSlack is added to bounds in time: this machine runs many processes, and
-	// its clock is not a simulated one.
-	timingSlack        = 400 * time.Millisecond
+	// timingSlack is added to bounds in time, since this machine runs many processes in real
+	// time instead of simulated time.
+	timingSlack = 400 * time.Millisecond
 	maxAttempts = 2
 	retryRatio  = 0.2
 	retrySlack  = 50
 	retryWindow = 10 * time.Second
-	// minRecovered is the share of requests that must be answered once all
-	// faults are over.
+	// minRecovered is the share of requests that must be answered once all faults are over.
 	minRecovered = 0.95
 )
 
-// Violation is a promise that was broken.
+// Violation is a violated guarantee.
 type Violation struct {
 	Check  string
 	Detail string
 }
 
-// Check is one promise.
+// Check checks one guarantee.
 type Check struct {
 	Name string
-	// Find returns what broke it, one line each.
+	// Find returns the violations, one line each.
 	Find func(h *History) []string
 }
 
-// Checks are all promises.
+// Checks are the checks of all guarantees.
 var Checks = []Check{
 	{"whole", whole},
 	{"at-most-once", atMostOnce},
@@ -73,7 +72,7 @@
 	{"recovery", recovery},
 }
 
-// FindViolations returns all violations.
+// FindViolations returns the violations that all checks find.
 func FindViolations(h *History) []Violation {
 	var list []Violation
 	for _, c := range Checks {
@@ -84,17 +83,17 @@
 	return list
 }
 
-// whole: a success is the whole answer of a server to this very request.
+// whole finds successes that are not a server's complete answer to that request.
 func whole(h *History) (found []string) {
 	for _, r := range h.Requests {
 		if r.Status >= 200 && r.Status < 300 && (!r.BodyMatches || !r.Signed) {
-			found = append(found, fmt.Sprintf("%s: a success that is not the whole answer", r.ID))
+			found = append(found, fmt.Sprintf("%s succeeded without the complete answer of a server", r.ID))
 		}
 	}
 	return found
 }
 
-// runsOf returns how often each request was run.
+// runsOf returns how often servers ran each request.
 func (h *History) runsOf() map[string]int {
 	runs := map[string]int{}
 	for _, list := range h.Runs {
@@ -105,7 +104,7 @@
 	return runs
 }
 
-// atMostOnce: what may not be repeated runs once at most.
+// atMostOnce finds requests that must not be repeated and that ran more than once.
 func atMostOnce(h *History) (found []string) {
 	runs := h.runsOf()
 	for _, r := range h.Requests {
@@ -116,21 +115,22 @@
 	return found
 }
 
-// refusedNotRun: 429, 503, 408 and 421 say that the request has not run.
+// refusedNotRun finds requests that ran although their status, 429, 503, 408 or 421, says that
+// they did not.
 func refusedNotRun(h *History) (found []string) {
 	runs := h.runsOf()
 	for _, r := range h.Requests {
 		switch r.Status {
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 			if r.Kind != "safe" && runs[r.ID] > 0 {
-				found = append(found, fmt.Sprintf("%s was refused with %d, and ran", r.ID, r.Status))
+				found = append(found, fmt.Sprintf("%s was refused with %d and ran", r.ID, r.Status))
 			}
 		}
 	}
 	return found
 }
 
-// unaltered: servers run only what clients sent, as they sent it.
+// unaltered finds requests at servers that no client sent, or that were altered on the way.
 func unaltered(h *History) (found []string) {
 	sent := map[string]*Request{}
 	for _, list := range [][]Request{h.Requests, h.SideRequests} {
@@ -142,16 +142,16 @@
 		for _, run := range list {
 			r := sent[run.ID]
 			if r == nil {
-				found = append(found, fmt.Sprintf("%s ran %q, which nobody sent", server, run.ID))
+				found = append(found, fmt.Sprintf("%s ran %q, which no client sent", server, run.ID))
 			} else if run.Method != r.Method || run.Target != r.Target || run.Body != r.Body {
-				found = append(found, fmt.Sprintf("%s ran %s altered: %s %s", server, run.ID, run.Method, run.Target))
+				found = append(found, fmt.Sprintf("%s ran %s, which was altered to %s %s", server, run.ID, run.Method, run.Target))
 			}
 		}
 	}
 	return found
 }
 
-// attempts: one attempt of a client reaches few servers.
+// attempts finds requests that reached servers more than maxAttempts times.
 func attempts(h *History) (found []string) {
 	for id, list := range h.arrivalsByID() {
 		if len(list) > maxAttempts {
@@ -161,7 +161,7 @@
 	return found
 }
 
-// arrivalsByID returns the times of arrival of each request, in order.
+// arrivalsByID returns the times at which each request arrived at servers, in order.
 func (h *History) arrivalsByID() map[string][]time.Time {
 	byID := map[string][]time.Time{}
 	for _, list := range h.Arrivals {
@@ -175,7 +175,8 @@
 	return byID
 }
 
-// retryBudget: in any window, all boxes together repeat little.
+// retryBudget finds a window in which all boxes together retried more than their budget
+// allows.
 func retryBudget(h *History) (found []string) {
 	var repeats, first []time.Time
 	for _, list := range h.arrivalsByID() {
@@ -190,20 +191,21 @@
 	for _, end := range repeats {
 		sent, again := within(first, end), within(repeats, end)
 		if float64(again) > retryRatio*float64(sent)+retrySlack {
-			return []string{fmt.Sprintf("%d repeats for %d requests in %s", again, sent, retryWindow)}
+			return []string{fmt.Sprintf("%d retries for %d requests in %s", again, sent, retryWindow)}
 		}
 	}
 	return nil
 }
 
-// within counts the moments in the window that ends with end.
+// within counts the times in the window that ends with end.
 func within(sorted []time.Time, end time.Time) int {
 	from := sort.Search(len(sorted), func(i int) bool { return sorted[i].After(end.Add(-retryWindow)) })
 	to := sort.Search(len(sorted), func(i int) bool { return sorted[i].After(end) })
 	return to - from
 }
 
-// inTime: a box that runs gives its final answer by its route's time.
+// inTime finds answers that came after the timeout of their route, unless the box was paused,
+// killed or stopped meanwhile.
 func inTime(h *History) (found []string) {
 	for _, r := range h.Requests {
 		took := r.Ended.Sub(r.Sent)
@@ -215,7 +217,8 @@
 	return found
 }
 
-// plannedStop: a box that is stopped as planned answers what it has passed on.
+// plannedStop finds requests that reached a server and got no answer because their box was
+// stopped as planned.
 func plannedStop(h *History) (found []string) {
 	arrivals := h.arrivalsByID()
 	for _, r := range h.Requests {
@@ -225,22 +228,22 @@
 		if h.hadFault(r.Box, r.Sent.Add(-boundContact), r.Ended, BoxKill, BoxPause) || r.Ended.Sub(r.Sent) > r.Timeout {
 			continue
 		}
-		found = append(found, fmt.Sprintf("%s reached a server, and its connection to %s ended without an answer", r.ID, r.Box))
+		found = append(found, fmt.Sprintf("%s reached a server, and its connection to %s closed without an answer", r.ID, r.Box))
 	}
 	return found
 }
 
-// storeKinds are the faults in which a box may not hear of changes in time.
+// storeKinds are the faults that may delay changes on their way to a box.
 var storeKinds = []Kind{StoreBusy, StoreMany, StoreSilent, StoreReset, StoreForgets, StoreCut, StoreBlink, StoreMute}
 
-// isExempt reports whether the box or the store was struck from the time of
-// contact before from on, so that bounds in time do not bind the box.
+// isExempt reports whether the box or the store had a fault between boundContact before from
+// and to, so that bounds in time do not apply to the box.
 func (h *History) isExempt(box string, from, to time.Time) bool {
 	from = from.Add(-boundContact)
 	return h.hadFault(box, from, to, BoxStop, BoxKill, BoxPause) || h.hadFault("", from, to, storeKinds...)
 }
 
-// drain: a server that leaves gets nothing after a while.
+// drain finds requests that reached a server more than boundDrain after it left.
 func drain(h *History) (found []string) {
 	for _, d := range h.Departures {
 		for _, a := range h.Arrivals[d.Server] {
@@ -254,7 +257,8 @@
 	return found
 }
 
-// configuration: a configuration is in force some time after it was taken.
+// configuration finds boxes that do not follow a configuration boundConfig after the store
+// accepted it.
 func configuration(h *History) (found []string) {
 	for i, c := range h.Configurations {
 		until := time.Time{}
@@ -267,14 +271,15 @@
 				continue
 			}
 			if p.Status == http.StatusNotFound {
-				found = append(found, fmt.Sprintf("%s does not know version %d after %s", p.Box, c.Version, p.At.Sub(c.At).Round(time.Millisecond)))
+				found = append(found, fmt.Sprintf("%s does not follow version %d after %s", p.Box, c.Version, p.At.Sub(c.At).Round(time.Millisecond)))
 			}
 		}
 	}
 	return found
 }
 
-// noRegress: a life of a box that followed a version follows no older one.
+// noRegress finds incarnations of boxes that followed an older version of the configuration
+// after a newer one.
 func noRegress(h *History) (found []string) {
 	type life struct {
 		box  string
@@ -296,11 +301,11 @@
 	return found
 }
 
-// maxLateArrivals is how many retries of a request that has ended three servers may still reach
-// others once boxes had the time of contact to tell each other.
+// maxLateArrivals is how many retries of a request that has crashed three servers may still
+// reach others after boundContact, in which boxes inform each other.
 const maxLateArrivals = 3
 
-// deadlyKept: a request that has ended three servers is kept from others.
+// deadlyKept finds requests that still reach servers after they have crashed three.
 func deadlyKept(h *History) (found []string) {
 	for _, target := range h.CrashingTargets {
 		ids := map[string]bool{}
@@ -330,13 +335,13 @@
 			}
 		}
 		if late > maxLateArrivals {
-			found = append(found, fmt.Sprintf("%s reached servers %d times after three had ended under it, %d in all", target, late, len(ended)))
+			found = append(found, fmt.Sprintf("%s reached servers %d times after it had crashed three; it crashed %d in all", target, late, len(ended)))
 		}
 	}
 	return found
 }
 
-// othersSent: no other request is taken for one that ends servers.
+// othersSent finds requests that were kept from servers although they do not crash them.
 func othersSent(h *History) (found []string) {
 	deadly := map[string]bool{}
 	for _, target := range h.CrashingTargets {
@@ -345,14 +350,14 @@
 	for _, list := range [][]Request{h.Requests, h.SideRequests} {
 		for _, q := range list {
 			if q.Reason == string(outcome.ReasonCrashesServers) && !deadly[q.Target] {
-				found = append(found, fmt.Sprintf("%s (%s) was kept from servers", q.ID, q.Target))
+				found = append(found, fmt.Sprintf("%s (%s) was kept from servers, which it does not crash", q.ID, q.Target))
 			}
 		}
 	}
 	return found
 }
 
-// recovery: once all faults are over, requests are answered.
+// recovery checks that requests are answered once all faults are over.
 func recovery(h *History) []string {
 	r := h.Recovery
 	if r.Sent == 0 || float64(r.Answered) < minRecovered*float64(r.Sent) {
