--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -15,8 +15,8 @@
 )
 
 // ================================================================
-// Clients: some for each box, which keep a connection until the box closes it
-// or is gone, and one that asks each box which configuration it follows.
+// Clients: some for each box, which keep a connection until the box closes it or it breaks,
+// and one for each box that probes which configuration the box follows.
 // ================================================================
 
 const (
@@ -25,24 +25,24 @@
 	probePause  = 150 * time.Millisecond
 	keys        = 40
 	clientWaits = 3 * time.Second
-	// abandonShare of the requests are left before they are answered, after
-	// goneAfter.
+	// abandonShare of the requests are abandoned without an answer, abandonAfter they were
+	// sent.
 	abandonShare = 0.02
 	abandonAfter = 8 * time.Millisecond
-	// pipelineShare of the requests that may be repeated are sent with up to mostAhead others, before
-	// the first one is answered.
+	// pipelineShare of the requests that may be repeated are pipelined: up to maxPipelined
+	// requests are sent before the first answer is read.
 	pipelineShare = 0.2
 	maxPipelined  = 5
 )
 
-// routes are those that every configuration has.
+// routes are the routes of every version of the configuration.
 var routes = []machines.Route{
 	{Prefix: "/read/", Kind: "safe", Service: "shop", TimeoutMS: 1200},
 	{Prefix: "/buy/", Kind: "unsafe", Service: "shop", TimeoutMS: 1200},
 	{Prefix: "/up/", Kind: "upload", Service: "desk", TimeoutMS: 2000},
 }
 
-// markerRoute is a route that only one version of the configuration has.
+// markerRoute returns the route that only this version of the configuration has.
 func markerRoute(version int) machines.Route {
 	return machines.Route{Prefix: fmt.Sprintf("/version-%d/", version), Kind: "safe", Service: "shop", TimeoutMS: 1200}
 }
@@ -52,7 +52,7 @@
 	next   int
 )
 
-// newID returns an id that no other request of this process has.
+// newID returns an id that is unique in this process.
 func newID() string {
 	nextMu.Lock()
 	defer nextMu.Unlock()
@@ -72,8 +72,8 @@
 	}
 }
 
-// client sends requests to one box until the end. It goes on using its
-// connection until that breaks or the box asks for its end.
+// client sends requests to one box until the end. It reuses its connection until that breaks
+// or the box announces that it closes it.
 func (r *run) client(b *processes.Box, random *rand.Rand, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
@@ -95,7 +95,7 @@
 	}
 }
 
-// newRequest returns a request of the route that is sent now.
+// newRequest returns a request of the route, sent at the current time.
 func newRequest(b *processes.Box, route *machines.Route, random *rand.Rand) Request {
 	q := Request{
 		ID: newID(), Kind: route.Kind, Method: "GET", Target: route.Prefix + fmt.Sprint(random.Intn(1000)),
@@ -111,8 +111,9 @@
 	recordAnswer(c, q, c.Do(q.Method, q.Target, q.ID, q.Body, extraHeaders(random)))
 }
 
-// sendPipelined sends requests before the first of them is answered. Those behind an answer that closes the
-// connection, or breaks off, get none; they may have run, since they may be repeated.
+// sendPipelined sends several requests before it reads the first answer. Requests behind an
+// answer that closes the connection or is cut off get no answer; they may have run, which is
+// allowed since they may be repeated.
 func (r *run) sendPipelined(c *machines.Client, b *processes.Box, route *machines.Route, random *rand.Rand) {
 	var sent []Request
 	isOpen := true
@@ -138,7 +139,7 @@
 	}
 }
 
-// recordAnswer notes what a client got.
+// recordAnswer records in the request the answer that a client got.
 func recordAnswer(c *machines.Client, q *Request, answer *machines.Answer) {
 	q.Ended = time.Now()
 	if answer.Problem != nil {
@@ -159,7 +160,7 @@
 		time.Sleep(abandonAfter)
 	}
 	c.Close()
-	// The client knows nothing of it, as if it had waited too long.
+	// Nothing is known of its result, as after the client's timeout.
 	q.Ended = q.Sent.Add(q.Timeout + time.Nanosecond)
 }
 
@@ -167,8 +168,8 @@
 	return customerHeaders(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: %d\r\n", random.Intn(keys), clientWaits.Milliseconds())
 }
 
-// probeConfiguration asks the box for the paths of the newest configuration and of the one
-// before, in turn.
+// probeConfiguration alternately requests the marker paths of the newest version of the
+// configuration and of the one before.
 func (r *run) probeConfiguration(b *processes.Box, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
@@ -191,7 +192,7 @@
 			q.Signed = answer.Header.Get("X-Stoneworks-Response-Signature") != ""
 		}
 		r.update(func(h *History) {
-			// It is no part of what is asked of the recovery.
+			// Probes that fail do not count in the recovery.
 			if q.Status == http.StatusOK {
 				h.Requests = append(h.Requests, q)
 			} else {
