--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -12,21 +12,22 @@
 )
 
 // ================================================================
-// Customers: all clients send the key of one that has no limit. Beside them one
-// client of each box sends far more than its customer may, and one sends a key that
-// the newest configuration no longer has.
+// Customers: the clients send the key of a customer without a limit. One more client of each
+// box sends far more than the limit of its customer, and one sends a key that the newest
+// configuration no longer has.
 // ================================================================
 
 const (
 	usualCustomer   = "studio"
 	limitedCustomer = "label"
-	// keyPrefix is part of every key, so that a search for it finds any.
+	// keyPrefix is the start of every key, so that a search for it finds any key.
 	keyPrefix = "soak-key"
-	// limitRate and limitBurst are the limit of the limited customer.
-	limitRate  = 25
-	limitBurst = 10
+	// limitRate and limitBurst are the limit of the limited customer, in requests a second and
+	// in requests.
+	limitRate      = 25
+	limitBurst     = 10
 	overLimitPause = 15 * time.Millisecond
-	// quotaWindow, quotaOverage and quotaSlack are the settings' defaults.
+	// quotaWindow, quotaOverage and quotaSlack are the defaults of the settings.
 	quotaWindow  = 5 * time.Second
 	quotaOverage = 0.1
 	quotaSlack   = 20
@@ -34,7 +35,8 @@
 
 func keyOf(customer string) string { return keyPrefix + "-" + customer }
 
-// keyOfVersion is a key of the usual customer that only one version has.
+// keyOfVersion returns the key of the usual customer that only this version of the
+// configuration has.
 func keyOfVersion(version int) string { return fmt.Sprintf("%s-version-%d-", keyPrefix, version) }
 
 func customersOf(version int) []machines.Customer {
@@ -44,13 +46,13 @@
 	}
 }
 
-// customerHeaders are the headers of a request of a customer, which also customerHeaders to be of
-// another one.
+// customerHeaders returns the headers of a request with this key that also claims to come from
+// another customer.
 func customerHeaders(key string) string {
 	return "Authorization: Bearer " + key + "\r\nX-Stoneworks-Tenant: somebody-else\r\n"
 }
 
-// sendOverLimit sends the limited customer's requests to a box, far more than it may.
+// sendOverLimit sends a box the limited customer's requests, far more than its limit.
 func (r *run) sendOverLimit(b *processes.Box, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
@@ -60,7 +62,7 @@
 	}
 }
 
-// probeOldKey asks a box with the key that only the version before the newest had.
+// probeOldKey sends a box requests with the key that only the version before the newest had.
 func (r *run) probeOldKey(b *processes.Box, end time.Time) {
 	c := &machines.Client{Address: b.Clients()}
 	defer c.Close()
@@ -77,7 +79,7 @@
 	}
 }
 
-// sendSideRequest sends a request that is no part of what is asked of the recovery.
+// sendSideRequest sends a request that does not count in the recovery.
 func (r *run) sendSideRequest(c *machines.Client, b *processes.Box, key string) Request {
 	q := Request{
 		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Incarnation: b.Life(),
@@ -98,33 +100,34 @@
 // Checks
 // ----------------------------------------------------------------
 
-// customerNamed: servers learn from the box whose request it is, whatever the client
-// claims.
+// customerNamed finds requests for which a server did not get the name of the customer of the
+// key, whatever the client claimed.
 func customerNamed(h *History) (found []string) {
 	for server, list := range h.Runs {
 		for _, run := range list {
 			name := strings.Join(run.Header.Values("X-Stoneworks-Tenant"), ", ")
 			if name != usualCustomer && name != limitedCustomer {
-				found = append(found, fmt.Sprintf("%s ran %s of the customer %q", server, run.ID, name))
+				found = append(found, fmt.Sprintf("%s ran %s as a request of the customer %q", server, run.ID, name))
 			}
 		}
 	}
 	return found
 }
 
-// keysKept: no key reaches a server or a log.
+// keysKept finds keys in requests that reached servers and in logs.
 func keysKept(h *History) (found []string) {
 	for server, list := range h.Runs {
 		for _, run := range list {
 			if strings.Contains(fmt.Sprint(run.Header), keyPrefix) {
-				found = append(found, fmt.Sprintf("%s got a key with %s", server, run.ID))
+				found = append(found, fmt.Sprintf("%s got a key in the headers of %s", server, run.ID))
 			}
 		}
 	}
 	return append(found, h.KeysLogged...)
 }
 
-// limit: all boxes together let no more pass than the limit, in any window.
+// limit finds a window in which all boxes together passed on more requests of a customer than
+// its limit allows.
 func limit(h *History) []string {
 	var times []time.Time
 	for _, list := range h.Runs {
@@ -142,13 +145,13 @@
 			first++
 		}
 		if n := i - first + 1; float64(n) > allowed {
-			return []string{fmt.Sprintf("%d requests of a customer that may send %.0f in %s", n, allowed, quotaWindow)}
+			return []string{fmt.Sprintf("%d requests of a customer that is allowed %.0f in %s", n, allowed, quotaWindow)}
 		}
 	}
 	return nil
 }
 
-// oldKeys: a key that was taken away counts no more, some time after that.
+// oldKeys finds boxes that still accept a key boundConfig after its removal.
 func oldKeys(h *History) (found []string) {
 	for _, c := range h.Configurations {
 		for _, p := range h.OldKeys {
@@ -156,7 +159,7 @@
 			if p.Version != c.Version-1 || !late || p.Status != http.StatusOK || h.isExempt(p.Box, c.At, p.At) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("%s served by a key %s after it was taken away", p.Box, p.At.Sub(c.At).Round(time.Millisecond)))
+			found = append(found, fmt.Sprintf("%s accepted a key %s after its removal", p.Box, p.At.Sub(c.At).Round(time.Millisecond)))
 		}
 	}
 	return found
