--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -15,7 +15,7 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// cleanHistory is a history in which nothing is broken: one request of each kind.
+// cleanHistory returns a history without violations: one request of each kind.
 func cleanHistory() *History {
 	h := &History{Runs: map[string][]machines.Run{}, Arrivals: map[string][]machines.Arrival{}}
 	for i, kind := range []string{"safe", "unsafe", "upload"} {
@@ -35,8 +35,8 @@
 	return h
 }
 
-// TestEachCheckCanFail is the control of the checks: what breaks a promise is
-// found by its check, and by no other.
+// TestEachCheckCanFail is the control of the checks: what violates a guarantee is found by its
+// check and by no other.
 func TestEachCheckCanFail(t *testing.T) {
 	is := is.New(t)
 	is.Equal(FindViolations(cleanHistory()), nil)
@@ -142,7 +142,7 @@
 		spoil(h)
 		found := FindViolations(h)
 		if len(found) == 0 {
-			t.Errorf("%s does not find what breaks it", c.Name)
+			t.Errorf("%s does not find its violation", c.Name)
 		}
 		for _, v := range found {
 			is.Equal(v.Check, c.Name)
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestExcuses: bounds in time do not bind a box that was struck.
+// TestExcuses tests that bounds in time do not apply to a box that had a fault.
 func TestExcuses(t *testing.T) {
 	is := is.New(t)
 	h := cleanHistory()
@@ -162,8 +162,9 @@
 	is.Equal(len(FindViolations(h)), 2)
 }
 
-// TestLimitsCountWhoWasTold: of what a limited server gets, what boxes sent that it had not told, or
-// had told just now, or that were struck, is not counted.
+// TestLimitsCountWhoWasTold tests which requests count against the limit of a server: not
+// those of boxes that it had not told of the limit, or had told only just before, or that had
+// a fault.
 func TestLimitsCountWhoWasTold(t *testing.T) {
 	is := is.New(t)
 	h := cleanHistory()
@@ -183,7 +184,7 @@
 	is.Equal(FindViolations(h), nil)
 	h.FaultPeriods[0].Target = "b2"
 	h.AnnouncedLimits[0].To = after(10 * time.Second)
-	is.Equal(FindViolations(h), nil) // it named none any more
+	is.Equal(FindViolations(h), nil) // it no longer announces a limit
 }
 
 func TestPlansReplay(t *testing.T) {
