--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -15,14 +15,14 @@
 	"github.com/stoneworks/stoneworks/test/addresses"
 )
 
-// ciSeed is played by every test run; the others are in seeds.txt.
+// ciSeed is played by every test run, beside the seeds in seeds.txt.
 const (
 	ciSeed   = 20261202
 	ciBoxes  = 4
 	ciLength = 7 * time.Second
 )
 
-// build puts the daemon into a folder of the test's own.
+// build builds the daemon into a temporary folder of the test.
 func build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -43,7 +43,7 @@
 	return found
 }
 
-// TestSoak plays a short seeded run of each catalogue, and the seeds of seeds.txt.
+// TestSoak plays a short run of ciSeed with each catalogue, and the seeds of seeds.txt.
 func TestSoak(t *testing.T) {
 	is := is.New(t)
 	bin := build(t)
@@ -55,14 +55,14 @@
 	}
 }
 
-// keptSeed is a seed that ever failed, with the catalogue that it draws from.
+// keptSeed is a seed that once failed, with its catalogue.
 type keptSeed struct {
 	seed  int64
 	kinds Catalogue
 }
 
-// keptSeeds reads the seeds that ever failed: a number, its catalogue and its cause a
-// line.
+// keptSeeds reads seeds.txt, whose lines have a seed that once failed, its catalogue and the
+// cause.
 func keptSeeds(t *testing.T) []keptSeed {
 	t.Helper()
 	file, err := os.Open("seeds.txt")
