--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -1,7 +1,6 @@
-// Package experiment plays the same seeded load and troubles on two sets of
-// figures of policy, against real boxes and stand-in servers, and compares
-// them in pairs by kind of request. It is no simulator: boxes are the
-// product's, and time is real.
+// Package experiment plays the same seeded load and faults with two sets of policy parameters
+// and compares them in pairs by kind of request. It is no simulator: boxes are the product's,
+// servers are stand-ins, and time is real.
 package experiment
 
 import (
@@ -21,23 +20,24 @@
 	"github.com/stoneworks/stoneworks/test/machines"
 )
 
-// Plan is what is played on both sides.
+// Plan is the load and the faults that are played with both sets of parameters.
 type Plan struct {
-	// Seeds are played one after the other, each on both sides.
+	// Seeds are played one after the other, each with both sets of parameters.
 	Seeds []uint64
-	// Length is how long each play lasts.
+	// Length is the duration of each play.
 	Length time.Duration
-	// Keys are drawn with the weights 1, 1/2^Skew, 1/3^Skew and so on.
+	// Keys is the number of affinity keys; they are drawn with the weights 1, 1/2^Skew,
+	// 1/3^Skew and so on.
 	Keys int
 	Skew float64
-	// Nature is that of all servers; with Unlike every third is slower by half
-	// and every third quicker.
+	// Performance is that of all servers. With MixedSpeeds the speed of every third server is
+	// 1/1.5 and that of every third 1.5.
 	Nature machines.Nature
 	Unlike bool
-	// Refuse is which part of all requests servers refuse in the last third,
-	// though slots are free.
+	// RefuseShare is the share of requests that servers refuse in the last third of a play
+	// although they have free slots.
 	Refuse float64
-	// Target is the time within which an answer is in time.
+	// Target is the time within which an answer counts as in time.
 	Target time.Duration
 }
 
@@ -53,7 +53,7 @@
 	timeoutMS   = 1500
 )
 
-// kinds are the kinds of requests, as methods and routes.
+// kinds are the kinds of requests, each with its method and the prefix of its route.
 var kinds = []struct{ name, method, prefix string }{
 	{"safe", "GET", "/read/"},
 	{"unsafe", "POST", "/buy/"},
@@ -65,20 +65,20 @@
 	InTime   int
 }
 
-// Share is the part of the requests that was answered in time.
+// Share returns the share of the requests that were answered in time.
 func (s Score) Share() float64 { return float64(s.InTime) / float64(max(1, s.Requests)) }
 
-// PolicyError says that figures cannot be read.
+// PolicyError says that policy parameters cannot be read.
 type PolicyError struct {
 	Text  string
 	Cause error
 }
 
 // Error implements error.
-func (e *PolicyError) Error() string { return fmt.Sprintf("figures %q: %v", e.Text, e.Cause) }
+func (e *PolicyError) Error() string { return fmt.Sprintf("policy parameters %q: %v", e.Text, e.Cause) }
 
-// ParsePolicy reads figures such as "full_fill=3,hot_share=1" over the
-// defaults, with the checks of a settings file. The error is a *PolicyError.
+// ParsePolicy reads policy parameters such as "full_fill=3,hot_share=1" over the defaults,
+// with the checks of a settings file. The error is a *PolicyError.
 func ParsePolicy(text string) (*policy.Policy, error) {
 	var b strings.Builder
 	b.WriteString("box: a\nzone: z\nplatform: {address: \"127.0.0.1:1\"}\nzones: [{zone: z, region: r}]\n" +
@@ -99,8 +99,8 @@
 	return &s.Policy, nil
 }
 
-// Play plays one seed on a set of figures, in a network of its own such as
-// "127.96.1", and returns the scores by kind.
+// Play plays one seed with one set of parameters, in a network of its own such as "127.96.1",
+// and returns the scores by kind.
 func (p *Plan) Play(network string, seed uint64, figures *policy.Policy) (map[string]Score, error) {
 	f, err := machines.NewFleet(network, io.Discard)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return scores.byKind, err
 }
 
-// addServer starts a server of the plan's nature and lists it.
+// addServer starts a server with the performance of the plan and lists it.
 func (p *Plan) addServer(f *machines.Fleet, zone string, i int) error {
 	nature := p.Nature
 	if p.Unlike {
@@ -148,8 +148,8 @@
 	return err
 }
 
-// trouble replaces a server in the first third, and has all refuse some
-// requests in the last.
+// injectFaults replaces a server after the first third of the play and has all servers refuse
+// some requests in the last third.
 func (p *Plan) trouble(f *machines.Fleet, random *rand.Rand) error {
 	third := p.Length / 3
 	time.Sleep(third)
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// scores are counted by many clients.
+// scores are the scores by kind; add is safe for concurrent use.
 type scores struct {
 	mu     sync.Mutex
 	byKind map[string]Score
@@ -215,13 +215,14 @@
 	}
 }
 
-// Pair is one seed's scores on both sides.
+// Pair is the scores of one seed with both sets of parameters.
 type Pair struct {
 	Seed uint64
 	A, B map[string]Score
 }
 
-// Run plays all seeds on both sides. Networks are numbered from the first.
+// Run plays all seeds with both sets of parameters. Each play has a network of its own,
+// numbered from 1.
 func (p *Plan) Run(networks string, a, b *policy.Policy) ([]Pair, error) {
 	var pairs []Pair
 	for i, seed := range p.Seeds {
@@ -256,7 +257,7 @@
 	return t.Flush()
 }
 
-// meanOf returns the mean and its standard error, 0 for a single value.
+// meanOf returns the mean and its standard error, which is 0 for a single value.
 func meanOf(values []float64) (mean, standardError float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
