--- a/test/experiment/experiment_test.go
+++ b/test/experiment/experiment_test.go
@@ -37,7 +37,7 @@
 	is.True(math.Abs(standardError-0.1) < 1e-9)
 }
 
-// TestBothSidesArePlayed: a whole small run, real boxes and servers.
+// TestBothSidesArePlayed plays a small experiment with real boxes and stand-in servers.
 func TestBothSidesArePlayed(t *testing.T) {
 	is := is.New(t)
 	p := &Plan{
