--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -16,7 +16,7 @@
 const (
 	// crashingPause is the time between two attempts of a crashing request, which go to the
 	// boxes in turn; crashingFactor times the event's duration is how long they are sent.
-	deadlyPause = 60 * time.Millisecond
+	crashingPause = 60 * time.Millisecond
 	deadlyTimes = 3
 	// entryLapse is how long the entry of a crashed server stays listed.
 	lapse = 1500 * time.Millisecond
@@ -62,7 +62,7 @@
 			extra := customerHeaders(keyOf(usualCustomer)) + fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", e.Target%keys)
 			c.Do(q.Method, q.Target, q.ID, "", extra)
 			c.Close()
-			time.Sleep(deadlyPause)
+			time.Sleep(crashingPause)
 		}
 	})
 }
