--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -17,7 +17,7 @@
 	// crashingPause is the time between two attempts of a crashing request, which go to the
 	// boxes in turn; crashingFactor times the event's duration is how long they are sent.
 	crashingPause = 60 * time.Millisecond
-	deadlyTimes = 3
+	crashingFactor = 3
 	// entryLapse is how long the entry of a crashed server stays listed.
 	lapse = 1500 * time.Millisecond
 )
@@ -48,7 +48,7 @@
 	target := fmt.Sprintf("/read/deadly-%d", e.Target)
 	r.crashing.set(target)
 	r.update(func(h *History) { h.CrashingTargets = append(h.CrashingTargets, target) })
-	end := min(deadlyTimes*e.Duration, r.Plan.Length-e.At)
+	end := min(crashingFactor*e.Duration, r.Plan.Length-e.At)
 	until := time.Now().Add(end)
 	r.injections.Go(func() {
 		for i := e.Target; time.Now().Before(until); i++ {
