--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -19,7 +19,7 @@
 	crashingPause = 60 * time.Millisecond
 	crashingFactor = 3
 	// entryLapse is how long the entry of a crashed server stays listed.
-	lapse = 1500 * time.Millisecond
+	entryLapse = 1500 * time.Millisecond
 )
 
 // crashingTargets are the targets whose requests currently crash servers.
@@ -93,7 +93,7 @@
 		return
 	}
 	r.startAgain(s, fmt.Sprintf("%s-%d", server.ID, number), func() {
-		time.Sleep(lapse - replaceAfter)
+		time.Sleep(entryLapse - replaceAfter)
 		r.fleet.Store.Delete("servers", server.ID)
 	})
 }
