--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -281,18 +281,18 @@
 // noRegress finds incarnations of boxes that followed an older version of the configuration
 // after a newer one.
 func noRegress(h *History) (found []string) {
-	type life struct {
+	type incarnation struct {
 		box  string
 		life int
 	}
-	newest := map[life]int{}
+	newest := map[incarnation]int{}
 	probes := append([]Probe(nil), h.Probes...)
 	sort.SliceStable(probes, func(i, j int) bool { return probes[i].At.Before(probes[j].At) })
 	for _, p := range probes {
 		if p.Status != http.StatusOK {
 			continue
 		}
-		key := life{p.Box, p.Incarnation}
+		key := incarnation{p.Box, p.Incarnation}
 		if p.Version < newest[key] {
 			found = append(found, fmt.Sprintf("%s followed version %d after %d", p.Box, p.Version, newest[key]))
 		}
