--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -283,7 +283,7 @@
 func noRegress(h *History) (found []string) {
 	type incarnation struct {
 		box  string
-		life int
+		number int
 	}
 	newest := map[incarnation]int{}
 	probes := append([]Probe(nil), h.Probes...)
