--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -177,9 +177,9 @@
 		newest := 0
 		r.update(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
 		version := max(1, newest-n%2)
-		life, at := b.Life(), time.Now()
+		incarnation, at := b.Life(), time.Now()
 		q := Request{
-			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Incarnation: life,
+			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Incarnation: incarnation,
 			Timeout: time.Second + 200*time.Millisecond, Sent: at,
 		}
 		answer := c.Do(q.Method, q.Target, q.ID, "", customerHeaders(keyOf(usualCustomer))+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
@@ -198,8 +198,8 @@
 			} else {
 				h.SideRequests = append(h.SideRequests, q)
 			}
-			if life == b.Life() {
-				h.Probes = append(h.Probes, Probe{Box: b.IP, Incarnation: life, Version: version, At: at, Status: q.Status})
+			if incarnation == b.Life() {
+				h.Probes = append(h.Probes, Probe{Box: b.IP, Incarnation: incarnation, Version: version, At: at, Status: q.Status})
 			}
 		})
 		time.Sleep(probePause)
