--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -42,16 +42,16 @@
 	m := Move{Service: s.service, Version: fmt.Sprintf("v-%d", e.At.Milliseconds()), Bad: e.Target%2 == 0, From: time.Now()}
 	d := min(moveFactor*e.Duration, r.Plan.Length-e.At)
 	m.To = m.From.Add(d)
-	runs := false
+	running := false
 	r.update(func(h *History) {
 		for _, other := range h.Moves {
-			runs = runs || other.Service == m.Service && other.To.After(m.From)
+			running = running || other.Service == m.Service && other.To.After(m.From)
 		}
-		if !runs {
+		if !running {
 			h.Moves = append(h.Moves, m)
 		}
 	})
-	if runs {
+	if running {
 		return
 	}
 	servers := r.startVersion(&m, s.zone)
