--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -32,7 +32,7 @@
 	Skew float64
 	// Performance is that of all servers. With MixedSpeeds the speed of every third server is
 	// 1/1.5 and that of every third 1.5.
-	Nature machines.Nature
+	Performance machines.Nature
 	Unlike bool
 	// RefuseShare is the share of requests that servers refuse in the last third of a play
 	// although they have free slots.
@@ -140,7 +140,7 @@
 
 // addServer starts a server with the performance of the plan and lists it.
 func (p *Plan) addServer(f *machines.Fleet, zone string, i int) error {
-	nature := p.Nature
+	nature := p.Performance
 	if p.Unlike {
 		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
