--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -33,7 +33,7 @@
 	// Performance is that of all servers. With MixedSpeeds the speed of every third server is
 	// 1/1.5 and that of every third 1.5.
 	Performance machines.Nature
-	Unlike bool
+	MixedSpeeds bool
 	// RefuseShare is the share of requests that servers refuse in the last third of a play
 	// although they have free slots.
 	Refuse float64
@@ -141,7 +141,7 @@
 // addServer starts a server with the performance of the plan and lists it.
 func (p *Plan) addServer(f *machines.Fleet, zone string, i int) error {
 	nature := p.Performance
-	if p.Unlike {
+	if p.MixedSpeeds {
 		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
 	_, err := f.AddServerOf(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, work)
