--- a/test/cmd/stoneworks-experiment/main.go
+++ b/test/cmd/stoneworks-experiment/main.go
@@ -30,7 +30,7 @@
 	target := flag.Duration("target", 80*time.Millisecond, "the time within which an answer is in time")
 	flag.Parse()
 	plan := &experiment.Plan{
-		Length: *length, Keys: *keys, Skew: *skew, Refuse: *refuse, MixedSpeeds: *unlike, Target: *target,
+		Length: *length, Keys: *keys, Skew: *skew, RefuseShare: *refuse, MixedSpeeds: *unlike, Target: *target,
 		Performance: machines.Nature{Memory: *memory, Gain: *gain},
 	}
 	for i := range *seeds {
--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -36,7 +36,7 @@
 	MixedSpeeds bool
 	// RefuseShare is the share of requests that servers refuse in the last third of a play
 	// although they have free slots.
-	Refuse float64
+	RefuseShare float64
 	// Target is the time within which an answer counts as in time.
 	Target time.Duration
 }
@@ -165,7 +165,7 @@
 		s.SetFault(func(*machines.Run) machines.Fault {
 			mu.Lock()
 			defer mu.Unlock()
-			if random.Float64() < p.Refuse {
+			if random.Float64() < p.RefuseShare {
 				return machines.Refuse
 			}
 			return machines.NoFault
--- a/test/experiment/experiment_test.go
+++ b/test/experiment/experiment_test.go
@@ -41,7 +41,7 @@
 func TestBothSidesArePlayed(t *testing.T) {
 	is := is.New(t)
 	p := &Plan{
-		Seeds: []uint64{7}, Length: 1500 * time.Millisecond, Keys: 20, Skew: 0.2, Refuse: 0.1, MixedSpeeds: true,
+		Seeds: []uint64{7}, Length: 1500 * time.Millisecond, Keys: 20, Skew: 0.2, RefuseShare: 0.1, MixedSpeeds: true,
 		Performance: machines.Nature{Memory: 30, Gain: 0.7}, Target: 150 * time.Millisecond,
 	}
 	a := policy.Default()
