--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -43,7 +43,7 @@
 
 // The deployment and the load.
 const (
-	boxesEach   = 2
+	boxesPerZone   = 2
 	serversEach = 4
 	serverSlots = 3
 	work        = 100 * time.Millisecond
@@ -117,7 +117,7 @@
 				return nil, err
 			}
 		}
-		for range boxesEach {
+		for range boxesPerZone {
 			if _, err := f.AddBox(z.Zone); err != nil {
 				return nil, err
 			}
