--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -44,7 +44,7 @@
 // The deployment and the load.
 const (
 	boxesPerZone   = 2
-	serversEach = 4
+	serversPerZone = 4
 	serverSlots = 3
 	work        = 100 * time.Millisecond
 	clientsEach = 8
@@ -112,7 +112,7 @@
 		machines.Route{Prefix: kinds[0].prefix, Kind: "safe", Service: "shop", TimeoutMS: timeoutMS},
 		machines.Route{Prefix: kinds[1].prefix, Kind: "unsafe", Service: "shop", TimeoutMS: timeoutMS})
 	for _, z := range machines.Zones {
-		for i := range serversEach {
+		for i := range serversPerZone {
 			if err := p.addServer(f, z.Zone, i); err != nil {
 				return nil, err
 			}
@@ -154,8 +154,8 @@
 	third := p.Length / 3
 	time.Sleep(third)
 	zone := machines.Zones[random.IntN(len(machines.Zones))].Zone
-	old := f.Servers[fmt.Sprintf("%s.%d", zone, random.IntN(serversEach))]
-	if err := p.addServer(f, zone, serversEach); err != nil {
+	old := f.Servers[fmt.Sprintf("%s.%d", zone, random.IntN(serversPerZone))]
+	if err := p.addServer(f, zone, serversPerZone); err != nil {
 		return err
 	}
 	f.List(old, "shop", zone, "draining", 0)
