--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -47,7 +47,7 @@
 	serversPerZone = 4
 	serverSlots = 3
 	work        = 100 * time.Millisecond
-	clientsEach = 8
+	clientsPerBox = 8
 	pause       = 20 * time.Millisecond
 	settle      = 4 * time.Second
 	timeoutMS   = 1500
@@ -128,8 +128,8 @@
 	end := time.Now().Add(p.Length)
 	clients := conc.NewWaitGroup()
 	for i, b := range f.Boxes {
-		for j := range clientsEach {
-			stream := uint64(i*clientsEach + j)
+		for j := range clientsPerBox {
+			stream := uint64(i*clientsPerBox + j)
 			clients.Go(func() { p.client(b.Clients, rand.New(rand.NewPCG(seed, stream)), end, scores) })
 		}
 	}
