--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -46,7 +46,7 @@
 	boxesPerZone   = 2
 	serversPerZone = 4
 	serverSlots = 3
-	work        = 100 * time.Millisecond
+	serviceTime        = 100 * time.Millisecond
 	clientsPerBox = 8
 	pause       = 20 * time.Millisecond
 	settle      = 4 * time.Second
@@ -144,7 +144,7 @@
 	if p.MixedSpeeds {
 		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
-	_, err := f.AddServerOf(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, work)
+	_, err := f.AddServerOf(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, serviceTime)
 	return err
 }
 
