--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -48,7 +48,7 @@
 	serverSlots = 3
 	serviceTime        = 100 * time.Millisecond
 	clientsPerBox = 8
-	pause       = 20 * time.Millisecond
+	meanPause       = 20 * time.Millisecond
 	settle      = 4 * time.Second
 	timeoutMS   = 1500
 )
@@ -211,7 +211,7 @@
 		id := fmt.Sprintf("%x", random.Uint64())
 		a := c.Do(kind.method, kind.prefix+"1", id, "", fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", key))
 		scores.add(kind.name, a.Problem == nil && a.Status == 200 && a.Took <= p.Target)
-		time.Sleep(time.Duration(random.Float64() * 2 * float64(pause)))
+		time.Sleep(time.Duration(random.Float64() * 2 * float64(meanPause)))
 	}
 }
 
