--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -49,7 +49,7 @@
 	serviceTime        = 100 * time.Millisecond
 	clientsPerBox = 8
 	meanPause       = 20 * time.Millisecond
-	settle      = 4 * time.Second
+	settleTime      = 4 * time.Second
 	timeoutMS   = 1500
 )
 
@@ -123,7 +123,7 @@
 			}
 		}
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	scores := &scores{byKind: map[string]Score{}}
 	end := time.Now().Add(p.Length)
 	clients := conc.NewWaitGroup()
