--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -133,7 +133,7 @@
 			clients.Go(func() { p.client(b.Clients, rand.New(rand.NewPCG(seed, stream)), end, scores) })
 		}
 	}
-	err = p.trouble(f, rand.New(rand.NewPCG(seed, math.MaxUint64)))
+	err = p.injectFaults(f, rand.New(rand.NewPCG(seed, math.MaxUint64)))
 	clients.Wait()
 	return scores.byKind, err
 }
@@ -150,7 +150,7 @@
 
 // injectFaults replaces a server after the first third of the play and has all servers refuse
 // some requests in the last third.
-func (p *Plan) trouble(f *machines.Fleet, random *rand.Rand) error {
+func (p *Plan) injectFaults(f *machines.Fleet, random *rand.Rand) error {
 	third := p.Length / 3
 	time.Sleep(third)
 	zone := machines.Zones[random.IntN(len(machines.Zones))].Zone
