--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -101,13 +101,13 @@
 
 // Play plays one seed with one set of parameters, in a network of its own such as "127.96.1",
 // and returns the scores by kind.
-func (p *Plan) Play(network string, seed uint64, figures *policy.Policy) (map[string]Score, error) {
+func (p *Plan) Play(network string, seed uint64, parameters *policy.Policy) (map[string]Score, error) {
 	f, err := machines.NewFleet(network, io.Discard)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	f.Policy = figures
+	f.Policy = parameters
 	f.Configure(1,
 		machines.Route{Prefix: kinds[0].prefix, Kind: "safe", Service: "shop", TimeoutMS: timeoutMS},
 		machines.Route{Prefix: kinds[1].prefix, Kind: "unsafe", Service: "shop", TimeoutMS: timeoutMS})
