--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -45,12 +45,12 @@
 const (
 	boxesPerZone   = 2
 	serversPerZone = 4
-	serverSlots = 3
-	serviceTime        = 100 * time.Millisecond
-	clientsPerBox = 8
-	meanPause       = 20 * time.Millisecond
-	settleTime      = 4 * time.Second
-	timeoutMS   = 1500
+	serverSlots    = 3
+	serviceTime    = 100 * time.Millisecond
+	clientsPerBox  = 8
+	meanPause      = 20 * time.Millisecond
+	settleTime     = 4 * time.Second
+	timeoutMS      = 1500
 )
 
 // kinds are the kinds of requests, each with its method and the prefix of its route.
--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -282,7 +282,7 @@
 // after a newer one.
 func noRegress(h *History) (found []string) {
 	type incarnation struct {
-		box  string
+		box    string
 		number int
 	}
 	newest := map[incarnation]int{}
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -16,7 +16,7 @@
 const (
 	// crashingPause is the time between two attempts of a crashing request, which go to the
 	// boxes in turn; crashingFactor times the event's duration is how long they are sent.
-	crashingPause = 60 * time.Millisecond
+	crashingPause  = 60 * time.Millisecond
 	crashingFactor = 3
 	// entryLapse is how long the entry of a crashed server stays listed.
 	entryLapse = 1500 * time.Millisecond
