--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -133,13 +133,13 @@
 		"recovery": func(h *History) { h.Recovery.Answered = 50 },
 	}
 	for _, c := range Checks {
-		spoil := controls[c.Name]
-		if spoil == nil {
+		violate := controls[c.Name]
+		if violate == nil {
 			t.Errorf("%s has no control", c.Name)
 			continue
 		}
 		h := cleanHistory()
-		spoil(h)
+		violate(h)
 		found := FindViolations(h)
 		if len(found) == 0 {
 			t.Errorf("%s does not find its violation", c.Name)
