--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -314,19 +314,19 @@
 				ids[q.ID] = true
 			}
 		}
-		var ended []time.Time
+		var crashes []time.Time
 		for _, list := range h.Runs {
 			for _, r := range list {
 				if r.Target == target {
-					ended = append(ended, r.At)
+					crashes = append(crashes, r.At)
 				}
 			}
 		}
-		if len(ended) < 3 {
+		if len(crashes) < 3 {
 			continue
 		}
-		sort.Slice(ended, func(i, j int) bool { return ended[i].Before(ended[j]) })
-		third, late := ended[2], 0
+		sort.Slice(crashes, func(i, j int) bool { return crashes[i].Before(crashes[j]) })
+		third, late := crashes[2], 0
 		for _, list := range h.Arrivals {
 			for _, a := range list {
 				if ids[a.ID] && a.At.Sub(third) > boundContact+timingSlack && !h.isExempt(a.From, a.At, a.At) {
@@ -335,7 +335,7 @@
 			}
 		}
 		if late > maxLateArrivals {
-			found = append(found, fmt.Sprintf("%s reached servers %d times after it had crashed three; it crashed %d in all", target, late, len(ended)))
+			found = append(found, fmt.Sprintf("%s reached servers %d times after it had crashed three; it crashed %d in all", target, late, len(crashes)))
 		}
 	}
 	return found
