--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -189,9 +189,9 @@
 	byTime(repeats)
 	byTime(first)
 	for _, end := range repeats {
-		sent, again := within(first, end), within(repeats, end)
-		if float64(again) > retryRatio*float64(sent)+retrySlack {
-			return []string{fmt.Sprintf("%d retries for %d requests in %s", again, sent, retryWindow)}
+		sent, retried := within(first, end), within(repeats, end)
+		if float64(retried) > retryRatio*float64(sent)+retrySlack {
+			return []string{fmt.Sprintf("%d retries for %d requests in %s", retried, sent, retryWindow)}
 		}
 	}
 	return nil
