--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -112,7 +112,7 @@
 		if !m.Bad {
 			continue
 		}
-		fresh, all := 0, 0
+		exposed, all := 0, 0
 		isFresh := map[string]bool{}
 		for _, id := range m.Servers {
 			isFresh[id] = true
@@ -124,12 +124,12 @@
 				}
 				all++
 				if isFresh[server] {
-					fresh++
+					exposed++
 				}
 			}
 		}
-		if float64(fresh) > exposureShare*float64(all)+exposureSlack {
-			found = append(found, fmt.Sprintf("bad version %s of %s got %d of %d requests", m.Version, m.Service, fresh, all))
+		if float64(exposed) > exposureShare*float64(all)+exposureSlack {
+			found = append(found, fmt.Sprintf("bad version %s of %s got %d of %d requests", m.Version, m.Service, exposed, all))
 		}
 	}
 	return found
