--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -113,9 +113,9 @@
 			continue
 		}
 		exposed, all := 0, 0
-		isFresh := map[string]bool{}
+		isNew := map[string]bool{}
 		for _, id := range m.Servers {
-			isFresh[id] = true
+			isNew[id] = true
 		}
 		for server, list := range h.Arrivals {
 			for _, a := range list {
@@ -123,7 +123,7 @@
 					continue
 				}
 				all++
-				if isFresh[server] {
+				if isNew[server] {
 					exposed++
 				}
 			}
