--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -69,9 +69,9 @@
 
 // restartServer stops a server and starts another one under its id.
 func (r *run) restartServer(s *listedServer) {
-	server, left := s.server, false
-	r.update(func(*History) { left, s.departed = s.departed, true })
-	if left {
+	server, departed := s.server, false
+	r.update(func(*History) { departed, s.departed = s.departed, true })
+	if departed {
 		return
 	}
 	s.link.Down()
