--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -82,9 +82,9 @@
 // replaceCrashed starts a server in place of one that a request has crashed. It alternates
 // between the same id and a new id; with a new id the old entry stays listed until it lapses.
 func (r *run) replaceCrashed(s *listedServer, server *machines.Server) {
-	left, number := false, 0
-	r.update(func(*History) { left, s.departed, number = s.departed, true, len(r.fleet.Servers) })
-	if left {
+	departed, number := false, 0
+	r.update(func(*History) { departed, s.departed, number = s.departed, true, len(r.fleet.Servers) })
+	if departed {
 		return
 	}
 	s.link.Down()
