--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -124,9 +124,9 @@
 	spec := foreignEntries[e.Target%len(foreignEntries)]
 	name := fmt.Sprintf("foreign-%d", e.Target)
 	r.fleet.Store.Put("servers", name, spec)
-	server, left := s.server, false
-	r.update(func(*History) { left = s.departed })
-	replaced := e.Target%2 == 1 && !left
+	server, departed := s.server, false
+	r.update(func(*History) { departed = s.departed })
+	replaced := e.Target%2 == 1 && !departed
 	if replaced {
 		r.fleet.Store.Put("servers", server.ID, spec)
 	}
