--- a/test/soak/statusheaders.go
+++ b/test/soak/statusheaders.go
@@ -27,9 +27,9 @@
 // announceLeaving makes a server announce in its answers that it leaves, while the store lists
 // it as ready for some time longer.
 func (r *run) announceLeaving(s *listedServer, e Event) {
-	left := false
-	r.update(func(*History) { left, s.departed = s.departed, true })
-	if left {
+	departed := false
+	r.update(func(*History) { departed, s.departed = s.departed, true })
+	if departed {
 		return
 	}
 	old := s.server
