--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -264,7 +264,7 @@
 		return 1
 	}
 	defer network.Release()
-	broken := 0
+	failed := 0
 	for _, s := range seeds {
 		p := NewPlan(Catalogues[*catalogue-1], s, *boxes, *length)
 		if *plan {
@@ -276,11 +276,11 @@
 			return 1
 		}
 		if !ok {
-			broken++
+			failed++
 		}
 	}
-	fmt.Fprintf(stdout, "soak: %d seeds, %d with violations\n", len(seeds), broken)
-	if broken > 0 {
+	fmt.Fprintf(stdout, "soak: %d seeds, %d with violations\n", len(seeds), failed)
+	if failed > 0 {
 		return 1
 	}
 	return 0
