--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -82,8 +82,8 @@
 		allowed := limitOverage*l.PerSecond*limitWindow.Seconds() + limitSlack
 		counted := h.toldArrivals(l)
 		for k, end := range counted {
-			begun := end.Add(-limitWindow)
-			from, _ := slices.BinarySearchFunc(counted, begun, time.Time.Compare)
+			windowStart := end.Add(-limitWindow)
+			from, _ := slices.BinarySearchFunc(counted, windowStart, time.Time.Compare)
 			if end.Sub(l.From) < boundContact+timingSlack || float64(k+1-from) <= allowed {
 				continue
 			}
