--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -61,7 +61,7 @@
 	{"no-regress", noRegress},
 	{"customer", customerNamed},
 	{"keys-kept", keysKept},
-	{"limit", limit},
+	{"limit", customerLimit},
 	{"old-keys", oldKeys},
 	{"deadly-kept", deadlyKept},
 	{"others-sent", othersSent},
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -126,9 +126,9 @@
 	return append(found, h.KeysLogged...)
 }
 
-// limit finds a window in which all boxes together passed on more requests of a customer than
-// its limit allows.
-func limit(h *History) []string {
+// customerLimit finds a window in which all boxes together passed on more requests of a customer than
+// its customerLimit allows.
+func customerLimit(h *History) []string {
 	var times []time.Time
 	for _, list := range h.Runs {
 		for _, run := range list {
