--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -191,13 +191,13 @@
 	}[e.Kind]
 	// Events with an even target affect all boxes, the others every second box.
 	all := e.Target%2 == 0
-	struck := map[string]bool{}
+	affected := map[string]bool{}
 	for i, b := range r.boxes {
-		struck[b.IP] = all || i%2 == e.Target/2%2
+		affected[b.IP] = all || i%2 == e.Target/2%2
 	}
 	end := r.beginFault(e.Kind, "")
 	r.fleet.Store.SetTreat(func(ip, _ string) machines.Mode {
-		if struck[ip] {
+		if affected[ip] {
 			return mode
 		}
 		return machines.Serving
