--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -343,13 +343,13 @@
 
 // othersSent finds requests that were kept from servers although they do not crash them.
 func othersSent(h *History) (found []string) {
-	deadly := map[string]bool{}
+	crashing := map[string]bool{}
 	for _, target := range h.CrashingTargets {
-		deadly[target] = true
+		crashing[target] = true
 	}
 	for _, list := range [][]Request{h.Requests, h.SideRequests} {
 		for _, q := range list {
-			if q.Reason == string(outcome.ReasonCrashesServers) && !deadly[q.Target] {
+			if q.Reason == string(outcome.ReasonCrashesServers) && !crashing[q.Target] {
 				found = append(found, fmt.Sprintf("%s (%s) was kept from servers, which it does not crash", q.ID, q.Target))
 			}
 		}
