--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -63,7 +63,7 @@
 	{"keys-kept", keysKept},
 	{"limit", customerLimit},
 	{"old-keys", oldKeys},
-	{"deadly-kept", deadlyKept},
+	{"deadly-kept", crashingKept},
 	{"others-sent", othersSent},
 	{"server-limit", serverLimits},
 	{"exposure", exposure},
@@ -305,8 +305,8 @@
 // reach others after boundContact, in which boxes inform each other.
 const maxLateArrivals = 3
 
-// deadlyKept finds requests that still reach servers after they have crashed three.
-func deadlyKept(h *History) (found []string) {
+// crashingKept finds requests that still reach servers after they have crashed three.
+func crashingKept(h *History) (found []string) {
 	for _, target := range h.CrashingTargets {
 		ids := map[string]bool{}
 		for _, q := range h.SideRequests {
