--- a/test/soak/check.go
+++ b/test/soak/check.go
@@ -68,7 +68,7 @@
 	{"server-limit", serverLimits},
 	{"exposure", exposure},
 	{"leaving-kept", leavingKept},
-	{"rest-kept", restKept},
+	{"rest-kept", backoffKept},
 	{"recovery", recovery},
 }
 
--- a/test/soak/statusheaders.go
+++ b/test/soak/statusheaders.go
@@ -105,9 +105,9 @@
 	maxDuringBackoff = 2
 )
 
-// restKept finds servers that asked a box for a backoff and got more than maxDuringBackoff
+// backoffKept finds servers that asked a box for a backoff and got more than maxDuringBackoff
 // requests from it during that time.
-func restKept(h *History) (found []string) {
+func backoffKept(h *History) (found []string) {
 	for server, list := range h.RetryAfterHeaders {
 		for _, asked := range list {
 			seconds, err := strconv.ParseFloat(asked.Value, 64)
