--- a/test/soak/statusheaders.go
+++ b/test/soak/statusheaders.go
@@ -114,17 +114,17 @@
 			if err != nil {
 				continue
 			}
-			rest := time.Duration(seconds * float64(time.Second))
+			backoff := time.Duration(seconds * float64(time.Second))
 			n, last := 0, time.Time{}
 			for _, a := range h.Arrivals[server] {
-				if after := a.At.Sub(asked.At); a.From == asked.To && after >= backoffDelay && after < rest {
+				if after := a.At.Sub(asked.At); a.From == asked.To && after >= backoffDelay && after < backoff {
 					n, last = n+1, a.At
 				}
 			}
 			if n <= maxDuringBackoff || h.hadFault(asked.To, asked.At, last, BoxStop, BoxKill, BoxPause) || h.hadFault("", asked.At.Add(-boundContact), last, linkKinds...) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("%s asked %s for a backoff of %s and got %d requests from it in that time", server, asked.To, rest, n))
+			found = append(found, fmt.Sprintf("%s asked %s for a backoff of %s and got %d requests from it in that time", server, asked.To, backoff, n))
 			break
 		}
 	}
