--- a/test/soak/statusheaders.go
+++ b/test/soak/statusheaders.go
@@ -75,18 +75,18 @@
 		}
 	}
 	for server, list := range h.LeavingHeaders {
-		told := map[string]time.Time{}
+		passedOn := map[string]time.Time{}
 		for _, said := range list {
 			q := sent[said.ID]
 			if q == nil || q.Status == 0 || !q.Signed {
 				continue
 			}
-			if at, known := told[said.To]; !known || q.Ended.Before(at) {
-				told[said.To] = q.Ended
+			if at, known := passedOn[said.To]; !known || q.Ended.Before(at) {
+				passedOn[said.To] = q.Ended
 			}
 		}
 		for _, a := range h.Arrivals[server] {
-			at, known := told[a.From]
+			at, known := passedOn[a.From]
 			q := sent[a.ID]
 			if !known || q == nil || q.Sent.Sub(at) <= boundDrain || h.hadFault(a.From, at, a.At, BoxStop, BoxKill, BoxPause) {
 				continue
