--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -97,15 +97,15 @@
 
 // toldArrivals returns the times of the requests that count against a limit, in order.
 func (h *History) toldArrivals(l *AnnouncedLimit) []time.Time {
-	told := map[string]time.Time{}
+	firstTold := map[string]time.Time{}
 	for _, n := range l.Announcements {
-		if _, known := told[n.To]; !known {
-			told[n.To] = n.At
+		if _, known := firstTold[n.To]; !known {
+			firstTold[n.To] = n.At
 		}
 	}
 	var counted []time.Time
 	for _, a := range h.Arrivals[l.Server] {
-		at, known := told[a.From]
+		at, known := firstTold[a.From]
 		switch {
 		case !known || a.At.Sub(at) < limitDelay || !l.To.IsZero() && a.At.After(l.To):
 		case h.hadFault(a.From, a.At.Add(-boundContact), a.At, BoxStop, BoxKill, BoxPause):
