--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -25,8 +25,8 @@
 	maxDoublings = 8
 	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time
 	// again: a datagram in a hundred is lost on a good day.
-	broadcastCount = 2
-	tellAgain      = 300 * time.Millisecond
+	broadcastCount   = 2
+	rebroadcastDelay = 300 * time.Millisecond
 )
 
 // Record is what a box knows of a request, as it tells others. Both lists only grow, and
@@ -177,7 +177,7 @@
 			continue
 		}
 		r.broadcastsLeft--
-		r.tellAt = now.Add(tellAgain)
+		r.tellAt = now.Add(rebroadcastDelay)
 		due = append(due, r.export(f, now))
 	}
 	return due
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -125,9 +125,9 @@
 	table.ObserveCrash(1, "i-1")
 	is.Equal(len(table.Due()), 1)
 	is.Equal(len(table.Due()), 0)
-	c.advance(tellAgain)
+	c.advance(rebroadcastDelay)
 	is.Equal(len(table.Due()), 1)
-	c.advance(tellAgain)
+	c.advance(rebroadcastDelay)
 	is.Equal(len(table.Due()), 0)
 	table.Merge(Record{Request: 2, Crashed: []string{"i-1"}})
 	is.Equal(len(table.Due()), 0) // what was heard is told on by nobody
@@ -180,7 +180,7 @@
 				at.ObserveAnswer(request.Draw(t, "f"))
 			case 2:
 				late = append(late, at.Due()...)
-				c.advance(tellAgain)
+				c.advance(rebroadcastDelay)
 			case 3:
 				if len(late) > 0 {
 					at.Merge(late[rapid.IntRange(0, len(late)-1).Draw(t, "datagram")])
