--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -81,7 +81,7 @@
 	heldCrashes int
 	// broadcastsLeft is how often the record is to be told yet, from tellAt on.
 	broadcastsLeft int
-	tellAt         time.Time
+	nextBroadcast  time.Time
 }
 
 // NewTable makes an empty table.
@@ -173,11 +173,11 @@
 	now := t.Now()
 	var due []Record
 	for f, r := range t.records {
-		if r.broadcastsLeft == 0 || now.Before(r.tellAt) {
+		if r.broadcastsLeft == 0 || now.Before(r.nextBroadcast) {
 			continue
 		}
 		r.broadcastsLeft--
-		r.tellAt = now.Add(rebroadcastDelay)
+		r.nextBroadcast = now.Add(rebroadcastDelay)
 		due = append(due, r.export(f, now))
 	}
 	return due
@@ -282,7 +282,7 @@
 // scheduleBroadcast has all boxes told of the record.
 func (t *Table) scheduleBroadcast(r *record) {
 	r.broadcastsLeft = broadcastCount
-	r.tellAt = time.Time{}
+	r.nextBroadcast = time.Time{}
 }
 
 // ----------------------------------------------------------------
