--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -62,7 +62,7 @@
 	Now func() time.Time
 	// OnChange is told when a request is held or released, or what is known of it is
 	// dropped for want of room. It runs under the table's lock and must not call it.
-	OnChange func(r Record, what string)
+	OnChange func(r Record, change string)
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
