--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -17,7 +17,7 @@
 	modelContactWindow = 4 * time.Second
 	// modelMaxDelay is the longest way of a datagram.
 	modelMaxDelay = 60 * time.Millisecond
-	modelLength   = 40 * time.Second
+	modelDuration = 40 * time.Second
 	// modelMaxStoreDelay is the longest time until a call of the store is answered.
 	modelMaxStoreDelay = 300 * time.Millisecond
 	modelSpread        = 500 * time.Millisecond
@@ -204,8 +204,8 @@
 	}
 	pause := 50*time.Millisecond + time.Duration(random.Intn(3000))*time.Millisecond
 	next := f.clock.now
-	end := f.clock.now.Add(modelLength)
-	powerLoss := f.clock.now.Add(time.Duration(random.Int63n(int64(modelLength))))
+	end := f.clock.now.Add(modelDuration)
+	powerLoss := f.clock.now.Add(time.Duration(random.Int63n(int64(modelDuration))))
 	for number := 0; f.clock.now.Before(end); number++ {
 		f.step(number)
 		now := f.clock.now
