--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -19,9 +19,9 @@
 	modelMaxDelay = 60 * time.Millisecond
 	modelDuration = 40 * time.Second
 	// modelMaxStoreDelay is the longest time until a call of the store is answered.
-	modelMaxStoreDelay = 300 * time.Millisecond
-	modelSpread        = 500 * time.Millisecond
-	modelFanOut        = 3
+	modelMaxStoreDelay  = 300 * time.Millisecond
+	modelSpreadInterval = 500 * time.Millisecond
+	modelFanOut         = 3
 )
 
 // modelFleet is what is drawn, and what came of it.
@@ -160,7 +160,7 @@
 				}
 			}
 		}
-		if (number+i)%int(modelSpread/modelStep) == 0 {
+		if (number+i)%int(modelSpreadInterval/modelStep) == 0 {
 			for range modelFanOut {
 				f.tell(b, f.boxes[f.random.Intn(len(f.boxes))], b.table.Holds())
 			}
