--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -123,8 +123,8 @@
 	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, table: b.table})
 }
 
-// tell sends records to a box, some of them in vain.
-func (f *modelFleet) tell(from, to *modelBox, records []Record) {
+// sendRecords sends records to a box, some of them in vain.
+func (f *modelFleet) sendRecords(from, to *modelBox, records []Record) {
 	if f.isDisconnected(from) || f.isDisconnected(to) {
 		return
 	}
@@ -156,13 +156,13 @@
 		if due := b.table.Due(); len(due) > 0 {
 			for _, other := range f.boxes {
 				if other != b {
-					f.tell(b, other, due)
+					f.sendRecords(b, other, due)
 				}
 			}
 		}
 		if (number+i)%int(modelSpreadInterval/modelStep) == 0 {
 			for range modelFanOut {
-				f.tell(b, f.boxes[f.random.Intn(len(f.boxes))], b.table.Holds())
+				f.sendRecords(b, f.boxes[f.random.Intn(len(f.boxes))], b.table.Holds())
 			}
 		}
 	}
