--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -29,7 +29,7 @@
 	Now func() time.Time
 	// OnChange is told when a server's limit begins, changes or ends, when a server leaves, and when
 	// one is forgotten since it has gone. It runs under the table's lock and must not call it.
-	OnChange func(r Record, what Change)
+	OnChange func(r Record, change Change)
 
 	mu      sync.Mutex
 	records map[string]*entry
