--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -189,7 +189,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{at: time.Unix(1000, 0)}
 		boxes := []*Table{NewTable(c.now), NewTable(c.now), NewTable(c.now)}
-		var told []Record
+		var sent []Record
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			c.advance(time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond)
 			b := boxes[rapid.IntRange(0, 2).Draw(t, "box")]
@@ -202,9 +202,9 @@
 				ago := time.Duration(rapid.IntRange(0, 100).Draw(t, "ago")) * time.Millisecond
 				b.ObserveAnswer(server, backend.RateLimit{}, rapid.Bool().Draw(t, "ran"), c.at.Add(-ago))
 			case 2:
-				told = append(told, b.All()...)
-				if len(told) > 0 {
-					b.Merge(told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
+				sent = append(sent, b.All()...)
+				if len(sent) > 0 {
+					b.Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "record")])
 				}
 			}
 		}
