--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -118,13 +118,13 @@
 	is.Equal(len(l.Due()), 0)
 	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	is.Equal(len(l.Due()), 0) // nothing has changed
-	told := 0
+	broadcasts := 0
 	for i := range 100 {
 		l.ObserveAnswer(server, rateLimit(float64(i)), true, c.at)
-		told += len(l.Due())
+		broadcasts += len(l.Due())
 		c.advance(100 * time.Millisecond)
 	}
-	is.True(told >= 10 && told <= 20)
+	is.True(broadcasts >= 10 && broadcasts <= 20)
 	l.Merge(Record{Server: "i-2", HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	for _, r := range l.Due() {
 		is.True(r.Server != "i-2") // who heard it first tells it
