--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -136,21 +136,21 @@
 func TestRestartedBoxIsBelieved(t *testing.T) {
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
-	old, anew := NewTable(c.now), NewTable(c.now)
+	old, restarted := NewTable(c.now), NewTable(c.now)
 	old.Merge(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
 	old.Merge(Record{Server: server.Incarnation(), LimitVersion: 4})
 	is.Equal(len(old.Due()), 0)
-	anew.ObserveAnswer(server, rateLimit(2), true, c.at)
-	for _, r := range anew.Due() {
+	restarted.ObserveAnswer(server, rateLimit(2), true, c.at)
+	for _, r := range restarted.Due() {
 		old.Merge(r)
 	}
 	is.True(old.Empty()) // what it knows is later, for all it can tell
 	for _, r := range old.Due() {
-		anew.Merge(r)
+		restarted.Merge(r)
 	}
 	c.advance(minBroadcastInterval)
-	anew.ObserveAnswer(server, rateLimit(2), true, c.at)
-	for _, r := range anew.Due() {
+	restarted.ObserveAnswer(server, rateLimit(2), true, c.at)
+	for _, r := range restarted.Due() {
 		old.Merge(r)
 	}
 	perSecond, named := old.LimitOf(server.Incarnation())
