--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -92,7 +92,7 @@
 	again.StartedAtMs = 8
 	_, named := l.LimitOf(again.Incarnation())
 	is.True(!named)
-	listed := func(life string) bool { return life == again.Incarnation() }
+	listed := func(incarnation string) bool { return incarnation == again.Incarnation() }
 	l.Expire(listed, time.Minute)
 	c.advance(time.Minute)
 	l.Expire(listed, time.Minute)
