--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -279,14 +279,14 @@
 		}
 	}
 	spread := func() {
-		var told []Record // datagrams cross
+		var sent []Record // datagrams cross
 		for _, from := range tables {
-			told = append(told, from.Holds()...)
+			sent = append(sent, from.Holds()...)
 		}
 		c.advance(20 * time.Millisecond)
 		for i, to := range tables {
-			for k := range told {
-				to.Merge(told[(i+k)%len(told)])
+			for k := range sent {
+				to.Merge(sent[(i+k)%len(sent)])
 			}
 		}
 	}
