--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -237,7 +237,7 @@
 }
 
 // Expire forgets lives of servers that have not been listed for some time.
-func (t *Table) Expire(listed func(life string) bool, after time.Duration) {
+func (t *Table) Expire(listed func(incarnation string) bool, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
