--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -16,8 +16,8 @@
 	maxRecords = 4096
 	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time again:
 	// a datagram in a hundred is lost on a good day.
-	broadcastCount = 2
-	tellAgain      = 300 * time.Millisecond
+	broadcastCount   = 2
+	rebroadcastDelay = 300 * time.Millisecond
 	// minBroadcastInterval is the least time between two changes of a server that are told: one may name
 	// another limit in each answer.
 	minBroadcastInterval = time.Second
@@ -207,7 +207,7 @@
 			continue
 		}
 		e.broadcastsLeft--
-		e.nextBroadcast, e.lastBroadcast = now.Add(tellAgain), now
+		e.nextBroadcast, e.lastBroadcast = now.Add(rebroadcastDelay), now
 		due = append(due, e.Record)
 	}
 	return due
