--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -26,9 +26,9 @@
 	// OnResume is told of each suspension that is found, and how long it was.
 	OnResume func(away time.Duration)
 	// boottime reads a clock that counts suspensions.
-	boottime func() (time.Duration, error)
-	started  time.Time
-	base     time.Duration
+	boottime        func() (time.Duration, error)
+	started         time.Time
+	boottimeAtStart time.Duration
 	// err is why there is no such clock, nil if there is.
 	err error
 	// suspended is for how long the machine has been suspended since the start, in nanoseconds.
@@ -42,7 +42,7 @@
 // NewWithBoottime makes a clock that finds suspensions by another clock's running ahead.
 func NewWithBoottime(boottime func() (time.Duration, error)) *Clock {
 	c := &Clock{OnResume: func(time.Duration) {}, boottime: boottime, started: time.Now()}
-	c.base, c.err = boottime()
+	c.boottimeAtStart, c.err = boottime()
 	return c
 }
 
@@ -67,7 +67,7 @@
 		return // it could be read before, and will be again
 	}
 	// Whatever passes between the two readings makes this less, never more.
-	suspended := at - c.base - time.Since(c.started)
+	suspended := at - c.boottimeAtStart - time.Since(c.started)
 	for {
 		known := c.suspended.Load()
 		if suspended-time.Duration(known) < minSuspension {
