--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// machine is a machine that tests suspend.
+// machine simulates a machine that can be suspended.
 type machine struct {
 	mu      sync.Mutex
 	started time.Time
@@ -31,8 +31,8 @@
 	m.away += d
 }
 
-// TestSuspensionsCount: a time that is told after a suspension is later by it, spans that
-// began before are longer by it, and nothing else moves the clock.
+// TestSuspensionsCount: a suspension advances the clock by its duration and so lengthens spans
+// that began before it. Nothing else moves the clock.
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
@@ -59,15 +59,17 @@
 	for _, away := range woke {
 		sum += away
 	}
-	is.True(sum <= 7*time.Second) // never more than there was
+	is.True(sum <= 7*time.Second) // never more than the actual suspensions
 	is.True(sum > 7*time.Second-maxSchedulingDelay)
 }
 
-// maxSchedulingDelay is for how long this machine may stop a test between two readings of its clocks: by as
-// much less a suspension is found to be, and what one look misses the next one finds.
+// maxSchedulingDelay is how long this machine may stop a test between two readings of its
+// clocks. A suspension is found to be shorter by up to that much, and the next Sync finds the
+// rest.
 const maxSchedulingDelay = 200 * time.Millisecond
 
-// TestClockWithoutBoottime: it is then the runtime's.
+// TestClockWithoutBoottime: on a system without a clock that counts suspensions, the clock is
+// the runtime's.
 func TestClockWithoutBoottime(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
@@ -80,7 +82,8 @@
 	is.True(time.Since(c.Now()) < time.Second)
 }
 
-// TestSystemHasBoottimeClock, which this machine's kernel moves on.
+// TestSystemHasBoottimeClock: this machine's kernel has a clock that counts suspensions, and
+// it advances.
 func TestSystemHasBoottimeClock(t *testing.T) {
 	is := is.New(t)
 	c := New()
@@ -93,7 +96,8 @@
 	is.True(second-first >= 2*time.Millisecond)
 }
 
-// TestClockNeverGoesBack, whoever looks at the same time.
+// TestClockNeverGoesBack: the clock does not go back while several goroutines call Sync at the
+// same time.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newMachine()
 	c := NewWithBoottime(m.boottime)
@@ -117,7 +121,7 @@
 	wg.Wait()
 }
 
-// BenchmarkSync: 0.1 us, once a request.
+// BenchmarkSync measures what the clock costs each request: 0.1 us.
 func BenchmarkSync(b *testing.B) {
 	c := New()
 	for b.Loop() {
