--- a/pkg/timer/time_of_day_test.go
+++ b/pkg/timer/time_of_day_test.go
@@ -12,13 +12,12 @@
 	"github.com/matryer/is"
 )
 
-// monotonicPackages decide by spans of time, which a step of the time of day must not
-// change.
+// monotonicPackages decide by time spans, which a step of the wall clock must not change.
 var monotonicPackages = []string{"backend", "customer", "directory", "failurereport", "gossip", "objects", "quota", "retry", "routing", "storepoller"}
 
-// timeOfDay are the methods of time.Time that read the time of day where the monotonic
-// clock is to be read. Windows of repeats and of shifts were counted by it: a step ahead
-// emptied them.
+// timeOfDay are the methods of time.Time that read the wall clock where the monotonic clock is
+// required. With them, a forward step of the wall clock empties the windows of retries and of
+// shifts.
 var timeOfDay = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "Truncate": true, "UTC": true, "Local": true}
 
 func TestCoreReadsNoTimeOfDay(t *testing.T) {
--- a/pkg/timer/timer.go
+++ b/pkg/timer/timer.go
@@ -1,10 +1,10 @@
-// Package timer is the one source of time. Parts subscribe to it instead of
-// starting timers of their own, so a test can drive all of them with a fake
-// clock, and so a pause of the whole process is noticed in one place.
+// Package timer is the single source of timed calls. Parts of a box subscribe to it instead of
+// starting timers of their own, so that a test can drive all of them with a fake clock, and a
+// pause of the whole process is detected in one place.
 //
-// Example: a process is stopped for a minute and then goes on. The loop sees
-// that far more time passed than it slept, and tells the subscribers of
-// OnPause before anything else runs on a clock that jumped.
+// Example: a process is stopped for a minute and then continues. The loop of Run sees that far
+// more time has passed than one tick, and calls the subscribers of OnPause before any other
+// subscriber runs on a clock that has jumped.
 package timer
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Tick is the resolution of the service.
+// Tick is the resolution of a Service.
 const Tick = 50 * time.Millisecond
 
-// PauseThreshold is the gap between two ticks that counts as a pause.
+// PauseThreshold is the shortest gap between two ticks that counts as a pause.
 const PauseThreshold = time.Second
 
 // Service calls its subscribers at their intervals.
@@ -39,26 +39,26 @@
 	call    func()
 }
 
-// New makes a service on the system's monotonic clock.
+// New returns a service on the system's monotonic clock.
 func New() *Service {
 	return &Service{Now: time.Now}
 }
 
-// Every calls f once each interval, never twice at the same time.
+// Every calls f once per interval, never twice at the same time.
 func (s *Service) Every(interval time.Duration, f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.subs = append(s.subs, &subscription{every: interval, next: s.Now().Add(interval), call: f})
 }
 
-// OnPause calls f with the gap after the whole process stood still.
+// OnPause calls f after the whole process was paused, with the duration of the gap.
 func (s *Service) OnPause(f func(time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onPause = append(s.onPause, f)
 }
 
-// Run drives the subscribers until the context ends.
+// Run calls the subscribers until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	t := time.NewTicker(Tick)
 	defer t.Stop()
@@ -74,8 +74,8 @@
 	}
 }
 
-// SinceLastStep returns for how long the service has not made a step. It falls only
-// when those who asked have been told of a pause.
+// SinceLastStep returns the time since the last step, 0 before the first. After a pause it
+// drops only when the subscribers of OnPause have been called.
 func (s *Service) SinceLastStep() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,8 @@
 	return s.Now().Sub(s.last)
 }
 
-// Step runs what is due now, each call through spawn.
+// Step calls the subscribers of OnPause after a pause, then runs all calls that are due, each
+// through spawn.
 func (s *Service) Step(spawn func(func())) {
 	now := s.Now()
 	for _, f := range s.pauseCalls(now) {
--- a/pkg/timer/timer_test.go
+++ b/pkg/timer/timer_test.go
@@ -25,7 +25,7 @@
 	now = now.Add(time.Minute)
 	s.Step(run)
 	is.Equal(paused, time.Minute)
-	is.Equal(calls, 6) // once, not for each interval missed
+	is.Equal(calls, 6) // once, not once per missed interval
 }
 
 func TestNeverTwiceAtOnce(t *testing.T) {
@@ -42,8 +42,8 @@
 	is.Equal(len(held), 1)
 }
 
-// TestSinceLastStepResetsAfterOnPause is the failure in which a process that
-// woke from a freeze took itself for awake before it had noticed the freeze.
+// TestSinceLastStepResetsAfterOnPause guards against a process that continues after a freeze
+// and counts as responsive before the freeze has been handled.
 func TestSinceLastStepResetsAfterOnPause(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
