--- a/pkg/hashing/hashing.go
+++ b/pkg/hashing/hashing.go
@@ -1,10 +1,11 @@
-// Package hashing has the one hash of decisions: equal on all boxes, for ever.
-// It imports nothing of the project.
+// Package hashing has the hash function for decisions. Its results are the same on all boxes
+// and must never change. It imports no other package of the project.
 package hashing
 
 import "hash/fnv"
 
-// Of hashes strings, told apart from each other.
+// Of hashes a list of strings. Each is followed by a zero byte, so that a different division
+// of the same text gives a different hash.
 func Of(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -14,7 +15,7 @@
 	return Mix(h.Sum64())
 }
 
-// Mix spreads the bits of x over the whole word.
+// Mix distributes the bits of x over the whole word.
 func Mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
