--- a/pkg/packet/packet.go
+++ b/pkg/packet/packet.go
@@ -1,7 +1,7 @@
-// Package packet packs what boxes tell each other, one message a datagram. The first byte
-// tells kinds of messages apart, which come to one port, and changes with the fields of
-// a message: they are told by their place and not by name, since names would be most of what
-// is sent.
+// Package packet encodes the messages that boxes send each other, one per datagram. The first
+// byte identifies the kind of a message, since all kinds arrive at one port, and changes with
+// the fields of the message: they are identified by their position and not by name, since
+// names would be most of what is sent.
 package packet
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Codec packs messages of one kind.
+// Codec encodes and decodes messages of one kind.
 type Codec[T any] struct {
 	// Kind names the messages in errors.
 	Kind string
@@ -19,7 +19,8 @@
 	FirstByte byte
 }
 
-// Error says that a datagram is not a message of a kind, or that a message cannot be packed.
+// Error reports that a datagram is not a message of a kind, or that a message cannot be
+// encoded.
 type Error struct {
 	Kind    string
 	Problem string
@@ -28,7 +29,7 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Kind + ": " + e.Problem }
 
-// IsMessage reports whether a datagram claims to be a message of the kind.
+// IsMessage reports whether a datagram has the first byte of the kind.
 func (c Codec[T]) IsMessage(datagram []byte) bool {
 	return len(datagram) > 0 && datagram[0] == c.FirstByte
 }
@@ -46,10 +47,10 @@
 	return b.Bytes(), nil
 }
 
-// Decode reads a datagram. The error is an *Error.
+// Decode returns the message in a datagram. The error is an *Error.
 func (c Codec[T]) Decode(datagram []byte) (*T, error) {
 	if !c.IsMessage(datagram) {
-		return nil, &Error{Kind: c.Kind, Problem: fmt.Sprintf("%d bytes of another kind or version", len(datagram))}
+		return nil, &Error{Kind: c.Kind, Problem: fmt.Sprintf("datagram of %d bytes is of another kind or version", len(datagram))}
 	}
 	m := new(T)
 	if err := msgpack.Unmarshal(datagram[1:], m); err != nil {
--- a/pkg/packet/packet_test.go
+++ b/pkg/packet/packet_test.go
@@ -20,7 +20,7 @@
 	datagram, err := codec.Encode(m)
 	is.NoErr(err)
 	is.True(codec.IsMessage(datagram))
-	is.True(len(datagram) < 12) // no names of fields
+	is.True(len(datagram) < 12) // without the names of fields
 	back, err := codec.Decode(datagram)
 	is.NoErr(err)
 	is.Equal(back, m)
