--- a/pkg/policy/policy.go
+++ b/pkg/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy holds the figures by which a box decides, in one place, so
-// that two sets of them can be compared without a change of code. It is data
-// and checks only. docs/decisions.md has the measurements.
+// Package policy holds the parameters by which a box decides, in one place, so that two sets
+// of them can be compared without a change of code. It contains only data and checks. The
+// measurements behind them are in docs/decisions.md.
 package policy
 
 import (
@@ -10,122 +10,120 @@
 	"time"
 )
 
-// Policy is one set of figures. Each field's tags give its name in the
-// settings, its unit and the bounds within which it makes sense.
+// Policy is one set of parameters. The tags of each field give its name in the settings, its
+// unit and its bounds. The fill of a server is how many of its slots are taken, as a multiple
+// of the slots; it exceeds 1 when requests wait for a slot.
 type Policy struct {
-	// IdleFill is how much of its slots a server of another region may have
-	// taken to be given keys whose home is full.
+	// IdleFill is the fill up to which a server of another region is given keys whose home is
+	// full.
 	IdleFill float64 `yaml:"idle_fill" unit:"of its slots" least:"0" most:"100"`
-	// FullFill is how much of its slots a home may have taken before requests
-	// are refused or go elsewhere. It is well above 1, since a server that
-	// does not know the key takes longer than waiting for one that does.
+	// FullFill is the fill of a home from which on requests are refused or go elsewhere. It is
+	// well above 1, since a server that does not know the key takes longer than waiting for
+	// one that does.
 	FullFill float64 `yaml:"full_fill" unit:"of its slots" least:"0.5" most:"100"`
-	// YieldFill is how much of its slots a home may have taken before a request is refused
-	// while more urgent ones of its service are short of room, and ShortFill how much the
-	// home of one of these must have taken for that.
+	// YieldFill is the fill of a home from which on a request is refused while more urgent
+	// ones of its service are short of capacity, and ShortFill the fill that the home of one
+	// of these must have for that.
 	YieldFill float64 `yaml:"yield_fill" unit:"of its slots" least:"0" most:"100"`
 	ShortFill float64 `yaml:"short_fill" unit:"of its slots" least:"0" most:"100"`
 
-	// RefusedFill is how much of its slots a server is taken to have taken
-	// that refused a request for want of room: nearly what makes it full.
+	// RefusedFill is the fill assumed for a server that has refused a request for lack of
+	// capacity: nearly the fill of a full server.
 	RefusedFill float64 `yaml:"refused_fill" unit:"of its slots" least:"0" most:"100"`
 
-	// HotShare is which part of a server's requests one key must be to be hot:
-	// it is then served by a second server as well, while the first has all
-	// slots taken. Other keys are not: each would be learnt twice.
+	// HotShare is the part of a server's requests from which on one key is hot. A hot key is
+	// served by a second server as well, while the first has all slots taken. Other keys are
+	// not: each would have to be learnt by two servers.
 	HotShare float64 `yaml:"hot_share" unit:"of a server's requests" least:"0" most:"10"`
-	// HotFill is how much of its slots the home of a hot key may have taken
-	// before the second server is considered.
+	// HotFill is the fill of a hot key's home from which on the second server is considered.
 	HotFill float64 `yaml:"hot_fill" unit:"of its slots" least:"0" most:"100"`
 
-	// SpeedWeight is the weight of a new answer in the average of how long a
-	// server takes for keys that it knows: small, since keys differ by a sixth.
+	// SpeedWeight is the weight of a new answer in the average of how long a server takes for
+	// keys that it knows. It is small, since keys differ by a sixth.
 	SpeedWeight float64 `yaml:"speed_weight" unit:"of the average" least:"0.001" most:"1"`
-	// SpeedAnswers is how many answers make that average.
+	// SpeedAnswers is how many answers that average needs before it is used.
 	SpeedAnswers int `yaml:"speed_answers" unit:"answers" least:"1" most:"1000000"`
-	// SpeedStep is by which factor servers must differ to get another part of
-	// the keys. Boxes do not ask each other, so steps have to be larger than
-	// what they see differently.
+	// SpeedStep is the factor by which servers must differ to get different shares of the
+	// keys. Boxes do not coordinate these shares, so steps have to be larger than the
+	// differences between what boxes measure.
 	SpeedStep float64 `yaml:"speed_step" unit:"times the typical time" least:"1.05" most:"100"`
 
-	// ShareStep is how fast a region's share of its own keys follows the
-	// regions' slots. The rest of the cap on shifts is left to chance.
+	// ShareStep is how fast a region's share of its own keys follows the regions' slots. The
+	// rest of the cap on shifts is left for random variation.
 	ShareStep float64 `yaml:"share_step" unit:"of the cap on shifts, a window" least:"0" most:"1"`
-	// NearFill is how much of their slots the region's servers must have taken, as they
-	// tell it, and NearGap how much more than those elsewhere, for keys to leave the
-	// region; NearRoom is below what they come back.
+	// NearFill is the fill that the region's servers must report, and NearGap how much more
+	// that must be than elsewhere, for keys to leave the region. Below NearRoom they come
+	// back.
 	NearFill float64 `yaml:"near_fill" unit:"of their slots" least:"0" most:"100"`
 	NearGap  float64 `yaml:"near_gap" unit:"of their slots" least:"0" most:"100"`
 	NearRoom float64 `yaml:"near_room" unit:"of their slots" least:"0" most:"100"`
-	// SpillShare is the part of the cap on shifts for single requests that
-	// leave a full region.
+	// SpillShare is the part of the cap on shifts for single requests that leave a full
+	// region.
 	SpillShare float64 `yaml:"spill_share" unit:"of the cap on shifts, a window" least:"0" most:"1"`
 
-	// LoadHolds is how long a load that a server told counts in full, and
-	// LoadFades when it no longer counts at all: a few service times.
+	// LoadHolds is how long a load that a server has reported counts in full, and LoadFades
+	// when it no longer counts at all: a few service times.
 	LoadHolds time.Duration `yaml:"load_holds" unit:"time" least:"10ms" most:"1m"`
 	LoadFades time.Duration `yaml:"load_fades" unit:"time" least:"20ms" most:"10m"`
 
-	// FailuresToRest is how many exchanges in a row must fail before a server
-	// rests; a connection that does not come up counts as that many.
+	// FailuresToRest is how many exchanges in a row must fail before a server is ejected. A
+	// connection that cannot be established counts as that many.
 	FailuresToRest int `yaml:"failures_to_rest" unit:"exchanges" least:"1" most:"1000000"`
-	// Silence is for how long a server must not have answered anything before
-	// a request that got no answer in time counts against it. A server that
-	// is only busy goes on answering and keeps its keys.
+	// Silence is how long a server must not have answered anything before a request that timed
+	// out counts against it. A server that is only busy continues to answer and keeps its
+	// keys.
 	Silence time.Duration `yaml:"silence" unit:"time" least:"10ms" most:"1m"`
-	// FirstRest and LongestRest bound the rest, which doubles each time.
+	// FirstRest and LongestRest bound the time of an ejection, which doubles each time.
 	FirstRest   time.Duration `yaml:"first_rest" unit:"time" least:"10ms" most:"1m"`
 	LongestRest time.Duration `yaml:"longest_rest" unit:"time" least:"10ms" most:"10m"`
-	// LatencyWeight is the weight of a new latency in the moving average, and
-	// RecoveryWeight that of one below half of it: a server that has recovered
-	// should be known soon, although it gets few requests.
+	// LatencyWeight is the weight of a new latency in the moving average, and RecoveryWeight
+	// that of a latency below half of the average: a server that has recovered should be
+	// recognized soon, although it gets few requests.
 	LatencyWeight  float64 `yaml:"latency_weight" unit:"of the average" least:"0.001" most:"1"`
 	RecoveryWeight float64 `yaml:"recovery_weight" unit:"of the average" least:"0.001" most:"1"`
-	// SlowFactor is how many times longer than its service's typical server a
-	// server must take to count as slow, SlowFloor how long at least, and
-	// SlowAnswers after how many answers. Time spent waiting for a slot is
-	// left out.
+	// SlowFactor is how many times longer than its service's typical server a server must take
+	// to count as slow, SlowFloor how long it must take at least, and SlowAnswers after how
+	// many answers. Time spent waiting for a slot is excluded.
 	SlowFactor  float64       `yaml:"slow_factor" unit:"times the typical latency" least:"1" most:"1000"`
 	SlowFloor   time.Duration `yaml:"slow_floor" unit:"time" least:"1ms" most:"1m"`
 	SlowAnswers int           `yaml:"slow_answers" unit:"answers" least:"1" most:"1000"`
-	// SlowRest is for how long a slow server gets nothing before it is tried
-	// with one request, by each box.
+	// SlowRest is how long a slow server gets no requests before each box tries it with one
+	// request.
 	SlowRest time.Duration `yaml:"slow_rest" unit:"time" least:"10ms" most:"10m"`
-	// ColdMargin is added to how long a server is said to be cold, for the
-	// time that the message was on its way.
+	// ColdMargin is added to the time for which a server is reported to be cold, for the time
+	// that the message was in transit.
 	ColdMargin time.Duration `yaml:"cold_margin" unit:"time" least:"0s" most:"1m"`
 
-	// ReturnLeast and ReturnMost bound when a client that was refused is asked
-	// to come back; within them the time is drawn, so that refused clients do
-	// not return all at once.
+	// ReturnLeast and ReturnMost bound the time after which a refused client is asked to
+	// return. The time is drawn at random between them, so that refused clients do not return
+	// all at once.
 	ReturnLeast time.Duration `yaml:"return_least" unit:"time" least:"1ms" most:"1m"`
 	ReturnMost  time.Duration `yaml:"return_most" unit:"time" least:"1ms" most:"1m"`
 
-	// ReturnSoon is the least time after which a client is asked to come back to a full
-	// server.
+	// ReturnSoon is the least time after which a client is asked to return to a full server.
 	ReturnSoon time.Duration `yaml:"return_soon" unit:"time" least:"1ms" most:"1m"`
-	// ReturnRoom is when a client is asked to come back whose request was
-	// refused by a server with free slots: as soon as it can, since nothing
-	// has to drain first. In time for a request of a tenth of a second.
+	// ReturnRoom is the time after which a client is asked to return whose request was refused
+	// by a server with free slots. It is short, since no requests have to finish first, and
+	// leaves enough time for a request of a tenth of a second.
 	ReturnRoom time.Duration `yaml:"return_room" unit:"time" least:"1ms" most:"1m"`
 
-	// QuarantineAfter is how many backend servers must have crashed under a request, and
-	// none have answered it since, for it to be kept from servers, and QuarantineHold for
-	// how long.
+	// QuarantineAfter is how many backend servers must have crashed under a request, while
+	// none has answered it since, for it to be kept from servers, and QuarantineHold for how
+	// long.
 	QuarantineAfter int           `yaml:"quarantine_after" unit:"servers" least:"2" most:"8"`
 	QuarantineHold  time.Duration `yaml:"quarantine_hold" unit:"time" least:"1s" most:"24h"`
 
-	// LogAnsweredEvery: of requests that were answered at the first try, one
-	// in so many is logged.
+	// LogAnsweredEvery is the sampling interval of log lines: of requests that were answered
+	// at the first attempt, one in so many is logged.
 	LogAnsweredEvery int `yaml:"log_answered_every" unit:"requests" least:"1" most:"1000000"`
 
-	// WatchersPerZone is how many boxes of a zone watch the platform's store;
-	// the others learn from them. While the only one has ended, the zone learns
-	// from other zones until another box takes over.
+	// WatchersPerZone is how many boxes of a zone poll the platform's store; the others get
+	// their data from these. If the only one has ended, the zone gets it from other zones
+	// until another box takes over.
 	WatchersPerZone int `yaml:"watchers_per_zone" unit:"boxes" least:"1" most:"1000"`
 }
 
-// Default returns the figures that hold where the settings name none.
+// Default returns the parameters that apply where the settings give none.
 func Default() Policy {
 	return Policy{
 		IdleFill:         0.5,
@@ -167,14 +165,14 @@
 	}
 }
 
-// Parameter is one figure in a form for reading.
+// Parameter is one parameter in a form for display.
 type Parameter struct {
 	Name  string
 	Value string
 	Unit  string
 }
 
-// Parameters lists all figures in the order in which they are declared.
+// Parameters lists all parameters in the order of their declaration.
 func (p *Policy) Parameters() []Parameter {
 	v := reflect.ValueOf(p).Elem()
 	list := make([]Parameter, 0, v.NumField())
@@ -187,15 +185,14 @@
 	return list
 }
 
-// Fault is a figure that makes no sense.
+// Fault is a parameter with a value that is not allowed.
 type Fault struct {
 	Name    string
 	Value   string
 	Allowed string
 }
 
-// Check returns all faults of the figures, each by itself first, then those
-// of figures that do not go together.
+// Check returns all faults: first those of single parameters, then those of combinations.
 func (p *Policy) Check() []Fault {
 	var faults []Fault
 	v := reflect.ValueOf(p).Elem()
@@ -226,11 +223,11 @@
 	return faults
 }
 
-// maxShiftShare bounds what share_step and spill_share may use of the cap on
-// shifts together. It is above 1, since both at once in one direction is rare.
+// maxShiftShare bounds the sum of share_step and spill_share, as a multiple of the cap on
+// shifts. It is above 1, since both rarely use the cap in the same direction at once.
 const maxShiftShare = 1.2
 
-// withinBounds reports whether a figure lies withinBounds its bounds.
+// withinBounds reports whether a parameter lies within its bounds.
 func withinBounds(v reflect.Value, least, most string) bool {
 	if d, ok := v.Interface().(time.Duration); ok {
 		return d >= mustDuration(least) && d <= mustDuration(most)
@@ -239,20 +236,20 @@
 	return f >= mustNumber(least) && f <= mustNumber(most)
 }
 
-// mustDuration reads a bound of this package's own tags.
+// mustDuration parses a bound from a tag of this package, and panics if it is malformed.
 func mustDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		panic("policy: bound " + strconv.Quote(text))
+		panic("policy: malformed bound " + strconv.Quote(text))
 	}
 	return d
 }
 
-// mustNumber reads a bound of this package's own tags.
+// mustNumber parses a bound from a tag of this package, and panics if it is malformed.
 func mustNumber(text string) float64 {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic("policy: bound " + strconv.Quote(text))
+		panic("policy: malformed bound " + strconv.Quote(text))
 	}
 	return f
 }
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -15,8 +15,8 @@
 	is.Equal(len(p.Check()), 0)
 }
 
-// TestEachParameterIsDescribed: a field without a name, unit or bounds could not
-// be set, or not be checked.
+// TestEachParameterIsDescribed: a field without a name, unit or bounds could not be set, or
+// not be checked.
 func TestEachParameterIsDescribed(t *testing.T) {
 	kind := reflect.TypeFor[Policy]()
 	names := map[string]bool{}
@@ -28,13 +28,13 @@
 			}
 		}
 		if names[f.Tag.Get("yaml")] {
-			t.Errorf("%s stands twice", f.Tag.Get("yaml"))
+			t.Errorf("%s occurs twice", f.Tag.Get("yaml"))
 		}
 		names[f.Tag.Get("yaml")] = true
 	}
 	p := Default()
 	if len(p.Parameters()) != kind.NumField() {
-		t.Errorf("%d figures of %d are listed", len(p.Parameters()), kind.NumField())
+		t.Errorf("%d of %d parameters are listed", len(p.Parameters()), kind.NumField())
 	}
 }
 
