--- a/pkg/customer/customer_test.go
+++ b/pkg/customer/customer_test.go
@@ -54,8 +54,8 @@
 	is.True(!(&Customer{AllowedRegions: []string{"west"}}).RegionAllowed("east"))
 }
 
-// BenchmarkOwner: the time of a look-up with its digest does not follow the number
-// of keys.
+// BenchmarkOwner shows that the time of a lookup, including the digest, does not depend on the
+// number of keys.
 func BenchmarkOwner(b *testing.B) {
 	for _, keys := range []int{79, 100_000} {
 		customers := make([]Customer, keys)
--- a/pkg/customer/keyring.go
+++ b/pkg/customer/keyring.go
@@ -1,22 +1,21 @@
 package customer
 
-// Credential is what a request brings to prove whose it is.
+// Credential is what a request presents to identify its customer.
 type Credential struct {
-	// Present: the request names a key, in whatever form.
+	// Present is set if the request names a key, in whatever form.
 	Present bool
-	// Malformed: what it names can be no key, or it names several.
+	// Malformed is set if what it names cannot be a key, or if it names several.
 	Malformed bool
-	// Digest is that of the key.
+	// Digest is the digest of the key.
 	Digest Digest
 }
 
-// Keyring finds the customer of a key. It never changes.
+// Keyring finds the customer of a key. It is immutable.
 type Keyring struct {
 	owners map[Digest]*Customer
 }
 
-// NewKeyring makes the keyring of the customers. The error is a
-// *SharedKeyError.
+// NewKeyring returns the keyring of the customers. The error is a *SharedKeyError.
 func NewKeyring(customers []Customer) (*Keyring, error) {
 	k := &Keyring{owners: map[Digest]*Customer{}}
 	for i := range customers {
@@ -31,12 +30,12 @@
 	return k, nil
 }
 
-// Owner returns the customer whose key it is, or nil. With its digest that takes
-// as long whether the key is known, has a known one's beginning, or has nothing in
-// common with any, so that time tells nothing of keys.
+// Owner returns the customer whose key has the digest, or nil. Including the digest, this
+// takes equally long whether the key is known, has the beginning of a known one, or has
+// nothing in common with any, so that the time reveals nothing about keys.
 func (k *Keyring) Owner(d Digest) *Customer { return k.owners[d] }
 
-// SharedKeyError says that two customers have one key.
+// SharedKeyError reports that two customers have the same key.
 type SharedKeyError struct {
 	Key    Digest
 	First  string
