--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// PathLimits is where a box tells operators what it knows of servers' limits, on its admin address, and
-// PathStatuses all that servers say of themselves.
+// PathLimits is where a box's admin address serves the limits of servers that the box knows,
+// and PathStatuses all that servers report about themselves.
 const (
 	PathLimits   = "/v1/server-limits"
 	PathStatuses = "/v1/server-words"
 )
 
-// BoxLimits is what one box tells operators.
+// BoxLimits are the limits that one box knows.
 type BoxLimits struct {
 	Box    string  `json:"box"`
 	Limits []Limit `json:"limits"`
 }
 
-// Limit is the limit that a server names, and what a box made of it.
+// Limit is the limit that a server names, and how the box's requests fared under it.
 type Limit struct {
-	// Server names the server's life, see backend.Server.Life.
+	// Server names the server's incarnation, see backend.Server.Incarnation.
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
-	// PerSecond is how many requests a second it takes from all boxes together.
+	// PerSecond is how many requests per second the server accepts from all boxes together.
 	PerSecond float64 `json:"per_s"`
-	// Admitted and Denied count requests of the box since it started, AskedPerSecond is how many
-	// of its requests preferred the server lately.
+	// Admitted and Denied count requests of the box since it started. AskedPerSecond is how
+	// many of its requests per second preferred the server recently.
 	Admitted       uint32  `json:"admitted"`
 	Denied         uint32  `json:"denied"`
 	AskedPerSecond float64 `json:"asked_per_s"`
 }
 
-// Print writes the limits as a table, a line a server and box.
+// Print writes the limits as a table with a line per server and box.
 func Print(w io.Writer, boxes []BoxLimits) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tPER S\tBOX\tASKED PER S\tADMITTED\tDENIED"); err != nil {
@@ -50,26 +50,28 @@
 	return t.Flush()
 }
 
-// BoxStatuses is what backend servers say of themselves, as one box knows it.
+// BoxStatuses is what backend servers report about themselves, as one box knows it.
 type BoxStatuses struct {
 	Box     string   `json:"box"`
 	Servers []Status `json:"servers"`
 }
 
-// Status is what one server says.
+// Status is what one server reports about itself.
 type Status struct {
-	// Server names the server's life, see backend.Server.Life.
+	// Server names the server's incarnation, see backend.Server.Incarnation.
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
-	// Leaving: it leaves.
+	// Leaving is set if the server leaves.
 	Leaving bool `json:"leaving,omitempty"`
-	// RestMS is for how much longer it wants no requests of this box, in milliseconds.
+	// RestMS is for how much longer the server wants no requests from this box, in
+	// milliseconds.
 	RestMS int64 `json:"rest_ms,omitempty"`
-	// PerSecond is how many requests a second it takes from all boxes together, nil for any.
+	// PerSecond is how many requests per second the server accepts from all boxes together,
+	// nil if it names no limit.
 	PerSecond *float64 `json:"per_s,omitempty"`
 }
 
-// PrintStatuses writes what servers say as a table, a line a server and box.
+// PrintStatuses writes the statuses as a table with a line per server and box.
 func PrintStatuses(w io.Writer, boxes []BoxStatuses) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "SERVER\tZONE\tLEAVES\tREST\tPER S\tBOX"); err != nil {
--- a/pkg/serverstatus/serverstatus.go
+++ b/pkg/serverstatus/serverstatus.go
@@ -1,34 +1,35 @@
-// Package serverstatus keeps what backend servers say of themselves in their answers: how many
-// requests a second they take from all boxes together, for as long as that holds, and that they
-// leave. A box that gets such an answer tells the others, so that those hold it too that have not
-// sent the server anything yet. Keeping the sum of all boxes within the limit is package quota's
-// matter.
+// Package serverstatus keeps what backend servers report about themselves in their answers:
+// how many requests per second they accept from all boxes together, for as long as that limit
+// holds, and that they leave. A box that gets such an answer sends it to the others, so that
+// boxes that have not sent the server any request yet know it too. Keeping the sum of all
+// boxes within the limit is the task of package quota.
 //
-// Answers to several boxes cross on their way, and so does what boxes tell each other. Each change
-// therefore has a number, one above the highest that the box knew, and the higher number holds.
-// Of two changes that boxes saw at a time the stricter one holds. An answer that names no limit
-// ends one only if its request was sent after the limit was last heard of. That a server leaves
-// holds until its life ends, whatever else it says: answers and entries that say nothing of it
-// may be older.
+// Answers to several boxes can overtake each other, and so can messages between boxes. Each
+// change of a limit therefore has a version, one above the highest that the box knew, and the
+// higher version wins. If boxes make two changes with the same version, the stricter one wins.
+// An answer that names no limit ends one only if its request was sent after the limit was last
+// seen. That a server leaves holds until its incarnation ends, whatever else it reports:
+// answers and records that do not say so may be older.
 //
-// This package has no input or output: messages are handed in and out.
+// This package has no input or output: messages are passed in and out.
 package serverstatus
 
-// Record is what is known of one life of a backend server.
+// Record is what is known of one incarnation of a backend server.
 type Record struct {
-	// Server names the life, see backend.Server.Life, and Zone is where it runs.
+	// Server names the incarnation, see backend.Server.Incarnation, and Zone is where it runs.
 	Server string
 	Zone   string
-	// HasLimit: it names a limit, PerSecond in requests a second.
+	// HasLimit is set if the server names a limit, which is PerSecond in requests per second.
 	HasLimit  bool
 	PerSecond float64
 	// LimitVersion orders the changes of the limit.
 	LimitVersion uint32
-	// Leaving: it leaves.
+	// Leaving is set if the server leaves.
 	Leaving bool
 }
 
-// supersedes reports whether the record's limit holds and not that of the other one, of the same server.
+// supersedes reports whether the record's limit takes precedence over that of another record
+// of the same server.
 func (r *Record) supersedes(other *Record) bool {
 	if r.LimitVersion != other.LimitVersion {
 		return r.LimitVersion > other.LimitVersion
--- a/pkg/serverstatus/table.go
+++ b/pkg/serverstatus/table.go
@@ -11,71 +11,75 @@
 )
 
 const (
-	// maxRecords bounds the servers of which something is known: of a fleet's 1,400 servers
-	// all may name limits at once.
+	// maxRecords bounds the number of records: all of a fleet's 1,400 servers may name limits
+	// at once.
 	maxRecords = 4096
-	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time again:
-	// a datagram in a hundred is lost on a good day.
+	// broadcastCount is how often a change is sent to all boxes, and rebroadcastDelay the time
+	// between two sends: even normally one datagram in a hundred is lost.
 	broadcastCount   = 2
 	rebroadcastDelay = 300 * time.Millisecond
-	// minBroadcastInterval is the least time between two changes of a server that are told: one may name
-	// another limit in each answer.
+	// minBroadcastInterval is the least time between the broadcasts of two changes of a
+	// server, since it may name another limit in each answer.
 	minBroadcastInterval = time.Second
 )
 
-// Table is what one box knows of what servers say.
+// Table is what one box knows of servers' statuses.
 type Table struct {
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// OnChange is told when a server's limit begins, changes or ends, when a server leaves, and when
-	// one is forgotten since it has gone. It runs under the table's lock and must not call it.
+	// OnChange is called when a server's limit begins, changes or ends, when a server leaves,
+	// and when the record of a server is dropped. It runs under the table's lock and must not
+	// call the table.
 	OnChange func(r Record, change Change)
 
 	mu      sync.Mutex
 	records map[string]*entry
-	// limitCount is how many servers name a limit, and leavingCount how many leave, read without the lock: on
-	// a day without limits a request costs no more than that.
+	// limitCount is how many servers name a limit, and leavingCount how many leave. They are
+	// read without the lock, so that a request costs no more than that while there are no
+	// limits.
 	limitCount, leavingCount atomic.Int64
 }
 
-// Change is what becomes of a server's limit.
+// Change is a kind of change of a server's status.
 type Change int
 
-// The changes.
+// The kinds of changes.
 const (
 	// LimitBegun: the server names a limit, and did not before.
 	LimitBegun Change = iota
-	// LimitChanged: it names another one.
+	// LimitChanged: the server names another limit.
 	LimitChanged
-	// LimitEnded: it names none any more.
+	// LimitEnded: the server no longer names a limit.
 	LimitEnded
 	// ServerLeaving: the server leaves.
 	ServerLeaving
-	// ServerForgotten: it has gone, and is not heard of again.
+	// ServerForgotten: the record has been dropped, since the server is gone or for want of space.
 	ServerForgotten
 )
 
-// changeNames are the changes' names in logs, by value.
+// changeNames are the names of the changes in logs, by value.
 var changeNames = [...]string{"begun", "changed", "ended", "leaves", "forgotten"}
 
 // String returns the change's name in logs.
 func (c Change) String() string { return changeNames[c] }
 
-// entry is a Record with what this box makes of it.
+// entry is a Record with what this box keeps about it.
 type entry struct {
 	Record
-	// limitSeen is when an answer to this box last named the limit, or another box told of it first.
+	// limitSeen is when an answer to this box last named the limit, or another box first
+	// reported it.
 	limitSeen time.Time
-	// broadcastsLeft is how often the record is to be told yet, from tellAt on; toldAt is when it last was.
+	// broadcastsLeft is how often the record still has to be broadcast, from nextBroadcast on.
+	// lastBroadcast is when it was last broadcast.
 	broadcastsLeft               int
 	nextBroadcast, lastBroadcast time.Time
-	// changed is when the record last did.
+	// changed is when the limit last changed.
 	changed time.Time
-	// unlistedSince is since when the server is not listed, zero while it is.
+	// unlistedSince is since when the server has not been listed, zero while it is.
 	unlistedSince time.Time
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable(now func() time.Time) *Table {
 	return &Table{Now: now, OnChange: func(Record, Change) {}, records: map[string]*entry{}}
 }
@@ -83,9 +87,9 @@
 // Empty reports whether no server is known to name a limit.
 func (t *Table) Empty() bool { return t.limitCount.Load() == 0 }
 
-// ObserveAnswer takes in an answer of a server to a request of this box that was sent at some time.
-// With ran false the server has not run the request; that such an answer names no limit says
-// nothing.
+// ObserveAnswer processes an answer of a server to a request of this box that was sent at the
+// given time. If ran is false, the server has not run the request; an answer of this kind
+// without a limit does not end one.
 func (t *Table) ObserveAnswer(server *backend.Server, limit backend.RateLimit, ran bool, sent time.Time) {
 	if !limit.Present && t.Empty() {
 		return
@@ -103,7 +107,7 @@
 	}
 }
 
-// MarkLeaving takes in that a server says that it leaves.
+// MarkLeaving records that a server says that it leaves.
 func (t *Table) MarkLeaving(server *backend.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +126,7 @@
 	e.scheduleBroadcast()
 }
 
-// IsLeaving reports whether a life of a server is known to leave.
+// IsLeaving reports whether an incarnation of a server is known to leave.
 func (t *Table) IsLeaving(incarnation string) bool {
 	if t.leavingCount.Load() == 0 {
 		return false
@@ -133,7 +137,7 @@
 	return e != nil && e.Leaving
 }
 
-// applyAnswer takes in a limit that an answer names.
+// applyAnswer applies a limit that an answer names.
 func (t *Table) applyAnswer(e *entry, r Record) {
 	if e == nil {
 		if e = t.add(r.Server); e == nil {
@@ -149,10 +153,10 @@
 	e.scheduleBroadcast()
 }
 
-// Merge takes in what another box knows.
+// Merge merges the record of another box into the table.
 func (t *Table) Merge(other Record) {
 	if !(other.PerSecond >= 0) {
-		// No box tells that; whatever it came from says nothing of a limit.
+		// NaN or negative: no box sends this, so the record says nothing about a limit.
 		return
 	}
 	t.mu.Lock()
@@ -169,8 +173,8 @@
 	}
 	if !other.supersedes(&e.Record) {
 		if other.HasLimit && !e.HasLimit {
-			// The other box has started since, and counts from the beginning: once it knows this
-			// record, what the server names next gets a number that holds.
+			// The other box has restarted since and counts versions from the beginning. Once it
+			// knows this record, the next limit that the server names gets a higher version.
 			e.scheduleBroadcast()
 		}
 		return
@@ -181,7 +185,7 @@
 	t.setLimit(e, other)
 }
 
-// LimitOf returns the limit of a life of a server, and whether it names one.
+// LimitOf returns the limit of an incarnation of a server, and whether it names one.
 func (t *Table) LimitOf(incarnation string) (perSecond float64, limited bool) {
 	if t.Empty() {
 		return 0, false
@@ -195,7 +199,7 @@
 	return e.PerSecond, e.HasLimit
 }
 
-// Due returns the records that all boxes are to be told now.
+// Due returns the records that have to be broadcast now.
 func (t *Table) Due() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -213,11 +217,11 @@
 	return due
 }
 
-// All returns all records, in the order of servers.
+// All returns all records, ordered by server.
 func (t *Table) All() []Record { return t.list(func(*entry) bool { return true }) }
 
 // Active returns the records of servers that name limits or leave, or whose limit has changed
-// within the time.
+// within the given time.
 func (t *Table) Active(within time.Duration) []Record {
 	now := t.Now()
 	return t.list(func(e *entry) bool { return e.HasLimit || e.Leaving || now.Sub(e.changed) < within })
@@ -236,7 +240,8 @@
 	return list
 }
 
-// Expire forgets lives of servers that have not been listed for some time.
+// Expire drops the records of incarnations that have not been listed for longer than the given
+// time.
 func (t *Table) Expire(listed func(incarnation string) bool, after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,20 +262,20 @@
 // One record
 // ----------------------------------------------------------------
 
-// scheduleBroadcast has all boxes told of the record.
+// scheduleBroadcast schedules the record to be sent to all boxes.
 func (e *entry) scheduleBroadcast() {
 	e.broadcastsLeft = broadcastCount
 	e.nextBroadcast = time.Time{}
 }
 
-// setLeaving notes that a server leaves.
+// setLeaving records that a server leaves.
 func (t *Table) setLeaving(e *entry) {
 	e.Leaving = true
 	t.leavingCount.Add(1)
 	t.OnChange(e.Record, ServerLeaving)
 }
 
-// setLimit puts a limit in force.
+// setLimit sets or ends the limit of an entry.
 func (t *Table) setLimit(e *entry, r Record) {
 	before := e.Record
 	r.Leaving = before.Leaving
@@ -287,7 +292,7 @@
 	}
 }
 
-// add makes a record for a server; nil if there is no room.
+// add adds a record for a server. It returns nil if the table is full.
 func (t *Table) add(server string) *entry {
 	if len(t.records) >= maxRecords && !t.makeRoom() {
 		return nil
@@ -297,7 +302,8 @@
 	return e
 }
 
-// makeRoom drops a record of a server that neither names a limit nor leaves.
+// makeRoom drops a record of a server that neither names a limit nor leaves, and reports
+// whether there was one.
 func (t *Table) makeRoom() bool {
 	for incarnation, e := range t.records {
 		if !e.HasLimit && !e.Leaving {
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoneworks/stoneworks/pkg/packet"
 )
 
-// clock is a clock that tests move.
+// clock is a clock that tests advance.
 type clock struct{ at time.Time }
 
 func (c *clock) now() time.Time          { return c.at }
@@ -34,7 +34,7 @@
 	return backend.RateLimit{Present: true, PerSecond: perSecond}
 }
 
-// TestLimitBeginsChangesAndEnds with the server's answers.
+// TestLimitBeginsChangesAndEnds: a limit follows what the server's answers name.
 func TestLimitBeginsChangesAndEnds(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
@@ -50,13 +50,13 @@
 	is.True(!l.Empty())
 	l.ObserveAnswer(server, rateLimit(0), true, c.at)
 	perSecond, named = l.LimitOf(server.Incarnation())
-	is.True(named && perSecond == 0) // it takes none
+	is.True(named && perSecond == 0) // it accepts no requests
 	c.advance(time.Second)
 	sent := c.at
 	c.advance(time.Second)
 	l.ObserveAnswer(server, backend.RateLimit{}, false, sent)
 	_, named = l.LimitOf(server.Incarnation())
-	is.True(named) // one that was not run says nothing
+	is.True(named) // the answer to a request that was not run does not end a limit
 	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
 	_, named = l.LimitOf(server.Incarnation())
 	is.True(!named)
@@ -64,8 +64,8 @@
 	is.Equal(*changes, []string{"begun 2.7", "changed 0", "ended 0"})
 }
 
-// TestAnswersThatCross: an answer without a limit ends none of which the box heard after it had
-// sent the request.
+// TestAnswersThatCross: an answer without a limit does not end a limit that the box learnt of
+// after it had sent the request.
 func TestAnswersThatCross(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
@@ -77,13 +77,14 @@
 	is.True(named)
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
 	_, named = l.LimitOf(server.Incarnation())
-	is.True(named) // sent in the same moment
+	is.True(named) // sent at the same moment
 	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
 	_, named = l.LimitOf(server.Incarnation())
 	is.True(!named)
 }
 
-// TestAnotherLifeNamesNothing: what one life of a server has named does not hold for the next.
+// TestAnotherLifeNamesNothing: the limit that one incarnation of a server has named does not
+// hold for the next.
 func TestAnotherLifeNamesNothing(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
@@ -96,7 +97,7 @@
 	l.Expire(listed, time.Minute)
 	c.advance(time.Minute)
 	l.Expire(listed, time.Minute)
-	is.Equal(len(l.All()), 1) // it may only be missing from the list
+	is.Equal(len(l.All()), 1) // it may be missing from the list only for a while
 	c.advance(time.Second)
 	l.Expire(listed, time.Minute)
 	is.Equal(len(l.All()), 0)
@@ -104,8 +105,8 @@
 	is.Equal(*changes, []string{"begun 3", "forgotten 3"})
 }
 
-// TestChangesAreBroadcastTwiceAndNotTooOften: others are told of each change twice, and of a server
-// that names another limit in each answer once a second.
+// TestChangesAreBroadcastTwiceAndNotTooOften: each change is broadcast twice. Changes of a
+// server that names another limit in each answer are broadcast once a second.
 func TestChangesAreBroadcastTwiceAndNotTooOften(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
@@ -127,12 +128,12 @@
 	is.True(broadcasts >= 10 && broadcasts <= 20)
 	l.Merge(Record{Server: "i-2", HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	for _, r := range l.Due() {
-		is.True(r.Server != "i-2") // who heard it first tells it
+		is.True(r.Server != "i-2") // only the box that got the answer broadcasts it
 	}
 }
 
-// TestRestartedBoxIsBelieved: a box that has started since a limit ended counts from the beginning;
-// it is told what others know, and then others hear it.
+// TestRestartedBoxIsBelieved: a box that has started since a limit ended counts versions from
+// the beginning. It is sent what others know; after that, others accept its next change.
 func TestRestartedBoxIsBelieved(t *testing.T) {
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
@@ -144,7 +145,7 @@
 	for _, r := range restarted.Due() {
 		old.Merge(r)
 	}
-	is.True(old.Empty()) // what it knows is later, for all it can tell
+	is.True(old.Empty()) // its own record has the higher version
 	for _, r := range old.Due() {
 		restarted.Merge(r)
 	}
@@ -157,7 +158,8 @@
 	is.True(named && perSecond == 2)
 }
 
-// TestEndsAreSpreadForAWhile, and limits as long as they hold.
+// TestEndsAreSpreadForAWhile: Active returns the end of a limit for the given time, and a
+// limit as long as it holds.
 func TestEndsAreSpreadForAWhile(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
@@ -169,7 +171,8 @@
 	is.Equal(len(l.All()), 2)
 }
 
-// TestMemoryIsBounded: servers that name no limit any more make room, others keep theirs.
+// TestMemoryIsBounded: in a full table, records of servers that no longer name a limit are
+// dropped first; the others are kept.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
@@ -183,8 +186,8 @@
 	is.True(named)
 }
 
-// TestBoxesAgree: whatever boxes hear of a server and in whatever order they tell each other, they
-// come to know the same; and what is told twice changes nothing.
+// TestBoxesAgree: whatever boxes observe of a server, and in whatever order they send it to
+// each other, they end with the same records. Merging a record twice changes nothing.
 func TestBoxesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &clock{at: time.Unix(1000, 0)}
@@ -223,17 +226,17 @@
 				t.Fatalf("%v and %v", b.All(), boxes[0].All())
 			}
 			if b.IsLeaving(server.Incarnation()) != boxes[0].IsLeaving(server.Incarnation()) {
-				t.Fatal("one knows that it leaves and the other does not")
+				t.Fatal("one box knows that the server leaves and another does not")
 			}
 			if b.Empty() != boxes[0].Empty() {
-				t.Fatal("one is empty and the other is not")
+				t.Fatal("one table is empty and another is not")
 			}
 		}
 	})
 }
 
-// TestLeavingHoldsForALife: whatever else the server says, and other boxes, which may know less; and not
-// for another life.
+// TestLeavingHoldsForALife: that a server leaves holds for its incarnation, whatever else the
+// server reports or boxes send that know less. It does not hold for another incarnation.
 func TestLeavingHoldsForALife(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
@@ -258,7 +261,8 @@
 	is.Equal(*changes, []string{"leaves 0", "begun 3", "ended 0", "forgotten 0"})
 }
 
-// TestLeavingIsBroadcast: twice by who heard it, and spread for as long as the server is listed.
+// TestLeavingIsBroadcast: the box that got the answer broadcasts it twice, and all boxes
+// spread it for as long as the server is listed.
 func TestLeavingIsBroadcast(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
@@ -278,7 +282,8 @@
 	is.Equal(len(other.Active(time.Minute)), 1)
 }
 
-// TestServersThatLeaveAreKeptInAFullTable: what makes room for others is a limit that has ended.
+// TestServersThatLeaveAreKeptInAFullTable: only records of limits that have ended are dropped
+// for others.
 func TestServersThatLeaveAreKeptInAFullTable(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
@@ -290,7 +295,8 @@
 	is.Equal(len(l.All()), maxRecords)
 }
 
-// TestMessagesRoundTrip, in as many packets as they need.
+// TestMessagesRoundTrip: records survive encoding and decoding, in as many packets as they
+// need.
 func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var records []Record
@@ -314,7 +320,7 @@
 	}
 }
 
-// TestInvalidLimitsAreIgnored: a datagram may hold any number.
+// TestInvalidLimitsAreIgnored: a datagram may contain any number, also NaN or a negative one.
 func TestInvalidLimitsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
@@ -323,7 +329,7 @@
 	is.True(l.Empty())
 }
 
-// BenchmarkAnsweredWithoutLimits is what each answer costs on a day without limits.
+// BenchmarkAnsweredWithoutLimits measures the cost per answer while there are no limits.
 func BenchmarkAnsweredWithoutLimits(b *testing.B) {
 	t := NewTable(time.Now)
 	at := time.Now()
@@ -332,7 +338,7 @@
 	}
 }
 
-// BenchmarkOf is what each choice costs while 1,000 servers name limits.
+// BenchmarkOf measures the cost per choice of a server while 1,000 servers name limits.
 func BenchmarkOf(b *testing.B) {
 	t := NewTable(time.Now)
 	for i := range 1000 {
--- a/pkg/serverstatus/wire.go
+++ b/pkg/serverstatus/wire.go
@@ -3,11 +3,11 @@
 import "github.com/stoneworks/stoneworks/pkg/packet"
 
 const (
-	// wireVersion is the first byte of a message; what else comes to the same port begins
-	// with others.
+	// wireVersion is the first byte of a message. Other kinds of messages that arrive at the
+	// same port begin with other bytes.
 	wireVersion = 0xc2
-	// maxMessageRecords bounds the records of one message, so that it fits one packet: a record takes
-	// some 50 bytes.
+	// maxMessageRecords bounds the records of one message, so that it fits into one packet: a
+	// record takes about 50 bytes.
 	maxMessageRecords = 20
 )
 
@@ -18,10 +18,10 @@
 	Records []Record
 }
 
-// Wire packs messages.
+// Wire is the codec of messages.
 var Wire = packet.Codec[Message]{Kind: "server statuses", FirstByte: wireVersion}
 
-// Messages divides records into messages that fit a packet each.
+// Messages splits records into messages that fit into one packet each.
 func Messages(box string, records []Record) []Message {
 	var messages []Message
 	for len(records) > 0 {
