--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestFingerprintsTellRequestsApart: each part of a request counts, and no part can be
-// moved into another one.
+// TestFingerprintsTellRequestsApart: each part of a request counts, and moving text from one
+// part to another changes the fingerprint.
 func TestFingerprintsTellRequestsApart(t *testing.T) {
 	is := is.New(t)
 	request := Identity{Method: "POST", Host: "shop.example", Target: "/read/7?x=1", Customer: "a", Body: []byte("body"), Length: 4}
@@ -35,7 +35,8 @@
 	}
 }
 
-// BenchmarkFingerprint, once a request while anything is known of any: 0.5 us without a body.
+// BenchmarkFingerprint measures what each request costs while the table has any record: 0.5 us
+// without a body.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 64 << 10, 1 << 20} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -8,14 +8,14 @@
 )
 
 // ================================================================
-// Fleets of boxes in a time of their own, with datagrams that are lost and late, boxes
-// that are cut off from others, and boxes that start anew and know nothing.
+// Simulated fleets of boxes with lost and late datagrams, boxes that are disconnected from
+// others, and boxes that restart and know nothing.
 // ================================================================
 
 const (
 	modelStep          = 5 * time.Millisecond
 	modelContactWindow = 4 * time.Second
-	// modelMaxDelay is the longest way of a datagram.
+	// modelMaxDelay is the longest delay of a datagram.
 	modelMaxDelay = 60 * time.Millisecond
 	modelDuration = 40 * time.Second
 	// modelMaxStoreDelay is the longest time until a call of the store is answered.
@@ -24,28 +24,29 @@
 	modelFanOut         = 3
 )
 
-// modelFleet is what is drawn, and what came of it.
+// modelFleet is a fleet that is drawn at random, and what happens in it.
 type modelFleet struct {
 	random *rand.Rand
 	clock  *clock
 	boxes  []*modelBox
-	// inFlight are datagrams, and runs the requests that servers run.
+	// inFlight are datagrams in transit, and runs the requests that servers run.
 	inFlight []modelDatagram
 	runs     []modelRun
 	servers  int
-	// crashes are the moments at which servers ended under the request, and late the sends of
-	// boxes in touch later than the time of contact after the third.
+	// crashes are the times at which servers crashed under the request. lateSends counts how
+	// often boxes in contact sent it later than the contact window after the third crash.
 	crashes   []time.Time
 	lateSends int
 	loss      float64
-	// stored is what the store keeps of the request, and calls what is on its way there and back.
+	// stored is what the store keeps of the request, and calls are the calls of the store in
+	// transit.
 	stored *Record
 	calls  []modelStoreCall
 }
 
 type modelBox struct {
 	table *Table
-	// disturbedAt is when the box was last cut off or started.
+	// disturbedAt is when the box last started or when its last disconnection ends.
 	disturbedAt, disconnectedUntil time.Time
 }
 
@@ -58,12 +59,13 @@
 type modelRun struct {
 	box  *modelBox
 	ends time.Time
-	// tries is how many servers the attempt has met, and life the box's table when it began.
+	// tries is how many servers the attempt has used, and table the box's table when it began.
 	tries int
 	table *Table
 }
 
-// modelStoreCall is a call of the store: a write of what a box holds, or a read of one that starts.
+// modelStoreCall is a call of the store: a write of what a box holds, or a read by a box that
+// starts.
 type modelStoreCall struct {
 	at    time.Time
 	write *Record
@@ -73,14 +75,14 @@
 
 const modelRequest Fingerprint = 7
 
-// callStore has a box call the store.
+// callStore makes the box call the store.
 func (f *modelFleet) callStore(b *modelBox, write *Record) {
 	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelMaxStoreDelay))))
 	f.calls = append(f.calls, modelStoreCall{at: at, write: write, box: b, table: b.table})
 }
 
-// endCalls has the calls take effect whose time has come. One of a box that is cut off from
-// the store is made again.
+// endCalls completes the calls that are due. The call of a box that is disconnected from the
+// store is repeated.
 func (f *modelFleet) endCalls(now time.Time) {
 	calls := f.calls
 	f.calls = nil
@@ -88,7 +90,7 @@
 		switch {
 		case now.Before(c.at):
 			f.calls = append(f.calls, c)
-		case c.table != c.box.table: // the box has started anew meanwhile
+		case c.table != c.box.table: // the box has restarted meanwhile
 		case f.isDisconnected(c.box):
 			f.callStore(c.box, c.write)
 		case c.write != nil:
@@ -111,7 +113,7 @@
 
 func (f *modelFleet) isDisconnected(b *modelBox) bool { return f.clock.now.Before(b.disconnectedUntil) }
 
-// send hands the request to a server unless the box holds it.
+// send sends the request to a server unless the box holds it.
 func (f *modelFleet) send(b *modelBox, tries int) {
 	if held(b.table, modelRequest) {
 		return
@@ -123,7 +125,7 @@
 	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, table: b.table})
 }
 
-// sendRecords sends records to a box, some of them in vain.
+// sendRecords sends records to a box; some of them are lost.
 func (f *modelFleet) sendRecords(from, to *modelBox, records []Record) {
 	if f.isDisconnected(from) || f.isDisconnected(to) {
 		return
@@ -137,7 +139,7 @@
 	}
 }
 
-// step lets one step of time pass.
+// step advances the simulation by modelStep.
 func (f *modelFleet) step(number int) {
 	f.clock.advance(modelStep)
 	now := f.clock.now
@@ -168,7 +170,7 @@
 	}
 }
 
-// endRuns has the servers crash whose time has come. The box sends the request on once.
+// endRuns crashes the servers whose time has come. The box retries the request once.
 func (f *modelFleet) endRuns(now time.Time) {
 	running := f.runs
 	f.runs = nil
@@ -180,7 +182,7 @@
 		f.servers++
 		f.crashes = append(f.crashes, now)
 		if r.table != r.box.table {
-			continue // the box has started anew meanwhile
+			continue // the box has restarted meanwhile
 		}
 		if begun := r.box.table.ObserveCrash(modelRequest, fmt.Sprint("i-", f.servers)); begun != nil {
 			f.callStore(r.box, begun)
@@ -191,8 +193,8 @@
 	}
 }
 
-// simulateFleet draws a fleet and 40 seconds of its life, and returns how often boxes in touch sent
-// the request late, and how many servers ended.
+// simulateFleet draws a fleet and simulates 40 seconds. It returns how often boxes in contact
+// sent the request late, and how many servers crashed.
 func simulateFleet(seed int64, losesPower bool) (late, ended int) {
 	random := rand.New(rand.NewSource(seed))
 	f := &modelFleet{random: random, clock: newClock(), loss: random.Float64() * 0.1}
@@ -211,7 +213,7 @@
 		now := f.clock.now
 		if !now.Before(next) {
 			next = now.Add(time.Duration(float64(pause) * 2 * random.Float64()))
-			// A client, and perhaps its return or another one at the same time.
+			// A client, and perhaps its retry or another client at the same time.
 			for range 1 + random.Intn(2) {
 				f.send(f.boxes[random.Intn(len(f.boxes))], 0)
 			}
@@ -235,16 +237,16 @@
 	return f.lateSends, len(f.crashes)
 }
 
-// TestFleetsKeepTheRequestFromServers: whatever datagrams are lost, and whichever boxes are cut
-// off or start anew, also all at once, boxes in touch send a request three times at most once the
-// third server has ended under it for as long as the time of contact. Of 1,500 fleets that all
-// lose their power once, 2 send it four times, where it comes before the write has reached the
-// store; none of these 100 does.
+// TestFleetsKeepTheRequestFromServers: whatever datagrams are lost, and whichever boxes are
+// disconnected or restart, also all at once, boxes in contact send a request at most three
+// times once the contact window has passed since the third server crashed under it. Of 1,500
+// fleets that all lose power once, 2 send it four times, because the request arrives before
+// the write has reached the store; none of these 100 does.
 func TestFleetsKeepTheRequestFromServers(t *testing.T) {
 	for _, losesPower := range []bool{false, true} {
 		for _, seed := range seeds(100) {
 			if late, ended := simulateFleet(seed, losesPower); late > 3 {
-				t.Errorf("seed %d, all lose power %v: sent %d times late, %d servers ended", seed, losesPower, late, ended)
+				t.Errorf("seed %d, all lose power %v: sent %d times late, %d servers crashed", seed, losesPower, late, ended)
 			}
 		}
 	}
--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// Path is where a box tells operators what it holds, on its admin address. Path/FINGERPRINT,
-// deleted, is released.
+// Path is where a box's admin address serves the requests that the box holds. Deleting
+// Path/FINGERPRINT releases one.
 const Path = "/v1/quarantine"
 
-// BoxHolds is what one box tells operators.
+// BoxHolds are the requests that one box holds.
 type BoxHolds struct {
 	Box  string        `json:"box"`
 	Held []HeldRequest `json:"held"`
@@ -25,11 +25,11 @@
 type HeldRequest struct {
 	Fingerprint string   `json:"fingerprint"`
 	Crashed     []string `json:"crashed"`
-	// LeftMS is for how long yet, in milliseconds.
+	// LeftMS is how much longer it is held, in milliseconds.
 	LeftMS int64 `json:"left_ms"`
 }
 
-// HeldRequests returns records as operators are told them, in the order of fingerprints.
+// HeldRequests converts records to the form that operators see, ordered by fingerprint.
 func HeldRequests(records []Record) []HeldRequest {
 	list := []HeldRequest{}
 	for _, r := range records {
@@ -39,17 +39,17 @@
 	return list
 }
 
-// FingerprintError says that a text is not a fingerprint.
+// FingerprintError reports that a text is not a fingerprint.
 type FingerprintError struct {
 	Text string
 }
 
 // Error implements error.
 func (e *FingerprintError) Error() string {
-	return fmt.Sprintf("%q is no fingerprint: 16 hexadecimal digits", e.Text)
+	return fmt.Sprintf("%q is not a fingerprint of 16 hexadecimal digits", e.Text)
 }
 
-// ParseFingerprint reads what Fingerprint.String wrote. The error is a *FingerprintError.
+// ParseFingerprint parses what Fingerprint.String returns. The error is a *FingerprintError.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	f, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
@@ -58,7 +58,7 @@
 	return Fingerprint(f), nil
 }
 
-// Print writes a table of what boxes hold. The error is the writer's.
+// Print writes a table of the requests that boxes hold. The error is the writer's.
 func Print(w io.Writer, boxes []BoxHolds) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, "FINGERPRINT\tBOX\tLEFT\tSERVERS THAT CRASHED"); err != nil {
--- a/pkg/quarantine/held_test.go
+++ b/pkg/quarantine/held_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestStoredHoldsAreReadBack, and nothing that a box would not have written.
+// TestStoredHoldsAreReadBack: a stored hold is read back while it lasts, and what no box would
+// have written is ignored.
 func TestStoredHoldsAreReadBack(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_770_320_509, 0)
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// Config say when a request is held.
+// Config says when and for how long a request is held.
 type Config struct {
-	// Crashes is under how many backend servers' ends a request is held, and Hold for how
-	// long. Each further end under it doubles that.
+	// Crashes is how many backend servers must have crashed under a request for it to be held,
+	// and Hold for how long. Each further crash under it doubles that time.
 	Crashes int
 	Hold    time.Duration
 }
 
 const (
-	// maxRecords bounds the requests of which something is known: a few hundred were at
-	// some server when it crashed, on a day with 89 crashes.
+	// maxRecords bounds the requests with a record: on a day with 89 crashes, a few hundred
+	// were at a server when it crashed.
 	maxRecords = 1024
-	// maxServers bounds the servers that a record names, so that it fits one packet.
+	// maxServers bounds the servers that a record names, so that it fits into one packet.
 	maxServers = 16
-	// maxDoublings bounds how often a hold is doubled: 10 minutes become 43 hours.
+	// maxDoublings bounds how often the time of a hold is doubled: 10 minutes become 43 hours.
 	maxDoublings = 8
-	// broadcastCount is how often a change is told to all boxes, and tellAgain after what time
-	// again: a datagram in a hundred is lost on a good day.
+	// broadcastCount is how often a change is sent to all boxes, and rebroadcastDelay the time
+	// between two sends: even normally one datagram in a hundred is lost.
 	broadcastCount   = 2
 	rebroadcastDelay = 300 * time.Millisecond
 )
 
-// Record is what a box knows of a request, as it tells others. Both lists only grow, and
-// what two boxes know is put together by joining them, in any order and any number of times.
+// Record is what a box knows of a request, as it is sent to other boxes. Both lists only grow,
+// and the records of two boxes are merged by joining the lists, in any order and any number of
+// times.
 type Record struct {
 	Request Fingerprint
 	// Crashed are the servers that crashed while they had the request.
 	Crashed []string
-	// Excused are those of them that do not count any more, since a server has answered
-	// the request later: it had been at servers that crashed under other requests.
+	// Excused are those of them that no longer count, since a server has answered the request
+	// later: the request had been at servers that crashed under other requests.
 	Excused []string
-	// Remaining is for how long the request is held yet, 0 if it is not.
+	// Remaining is how much longer the request is held, 0 if it is not.
 	Remaining time.Duration
 }
 
-// CountedCrashes is how many crashes count against the request.
+// CountedCrashes returns how many crashes count against the request.
 func (r *Record) CountedCrashes() int { return countCrashes(r.Crashed, r.Excused) }
 
 func countCrashes(crashed, excused []string) int {
@@ -60,40 +61,40 @@
 	Config func() Config
 	// Now is the clock; it must be monotonic.
 	Now func() time.Time
-	// OnChange is told when a request is held or released, or what is known of it is
-	// dropped for want of room. It runs under the table's lock and must not call it.
+	// OnChange is called when a request is held or released, or when there is no space for its
+	// record. It runs under the table's lock and must not call the table.
 	OnChange func(r Record, change string)
 
 	mu      sync.Mutex
 	records map[Fingerprint]*record
-	// recordCount is the number of records, read without the lock: on a day without crashes a
-	// request costs no more than that.
+	// recordCount is the number of records. It is read without the lock, so that a request
+	// costs no more than that while no crashes are known.
 	recordCount atomic.Int64
 }
 
-// record is a Record with what this box makes of it.
+// record is a Record with what this box keeps about it.
 type record struct {
 	crashed, excused []string
-	// changed is when anything was last learnt.
+	// changed is when the record last changed.
 	changed time.Time
-	// until is the end of the hold, and heldAt how many crashes counted when it began.
+	// until is the end of the hold, and heldCrashes how many crashes counted when it began.
 	until       time.Time
 	heldCrashes int
-	// broadcastsLeft is how often the record is to be told yet, from tellAt on.
+	// broadcastsLeft is how often the record still has to be broadcast, from nextBroadcast on.
 	broadcastsLeft int
 	nextBroadcast  time.Time
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable(config func() Config, now func() time.Time) *Table {
 	return &Table{Config: config, Now: now, OnChange: func(Record, string) {}, records: map[Fingerprint]*record{}}
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool { return t.recordCount.Load() == 0 }
 
-// ObserveCrash notes that a server crashed while it had the request, and returns what is known of
-// the request if that began to be held by it, nil if not.
+// ObserveCrash records that a server crashed while it had the request. It returns the record
+// of the request if this crash began a hold, otherwise nil.
 func (t *Table) ObserveCrash(f Fingerprint, server string) (begun *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 	before := t.Now().Before(r.until)
 	if len(r.crashed) == maxServers && !before {
-		// The list may have no room for this one, which counts all the same.
+		// The full list may have no space for this server, whose crash has to count all the same.
 		r.heldCrashes--
 		r.crashed = r.crashed[1:]
 	}
@@ -116,8 +117,9 @@
 	return &known
 }
 
-// ObserveAnswer notes that a server has answered the request: it crashes no servers. What held
-// against it is excused, at all boxes. It reports whether the request was held.
+// ObserveAnswer records that a server has answered the request, so that it is known not to
+// crash servers. The crashes that counted against it are excused, at all boxes. It reports
+// whether the request was held.
 func (t *Table) ObserveAnswer(f Fingerprint) (released bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +133,7 @@
 	return released
 }
 
-// Merge takes in what another box knows.
+// Merge merges the record of another box into the table.
 func (t *Table) Merge(other Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,12 +143,12 @@
 	}
 	t.mergeRecord(other.Request, r, other)
 	if other.Remaining > 0 && r.countedCrashes() < t.Config().Crashes {
-		// The other box holds a request that was answered here.
+		// The other box holds a request that has been answered here, so it is sent this record.
 		t.scheduleBroadcast(r)
 	}
 }
 
-// Held reports whether the request is to be kept from servers, and for how long yet.
+// Held reports whether the request is to be kept from servers, and for how much longer.
 func (t *Table) Held(f Fingerprint) (left time.Duration, held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,7 +168,7 @@
 	return r != nil && r.countedCrashes() > 0
 }
 
-// Due returns the records that all boxes are to be told now.
+// Due returns the records that have to be broadcast now.
 func (t *Table) Due() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,7 +199,7 @@
 	return held
 }
 
-// Expire forgets what is old. Call it from time to time.
+// Expire drops old records. It has to be called periodically.
 func (t *Table) Expire() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -215,7 +217,7 @@
 
 func (r *record) countedCrashes() int { return countCrashes(r.crashed, r.excused) }
 
-// lastActive is since when nothing has been learnt and nothing held.
+// lastActive returns the time of the last change or the end of the hold, whichever is later.
 func (r *record) lastActive() time.Time {
 	if r.until.After(r.changed) {
 		return r.until
@@ -229,10 +231,11 @@
 	}
 }
 
-// mergeNames puts names into a list that is in order and bounded, and reports whether it has changed.
-// The first names in order stay, whichever came first: boxes that know of more crashes than a
-// list names come to name the same ones. If the latest stayed, boxes whose datagrams cross
-// would tell each other of them without end, and prolong their holds.
+// mergeNames adds names to a sorted list of bounded length, and reports whether it has
+// changed. The first names in sorted order stay, whichever were added first, so that boxes
+// that know of more crashes than a list holds end with the same names. If the latest ones
+// stayed, boxes whose datagrams cross would send them to each other without end and prolong
+// their holds.
 func mergeNames(list, names []string) (joined []string, changed bool) {
 	joined = slices.Concat(list, names)
 	slices.Sort(joined)
@@ -241,7 +244,7 @@
 	return joined, !slices.Equal(joined, list)
 }
 
-// mergeRecord puts what was told together with what is known.
+// mergeRecord merges another record of a request into what is known of it.
 func (t *Table) mergeRecord(f Fingerprint, r *record, other Record) {
 	var crashed, excused bool
 	r.excused, excused = mergeNames(r.excused, other.Excused)
@@ -254,8 +257,8 @@
 }
 
 // updateHold holds the request if more crashes count against it than when it was last held,
-// and releases it if fewer do than are needed. A hold that another box has begun ends as it
-// does there: counted anew by each that hears of it, it would never end.
+// and releases it if fewer do than are needed. A hold that another box has begun ends when it
+// ends there: if each box that learns of it started its full time again, it would never end.
 func (t *Table) updateHold(f Fingerprint, r *record, left time.Duration) {
 	now, config := t.Now(), t.Config()
 	n := r.countedCrashes()
@@ -279,7 +282,7 @@
 	}
 }
 
-// scheduleBroadcast has all boxes told of the record.
+// scheduleBroadcast schedules the record to be sent to all boxes.
 func (t *Table) scheduleBroadcast(r *record) {
 	r.broadcastsLeft = broadcastCount
 	r.nextBroadcast = time.Time{}
@@ -289,8 +292,8 @@
 // All records
 // ----------------------------------------------------------------
 
-// recordOf returns the record of a request, a new one if there is none, and nil if there is
-// no room: all others are held.
+// recordOf returns the record of a request, a new one if there is none, and nil if the table
+// is full since all other requests are held.
 func (t *Table) recordOf(f Fingerprint) *record {
 	if r := t.records[f]; r != nil {
 		return r
@@ -305,7 +308,8 @@
 	return r
 }
 
-// makeRoom drops the record that is not held and was learnt of longest ago.
+// makeRoom drops the record that changed longest ago of those that are not held, and reports
+// whether there was one.
 func (t *Table) makeRoom() bool {
 	now := t.Now()
 	var oldest *record
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/pkg/packet"
 )
 
-// clock is a time that tests move.
+// clock is a clock that tests advance.
 type clock struct{ now time.Time }
 
 func (c *clock) Now() time.Time { return c.now }
@@ -32,7 +32,8 @@
 	return held
 }
 
-// TestRequestIsHeldAfterCrashes: distinct servers count, and nothing else does.
+// TestRequestIsHeldAfterCrashes: only crashes of distinct servers under the same request
+// count.
 func TestRequestIsHeldAfterCrashes(t *testing.T) {
 	is := is.New(t)
 	table := newTable(newClock())
@@ -52,8 +53,8 @@
 	is.True(!held(table, 2))
 }
 
-// TestAnsweredRequestIsClear: what was at servers that crashed under another request is
-// answered sooner or later, and then nothing counts against it, here and elsewhere.
+// TestAnsweredRequestIsClear: a request that was at servers that crashed under another request
+// is answered sooner or later. After that no crash counts against it, at any box.
 func TestAnsweredRequestIsClear(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -63,12 +64,12 @@
 	}
 	exchange(here, there)
 	is.True(held(there, 1))
-	there.ObserveAnswer(1) // an attempt that was on its way
+	there.ObserveAnswer(1) // an attempt that was still in flight
 	is.True(!held(there, 1))
 	is.True(!there.Suspected(1))
 	exchange(there, here)
 	is.True(!held(here, 1))
-	// The same crashes, told once more by one that has not heard, count no more.
+	// The same crashes no longer count when a box that does not know of the answer sends them.
 	there.Merge(Record{Request: 1, Crashed: []string{"i-3"}, Remaining: time.Second})
 	is.True(!there.Suspected(1))
 	here.ObserveCrash(1, "i-4")
@@ -76,15 +77,15 @@
 	is.True(!held(here, 1))
 }
 
-// exchange hands all that one table is to tell to the other one.
+// exchange merges the records that one table has to broadcast into the other.
 func exchange(from, to *Table) {
 	for _, r := range from.Due() {
 		to.Merge(r)
 	}
 }
 
-// TestHoldEndsAtAllBoxes: boxes that tell each other of a hold do not prolong it, and one
-// more crash after its end holds the request for twice as long.
+// TestHoldEndsAtAllBoxes: boxes that send each other a hold do not prolong it, and one more
+// crash after its end holds the request for twice as long.
 func TestHoldEndsAtAllBoxes(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -94,7 +95,7 @@
 	}
 	spread := func(from, to *Table) {
 		records := from.Holds()
-		c.advance(20 * time.Millisecond) // on its way
+		c.advance(20 * time.Millisecond) // in flight
 		for _, r := range records {
 			to.Merge(r)
 		}
@@ -117,7 +118,7 @@
 	is.True(a.Empty())
 }
 
-// TestChangesAreBroadcastTwice: a datagram that is lost is made good for by the next one.
+// TestChangesAreBroadcastTwice: the second datagram makes up for the loss of the first.
 func TestChangesAreBroadcastTwice(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -130,10 +131,11 @@
 	c.advance(rebroadcastDelay)
 	is.Equal(len(table.Due()), 0)
 	table.Merge(Record{Request: 2, Crashed: []string{"i-1"}})
-	is.Equal(len(table.Due()), 0) // what was heard is told on by nobody
+	is.Equal(len(table.Due()), 0) // a box does not forward the records of others
 }
 
-// TestMemoryIsBounded: what is not held makes room, oldest first; what is held stays.
+// TestMemoryIsBounded: in a full table, records of requests that are not held are dropped,
+// oldest first; those of held requests are kept.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
@@ -160,7 +162,8 @@
 }
 
 // TestBoxesAgree: whatever crashes and answers boxes see, and whatever datagrams are lost,
-// doubled or late, boxes that have told each other all hold the same requests.
+// duplicated or late, boxes that have sent each other their records all hold the same
+// requests.
 func TestBoxesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
@@ -260,13 +263,14 @@
 			table.Merge(m.Records[i])
 		}
 		if len(table.records) > maxRecords {
-			t.Fatal("more records than there is room for")
+			t.Fatal("more records than maxRecords")
 		}
 	})
 }
 
-// TestRecordsWithManyCrashesConverge: boxes that each know of more crashes than a record names come to
-// name the same ones; what they go on telling each other changes nothing and prolongs nothing.
+// TestRecordsWithManyCrashesConverge: boxes that each know of more crashes than a record names
+// end with the same names. Further datagrams between them change nothing and do not prolong
+// the hold.
 func TestRecordsWithManyCrashesConverge(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
--- a/pkg/quarantine/wire.go
+++ b/pkg/quarantine/wire.go
@@ -3,11 +3,11 @@
 import "github.com/stoneworks/stoneworks/pkg/packet"
 
 const (
-	// wireVersion is the first byte of a message; what else comes to the same port begins
-	// with others.
+	// wireVersion is the first byte of a message. Other kinds of messages that arrive at the
+	// same port begin with other bytes.
 	wireVersion = 0xd1
-	// messageBytes bounds a message, so that it fits one packet: recordBytes for each
-	// record and serverBytes for each server that it names, in bytes.
+	// messageBytes bounds a message in bytes, so that it fits into one packet. It is estimated
+	// as recordBytes for each record and serverBytes for each server that the record names.
 	messageBytes = 1200
 	recordBytes  = 24
 	serverBytes  = 30
@@ -20,10 +20,10 @@
 	Records []Record
 }
 
-// Wire packs messages.
+// Wire is the codec of messages.
 var Wire = packet.Codec[Message]{Kind: "quarantine", FirstByte: wireVersion}
 
-// Messages divides records into messages that fit a packet each.
+// Messages splits records into messages that fit into one packet each.
 func Messages(box string, records []Record) []Message {
 	var messages []Message
 	bytes := messageBytes
