--- a/pkg/backend/failure_report_test.go
+++ b/pkg/backend/failure_report_test.go
@@ -7,69 +7,68 @@
 	"github.com/matryer/is"
 )
 
-// lose makes an exchange with the server end with the result.
-func lose(s *Set, id string, result Result) {
+// endExchange runs an exchange with the server that ends with the result.
+func endExchange(s *Set, id string, result Result) {
 	s.mu.Lock()
 	lease := s.lease(&candidate{server: s.servers[id]}, 0, 1, s.Now())
 	s.mu.Unlock()
 	lease.Done(result, nil)
 }
 
-// TestGoneServersAreTold: that an address has gone to another server is told at
-// once; that a server cannot be reached only by a box that its zone has just
-// answered, since a box that is cut off reaches none.
-func TestGoneServersAreTold(t *testing.T) {
+// TestFailuresAreReported checks that a reused address is reported at once. An unreachable server
+// is reported only by a box that another server of the zone has just answered, since a box that
+// is cut off reaches no server.
+func TestFailuresAreReported(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
-	var told []FailureReport
-	s.ReportFailure = func(f FailureReport) { told = append(told, f) }
-	lose(s, "east-a-0", Stale)
-	is.Equal(told, []FailureReport{{Server: "east-a-0", Stale: true}})
-	told = nil
-	lose(s, "east-a-1", Unreachable) // nothing was heard of the zone
-	lose(s, "east-a-2", Answered)
+	var reports []FailureReport
+	s.ReportFailure = func(f FailureReport) { reports = append(reports, f) }
+	endExchange(s, "east-a-0", Stale)
+	is.Equal(reports, []FailureReport{{Server: "east-a-0", Stale: true}})
+	reports = nil
+	endExchange(s, "east-a-1", Unreachable) // no server of the zone has answered
+	endExchange(s, "east-a-2", Answered)
 	c.advance(zoneAnswerMaxAge)
-	lose(s, "east-a-1", Unreachable) // nor lately
-	is.Equal(len(told), 0)
-	lose(s, "east-a-2", Answered)
-	lose(s, "east-a-1", Unreachable)
-	is.Equal(told, []FailureReport{{Server: "east-a-1"}})
+	endExchange(s, "east-a-1", Unreachable) // or not recently
+	is.Equal(len(reports), 0)
+	endExchange(s, "east-a-2", Answered)
+	endExchange(s, "east-a-1", Unreachable)
+	is.Equal(reports, []FailureReport{{Server: "east-a-1"}})
 }
 
-// TestToldServersGetNothing: a stale server gets no request of a box that was told
-// so; one that cannot be reached rests once two boxes have told so.
-func TestToldServersGetNothing(t *testing.T) {
+// TestReportedServersGetNothing checks that a stale server gets no request from a box that got a
+// report of it, and that an unreachable server is ejected once two boxes have reported it.
+func TestReportedServersGetNothing(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 3, 4), true)
-	resting := func(id string) bool { return s.servers[id].health.ejected(c.at) }
+	ejected := func(id string) bool { return s.servers[id].health.ejected(c.at) }
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0", Stale: true})
 	is.True(s.servers["east-a-0"].stale)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
-	is.True(!resting("east-a-1")) // one box may be wrong
+	is.True(!ejected("east-a-1")) // one box may be wrong
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-1"})
-	is.True(resting("east-a-1"))
+	is.True(ejected("east-a-1"))
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-2"})
 	c.advance(confirmWindow + time.Millisecond)
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-2"})
-	is.True(!resting("east-a-2")) // too far apart
+	is.True(!ejected("east-a-2")) // the reports are too far apart
 	s.ApplyFailureReport("box-2", FailureReport{Server: "no-such-server"})
 }
 
-// TestOwnAnswersCountMoreThanHearsay: a box that a server has just answered
-// believes nobody who cannot reach it; one that has just failed with it believes
-// the first.
-func TestOwnAnswersCountMoreThanHearsay(t *testing.T) {
+// TestOwnAnswersOutweighFailureReports checks that a box ignores failure reports of a server that
+// has just answered it, and believes the first one of a server that has just failed it.
+func TestOwnAnswersOutweighFailureReports(t *testing.T) {
 	is := is.New(t)
 	s, c := newTestSet(1)
 	s.Replace(servers("east-a", 2, 4), true)
-	lose(s, "east-a-0", Answered)
+	endExchange(s, "east-a-0", Answered)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-0"})
 	s.ApplyFailureReport("box-3", FailureReport{Server: "east-a-0"})
 	is.True(!s.servers["east-a-0"].health.ejected(c.at))
-	lose(s, "east-a-1", Broken)
+	endExchange(s, "east-a-1", Broken)
 	s.ApplyFailureReport("box-2", FailureReport{Server: "east-a-1"})
 	is.True(s.servers["east-a-1"].health.ejected(c.at))
 }
--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -14,12 +14,12 @@
 
 func (b *Box) newOperators() *rpc.Operators {
 	return &rpc.Operators{
-		Store:       b.Store,
-		Apply:       b.Writer.Apply,
-		Status:      b.status,
-		Route:       b.explain,
-		KnownZone:   b.Topology.HasZone,
-		KnownRegion: b.Topology.HasRegion,
+		Store:        b.Store,
+		Apply:        b.Writer.Apply,
+		Status:       b.status,
+		ExplainRoute: b.explain,
+		KnownZone:    b.Topology.HasZone,
+		KnownRegion:  b.Topology.HasRegion,
 	}
 }
 
@@ -30,7 +30,7 @@
 	}
 	for _, m := range b.Table.Members() {
 		reply.Boxes = append(reply.Boxes, &pb.BoxStatus{
-			Box: m.Box, Zone: m.Zone, State: string(m.State), SilentMs: m.Silent.Milliseconds(),
+			Box: m.Box, Zone: m.Zone, State: string(m.State), SilentMs: m.SilentFor.Milliseconds(),
 			ConfigDigest: m.ConfigDigest, OperatorsAddress: m.Operators,
 		})
 	}
@@ -52,9 +52,9 @@
 	}
 	for _, server := range o.Service.BackendServers {
 		line := &pb.BackendServerStatus{Name: server.Name, Zone: server.Zone, State: "remote"}
-		if part, ok := own[server.Name]; ok {
-			line.State = serverState(part)
-			line.Share, line.InUse = int32(part.Share), int32(part.InUse)
+		if status, ok := own[server.Name]; ok {
+			line.State = serverState(status)
+			line.Share, line.InUse = int32(status.Share), int32(status.InUse)
 		}
 		s.BackendServers = append(s.BackendServers, line)
 	}
@@ -62,7 +62,8 @@
 	return s
 }
 
-// planStatus tells what the plan is and how far this box is from it.
+// planStatus adds the plan's revision, this box's distance from the plan, and the
+// assignment that the box applies.
 func (b *Box) planStatus(service string, s *pb.ServiceStatus) {
 	o := b.Store.Get(config.PlanPrefix + service)
 	inForce := b.walker(service).InForce()
@@ -98,11 +99,11 @@
 	return "ready"
 }
 
-// explain decides for a request that is not sent.
+// explain returns the routing decision for a hypothetical request.
 func (b *Box) explain(r *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	client, err := netip.ParseAddr(r.GetClient())
 	if err != nil {
-		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP number"}}}
+		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP address"}}}
 	}
 	s := b.snapshot.Load()
 	view := s.Services[r.GetService()]
--- a/pkg/entry/entry_once.go
+++ b/pkg/entry/entry_once.go
@@ -6,65 +6,66 @@
 	"time"
 
 	"github.com/stoneworks/stoneworks/pkg/decide"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/membership"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// runOnce runs a request that may not be repeated: at the box that owns its
-// key, and there at most once.
+// runOnce runs a request that may not be repeated. The box that owns its key
+// runs it at most once.
 func (e *Entry) runOnce(r *Request) (*Answer, *outcome.Failure) {
 	if r.Key == "" {
 		return nil, outcome.NewNotRun(outcome.ReasonKeyRequired, r.Method+" of this service may not be repeated")
 	}
-	ticket, hasTicket, err := once.ParseKey(r.Key)
+	ticket, hasTicket, err := idempotency.ParseKey(r.Key)
 	if err != nil {
-		return nil, bad(err.Error())
+		return nil, badRequest(err.Error())
 	}
 	if !hasTicket {
 		owner, failure := e.Claim(r.ctx, r.Service, r.Key)
 		if failure != nil {
-			return nil, r.unlessFirst(failure)
+			return nil, r.notRunOnlyIfFirst(failure)
 		}
 		ticket = owner
 	}
 	if ticket.Box == e.Self && ticket.Incarnation == e.Incarnation {
 		return e.runOwned(r, ticket)
 	}
-	return e.toOwner(r, ticket)
+	return e.forwardToOwner(r, ticket)
 }
 
-// unlessFirst turns "not run" into "unknown" where an earlier request with the
-// key may have run, which only the caller can exclude.
-func (r *Request) unlessFirst(f *outcome.Failure) *outcome.Failure {
+// notRunOnlyIfFirst changes the outcome "not run" to "unknown" unless this is the first
+// attempt: an earlier request with the key may have run, and only the caller can
+// rule that out.
+func (r *Request) notRunOnlyIfFirst(f *outcome.Failure) *outcome.Failure {
 	if f.Outcome == outcome.NotRun && !r.FirstAttempt {
 		f.Outcome = outcome.Unknown
 	}
 	return f
 }
 
-// toOwner passes the request to the box that owns its key. That the owner did
-// not get this request says nothing of an earlier one with the same key.
-func (e *Entry) toOwner(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
+// forwardToOwner forwards the request to the box that owns its key. If the owner did not
+// receive it, an earlier request with the same key may still have run.
+func (e *Entry) forwardToOwner(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
 	owner, known := e.Member(t.Box)
 	if known && owner.Incarnation != t.Incarnation || t.Box == e.Self || r.Hop == HopOwner {
-		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
+		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonStaleTicket, t.String()).WithRetryAfter(time.Second))
 	}
 	if !known || owner.State == membership.Dead {
-		return nil, r.unlessFirst(outcome.NewNotRun(outcome.ReasonOwnerUnreachable, t.Box).WithRetryAfter(time.Second))
+		return nil, r.notRunOnlyIfFirst(outcome.NewNotRun(outcome.ReasonOwnerUnreachable, t.Box).WithRetryAfter(time.Second))
 	}
-	e.Log.Info("passed to the owner of its key", map[string]any{"request": r.ID, "service": r.Service, "owner": t.Box})
-	a, f := e.handOff(r, owner.Peers, HopOwner)
+	e.Log.Info("forwarded to the box that owns the key", map[string]any{"request": r.ID, "service": r.Service, "owner": t.Box})
+	a, f := e.forward(r, owner.Peers, HopOwner)
 	if f != nil && f.Reason == outcome.ReasonConnect {
 		f.Reason = outcome.ReasonOwnerUnreachable
-		return nil, r.unlessFirst(f)
+		return nil, r.notRunOnlyIfFirst(f)
 	}
 	return a, f
 }
 
-// runOwned runs the request here, or joins the run that its key already has.
-func (e *Entry) runOwned(r *Request, t once.Ticket) (*Answer, *outcome.Failure) {
-	key := once.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
+// runOwned runs the request here, or waits for the run that its key already has.
+func (e *Entry) runOwned(r *Request, t idempotency.Ticket) (*Answer, *outcome.Failure) {
+	key := idempotency.Key{Service: r.Service, Key: r.Key, Fingerprint: r.fingerprint()}
 	run, first, failure := e.Begin(key, t.Issued)
 	if failure != nil {
 		return nil, failure
@@ -78,20 +79,21 @@
 	}
 	answer, failure := e.route(r)
 	if failure != nil {
-		run.Failed(failure)
+		run.Fail(failure)
 		return nil, failure
 	}
 	if answer.Stream == nil {
-		run.Answered(&once.Answer{
+		run.Complete(&idempotency.Answer{
 			Status: answer.Status, Header: answer.Header, Body: bytes.Clone(answer.Body), Server: answer.Server, Zone: answer.Zone,
 		})
 		return answer, nil
 	}
-	run.Answered(nil)
+	run.Complete(nil)
 	return answer, nil
 }
 
-// fingerprint tells requests apart that wrongly carry one key.
+// fingerprint returns a hash of the request, which detects different requests that
+// wrongly use the same key.
 func (r *Request) fingerprint() uint64 {
 	length := len(r.body.bytes)
 	if r.body.stream != nil {
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -13,33 +13,33 @@
 	"github.com/valyala/fasthttp"
 )
 
-// past is a deadline that ends all reading and writing at once.
+// past is a deadline that makes all reads and writes return at once.
 var past = time.Unix(1, 0)
 
-// noDeadline lifts a deadline.
+// noDeadline removes a deadline.
 var noDeadline time.Time
 
 // Do sends the request and reads the answer's header. The error is an *Error.
 //
-// The context bounds the whole exchange with its body; when it ends, the
-// connection is closed, which tells the other side that nobody waits.
+// The context bounds the whole exchange including the body. When it ends, the connection is
+// closed, which tells the peer that nobody is waiting for the answer.
 func (p *Pool) Do(ctx context.Context, req *Request) (*Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &Error{Stage: StageConnect, Cause: err}
 	}
 	maxIdle := req.MaxIdle
-	if req.Once {
-		maxIdle = p.Idle.Bound(maxIdle)
+	if req.NonIdempotent {
+		maxIdle = p.Idle.Cap(maxIdle)
 	}
 	c, err := p.get(ctx, maxIdle)
 	if err != nil {
 		return nil, &Error{Stage: StageConnect, Cause: err}
 	}
-	if req.Wanted != nil && !req.Wanted() {
+	if req.MaySend != nil && !req.MaySend() {
 		p.put(c)
 		return nil, &Error{Stage: StageConnect, Cause: &WithdrawnError{}}
 	}
-	x := &running{pool: p, conn: c, ctx: ctx, abort: func() {}}
+	x := &roundTrip{pool: p, conn: c, ctx: ctx, abort: func() {}}
 	if req.AbortStream != nil {
 		x.abort = req.AbortStream
 	}
@@ -48,7 +48,7 @@
 	answer, failure := x.start(req)
 	if failure != nil {
 		if closedByPeer(c, failure, time.Since(sent)) {
-			p.Idle.Lost(c.rested)
+			p.Idle.ObserveClosed(c.idleFor)
 		}
 		x.end(false)
 		return nil, failure
@@ -56,37 +56,38 @@
 	return answer, nil
 }
 
-// running is an exchange on its way.
-type running struct {
+// roundTrip is an exchange in progress.
+type roundTrip struct {
 	pool       *Pool
 	conn       *connection
 	ctx        context.Context
 	stop       func() bool
 	closeAsked bool
-	// abort makes a streamed body's reader return.
+	// abort makes the reader of a streamed body return.
 	abort func()
-	// sending runs while a streamed body is sent; sentWhole is set at its end.
+	// sending runs while a streamed body is sent; sentWhole is set once it has been sent
+	// whole.
 	sending   conc.WaitGroup
 	streamed  bool
 	sentWhole atomic.Bool
 	ended     bool
 }
 
-// interrupt makes all reading and writing of the exchange return.
-func (x *running) interrupt() {
+// interrupt makes all reads and writes of the exchange return.
+func (x *roundTrip) interrupt() {
 	_ = x.conn.SetDeadline(past)
 	x.abort()
 }
 
-func (x *running) start(req *Request) (*Answer, *Error) {
-	if err := ended(x.ctx); err != nil {
-		// The process may have stood still since the connection was taken.
+func (x *roundTrip) start(req *Request) (*Answer, *Error) {
+	if err := contextError(x.ctx); err != nil {
+		// The process may have been paused since the connection was taken.
 		return nil, &Error{Stage: StageSend, Cause: err}
 	}
 	if err := x.send(req); err != nil {
 		return nil, &Error{Stage: StageSend, Sent: x.conn.written > 0, Cause: x.cause(err)}
 	}
-	answer := &Answer{Reused: x.conn.used}
+	answer := &Answer{Reused: x.conn.reused}
 	if err := x.readOwnHeader(req, &answer.Header); err != nil {
 		return nil, &Error{Stage: StageHeader, Sent: true, Cause: x.cause(err)}
 	}
@@ -96,9 +97,9 @@
 	return answer, nil
 }
 
-// ended returns why the context has ended, nil if it has not. In a process that
-// wakes from a freeze, a context may not have noticed that its time is over.
-func ended(ctx context.Context) error {
+// contextError returns why the context has ended, nil if it has not. After a pause of the
+// process, a context may not have noticed yet that its deadline has passed.
+func contextError(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// keepAliveOf returns the idle time that the other side announces, or 0.
+// keepAliveOf returns the idle time that the peer announces, 0 if it announces none.
 func keepAliveOf(h *fasthttp.ResponseHeader) time.Duration {
 	_, rest, found := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
 	if !found {
@@ -122,9 +123,9 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// cause prefers the reason for which the context ended over the error that it
-// made the connection return.
-func (x *running) cause(err error) error {
+// cause returns the error of the context if the context has ended, since that made the
+// connection return err.
+func (x *roundTrip) cause(err error) error {
 	if ctxErr := x.ctx.Err(); ctxErr != nil {
 		return ctxErr
 	}
@@ -135,7 +136,7 @@
 // Sending
 // ----------------------------------------------------------------
 
-func (x *running) send(req *Request) error {
+func (x *roundTrip) send(req *Request) error {
 	if req.Stream == nil {
 		req.Header.SetContentLength(len(req.Body))
 		if len(req.Body) == 0 && req.Header.IsGet() {
@@ -161,18 +162,18 @@
 	return nil
 }
 
-// sendStream sends a body while the answer is awaited, since a backend server
-// may refuse an upload without reading it.
-func (x *running) sendStream(req *Request) {
+// sendStream sends a body while the answer is awaited, since a backend server may refuse an
+// upload without reading it.
+func (x *roundTrip) sendStream(req *Request) {
 	if err := x.copyStream(req); err != nil {
-		// Half a request is on its way; only closing tells the other side.
+		// Part of the request is already sent; only closing the connection informs the peer.
 		_ = x.conn.SetDeadline(past)
 		return
 	}
 	x.sentWhole.Store(true)
 }
 
-func (x *running) copyStream(req *Request) error {
+func (x *roundTrip) copyStream(req *Request) error {
 	if req.Length >= 0 {
 		n, err := io.Copy(x.conn.w, io.LimitReader(req.Stream, int64(req.Length)))
 		if err != nil {
@@ -200,7 +201,7 @@
 // Reading
 // ----------------------------------------------------------------
 
-func (x *running) readHeader(h *fasthttp.ResponseHeader) error {
+func (x *roundTrip) readHeader(h *fasthttp.ResponseHeader) error {
 	for {
 		if err := h.Read(x.conn.r); err != nil {
 			return err
@@ -211,19 +212,19 @@
 	}
 }
 
-// maxForeign bounds the answers to other requests that are left out.
-const maxForeign = 4
+// maxMismatches bounds the answers to other requests that are discarded.
+const maxMismatches = 4
 
-// ForeignError says that only answers to other requests came.
-type ForeignError struct{}
+// MismatchError is the error of an exchange that received only answers to other requests.
+type MismatchError struct{}
 
 // Error implements error.
-func (e *ForeignError) Error() string { return "the answers belong to other requests" }
+func (e *MismatchError) Error() string { return "received only answers to other requests" }
 
-// readOwnHeader reads up to the header of the answer to this request. An
-// answer that came too late for the request before may stand in its place.
-func (x *running) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
-	for range maxForeign {
+// readOwnHeader reads up to the header of the answer to this request. A late answer to the
+// previous request may precede it.
+func (x *roundTrip) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
+	for range maxMismatches {
 		if err := x.readHeader(h); err != nil {
 			return err
 		}
@@ -234,69 +235,69 @@
 			return err
 		}
 	}
-	return &ForeignError{}
+	return &MismatchError{}
 }
 
-// skipBody reads the body of an answer to another request. A body that ends
-// with its connection leaves no room for another answer.
-func (x *running) skipBody(h *fasthttp.ResponseHeader) error {
+// skipBody reads the body of an answer to another request. After a body that ends when its
+// connection is closed, no other answer can follow.
+func (x *roundTrip) skipBody(h *fasthttp.ResponseHeader) error {
 	switch length := h.ContentLength(); {
 	case length >= 0:
 		_, err := io.CopyN(io.Discard, x.conn.r, int64(length))
 		return err
 	case length == -1:
-		b := &body{running: x, chunks: httputil.NewChunkedReader(x.conn.r)}
+		b := &body{trip: x, chunks: httputil.NewChunkedReader(x.conn.r)}
 		if _, err := io.Copy(io.Discard, b.chunks); err != nil {
 			return err
 		}
 		return b.readTrailer()
 	}
-	return &ForeignError{}
+	return &MismatchError{}
 }
 
-func (x *running) openBody(req *Request, a *Answer) {
+func (x *roundTrip) openBody(req *Request, a *Answer) {
 	status := a.Header.StatusCode()
 	length := a.Header.ContentLength()
 	switch {
 	case req.Header.IsHead(), status == fasthttp.StatusNoContent, status == fasthttp.StatusNotModified:
 		a.Length = 0
-		a.Body = &body{running: x, whole: true}
+		a.Body = &body{trip: x, complete: true}
 		x.end(true)
 	case length >= 0:
 		a.Length = length
-		a.Body = &body{running: x, left: int64(length), whole: length == 0}
+		a.Body = &body{trip: x, left: int64(length), complete: length == 0}
 		if length == 0 {
 			x.end(true)
 		}
 	case length == -1:
 		a.Length = -1
-		a.Body = &body{running: x, chunks: httputil.NewChunkedReader(x.conn.r)}
+		a.Body = &body{trip: x, chunks: httputil.NewChunkedReader(x.conn.r)}
 	default:
-		// The end of the connection is the end of the body; a reset is not.
+		// The body ends when the connection is closed; a reset is an error.
 		a.Length = -1
-		a.Body = &body{running: x, toEnd: true}
+		a.Body = &body{trip: x, untilClose: true}
 		x.closeAsked = true
 	}
 }
 
-// end gives the connection back, or closes it if the exchange is not whole.
-// It returns only when the sender no longer reads the request's stream.
-func (x *running) end(whole bool) {
+// end returns the connection to the pool, or closes it if the exchange is incomplete. It
+// returns only when the sender no longer reads the request's stream.
+func (x *roundTrip) end(whole bool) {
 	if x.ended {
 		return
 	}
 	x.ended = true
-	// If the context has already ended, its function may yet set a deadline.
+	// If the context has already ended, interrupt may still set a deadline.
 	interrupted := !x.stop()
 	if x.streamed {
 		if !x.sentWhole.Load() {
-			// Answered before the whole request was sent, or failed.
+			// The answer came before the whole request was sent, or the exchange failed.
 			whole = false
 			x.interrupt()
 		}
 		x.sending.Wait()
 	}
-	end := End{Whole: whole, CloseAsked: x.closeAsked, Interrupted: interrupted, Leftover: x.conn.r.Buffered() > 0}
+	end := End{Complete: whole, CloseAnnounced: x.closeAsked, Interrupted: interrupted, Leftover: x.conn.r.Buffered() > 0}
 	switch {
 	case x.pool.Reusable(end):
 		x.pool.put(x.conn)
--- a/pkg/failurereport/failurereport_test.go
+++ b/pkg/failurereport/failurereport_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestFindingsAreToldOnceAndInParts: the same is told of a server again only
-// after a while, and no message is too large for a packet.
-func TestFindingsAreToldOnceAndInParts(t *testing.T) {
+// TestReportsAreSentOnceAndSplit checks that the same report on a server is sent again only
+// after a while, and that no message is too large for a packet.
+func TestReportsAreSentOnceAndSplit(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	o := &Outbox{Box: "edge-1", Now: func() time.Time { return now }}
@@ -55,7 +55,7 @@
 	is.Equal(len(o.Take()), 0)
 	o.Add(backend.FailureReport{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 0)
-	now = now.Add(again)
+	now = now.Add(resendAfter)
 	is.Equal(len(o.Take()), 0)
 	o.Add(backend.FailureReport{Server: "i-0000000000"})
 	is.Equal(len(o.Take()), 1)
--- a/pkg/gossip/operators_test.go
+++ b/pkg/gossip/operators_test.go
@@ -9,10 +9,11 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// TestFleetOfAThousandFitsAScreen: a line a zone, all boxes counted.
+// TestFleetOfAThousandFitsAScreen checks that an overview counts all boxes and has one line
+// per zone.
 func TestFleetOfAThousandFitsAScreen(t *testing.T) {
 	is := is.New(t)
-	table, _ := newCrowd(1000, 9)
+	table, _ := newLargeTable(1000, 9)
 	table.Update(func(self *Record) { self.Versions = map[string]objects.Version{"servers": {Revision: 9}} })
 	behind := table.members["box-9"].Record
 	behind.Sequence, behind.Serving, behind.StoreHealthy = 99, true, true
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -13,18 +13,18 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// bufferedAnswer bounds an answer that is held whole before any of it is
-// passed on, so that one that breaks off can still be replaced. In bytes.
+// bufferedAnswer is the size in bytes up to which an answer is buffered whole before any of it
+// is passed on, so that the request can still be retried if the answer breaks off.
 const bufferedAnswer = 256 << 10
 
-// receive reads the answer and passes it on. A large one is passed on while
-// it comes; if it breaks off, the client's connection does too.
-func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict Verdict) *outcome.Failure {
-	c.cleared(verdict)
+// receive reads the answer and passes it on. A large answer is streamed; if it breaks off, the
+// client's connection is aborted.
+func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
+	c.noteSurvival(verdict)
 	status := answer.Header.StatusCode()
-	c.server.Attempted(c.route.Name, lease, Attempt{
-		Failed: status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
-		Late:   status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
+	c.server.ObserveAttempt(c.route.Name, lease, Attempt{
+		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
+		TimedOut: status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
 	})
 	held, err := io.ReadAll(io.LimitReader(answer.Body, bufferedAnswer+1))
 	if err != nil {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// sentError makes sure that the failure of an answer's body counts as one
-// after the request was sent.
+// sentError makes sure that a failure of an answer's body counts as one after the request was
+// sent.
 func sentError(err error) error {
 	var x *exchange.Error
 	if errors.As(err, &x) {
@@ -55,7 +55,7 @@
 	return &exchange.Error{Stage: exchange.StageBody, Sent: true, Cause: err}
 }
 
-func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, verdict Verdict) {
+func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, verdict AnswerMeta) {
 	if answer.Length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.Itoa(answer.Length))
 	}
@@ -72,7 +72,8 @@
 		}
 		c.finish(lease, result, verdict.Load, start, err)
 		c.log("answer broke off", outcome.ReasonTruncated, http.StatusBadGateway, 1)
-		// The only way to tell the client that the answer is not whole.
+		// Aborting the connection is the only way to show the client that the answer is
+		// incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	c.finish(lease, backend.Answered, verdict.Load, start, nil)
@@ -81,7 +82,7 @@
 
 func (c *call) copyHeader(answer *exchange.Answer) {
 	out := c.w.Header()
-	// The library would guess a type, and add a date.
+	// Otherwise net/http would guess a content type and add a date.
 	out["Content-Type"] = nil
 	out["Date"] = nil
 	listed := connectionListed([]string{string(answer.Header.Peek("Connection"))})
@@ -95,7 +96,7 @@
 	}
 }
 
-// noteRefusal notes the headers of an answer that is not passed on.
+// noteRefusal reports the unknown headers of an answer that is not passed on.
 func (c *call) noteRefusal(answer *exchange.Answer) {
 	for name := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
@@ -105,28 +106,28 @@
 	}
 }
 
-// noteUnread notes a header of an answer that the platform's adapter does not know.
+// noteUnread reports a header of an answer if the platform's adapter does not know it.
 func (c *call) noteUnread(name string, answer *exchange.Answer) {
-	if c.server.Dialect.Unread(name, answer.Header.StatusCode()) {
-		c.server.Unread(name)
+	if c.server.Dialect.IsUnknownHeader(name, answer.Header.StatusCode()) {
+		c.server.ObserveUnknownHeader(name)
 	}
 }
 
-// abortBody makes reading the client's body return.
+// abortBody makes reads of the client's body return.
 func (c *call) abortBody() {
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Unix(1, 0))
 }
 
-// fail answers in the box's own name.
+// fail sends the client an answer that the box itself generates.
 func (c *call) fail(f *outcome.Failure) {
 	s := c.server
 	s.Count("failed." + string(f.Reason))
 	c.log("not answered: "+f.Detail, f.Reason, f.Status(), 1)
 	if f.Reason != outcome.ReasonCancelled && f.Reason != outcome.ReasonOverLimit {
-		c.settle(false)
+		c.observeTarget(false)
 	}
 	if f.Reason == outcome.ReasonCancelled {
-		// Nobody reads an answer.
+		// The client is gone, so nobody reads an answer.
 		panic(http.ErrAbortHandler)
 	}
 	h := c.w.Header()
@@ -139,22 +140,22 @@
 	h.Set("Content-Type", "text/plain")
 	text := string(f.Reason) + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	drain := c.answerFirst()
+	drain := c.answerBeforeBody()
 	c.w.WriteHeader(f.Status())
 	_, _ = io.WriteString(c.w, text)
 	drain()
 }
 
-// answerFirst makes an answer go out before the rest of the request's body has come,
-// which may take long. What it returns is to be called when the answer is written: it
-// reads the rest, so that the connection can be used again.
-func (c *call) answerFirst() (drain func()) {
-	if c.isBodyRead || c.r.ContentLength <= 0 || c.r.ContentLength > mostDrained {
+// answerBeforeBody allows an answer to be sent before the rest of the request's body has
+// arrived, which may take long. The returned function is called once the answer is written: it
+// reads the rest, so that the connection can be reused.
+func (c *call) answerBeforeBody() (drain func()) {
+	if c.isBodyRead || c.r.ContentLength <= 0 || c.r.ContentLength > maxDrained {
 		return func() {}
 	}
 	control := http.NewResponseController(c.w)
 	if err := control.EnableFullDuplex(); err != nil {
-		c.server.Log.Debug("answer waits for the body", map[string]any{"request": c.meta.ID, "error": err.Error()})
+		c.server.Log.Debug("answer is not sent before the body has arrived", map[string]any{"request": c.meta.ID, "error": err.Error()})
 		return func() {}
 	}
 	return func() {
@@ -166,15 +167,15 @@
 }
 
 const (
-	// mostDrained bounds the body of a refused request that is read so that its
-	// connection can be used again, in bytes, and drainTime for how long.
-	mostDrained = 256 << 10
-	drainTime   = 2 * time.Second
+	// maxDrained bounds, in bytes, the body of a refused request that is read so that its
+	// connection can be reused, and drainTime for how long it is read.
+	maxDrained = 256 << 10
+	drainTime  = 2 * time.Second
 )
 
 func (c *call) answered(status int) {
 	s := c.server
-	c.settle(status < http.StatusInternalServerError)
+	c.observeTarget(status < http.StatusInternalServerError)
 	s.Observe("request."+c.service, s.Now().Sub(c.start))
 	s.Count("answered")
 	clean := len(c.steps) == 1 && status < 500
@@ -188,9 +189,9 @@
 	}
 }
 
-// log writes the one line of a request: what came in, which configuration
-// decided, and each backend server that was tried with what was known of it.
-// The line stands for as many requests like it as are given.
+// log writes the one log line of a request: what was received, which configuration was used,
+// and each backend server that was tried with what was known of it. The line stands for the
+// given number of similar requests.
 func (c *call) log(text string, reason outcome.Reason, status, requests int) {
 	fields := map[string]any{
 		"request": c.meta.ID, "status": status, "took_ms": c.server.Now().Sub(c.start).Milliseconds(),
@@ -210,7 +211,7 @@
 			fields["rate_per_s"], fields["burst"] = c.customer.Rate, c.customer.Burst
 		}
 	}
-	if c.isBound() {
+	if c.isRegionRestricted() {
 		fields["bound"] = true
 	}
 	if requests > 1 {
@@ -220,7 +221,7 @@
 		fields["home_fill"] = math.Round(c.full.HomeFill*10) / 10
 		fields["free_slots"] = c.full.FreeSlots
 	}
-	if c.lostAny() {
+	if c.anyUnanswered() {
 		fields["fingerprint"] = c.fingerprint().String()
 	}
 	for i, t := range c.steps {
@@ -229,7 +230,7 @@
 	c.server.Log.Info(text, fields)
 }
 
-// log adds what is told of a try to the fields of a request's line.
+// log adds the fields of a try to those of a request's log line.
 func (t *step) log(name string, fields map[string]any) {
 	l := t.lease
 	fields[name] = l.ID + " " + t.result.String()
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -9,11 +9,11 @@
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
 )
 
-// fingerprint names the request, whatever attempt at it this is. It is worked out only
-// where it is asked for, since it takes in the whole body.
+// fingerprint returns the fingerprint of the request, which is the same for every attempt at
+// it. It is computed only when needed, because it covers the whole body.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	if c.print != nil {
-		return *c.print
+	if c.cachedFingerprint != nil {
+		return *c.cachedFingerprint
 	}
 	i := &quarantine.Identity{
 		Method: c.r.Method, Host: c.r.Host, Target: c.r.RequestURI, Body: c.body.whole, Length: int64(len(c.body.whole)),
@@ -25,14 +25,15 @@
 		i.Body, i.Length = c.body.head, int64(c.body.length)
 	}
 	f := quarantine.FingerprintOf(i)
-	c.print = &f
+	c.cachedFingerprint = &f
 	return f
 }
 
-// lost tells a backend server that has ended from a connection that was closed, and has the
-// end count against the request. One that is known to leave ends as planned. Where the
-// request is not to be sent again, its client need not wait for that.
-func (c *call) lost(lease *backend.Lease, err error) backend.Result {
+// classifyLoss returns the result of an exchange whose connection was lost. It determines
+// whether the backend server has crashed or only closed the connection, and counts a crash
+// against the request. A server that is known to be leaving ends as planned. If the request is
+// not sent again, the check runs in the background, so that the client need not wait for it.
+func (c *call) classifyLoss(lease *backend.Lease, err error) backend.Result {
 	if !exchange.ClosedUnanswered(err) || !lease.Usable() {
 		return backend.Broken
 	}
@@ -40,7 +41,7 @@
 		f, server := c.fingerprint(), lease.Server
 		c.server.Background(func() {
 			if c.server.HasCrashed(&server) {
-				c.server.Crashed(f, server.Incarnation())
+				c.server.ObserveCrash(f, server.Incarnation())
 			}
 		})
 		return backend.Broken
@@ -49,18 +50,18 @@
 		return backend.Broken
 	}
 	c.crashes++
-	c.server.Crashed(c.fingerprint(), lease.Incarnation())
+	c.server.ObserveCrash(c.fingerprint(), lease.Incarnation())
 	return backend.Crashed
 }
 
-// crashesPerAttempt is how many backend servers may crash under one attempt. Most requests
-// that were at a server when it crashed did not crash it, so the first crash is followed by
-// a repeat; two in a row hardly happen to others.
+// crashesPerAttempt is how many backend servers may crash during one attempt. Most requests
+// that were at a server when it crashed did not cause the crash, so the first crash is
+// followed by a retry; two crashes in a row are unlikely for other requests.
 const crashesPerAttempt = 2
 
-// crashesTooMany reports whether the request is not to be sent on for what has crashed
-// under it, in this attempt or in others.
-func (c *call) crashesTooMany() bool {
+// tooManyCrashes reports whether the request must not be sent on because of the servers that
+// have crashed under it, in this attempt or in others.
+func (c *call) tooManyCrashes() bool {
 	if c.crashes == 0 {
 		return false
 	}
@@ -68,9 +69,9 @@
 	return held || c.crashes >= crashesPerAttempt
 }
 
-// keptBack rejects a request under which several backend servers have crashed. It comes again, at
-// all boxes in turn, and would end one server after the other.
-func (c *call) keptBack() *outcome.Failure {
+// checkQuarantine rejects a request under which several backend servers have crashed. Such a
+// request is retried at all boxes in turn, and would crash one server after another.
+func (c *call) checkQuarantine() *outcome.Failure {
 	if c.server.Quarantine.Empty() {
 		return nil
 	}
@@ -81,29 +82,30 @@
 	return outcome.NewNotRun(outcome.ReasonCrashesServers, c.fingerprint().String()).WithRetryAfter(left)
 }
 
-// cleared notes that a backend server lived to answer the request.
-func (c *call) cleared(verdict Verdict) {
+// noteSurvival records that a backend server answered the request without crashing.
+func (c *call) noteSurvival(verdict AnswerMeta) {
 	if !verdict.Signed || c.server.Quarantine.Empty() {
 		return
 	}
 	if c.server.Quarantine.ObserveAnswer(c.fingerprint()) {
-		c.server.Released(c.fingerprint())
+		c.server.ObserveRelease(c.fingerprint())
 	}
 }
 
-// placement is the key by which the request's server is chosen: that of its affinity, but
-// for a request against which a crash counts. Those that lost a server together have the
-// same next one by affinity, and would lose that together too; each by its own fingerprint,
-// all but the one that crashes servers are answered and are clear.
-func (c *call) placement() uint64 {
+// placementKey returns the key by which the request's server is chosen: the affinity key,
+// unless a crash counts against the request. Requests that were at the same server when it
+// crashed have the same next server by affinity, and would lose that one together too. Placed
+// by their own fingerprints, all but the one that crashes servers are answered and thereby
+// cleared.
+func (c *call) placementKey() uint64 {
 	if c.server.Quarantine.Empty() || !c.server.Quarantine.Suspected(c.fingerprint()) {
 		return c.key
 	}
 	return uint64(c.fingerprint())
 }
 
-// lostAny reports whether the request was at a backend server that did not answer it.
-func (c *call) lostAny() bool {
+// anyUnanswered reports whether the request was at a backend server that did not answer it.
+func (c *call) anyUnanswered() bool {
 	return slices.ContainsFunc(c.steps, func(t step) bool {
 		return t.result == backend.Broken || t.result == backend.Crashed
 	})
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -106,10 +106,10 @@
 type Member struct {
 	Record
 	State State
-	// Heard is when the record's version last rose, by this box's clock.
-	Heard time.Time
-	// Silent is how long ago that was.
-	Silent time.Duration
+	// LastHeard is when the record's version last rose, by this box's clock.
+	LastHeard time.Time
+	// SilentFor is how long ago that was.
+	SilentFor time.Duration
 	// InList is true if the platform's list names the box.
 	InList bool
 }
@@ -119,8 +119,8 @@
 	Now func() time.Time
 	// Self is the name of this box.
 	Self string
-	// Near reports whether a zone is in this box's region.
-	Near func(zone string) bool
+	// SameRegion reports whether a zone is in this box's region.
+	SameRegion func(zone string) bool
 
 	mu      sync.RWMutex
 	records map[string]*entry
@@ -128,13 +128,13 @@
 }
 
 type entry struct {
-	record Record
-	heard  time.Time
+	record    Record
+	lastHeard time.Time
 }
 
 // NewTable makes a table that knows only its own box.
 func NewTable(self string, now func() time.Time) *Table {
-	return &Table{Now: now, Self: self, Near: func(string) bool { return false }, records: map[string]*entry{}, listed: map[string]platform.Box{}}
+	return &Table{Now: now, Self: self, SameRegion: func(string) bool { return false }, records: map[string]*entry{}, listed: map[string]platform.Box{}}
 }
 
 // Merge takes in records heard from another box.
@@ -148,11 +148,11 @@
 		}
 		e, ok := t.records[r.Box]
 		if !ok {
-			t.records[r.Box] = &entry{record: r, heard: now}
+			t.records[r.Box] = &entry{record: r, lastHeard: now}
 			continue
 		}
 		if t.replaces(&r, &e.record) {
-			e.record, e.heard = r, now
+			e.record, e.lastHeard = r, now
 		}
 	}
 }
@@ -161,7 +161,7 @@
 // region, a partial record must never hide what a full one of the same life
 // says, though its version be higher: the slots depend on it.
 func (t *Table) replaces(r, known *Record) bool {
-	if r.Incarnation == known.Incarnation && t.Near(r.Zone) && r.Partial != known.Partial {
+	if r.Incarnation == known.Incarnation && t.SameRegion(r.Zone) && r.Partial != known.Partial {
 		return known.Partial
 	}
 	return r.newer(known)
@@ -171,7 +171,7 @@
 func (t *Table) SetSelf(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.records[t.Self] = &entry{record: r, heard: t.Now()}
+	t.records[t.Self] = &entry{record: r, lastHeard: t.Now()}
 }
 
 // SetListed takes in the platform's list.
@@ -184,14 +184,14 @@
 	}
 }
 
-// ForgiveSilence restarts the clock of every record, after this process stood
+// ResetSilence restarts the clock of every record, after this process stood
 // still: the silence was its own.
-func (t *Table) ForgiveSilence() {
+func (t *Table) ResetSilence() {
 	now := t.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.records {
-		e.heard = now
+		e.lastHeard = now
 	}
 }
 
@@ -201,19 +201,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, e := range t.records {
-		if _, ok := t.listed[name]; !ok && name != t.Self && now.Sub(e.heard) > ForgetAfter {
+		if _, ok := t.listed[name]; !ok && name != t.Self && now.Sub(e.lastHeard) > ForgetAfter {
 			delete(t.records, name)
 		}
 	}
 }
 
-// News returns the records that rose since the given time, own one included.
-func (t *Table) News(since time.Time) []Record {
+// UpdatedSince returns the records that rose since the given time, own one included.
+func (t *Table) UpdatedSince(since time.Time) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var news []Record
 	for _, e := range t.records {
-		if !e.heard.Before(since) {
+		if !e.lastHeard.Before(since) {
 			news = append(news, e.record)
 		}
 	}
@@ -256,17 +256,17 @@
 }
 
 func (t *Table) member(e *entry, now time.Time) Member {
-	m := Member{Record: e.record, Heard: e.heard, Silent: now.Sub(e.heard)}
+	m := Member{Record: e.record, LastHeard: e.lastHeard, SilentFor: now.Sub(e.lastHeard)}
 	listed, ok := t.listed[e.record.Box]
 	m.InList = ok
 	switch {
 	case e.record.Box == t.Self:
-		m.State, m.Silent = Live, 0
+		m.State, m.SilentFor = Live, 0
 	case m.Gone:
 		m.State = Dead
-	case m.Silent > DeadAfter:
+	case m.SilentFor > DeadAfter:
 		m.State = Dead
-	case m.Silent > SuspectAfter:
+	case m.SilentFor > SuspectAfter:
 		m.State = Suspect
 	default:
 		m.State = Live
--- a/pkg/objects/calls.go
+++ b/pkg/objects/calls.go
@@ -10,8 +10,8 @@
 // The calls of a follower, and the pauses between them.
 // ================================================================
 
-// ask makes the next call: a list where none is known, else a watch.
-func (f *Follower) ask(ctx context.Context, state *following) error {
+// call makes the next call: a list if the mirror has none to go on from, otherwise a watch.
+func (f *Follower) call(ctx context.Context, state *followState) error {
 	if !state.listed {
 		if err := f.list(ctx, state.stale); err != nil {
 			return err
@@ -25,19 +25,21 @@
 	}
 	switch {
 	case state.failed:
-		wait = atOnce
-	case state.gathers:
-		// The store answers once in each wait, whatever happens.
-		wait = max(wait-gather, atOnce)
+		wait = minWait
+	case state.batched:
+		// After the pause, wait for the rest only, so that the store answers once per Wait
+		// whether or not anything changes.
+		wait = max(wait-batchPause, minWait)
 	}
-	state.gathers = false
-	changes, err := f.takeChanges(ctx, wait)
-	state.gathers = changes > 0
+	state.batched = false
+	changes, err := f.fetchChanges(ctx, wait)
+	state.batched = changes > 0
 	return err
 }
 
-// takeChanges takes in what has changed, and returns how many changes that were.
-func (f *Follower) takeChanges(ctx context.Context, wait time.Duration) (changes int, err error) {
+// fetchChanges makes a watch, applies the changes to the mirror and returns how many there
+// were.
+func (f *Follower) fetchChanges(ctx context.Context, wait time.Duration) (changes int, err error) {
 	events, at, err := f.watch(ctx, wait)
 	if err != nil {
 		return 0, err
@@ -48,10 +50,10 @@
 	return len(events), nil
 }
 
-// Poll asks once for what has changed and takes it in, whether this box is to ask the
-// store or not. The mirror must hold a list.
+// Poll fetches and applies the changes since the mirror's revision once, without waiting and
+// whether or not Allowed permits calls. The mirror must hold a list.
 func (f *Follower) Poll(ctx context.Context) error {
-	_, err := f.takeChanges(ctx, atOnce)
+	_, err := f.fetchChanges(ctx, minWait)
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		return f.list(ctx, false)
@@ -60,7 +62,7 @@
 }
 
 func (f *Follower) watch(ctx context.Context, wait time.Duration) ([]Event, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime+wait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
 	start, since := f.begin(), f.Mirror.Version().Revision
 	events, at, err := f.Client.Watch(ctx, f.Mirror.Kind, since, wait)
@@ -68,11 +70,11 @@
 	return events, at, err
 }
 
-// list reads all pages. It ends early where another box hands the first list over.
+// list reads all pages of a list. It returns early if another box hands over the first list.
 func (f *Follower) list(ctx context.Context, stale bool) error {
 	first := !f.Mirror.Synced()
 	var items []Object
-	var held Extent
+	var extent Extent
 	after := ""
 	for page := range maxPages {
 		if first && page >= pagesAtOnce {
@@ -83,28 +85,28 @@
 				return nil
 			}
 		}
-		p, err := f.page(ctx, after, stale)
+		p, err := f.listPage(ctx, after, stale)
 		if err != nil {
 			return err
 		}
 		if page == 0 {
-			held.CompleteTo = p.Revision
+			extent.CompleteTo = p.Revision
 		}
-		held.PartialTo = p.Revision
+		extent.PartialTo = p.Revision
 		items = append(items, p.Items...)
 		if !p.More || len(p.Items) == 0 {
 			break
 		}
 		after = p.Items[len(p.Items)-1].Name
 	}
-	f.Mirror.Load(items, held)
+	f.Mirror.Load(items, extent)
 	return nil
 }
 
-// page reads one page. Each has the time of an answer: a long list
-// has many, which together take seconds from a region that is far from the store.
-func (f *Follower) page(ctx context.Context, after string, stale bool) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+// listPage reads one page. Each page has a timeout of its own: a long list has many pages,
+// which together take seconds from a region that is far from the store.
+func (f *Follower) listPage(ctx context.Context, after string, stale bool) (Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	start := f.begin()
 	p, err := f.Client.List(ctx, f.Mirror.Kind, after, stale)
@@ -112,11 +114,11 @@
 	return p, err
 }
 
-// awaitTurn waits until this box is to read on, or has been handed the list. The
-// error is that of the context.
+// awaitTurn waits until this box may continue its list, or has been handed the list by another
+// box. It returns the error of the context, if any.
 func (f *Follower) awaitTurn(ctx context.Context) error {
-	for f.ContinuesList != nil && !f.ContinuesList() && !f.Mirror.Synced() {
-		f.sleep(ctx, readPoll)
+	for f.ReadsAllPages != nil && !f.ReadsAllPages() && !f.Mirror.Synced() {
+		f.sleep(ctx, turnInterval)
 		if err := ctx.Err(); err != nil {
 			return err
 		}
@@ -126,11 +128,11 @@
 
 func (f *Follower) pause(ctx context.Context, failures int) {
 	select {
-	case <-f.hurry:
-		// It was meant for an earlier pause.
+	case <-f.retryNow:
+		// The signal was meant for an earlier pause.
 	default:
 	}
-	d := min(firstRetry<<min(failures, 10), longestRetry)
+	d := min(minRetry<<min(failures, 10), maxRetry)
 	f.sleep(ctx, time.Duration(float64(d)*(0.5+f.Random()/2)))
 }
 
@@ -140,6 +142,6 @@
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-f.hurry:
+	case <-f.retryNow:
 	}
 }
--- a/pkg/quota/bench_test.go
+++ b/pkg/quota/bench_test.go
@@ -8,14 +8,14 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// BenchmarkArrive tells the time of a decision on a request by a box that is its own
+// BenchmarkArrive measures the time of a decision on a request at a box that is its own
 // allocator, by the number of customers.
 func BenchmarkArrive(b *testing.B) {
 	for _, customers := range []int{79, 100_000} {
 		now := simStart
 		self := Box{Key: KeyOf("box"), Address: "box"}
 		l := &Limiter{
-			Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: self, Incarnation: 1,
+			Tolerance: simTolerance, Zone: "a", Zones: []string{"a"}, Self: self, Incarnation: 1,
 			Now: func() time.Time { return now }, Random: func() float64 { return 0.5 },
 		}
 		l.Start()
--- a/pkg/quota/message_test.go
+++ b/pkg/quota/message_test.go
@@ -7,18 +7,18 @@
 	"github.com/matryer/is"
 )
 
-// messages are one of each kind.
+// messages contains one message of each kind.
 var messages = []Message{
 	{From: 7, Report: &Report{
 		Incarnation: -5, Echo: Stamp{Incarnation: 9, ElapsedMs: 1000}, Weight: 0.25, Allocators: []uint64{1, 2},
 		Usage: []Usage{{ID: 3, Arrived: 10, Used: 8, Ceiling: 9, Want: 2, Waiting: 1}, {ID: 4}},
 	}},
 	{From: 7, Grant: &Grant{Incarnation: 5, Stamp: Stamp{Incarnation: 1 << 60, ElapsedMs: 17}, Ceilings: []Ceiling{{ID: 3, Ceiling: 12, Exhausted: true}, {ID: 1<<64 - 1, Ceiling: 1<<32 - 1}}}},
-	{From: 7, Ask: &LoanRequest{Number: 4, Wanted: []Tokens{{ID: 3, Count: 6}}}},
+	{From: 7, LoanRequest: &LoanRequest{Number: 4, Wanted: []Tokens{{ID: 3, Count: 6}}}},
 	{From: 7, Loan: &Loan{Number: 4, Tokens: []Tokens{{ID: 3, Count: 6, Left: 65535}}}},
 }
 
-func TestMessagesComeAsTheyWereSent(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for i := range messages {
 		got, err := Decode(Encode(&messages[i]))
@@ -43,8 +43,8 @@
 	is.True(err != nil)
 }
 
-// FuzzDecode: whatever comes is read or refused, and what is read is written as it
-// was; an allocator that takes it in does not fail.
+// FuzzDecode checks that every datagram is decoded or rejected, that a decoded message is
+// encoded as it was, and that a box handles it without a problem.
 func FuzzDecode(f *testing.F) {
 	for i := range messages {
 		f.Add(Encode(&messages[i]))
@@ -57,9 +57,9 @@
 			return
 		}
 		if got := Encode(m); string(got) != string(datagram) && m.Grant == nil {
-			t.Fatalf("%x came back as %x", datagram, got)
+			t.Fatalf("%x was decoded and encoded as %x", datagram, got)
 		}
-		w := newWorld(false)
+		w := newZoneModel(false)
 		w.boxes[0].Receive(m, "9")
 		if w.problem() != "" {
 			t.Fatal(w.problem())
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// customersOf makes customers whose limits are 1.6 times what they usually send; the
-// first are the large ones.
+// customersOf returns customers whose limits are 1.6 times their usual rates, and these rates.
+// The first customers are the large ones.
 func customersOf(count int, total float64) (list []customer.Customer, usual []float64) {
 	sum := 0.0
 	for i := range count {
@@ -24,15 +24,15 @@
 	return list, usual
 }
 
-// wave is demand that swings over the day, up to 0.97 of the limit.
-func wave(usual float64) func(t time.Duration) float64 {
+// dailyDemand returns demand that varies over a simulated day, up to 0.97 of the limit.
+func dailyDemand(usual float64) func(t time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		return usual * (1 + 0.55*math.Sin(2*math.Pi*t.Seconds()/36))
 	}
 }
 
-// serving returns a large box of the zone that is up, or else any box.
-func (f *fleet) serving(zone string) *simBox {
+// pickBox returns a large box of the zone that is up, or else any box.
+func (f *fleet) pickBox(zone string) *simBox {
 	var large, near, any []*simBox
 	for _, b := range f.boxes {
 		switch {
@@ -53,16 +53,16 @@
 	return f.boxes[0]
 }
 
-// drive lets all customers send their usual requests.
-func (f *fleet) drive(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
+// sendUsual sends the usual requests of all customers.
+func (f *fleet) sendUsual(usual []float64, d time.Duration, zoneOf func(customer int, t time.Duration) string) {
 	for i, c := range f.list {
-		f.load(c.Name, wave(usual[i]), func(t time.Duration) *simBox { return f.serving(zoneOf(i, t)) }, d)
+		f.load(c.Name, dailyDemand(usual[i]), func(t time.Duration) *simBox { return f.pickBox(zoneOf(i, t)) }, d)
 	}
 	f.run(d + time.Second)
 }
 
-// places say to which zone a customer's next request comes.
-var places = []struct {
+// clientPlacements determine the zone of a customer's next request.
+var clientPlacements = []struct {
 	name   string
 	zoneOf func(f *fleet, c int, t time.Duration) string
 }{
@@ -74,55 +74,55 @@
 
 func (f *fleet) anyZone() string { return f.zones[f.random.Intn(len(f.zones))] }
 
-// TestCustomersBelowTheirLimitsAreServed: wherever their clients are, and however
-// they move, fewer than one in a hundred requests are refused that one bucket for all
-// boxes would have let pass, while demand goes up to 0.97 of each limit.
+// TestCustomersBelowTheirLimitsAreServed checks that, wherever clients are and however they
+// move, at most one in a hundred requests is refused that a single bucket for all boxes would
+// have admitted, while demand goes up to 0.97 of each limit.
 func TestCustomersBelowTheirLimitsAreServed(t *testing.T) {
 	for _, size := range []struct {
 		zones, large, small int
 		places              int
 	}{{1, 1, 0, 1}, {6, 2, 0, 2}, {6, 2, 10, 4}, {9, 3, 8, 2}} {
 		list, usual := customersOf(79, 2000)
-		for _, p := range places[:size.places] {
+		for _, p := range clientPlacements[:size.places] {
 			t.Run(fmt.Sprintf("%d zones, %s", size.zones, p.name), func(t *testing.T) {
 				t.Parallel()
 				f := newSimFleet(1, size.zones, size.large, size.small, list)
 				f.start()
-				f.drive(usual, 27*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
+				f.sendUsual(usual, 27*time.Second, func(c int, d time.Duration) string { return p.zoneOf(f, c, d) })
 				who, part := f.worst()
-				falsely, waited := f.falsely()
+				falseRefusals, waited := f.falseRefusals()
 				span := 33 * float64(len(f.boxes))
-				t.Logf("%d boxes, clients %s: %.2f%% falsely refused, waited %v a request, at most %.2f of the bound; bytes a box and second: %.0f in the zone, %.0f to others",
-					len(f.boxes), p.name, 100*falsely, waited.Round(time.Microsecond), part,
+				t.Logf("%d boxes, clients %s: %.2f%% falsely refused, waited %v per request, at most %.2f of the bound; bytes per box and second: %.0f in the zone, %.0f to others",
+					len(f.boxes), p.name, 100*falseRefusals, waited.Round(time.Microsecond), part,
 					float64(f.bytes["zone"])/span, float64(f.bytes["near"]+f.bytes["region"])/span)
-				if falsely > 0.01 {
-					t.Errorf("%.4f falsely refused", falsely)
+				if falseRefusals > 0.01 {
+					t.Errorf("%.4f of the requests were falsely refused", falseRefusals)
 				}
 				if part > 1 {
-					t.Errorf("%s is over its limit: %.3f", who, part)
+					t.Errorf("%s exceeded its limit: %.3f of the bound", who, part)
 				}
 			})
 		}
 	}
 }
 
-// trouble strikes the fleet at random for a time.
-func (f *fleet) trouble(d time.Duration) {
+// injectFaults injects random faults for the given time.
+func (f *fleet) injectFaults(d time.Duration) {
 	f.loss = []float64{0, 0, 0.03, 0.2}[f.random.Intn(4)]
 	end := f.now.Add(d)
-	var strike func()
-	strike = func() {
+	var next func()
+	next = func() {
 		if f.now.After(end) {
 			return
 		}
-		f.strike()
-		f.after(time.Duration(300+f.random.Intn(2500))*time.Millisecond, strike)
+		f.injectFault()
+		f.after(time.Duration(300+f.random.Intn(2500))*time.Millisecond, next)
 	}
-	f.after(time.Duration(f.random.Intn(1000))*time.Millisecond, strike)
+	f.after(time.Duration(f.random.Intn(1000))*time.Millisecond, next)
 }
 
-// strike does one thing to the fleet.
-func (f *fleet) strike() {
+// injectFault injects one random fault.
+func (f *fleet) injectFault() {
 	some := func(part float64) []*simBox {
 		var list []*simBox
 		for _, b := range f.boxes {
@@ -138,16 +138,16 @@
 		for _, b := range some(part) {
 			if b.up {
 				b.kill()
-				b.start(restartTime + time.Duration(f.random.Intn(2000))*time.Millisecond)
+				b.start(minRestartTime + time.Duration(f.random.Intn(2000))*time.Millisecond)
 			}
 		}
 	case 2:
 		for _, b := range some(part / 2) {
 			if b.up && !b.frozen {
 				b.frozen = true
-				life := b.life
+				incarnation := b.incarnation
 				f.after(time.Duration(200+f.random.Intn(3000))*time.Millisecond, func() {
-					if b.life == life {
+					if b.incarnation == incarnation {
 						b.frozen = false
 					}
 				})
@@ -158,7 +158,7 @@
 	}
 }
 
-// cutOff cuts zones, regions or single boxes off from each other for a while, one way
+// cutOff cuts zones, regions or single boxes off from each other for a while, in one direction
 // or both.
 func (f *fleet) cutOff() {
 	group := map[*simBox]int{}
@@ -186,15 +186,15 @@
 	f.after(time.Duration(500+f.random.Intn(6000))*time.Millisecond, func() { f.cut = func(*simBox, *simBox) bool { return false } })
 }
 
-// TestLimitsHoldUnderTrouble: customers that send up to 10 times their limits, some
-// from one zone, some from everywhere, stay within the bound in every window, while
-// boxes are killed, frozen and cut off and messages are lost.
+// TestLimitsHoldUnderTrouble checks that customers that send up to 10 times their limits, some
+// from one zone, some from everywhere, stay within the bound in every window, while boxes are
+// killed, frozen and cut off and messages are lost.
 func TestLimitsHoldUnderTrouble(t *testing.T) {
 	for seed := range 10 {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			if who, part := playTrouble(int64(seed)); part > 1 {
-				t.Errorf("%s is over its limit: %.3f of the bound", who, part)
+			if who, part := runWithFaults(int64(seed)); part > 1 {
+				t.Errorf("%s exceeded its limit: %.3f of the bound", who, part)
 			} else {
 				t.Logf("at most %.3f of the bound", part)
 			}
@@ -202,15 +202,16 @@
 	}
 }
 
-// playTrouble returns the customer that came nearest to its bound, as a part of it.
-func playTrouble(seed int64) (who string, part float64) {
+// runWithFaults returns the customer that came nearest to its bound, and the part of the bound
+// that it used.
+func runWithFaults(seed int64) (who string, part float64) {
 	list := []customer.Customer{
 		{Name: "large", Rate: 300, Burst: 300}, {Name: "usual", Rate: 40, Burst: 40}, {Name: "small", Rate: 5, Burst: 5},
 		{Name: "no-burst", Rate: 60}, {Name: "all-burst", Rate: 4, Burst: 100},
 	}
 	f := newSimFleet(seed, 6, 2, 10, list)
 	f.start()
-	f.trouble(20 * time.Second)
+	f.injectFaults(20 * time.Second)
 	for i, c := range list {
 		zone := f.anyZone()
 		everywhere := i == 0 || f.random.Intn(2) == 0
@@ -219,7 +220,7 @@
 			if everywhere {
 				zone = f.anyZone()
 			}
-			return f.serving(zone)
+			return f.pickBox(zone)
 		}, 22*time.Second)
 	}
 	f.run(25 * time.Second)
--- a/pkg/quota/states_test.go
+++ b/pkg/quota/states_test.go
@@ -11,38 +11,38 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// world is three boxes of one zone, which can see each other or not, with the
-// messages that are on their way between them. A test plays steps on it and looks
-// after each whether a part of the limit is with two allocators at a time, or more
-// tokens are used than were made.
-type world struct {
+// zoneModel is a model of three boxes of one zone, which may or may not see each other, and of
+// the messages in transit between them. A test runs steps on it and checks after each that no
+// share of the limit is leased to two allocators at a time and that no more tokens are used
+// than were made.
+type zoneModel struct {
 	now   time.Time
 	boxes [3]*Limiter
-	// alone: the box sees no other one.
-	alone [3]bool
-	down  [3]time.Time
-	lives [3]int64
-	mail  []mail
-	// made and used are the tokens of lives that have ended.
+	// alone is set for a box that sees no other one.
+	alone        [3]bool
+	down         [3]time.Time
+	incarnations [3]int64
+	queue        []queuedMessage
+	// made and used are the tokens of incarnations that have ended.
 	made, used float64
-	// endless: what was lent does not end by itself.
-	endless bool
+	// noExpiry keeps leases from expiring.
+	noExpiry bool
 }
 
-type mail struct {
+type queuedMessage struct {
 	from, to int
 	message  Message
 }
 
 const (
-	worldCustomer = "studio"
-	worldRate     = 40
+	modelCustomer = "studio"
+	modelRate     = 40
 )
 
-func newWorld(endless bool) *world {
-	w := &world{now: simStart, endless: endless}
+func newZoneModel(noExpiry bool) *zoneModel {
+	w := &zoneModel{now: simStart, noExpiry: noExpiry}
 	for i := range w.boxes {
-		w.begin(i)
+		w.start(i)
 	}
 	for range 12 {
 		w.tick(100 * time.Millisecond)
@@ -51,47 +51,47 @@
 	return w
 }
 
-func worldBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
+func modelBox(i int) Box { return Box{Key: KeyOf(fmt.Sprint("box-", i)), Address: fmt.Sprint(i)} }
 
-func (w *world) begin(i int) {
-	w.lives[i]++
+func (w *zoneModel) start(i int) {
+	w.incarnations[i]++
 	l := &Limiter{
-		Tolerance: simTerms, Zone: "a", Zones: []string{"a"}, Self: worldBox(i), Incarnation: w.lives[i],
+		Tolerance: simTolerance, Zone: "a", Zones: []string{"a"}, Self: modelBox(i), Incarnation: w.incarnations[i],
 		Now: func() time.Time { return w.now }, Random: func() float64 { return 0.5 },
 	}
 	l.Start()
-	l.SetCustomers([]customer.Customer{{Name: worldCustomer, Rate: worldRate, Burst: worldRate}})
+	l.SetCustomers([]customer.Customer{{Name: modelCustomer, Rate: modelRate, Burst: modelRate}})
 	w.boxes[i] = l
 }
 
-func (w *world) up(i int) bool { return w.boxes[i] != nil }
+func (w *zoneModel) up(i int) bool { return w.boxes[i] != nil }
 
-func (w *world) view(i int) View {
+func (w *zoneModel) view(i int) View {
 	v := View{Weight: 1.0 / 3}
 	for j := range w.boxes {
 		if j == i || !w.alone[i] && !w.alone[j] && w.up(j) {
-			v.First = append(v.First, worldBox(j))
+			v.First = append(v.First, modelBox(j))
 		}
 	}
 	return v
 }
 
-// collect takes what a box has to send.
-func (w *world) collect(i int) {
+// collect queues the messages that a box has to send.
+func (w *zoneModel) collect(i int) {
 	for _, e := range w.boxes[i].TakeMessages() {
 		to := int(e.To.Address[0] - '0')
 		m := e.Message
-		m.From = worldBox(i).Key
-		w.mail = append(w.mail, mail{from: i, to: to, message: m})
+		m.From = modelBox(i).Key
+		w.queue = append(w.queue, queuedMessage{from: i, to: to, message: m})
 	}
 }
 
-// tick lets time pass, and each box do what is due.
-func (w *world) tick(d time.Duration) {
+// tick advances the time and runs the periodic work of each box.
+func (w *zoneModel) tick(d time.Duration) {
 	w.now = w.now.Add(d)
 	for i := range w.boxes {
-		if !w.up(i) && w.now.Sub(w.down[i]) >= restartTime {
-			w.begin(i)
+		if !w.up(i) && w.now.Sub(w.down[i]) >= minRestartTime {
+			w.start(i)
 		}
 		if w.up(i) {
 			w.boxes[i].Tick(w.view(i))
@@ -100,22 +100,22 @@
 	}
 }
 
-func (w *world) deliver(m mail) {
+func (w *zoneModel) deliver(m queuedMessage) {
 	if w.up(m.to) {
 		w.boxes[m.to].Receive(&m.message, fmt.Sprint(m.from))
 		w.collect(m.to)
 	}
 }
 
-func (w *world) deliverAll() {
-	for len(w.mail) > 0 {
-		m := w.mail[0]
-		w.mail = w.mail[1:]
+func (w *zoneModel) deliverAll() {
+	for len(w.queue) > 0 {
+		m := w.queue[0]
+		w.queue = w.queue[1:]
 		w.deliver(m)
 	}
 }
 
-func (w *world) kill(i int) {
+func (w *zoneModel) kill(i int) {
 	if !w.up(i) {
 		return
 	}
@@ -125,81 +125,81 @@
 	w.down[i] = w.now
 }
 
-func (w *world) madeBy(i int) float64 {
+func (w *zoneModel) madeBy(i int) float64 {
 	a := w.boxes[i].allocator
 	a.advance(w.now)
-	return a.leases.weightSecondsOf(IDOf(worldCustomer)) * worldRate
+	return a.leases.weightSecondsOf(IDOf(modelCustomer)) * modelRate
 }
 
-func (w *world) usedBy(i int) float64 {
-	if a := w.boxes[i].accounts[IDOf(worldCustomer)]; a != nil {
+func (w *zoneModel) usedBy(i int) float64 {
+	if a := w.boxes[i].accounts[IDOf(modelCustomer)]; a != nil {
 		return float64(a.ceiling)
 	}
 	return 0
 }
 
-// steps are what may happen.
+// steps are the possible steps.
 var steps = []struct {
 	name string
-	run  func(w *world)
+	run  func(w *zoneModel)
 }{
-	{"request 0", func(w *world) { w.request(0) }},
-	{"request 1", func(w *world) { w.request(1) }},
-	{"request 2", func(w *world) { w.request(2) }},
-	{"tick", func(w *world) { w.tick(100 * time.Millisecond) }},
-	{"long tick", func(w *world) { w.tick(400 * time.Millisecond) }},
-	{"stand still", func(w *world) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
-	{"deliver all", func(w *world) { w.deliverAll() }},
-	{"deliver first", func(w *world) {
-		if len(w.mail) > 0 {
-			m := w.mail[0]
-			w.mail = w.mail[1:]
+	{"request 0", func(w *zoneModel) { w.request(0) }},
+	{"request 1", func(w *zoneModel) { w.request(1) }},
+	{"request 2", func(w *zoneModel) { w.request(2) }},
+	{"tick", func(w *zoneModel) { w.tick(100 * time.Millisecond) }},
+	{"long tick", func(w *zoneModel) { w.tick(400 * time.Millisecond) }},
+	{"stand still", func(w *zoneModel) { w.now = w.now.Add(leaseTime + 100*time.Millisecond) }},
+	{"deliver all", func(w *zoneModel) { w.deliverAll() }},
+	{"deliver first", func(w *zoneModel) {
+		if len(w.queue) > 0 {
+			m := w.queue[0]
+			w.queue = w.queue[1:]
 			w.deliver(m)
 		}
 	}},
-	{"deliver last", func(w *world) {
-		if n := len(w.mail); n > 0 {
-			m := w.mail[n-1]
-			w.mail = w.mail[:n-1]
+	{"deliver last", func(w *zoneModel) {
+		if n := len(w.queue); n > 0 {
+			m := w.queue[n-1]
+			w.queue = w.queue[:n-1]
 			w.deliver(m)
 		}
 	}},
-	{"deliver twice", func(w *world) {
-		if len(w.mail) > 0 {
-			w.deliver(w.mail[0])
+	{"deliver twice", func(w *zoneModel) {
+		if len(w.queue) > 0 {
+			w.deliver(w.queue[0])
 		}
 	}},
-	{"lose all", func(w *world) { w.mail = nil }},
-	{"kill 0", func(w *world) { w.kill(0) }},
-	{"kill 1", func(w *world) { w.kill(1) }},
-	{"0 alone", func(w *world) { w.alone[0] = !w.alone[0] }},
-	{"1 alone", func(w *world) { w.alone[1] = !w.alone[1] }},
+	{"lose all", func(w *zoneModel) { w.queue = nil }},
+	{"kill 0", func(w *zoneModel) { w.kill(0) }},
+	{"kill 1", func(w *zoneModel) { w.kill(1) }},
+	{"0 alone", func(w *zoneModel) { w.alone[0] = !w.alone[0] }},
+	{"1 alone", func(w *zoneModel) { w.alone[1] = !w.alone[1] }},
 }
 
-func (w *world) request(i int) {
+func (w *zoneModel) request(i int) {
 	if w.up(i) {
-		w.boxes[i].Arrive(IDOf(worldCustomer))
+		w.boxes[i].Arrive(IDOf(modelCustomer))
 		w.collect(i)
 	}
 }
 
-// problem says what is wrong, or nothing.
-func (w *world) problem() string {
-	id := IDOf(worldCustomer)
+// problem describes what is wrong; it is empty if nothing is.
+func (w *zoneModel) problem() string {
+	id := IDOf(modelCustomer)
 	for lender := range w.boxes {
-		var with []string
+		var holders []string
 		for i, l := range w.boxes {
 			if l == nil {
 				continue
 			}
-			b := l.allocator.leases.boxes[worldBox(lender).Key]
+			b := l.allocator.leases.boxes[modelBox(lender).Key]
 			if b == nil || b.weight == 0 || !w.now.Before(b.until) || owner(id, b.set.allocators) != l.Self.Key {
 				continue
 			}
-			with = append(with, fmt.Sprint(i))
+			holders = append(holders, fmt.Sprint(i))
 		}
-		if len(with) > 1 {
-			return fmt.Sprintf("the part of box %d is with the allocators %s", lender, strings.Join(with, ", "))
+		if len(holders) > 1 {
+			return fmt.Sprintf("the share of box %d is leased to the allocators %s", lender, strings.Join(holders, ", "))
 		}
 	}
 	made, used := w.made, w.used
@@ -210,19 +210,18 @@
 		}
 	}
 	if used > made+1e-6 {
-		return fmt.Sprintf("%.0f tokens are used of %.2f", used, made)
+		return fmt.Sprintf("%.0f tokens were used of %.2f made", used, made)
 	}
 	return ""
 }
 
-// TestNoPartIsLentTwice plays every sequence of steps up to a depth, and many long
-// ones that are drawn.
+// TestNoPartIsLentTwice runs every sequence of steps up to a depth, and many long random ones.
 func TestNoPartIsLentTwice(t *testing.T) {
 	const depth = 3
 	plays := 0
 	var play func(path []int)
 	play = func(path []int) {
-		w := newWorld(false)
+		w := newZoneModel(false)
 		for _, s := range path {
 			steps[s].run(w)
 		}
@@ -239,29 +238,29 @@
 	}
 	play(nil)
 	for seed := range 1500 {
-		if path, p := draw(int64(seed), 60, false); p != "" {
+		if path, p := playRandom(int64(seed), 60, false); p != "" {
 			t.Fatalf("seed %d, after %s: %s", seed, pathNames(path), p)
 		}
 	}
 	t.Logf("%d sequences of up to %d steps, and 1500 of 60", plays, depth)
 }
 
-// TestWithoutEndAPartIsLentTwice is the control: if what was lent did not end, the
-// check above would find a part with two allocators.
-func TestWithoutEndAPartIsLentTwice(t *testing.T) {
+// TestWithoutExpiryAPartIsLentTwice is the control: if leases did not expire, the check of
+// TestNoPartIsLentTwice would find a share that is leased to two allocators.
+func TestWithoutExpiryAPartIsLentTwice(t *testing.T) {
 	for seed := range 200 {
-		if _, p := draw(int64(seed), 60, true); strings.Contains(p, "is with the allocators") {
+		if _, p := playRandom(int64(seed), 60, true); strings.Contains(p, "is leased to the allocators") {
 			t.Log(p)
 			return
 		}
 	}
-	t.Fatal("the check finds nothing where nothing ends")
+	t.Fatal("the check finds no problem although no lease expires")
 }
 
-// keepLends lets nothing end where the world is one without ends.
-func (w *world) keepLends() {
+// extendLeases keeps all leases from expiring if noExpiry is set.
+func (w *zoneModel) extendLeases() {
 	for _, l := range w.boxes {
-		if l == nil || !w.endless {
+		if l == nil || !w.noExpiry {
 			continue
 		}
 		for _, b := range l.allocator.leases.boxes {
@@ -270,14 +269,14 @@
 	}
 }
 
-func draw(seed int64, length int, endless bool) (path []int, problem string) {
+func playRandom(seed int64, length int, noExpiry bool) (path []int, problem string) {
 	random := rand.New(rand.NewSource(seed))
-	w := newWorld(endless)
+	w := newZoneModel(noExpiry)
 	for range length {
 		s := random.Intn(len(steps))
 		path = append(path, s)
 		steps[s].run(w)
-		w.keepLends()
+		w.extendLeases()
 		if p := w.problem(); p != "" {
 			return path, p
 		}
--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -24,7 +24,7 @@
 
 func target(share float64, down string) *Plan {
 	s := &model.Service{Name: "preview", Shifts: []model.PlannedShift{{FromRegion: "dakar", ToRegion: "thies", Share: share}}}
-	return Target(s, nil, Facts{ClientRegions: regions, Serving: regions, Usable: func(r string) bool { return r != down }})
+	return Target(s, nil, Conditions{ClientRegions: regions, Serving: regions, Usable: func(r string) bool { return r != down }})
 }
 
 func TestTargetIsNested(t *testing.T) {
@@ -57,7 +57,7 @@
 		limit := rapid.Float64Range(0.01, 0.5).Draw(t, "cap")
 		window := 10 * time.Second
 		now := time.Unix(1_000, 0)
-		w := NewWalker()
+		w := NewMigrator()
 		w.Advance(now, "preview", target(0, ""), limit, window)
 		type change struct {
 			at     time.Time
@@ -87,7 +87,7 @@
 
 func TestWalkerArrives(t *testing.T) {
 	is := is.New(t)
-	w := NewWalker()
+	w := NewMigrator()
 	now := time.Unix(1_000, 0)
 	w.Advance(now, "preview", target(0, ""), 0.1, time.Second)
 	steps := 0
