--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -25,7 +25,7 @@
 // Clock is a monotonic clock that counts suspensions.
 type Clock struct {
 	// OnResume is called for each suspension that is found, with its duration.
-	OnResume func(away time.Duration)
+	OnResume func(suspended time.Duration)
 	// boottime reads a clock that counts suspensions.
 	boottime        func() (time.Duration, error)
 	started         time.Time
