--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -11,10 +11,10 @@
 
 // machine simulates a machine that can be suspended.
 type machine struct {
-	mu      sync.Mutex
-	started time.Time
-	away    time.Duration
-	err     error
+	mu        sync.Mutex
+	started   time.Time
+	suspended time.Duration
+	err       error
 }
 
 func newMachine() *machine { return &machine{started: time.Now()} }
@@ -22,13 +22,13 @@
 func (m *machine) boottime() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.started) + m.away, m.err
+	return time.Since(m.started) + m.suspended, m.err
 }
 
 func (m *machine) suspend(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away += d
+	m.suspended += d
 }
 
 // TestSuspensionsCount: a suspension advances the clock by its duration and so lengthens spans
