--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -37,13 +37,13 @@
 	is := is.New(t)
 	m := newMachine()
 	c := NewWithBoottime(m.boottime)
-	var woke []time.Duration
-	c.OnResume = func(away time.Duration) { woke = append(woke, away) }
+	var suspensions []time.Duration
+	c.OnResume = func(away time.Duration) { suspensions = append(suspensions, away) }
 	before := c.Now()
 	for range 100 {
 		c.Sync()
 	}
-	is.Equal(len(woke), 0)
+	is.Equal(len(suspensions), 0)
 	is.True(c.Since(before) < time.Second)
 	m.suspend(5 * time.Second)
 	is.True(c.Since(before) < time.Second)
@@ -54,9 +54,9 @@
 	for range 100 {
 		c.Sync()
 	}
-	is.True(len(woke) >= 2)
+	is.True(len(suspensions) >= 2)
 	sum := time.Duration(0)
-	for _, away := range woke {
+	for _, away := range suspensions {
 		sum += away
 	}
 	is.True(sum <= 7*time.Second) // never more than the actual suspensions
