--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -195,7 +195,7 @@
 
 // simulateFleet draws a fleet and simulates 40 seconds. It returns how often boxes in contact
 // sent the request late, and how many servers crashed.
-func simulateFleet(seed int64, losesPower bool) (late, ended int) {
+func simulateFleet(seed int64, losesPower bool) (late, crashed int) {
 	random := rand.New(rand.NewSource(seed))
 	f := &modelFleet{random: random, clock: newClock(), loss: random.Float64() * 0.1}
 	for range 2 + random.Intn(24) {
