--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -95,7 +95,7 @@
 
 // ObserveCrash records that a server crashed while it had the request. It returns the record
 // of the request if this crash began a hold, otherwise nil.
-func (t *Table) ObserveCrash(f Fingerprint, server string) (begun *Record) {
+func (t *Table) ObserveCrash(f Fingerprint, server string) (newHold *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.recordOf(f)
