--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests of death, which crash each backend server that runs them,
-// from the servers. It distinguishes them from requests that were only at a server when
-// another request crashed it, and boxes send each other what they observe.
+// Package quarantine keeps requests that crash each backend server that runs them (requests of
+// death) away from the servers. It distinguishes them from requests that were only at a server
+// when another request crashed it, and boxes send each other what they observe.
 //
 // This package has no input or output: messages are passed in and out.
 package quarantine
--- a/pkg/serverstatus/operators.go
+++ b/pkg/serverstatus/operators.go
@@ -20,7 +20,7 @@
 	Limits []Limit `json:"limits"`
 }
 
-// Limit is the limit that a server names, and how the box's requests fared under it.
+// Limit is the limit that a server names, and the counts of the box's requests under it.
 type Limit struct {
 	// Server names the server's incarnation, see backend.Server.Incarnation.
 	Server string `json:"server"`
