--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -19,8 +19,8 @@
 
 // receive reads the answer and passes it on. A large answer is streamed; if it breaks off, the
 // client's connection is aborted.
-func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
-	c.noteSurvival(verdict)
+func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, meta AnswerMeta) *outcome.Failure {
+	c.noteSurvival(meta)
 	status := answer.Header.StatusCode()
 	c.server.ObserveAttempt(c.route.Name, lease, Attempt{
 		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
@@ -34,14 +34,14 @@
 	c.copyHeader(answer)
 	if len(held) <= bufferedAnswer {
 		_ = answer.Body.Close()
-		c.finish(lease, backend.Answered, verdict.Load, start, nil)
+		c.finish(lease, backend.Answered, meta.Load, start, nil)
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(held)))
 		c.w.WriteHeader(answer.Header.StatusCode())
 		_, _ = c.w.Write(held)
 		c.answered(answer.Header.StatusCode())
 		return nil
 	}
-	c.stream(lease, start, answer, held, verdict)
+	c.stream(lease, start, answer, held, meta)
 	return nil
 }
 
