--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -55,7 +55,7 @@
 	return &exchange.Error{Stage: exchange.StageBody, Sent: true, Cause: err}
 }
 
-func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, verdict AnswerMeta) {
+func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, meta AnswerMeta) {
 	if answer.Length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.Itoa(answer.Length))
 	}
@@ -70,13 +70,13 @@
 		if c.r.Context().Err() != nil {
 			result = backend.Abandoned
 		}
-		c.finish(lease, result, verdict.Load, start, err)
+		c.finish(lease, result, meta.Load, start, err)
 		c.log("answer broke off", outcome.ReasonTruncated, http.StatusBadGateway, 1)
 		// Aborting the connection is the only way to show the client that the answer is
 		// incomplete.
 		panic(http.ErrAbortHandler)
 	}
-	c.finish(lease, backend.Answered, verdict.Load, start, nil)
+	c.finish(lease, backend.Answered, meta.Load, start, nil)
 	c.answered(answer.Header.StatusCode())
 }
 
