--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -83,8 +83,8 @@
 }
 
 // noteSurvival records that a backend server answered the request without crashing.
-func (c *call) noteSurvival(verdict AnswerMeta) {
-	if !verdict.Signed || c.server.Quarantine.Empty() {
+func (c *call) noteSurvival(meta AnswerMeta) {
+	if !meta.Signed || c.server.Quarantine.Empty() {
 		return
 	}
 	if c.server.Quarantine.Answered(c.fingerprint()) {
