--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -136,7 +136,7 @@
 	Quarantine *quarantine.Table
 	// ObserveAnswer processes what an answer states about its server other than its load. sent
 	// is when the request was sent.
-	ObserveAnswer func(server *backend.Server, verdict *AnswerMeta, sent time.Time)
+	ObserveAnswer func(server *backend.Server, meta *AnswerMeta, sent time.Time)
 	// ObserveAttempt records how a server handled a request that reached it.
 	ObserveAttempt func(route string, lease *backend.Lease, a Attempt)
 	// ObserveUnknownHeader records a header of an answer that the platform's adapter does not
