--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -221,10 +221,10 @@
 // failed records a failed exchange and returns what the client is told.
 func (c *call) failed(lease *backend.Lease, start time.Time, err error) *outcome.Failure {
 	sent := wasSent(err)
-	late := errors.Is(err, context.DeadlineExceeded)
+	timedOut := errors.Is(err, context.DeadlineExceeded)
 	gone := c.r.Context().Err() != nil
 	if sent && !gone {
-		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !late, TimedOut: late, Took: c.server.Now().Sub(start)})
+		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !timedOut, TimedOut: timedOut, Took: c.server.Now().Sub(start)})
 	}
 	switch {
 	case gone:
@@ -235,12 +235,12 @@
 		c.finish(lease, backend.Refused, nil, start, err)
 	case !sent:
 		c.finish(lease, backend.Unreachable, nil, start, err)
-	case late:
+	case timedOut:
 		c.finish(lease, backend.TimedOut, nil, start, err)
 	default:
 		c.finish(lease, c.classifyLoss(lease, err), nil, start, err)
 	}
-	return classify(sent, late, gone, err)
+	return classify(sent, timedOut, gone, err)
 }
 
 // wasSent reports whether any byte of the request may have reached the backend server.
