--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -222,12 +222,12 @@
 func (c *call) failed(lease *backend.Lease, start time.Time, err error) *outcome.Failure {
 	sent := wasSent(err)
 	timedOut := errors.Is(err, context.DeadlineExceeded)
-	gone := c.r.Context().Err() != nil
-	if sent && !gone {
+	clientLeft := c.r.Context().Err() != nil
+	if sent && !clientLeft {
 		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !timedOut, TimedOut: timedOut, Took: c.server.Now().Sub(start)})
 	}
 	switch {
-	case gone:
+	case clientLeft:
 		c.finish(lease, backend.Abandoned, nil, start, err)
 	case isWithdrawn(err):
 		c.finish(lease, backend.Withdrawn, nil, start, err)
@@ -240,7 +240,7 @@
 	default:
 		c.finish(lease, c.classifyLoss(lease, err), nil, start, err)
 	}
-	return classify(sent, timedOut, gone, err)
+	return classify(sent, timedOut, clientLeft, err)
 }
 
 // wasSent reports whether any byte of the request may have reached the backend server.
