--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -254,17 +254,17 @@
 	return errors.As(err, &withdrawn)
 }
 
-func classify(sent, late, gone bool, err error) *outcome.Failure {
+func classify(sent, timedOut, gone bool, err error) *outcome.Failure {
 	switch {
 	case gone && !sent:
 		return outcome.NewNotRun(outcome.ReasonCancelled, "the client left")
 	case gone:
 		return outcome.NewUnknown(outcome.ReasonCancelled, "the client left")
-	case !sent && late:
+	case !sent && timedOut:
 		return outcome.NewNotRun(outcome.ReasonDeadline, err.Error()).WithRetryAfter(notReadyRetry)
 	case !sent:
 		return outcome.NewNotRun(outcome.ReasonConnect, err.Error()).WithRetryAfter(notReadyRetry)
-	case late:
+	case timedOut:
 		return outcome.NewUnknown(outcome.ReasonTimeout, err.Error())
 	}
 	return outcome.NewUnknown(outcome.ReasonConnectionLost, err.Error())
