--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -254,11 +254,11 @@
 	return errors.As(err, &withdrawn)
 }
 
-func classify(sent, timedOut, gone bool, err error) *outcome.Failure {
+func classify(sent, timedOut, clientLeft bool, err error) *outcome.Failure {
 	switch {
-	case gone && !sent:
+	case clientLeft && !sent:
 		return outcome.NewNotRun(outcome.ReasonCancelled, "the client left")
-	case gone:
+	case clientLeft:
 		return outcome.NewUnknown(outcome.ReasonCancelled, "the client left")
 	case !sent && timedOut:
 		return outcome.NewNotRun(outcome.ReasonDeadline, err.Error()).WithRetryAfter(notReadyRetry)
