--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -121,13 +121,13 @@
 
 // roomRetryAfter returns when a server is expected to have a free slot, randomized by half of
 // that time either way, so that clients that were refused together do not return together.
-func (c *call) roomRetryAfter(room time.Duration) time.Duration {
-	if room <= 0 {
+func (c *call) roomRetryAfter(untilFree time.Duration) time.Duration {
+	if untilFree <= 0 {
 		return c.spreadRetryAfter()
 	}
 	p := c.server.Policy()
 	chance := float64(c.server.Random()%1024) / 1024
-	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(room))))
+	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(untilFree))))
 }
 
 // backoffRetryAfter returns when requests are sent again to a server that has asked for a
