--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -133,12 +133,12 @@
 // backoffRetryAfter returns when requests are sent again to a server that has asked for a
 // backoff or has failed, plus a random part of up to a quarter of that time. A client that
 // returns sooner is not served.
-func (c *call) backoffRetryAfter(rest time.Duration) time.Duration {
-	if rest <= 0 {
+func (c *call) backoffRetryAfter(backoff time.Duration) time.Duration {
+	if backoff <= 0 {
 		return c.spreadRetryAfter()
 	}
 	chance := float64(c.server.Random()%1024) / 1024
-	return rest + time.Duration(chance*float64(min(rest/4, c.server.Policy().ReturnMost)))
+	return backoff + time.Duration(chance*float64(min(backoff/4, c.server.Policy().ReturnMost)))
 }
 
 // spreadRetryAfter returns a random time, so that refused clients do not all return at once.
