--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// noteRefusal reports the unknown headers of an answer that is not passed on.
-func (c *call) noteRefusal(answer *exchange.Answer) {
+// noteUnknownHeaders reports the unknown headers of an answer that is not passed on.
+func (c *call) noteUnknownHeaders(answer *exchange.Answer) {
 	for name := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
 		if !isHopByHop(n, nil) {
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -202,7 +202,7 @@
 
 // rejected handles an answer that states that the backend server did not run the request.
 func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, meta AnswerMeta) *outcome.Failure {
-	c.noteRefusal(answer)
+	c.noteUnknownHeaders(answer)
 	// The body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 4<<10))
 	_ = answer.Body.Close()
