--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -91,7 +91,7 @@
 		if isHopByHop(n, listed) {
 			continue
 		}
-		c.noteUnread(n, answer)
+		c.noteUnknownHeader(n, answer)
 		out[n] = append(out[n], string(value))
 	}
 }
@@ -101,13 +101,13 @@
 	for name := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
 		if !isHopByHop(n, nil) {
-			c.noteUnread(n, answer)
+			c.noteUnknownHeader(n, answer)
 		}
 	}
 }
 
-// noteUnread reports a header of an answer if the platform's adapter does not know it.
-func (c *call) noteUnread(name string, answer *exchange.Answer) {
+// noteUnknownHeader reports a header of an answer if the platform's adapter does not know it.
+func (c *call) noteUnknownHeader(name string, answer *exchange.Answer) {
 	if c.server.Dialect.IsUnknownHeader(name, answer.Header.StatusCode()) {
 		c.server.ObserveUnknownHeader(name)
 	}
