--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -26,22 +26,22 @@
 		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
 		TimedOut: status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
 	})
-	held, err := io.ReadAll(io.LimitReader(answer.Body, bufferedAnswer+1))
+	buffered, err := io.ReadAll(io.LimitReader(answer.Body, bufferedAnswer+1))
 	if err != nil {
 		_ = answer.Body.Close()
 		return c.failed(lease, start, sentError(err))
 	}
 	c.copyHeader(answer)
-	if len(held) <= bufferedAnswer {
+	if len(buffered) <= bufferedAnswer {
 		_ = answer.Body.Close()
 		c.finish(lease, backend.Answered, meta.Load, start, nil)
-		c.w.Header().Set("Content-Length", strconv.Itoa(len(held)))
+		c.w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
 		c.w.WriteHeader(answer.Header.StatusCode())
-		_, _ = c.w.Write(held)
+		_, _ = c.w.Write(buffered)
 		c.answered(answer.Header.StatusCode())
 		return nil
 	}
-	c.stream(lease, start, answer, held, meta)
+	c.stream(lease, start, answer, buffered, meta)
 	return nil
 }
 
