--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -55,12 +55,12 @@
 	return &exchange.Error{Stage: exchange.StageBody, Sent: true, Cause: err}
 }
 
-func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, meta AnswerMeta) {
+func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, buffered []byte, meta AnswerMeta) {
 	if answer.Length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.Itoa(answer.Length))
 	}
 	c.w.WriteHeader(answer.Header.StatusCode())
-	_, err := c.w.Write(held)
+	_, err := c.w.Write(buffered)
 	if err == nil {
 		_, err = io.Copy(c.w, answer.Body)
 	}
