--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -34,9 +34,9 @@
 	framing framing
 	// pending holds the bytes that follow the request being read or served. The requests in
 	// its first started bytes are served ahead; their answers are in ahead, in order.
-	pending []byte
-	started int
-	ahead   []*answer
+	pending    []byte
+	aheadBytes int
+	ahead      []*answer
 	// aheadAllowed is set if requests after the one being served may be served too.
 	aheadAllowed bool
 	// failure is the error that ended the connection's stream.
@@ -106,7 +106,7 @@
 	n := copy(p, c.pending)
 	n = c.framing.advance(p[:n])
 	c.pending = c.pending[:copy(c.pending, c.pending[n:])]
-	c.started = max(0, c.started-n)
+	c.aheadBytes = max(0, c.aheadBytes-n)
 	return n
 }
 
@@ -170,7 +170,7 @@
 // be served ahead.
 func (c *Conn) startAhead() {
 	for c.aheadAllowed && len(c.ahead) < maxAhead {
-		head := nextHead(c.pending[c.started:])
+		head := nextHead(c.pending[c.aheadBytes:])
 		if head == nil {
 			return
 		}
@@ -178,7 +178,7 @@
 		if a == nil {
 			return
 		}
-		c.started += len(head)
+		c.aheadBytes += len(head)
 		c.ahead = append(c.ahead, a)
 	}
 }
