--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -88,7 +88,7 @@
 		return nil, &Error{Stage: StageSend, Sent: x.conn.written > 0, Cause: x.cause(err)}
 	}
 	answer := &Answer{Reused: x.conn.reused}
-	if err := x.readOwnHeader(req, &answer.Header); err != nil {
+	if err := x.readMatchingHeader(req, &answer.Header); err != nil {
 		return nil, &Error{Stage: StageHeader, Sent: true, Cause: x.cause(err)}
 	}
 	x.closeAsked = answer.Header.ConnectionClose()
@@ -221,9 +221,9 @@
 // Error implements error.
 func (e *MismatchError) Error() string { return "received only answers to other requests" }
 
-// readOwnHeader reads up to the header of the answer to this request. A late answer to the
+// readMatchingHeader reads up to the header of the answer to this request. A late answer to the
 // previous request may precede it.
-func (x *roundTrip) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
+func (x *roundTrip) readMatchingHeader(req *Request, h *fasthttp.ResponseHeader) error {
 	for range maxMismatches {
 		if err := x.readHeader(h); err != nil {
 			return err
