--- a/pkg/exchange/exchange_body.go
+++ b/pkg/exchange/exchange_body.go
@@ -28,7 +28,7 @@
 	case b.chunks != nil:
 		return b.readChunks(p)
 	case b.untilClose:
-		return b.readToEnd(p)
+		return b.readUntilClose(p)
 	}
 	return b.readLength(p)
 }
@@ -49,7 +49,7 @@
 	return n, nil
 }
 
-func (b *body) readToEnd(p []byte) (int, error) {
+func (b *body) readUntilClose(p []byte) (int, error) {
 	n, err := b.trip.conn.r.Read(p)
 	if errors.Is(err, io.EOF) {
 		b.finish()
