--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -13,8 +13,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// past is a deadline that makes all reads and writes return at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that makes all reads and writes return at once.
+var pastDeadline = time.Unix(1, 0)
 
 // noDeadline removes a deadline.
 var noDeadline time.Time
@@ -75,7 +75,7 @@
 
 // interrupt makes all reads and writes of the exchange return.
 func (x *roundTrip) interrupt() {
-	_ = x.conn.SetDeadline(past)
+	_ = x.conn.SetDeadline(pastDeadline)
 	x.abort()
 }
 
@@ -167,7 +167,7 @@
 func (x *roundTrip) sendStream(req *Request) {
 	if err := x.copyStream(req); err != nil {
 		// Part of the request is already sent; only closing the connection informs the peer.
-		_ = x.conn.SetDeadline(past)
+		_ = x.conn.SetDeadline(pastDeadline)
 		return
 	}
 	x.sentWhole.Store(true)
--- a/pkg/exchange/quiet.go
+++ b/pkg/exchange/quiet.go
@@ -47,7 +47,7 @@
 		}
 	})
 	return func() {
-		_ = c.SetReadDeadline(past)
+		_ = c.SetReadDeadline(pastDeadline)
 		wg.Wait()
 		_ = c.SetReadDeadline(noDeadline)
 	}
