--- a/pkg/exchange/exchange_test.go
+++ b/pkg/exchange/exchange_test.go
@@ -44,7 +44,7 @@
 func (c *scriptedConn) SetDeadline(time.Time) error     { return nil }
 func (c *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-func poolOf(conns ...net.Conn) *Pool {
+func newTestPool(conns ...net.Conn) *Pool {
 	return NewPool("nowhere", len(conns), func(context.Context, string) (net.Conn, error) {
 		if len(conns) == 0 {
 			return nil, errBroken
@@ -70,7 +70,7 @@
 		room := rapid.IntRange(0, 20_000).Draw(t, "room")
 		body := rapid.IntRange(0, 20_000).Draw(t, "body")
 		c := &scriptedConn{answer: bytes.NewReader(nil), writeLimit: room}
-		_, err := poolOf(c).Do(context.Background(), newRequest(string(make([]byte, body))))
+		_, err := newTestPool(c).Do(context.Background(), newRequest(string(make([]byte, body))))
 		var failure *Error
 		if !errors.As(err, &failure) {
 			t.Fatalf("%v", err)
@@ -87,7 +87,7 @@
 func TestNothingIsSentAfterTheDeadline(t *testing.T) {
 	is := is.New(t)
 	c := &scriptedConn{answer: bytes.NewReader(nil), writeLimit: -1}
-	pool := poolOf(c)
+	pool := newTestPool(c)
 	dial := pool.Dial
 	pool.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		time.Sleep(30 * time.Millisecond)
@@ -130,7 +130,7 @@
 	f.Add([]byte("these bytes are no answer\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c := &scriptedConn{answer: bytes.NewReader(text), writeLimit: -1}
-		pool := poolOf(c)
+		pool := newTestPool(c)
 		answer, err := pool.Do(context.Background(), newRequest(""))
 		if err != nil {
 			if !c.closed {
