--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestDoubtfulFramingIsLeftAlone checks that nothing after a request with ambiguous framing is
+// TestAmbiguousFramingIsNotParsed checks that nothing after a request with ambiguous framing is
 // taken for another request.
-func TestDoubtfulFramingIsLeftAlone(t *testing.T) {
+func TestAmbiguousFramingIsNotParsed(t *testing.T) {
 	for _, doubtful := range []string{
 		"POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"POST /b HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
