--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -49,7 +49,7 @@
 // TestAmbiguousFramingIsNotParsed checks that nothing after a request with ambiguous framing is
 // taken for another request.
 func TestAmbiguousFramingIsNotParsed(t *testing.T) {
-	for _, doubtful := range []string{
+	for _, ambiguous := range []string{
 		"POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"POST /b HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		"POST /b HTTP/1.1\r\nContent-Length: +1\r\n\r\n",
@@ -62,7 +62,7 @@
 		strings.Repeat("x", maxHeader+1),
 	} {
 		f := &framing{}
-		data := []byte(doubtful + get + get)
+		data := []byte(ambiguous + get + get)
 		is.New(t).Equal(f.advance(data), len(data))
 		is.New(t).Equal(f.isBetween(), false)
 	}
