--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -34,9 +34,9 @@
 	return requests
 }
 
-// TestRequestsAreToldApart checks that a request ends where the next one begins, wherever
+// TestRequestsAreSplitAtTheirEnds checks that a request ends where the next one begins, wherever
 // packets end.
-func TestRequestsAreToldApart(t *testing.T) {
+func TestRequestsAreSplitAtTheirEnds(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	sent := []string{get, post, get, get, post}
