--- a/pkg/pipeline/conn_test.go
+++ b/pkg/pipeline/conn_test.go
@@ -54,9 +54,9 @@
 	return c
 }
 
-// TestMoreThanIsHeldIsServedAll checks that a client that sends more requests than are held
+// TestRequestsBeyondMaxPendingAreServed checks that a client that sends more requests than are held
 // after the one being served gets an answer to each, in order.
-func TestMoreThanIsHeldIsServedAll(t *testing.T) {
+func TestRequestsBeyondMaxPendingAreServed(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(time.Millisecond)
