--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -10,7 +10,7 @@
 )
 
 // fingerprint returns the fingerprint of the request, which is the same for every attempt at
-// it. It is computed only when needed, because it covers the whole body.
+// it. It is computed only when needed, because it covers the buffered body.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.cachedFingerprint != nil {
 		return *c.cachedFingerprint
--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -33,7 +33,7 @@
 	mu      sync.Mutex
 	framing framing
 	// pending holds the bytes that follow the request being read or served. The requests in
-	// its first started bytes are served ahead; their answers are in ahead, in order.
+	// its first aheadBytes bytes are served ahead; their answers are in ahead, in order.
 	pending    []byte
 	aheadBytes int
 	ahead      []*answer
