--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// take picks a backend server with a free slot, or nil.
-func (g *Gate) take(r Request) *Permit {
+// tryAcquire picks a backend server with a free slot, or nil.
+func (g *Gate) tryAcquire(r Request) *Permit {
 	best := g.pick(r, r.Avoid)
 	if best == nil && r.Avoid != "" {
 		best = g.pick(r, "")
@@ -86,14 +86,14 @@
 	done    bool
 }
 
-// NoticeTime is for how long a server may go on working on a request whose
+// AbandonDelay is for how long a server may go on working on a request whose
 // connection was closed: the close has to reach it, and it has to look.
-const NoticeTime = 100 * time.Millisecond
+const AbandonDelay = 100 * time.Millisecond
 
 // Release gives the slot back; only the first call counts.
 func (p *Permit) Release(result Result) {
-	if p.end(result) {
-		p.free()
+	if p.recordResult(result) {
+		p.releaseSlot()
 	}
 }
 
@@ -101,21 +101,21 @@
 // The slot is given back when the server must have noticed. Of this and
 // Release only the first call counts.
 func (p *Permit) Abandon(result Result) {
-	if p.end(result) {
-		p.gate.After(NoticeTime, p.free)
+	if p.recordResult(result) {
+		p.gate.After(AbandonDelay, p.releaseSlot)
 	}
 }
 
-// free gives the slot to the request that has waited longest.
-func (p *Permit) free() {
+// releaseSlot gives the slot to the request that has waited longest.
+func (p *Permit) releaseSlot() {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	p.server.InUse--
 	p.gate.serveQueue()
 }
 
-// end notes the result, and reports whether it is the first one.
-func (p *Permit) end(result Result) (first bool) {
+// recordResult notes the result, and reports whether it is the first one.
+func (p *Permit) recordResult(result Result) (first bool) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/backend/index_test.go
+++ b/pkg/backend/index_test.go
@@ -10,35 +10,36 @@
 	"github.com/matryer/is"
 )
 
-// drawSet makes a set in a state of chance: servers that are cold, have failed, drain, are of unlike speed.
-func drawSet(r *rand.Rand) (*Set, *clock) {
+// randomSet returns a set in a random state: servers that are cold, ejected or draining, or have
+// different speeds.
+func randomSet(r *rand.Rand) (*Set, *clock) {
 	s, c := newTestSet(1)
 	var list []Server
 	for _, zone := range []string{"east-a", "east-b", "west-a", "north-a"} {
 		list = append(list, servers(zone, 1+r.IntN(60), 4)...)
 	}
-	trouble := r.Float64()
+	failureRate := r.Float64()
 	for i := range list {
 		list[i].Draining = r.Float64() < 0.1
-		if r.Float64() < trouble {
+		if r.Float64() < failureRate {
 			list[i].ColdFor = time.Second
 		}
 	}
 	s.Replace(list, true)
 	for _, v := range s.services["shop"].servers {
-		if r.Float64() < trouble {
+		if r.Float64() < failureRate {
 			v.health.ejectedUntil = c.at.Add(time.Second)
 		}
 		if r.Float64() < 0.2 {
-			v.speed.part = 0.5 + r.Float64()
+			v.speed.keyWeight = 0.5 + r.Float64()
 		}
 		v.load.own = r.IntN(12)
 	}
 	return s, c
 }
 
-// firstOf returns the first servers of a list that a choice looks at. Those that have failed have no order:
-// where one of them comes first, all have, and the request is refused.
+// firstOf returns the first servers of a list that a choice looks at. Ejected servers have no
+// order: if one of them comes first, all servers are ejected and the request is refused.
 func firstOf(list []candidate, front int) []string {
 	var ids []string
 	for _, c := range list[:min(front, len(list))] {
@@ -51,14 +52,14 @@
 	return ids
 }
 
-// TestShortListsChooseAsAllServersDo: whatever state servers are in, the first ones that a choice looks at
-// are the same as where all are ordered.
+// TestShortListsChooseAsAllServersDo checks that, in any state of the servers, the first ones
+// that a choice looks at are the same as if all servers were ordered.
 func TestShortListsChooseAsAllServersDo(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	short := 0
 	for range 3000 {
-		s, c := drawSet(r)
+		s, c := randomSet(r)
 		g := s.services["shop"]
 		request := &Request{Service: "shop", Key: r.Uint64(), LargeBody: r.IntN(3) == 0, RegionAllowed: anyRegion}
 		for range r.IntN(3) {
@@ -88,7 +89,8 @@
 	is.True(short > 1000)
 }
 
-// TestChoiceAmongManyLooksAtFew: the servers whose state is looked at do not grow with the service.
+// TestChoiceAmongManyLooksAtFew checks that the number of servers whose state is examined does
+// not grow with the service.
 func TestChoiceAmongManyLooksAtFew(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{100, 10000} {
@@ -102,11 +104,12 @@
 			is.NoErr(err)
 			lease.Done(Answered, nil)
 		}
-		is.True(asked <= 50*(2*shortListSize+4)) // and the regions themselves
+		is.True(asked <= 50*(2*shortListSize+4)) // the regions themselves are counted too
 	}
 }
 
-// TestIndexFollowsTheList: servers that come, go, move to another service or start again are found at once.
+// TestIndexFollowsTheList checks that servers that are added, removed, moved to another service
+// or restarted are found at once.
 func TestIndexFollowsTheList(t *testing.T) {
 	is := is.New(t)
 	s, _ := newTestSet(1)
--- a/pkg/backend/region.go
+++ b/pkg/backend/region.go
@@ -9,17 +9,16 @@
 	"github.com/stoneworks/stoneworks/pkg/policy"
 )
 
-// localShare is the share of a region's keys that have their home in that
-// region; the others have it elsewhere. It follows the regions' slots, and the load
-// where the region's servers have more to do than others, but no faster than the cap
-// on shifts allows.
+// localShare is the share of a region's keys that have their home in that region; the others have
+// it elsewhere. It follows the slots of the regions, and the load if the region's servers are
+// busier than others, but changes no faster than the cap on shifts allows.
 type localShare struct {
 	value float64
 	at    time.Time
 }
 
-// fills are how much of their slots a service's servers have taken, as they told it in
-// their answers: those of this region, and others. They are moving averages.
+// fills holds how much of their slots a service's servers have taken, as reported in their
+// answers, for this region (near) and all others (far).
 type fills struct {
 	near, far fill
 }
@@ -33,7 +32,7 @@
 // fillSpan is the span of the averages: as long as a window of the cap on shifts.
 const fillSpan = 2 * time.Second
 
-// add takes in what a server add.
+// add adds the load that a server reported.
 func (f *fill) add(load *Load, now time.Time) {
 	sample := float64(load.Running+load.Waiting) / float64(max(1, load.Slots))
 	if f.at.IsZero() {
@@ -41,24 +40,24 @@
 		return
 	}
 	weight := 1 - math.Exp(-now.Sub(f.at).Seconds()/fillSpan.Seconds())
-	f.value += max(weight, fillLeast) * (sample - f.value)
+	f.value += max(weight, minFillWeight) * (sample - f.value)
 	f.at = now
 }
 
-// fillLeast is the least weight of a new answer.
-const fillLeast = 0.002
+// minFillWeight is the least weight of a new report.
+const minFillWeight = 0.002
 
-// now returns the average. It fades while nothing is told, so that a region that gets
-// nothing any more is tried again.
+// now returns the average. It decays while no server reports, so that a region that gets no
+// requests is tried again.
 func (f *fill) now(now time.Time) float64 {
 	return f.value * math.Exp(-now.Sub(f.at).Seconds()/fillSpan.Seconds())
 }
 
-// wanted is the share that the load asks for, given that of the slots. Where the
-// region's servers have requests waiting and others much less to do, keys leave it;
-// they come back when its servers have room. Customers that are bound to a region
-// fill its servers so, whoever else has keys there.
-func (f *fills) wanted(p *policy.Policy, share, bySlots float64, now time.Time) float64 {
+// targetShare returns the share that the load calls for, given the share of the slots. If
+// requests wait at the region's servers and others have much less to do, keys move away; they
+// return when the region's servers have room. Customers that are bound to a region can fill its
+// servers, whatever other keys have their home there.
+func (f *fills) targetShare(p *policy.Policy, share, bySlots float64, now time.Time) float64 {
 	near, far := f.near.now(now), f.far.now(now)
 	switch {
 	case near > p.NearFill && near > far+p.NearGap:
@@ -69,8 +68,8 @@
 	return min(share, bySlots)
 }
 
-// localShareOf returns the share of this region's keys that stay in the
-// region, among the regions that are allowed.
+// localShareOf returns the share of this region's keys that stay in the region, given the regions
+// that the request allows.
 func (s *Set) localShareOf(g *group, r *Request, now time.Time) float64 {
 	mean, own, regions := s.slotsOf(g, r)
 	if regions == "" {
@@ -86,42 +85,41 @@
 		g.locals[regions] = l
 		return target
 	}
-	target = g.fills.wanted(&s.Policy, l.value, target, now)
+	target = g.fills.targetShare(&s.Policy, l.value, target, now)
 	step := s.Policy.ShareStep * s.Bounds.MaxShift * now.Sub(l.at).Seconds() / s.Bounds.ShiftWindow.Seconds()
 	l.value += max(-step, min(step, target-l.value))
 	l.at = now
 	return l.value
 }
 
-// heavyWeight is the weight of a new request in the share of heavy ones.
-const heavyWeight = 0.005
+// largeBodyWeight is the weight of a new request in the share of requests with large bodies.
+const largeBodyWeight = 0.005
 
-// shareOfKind divides the share of keys that stay in the region between heavy
-// requests and others: heavy ones stay first. The sum remains the same.
-func (g *group) shareOfKind(share float64, heavy bool) float64 {
+// shareBySize divides the share of keys that stay in the region between requests with large
+// bodies and others. Those with large bodies stay first; the sum is unchanged.
+func (g *group) shareBySize(share float64, largeBody bool) float64 {
 	sample := 0.0
-	if heavy {
+	if largeBody {
 		sample = 1
 	}
-	g.heavy += heavyWeight * (sample - g.heavy)
-	heavyShare := 1.0
-	if g.heavy > share {
-		heavyShare = share / g.heavy
+	g.largeBodies += largeBodyWeight * (sample - g.largeBodies)
+	largeBodyShare := 1.0
+	if g.largeBodies > share {
+		largeBodyShare = share / g.largeBodies
 	}
-	if heavy {
-		return heavyShare
+	if largeBody {
+		return largeBodyShare
 	}
-	return (share - g.heavy*heavyShare) / (1 - min(g.heavy, 0.99))
+	return (share - g.largeBodies*largeBodyShare) / (1 - min(g.largeBodies, 0.99))
 }
 
-// regionSlots is how many slots the servers of a region have that may get
-// requests.
+// regionSlots is the number of slots of a region's servers that may get requests.
 type regionSlots struct {
 	region string
 	slots  float64
 }
 
-// countSlots works out the slots of each region.
+// countSlots counts the slots of each region.
 func (s *Set) countSlots(g *group) {
 	g.changed = false
 	slots := map[string]float64{}
@@ -138,8 +136,8 @@
 	}
 }
 
-// slotsOf returns the mean of the slots of the allowed regions, the slots of
-// this region, and a name for the set of regions.
+// slotsOf returns the mean slots of the allowed regions, the slots of this region, and a name for
+// the set of allowed regions.
 func (s *Set) slotsOf(g *group, r *Request) (mean, own float64, regions string) {
 	if g.changed {
 		s.countSlots(g)
--- a/pkg/box/box_platform.go
+++ b/pkg/box/box_platform.go
@@ -12,36 +12,37 @@
 
 	"github.com/stoneworks/stoneworks/pkg/config"
 	"github.com/stoneworks/stoneworks/pkg/decide"
+	"github.com/stoneworks/stoneworks/pkg/idempotency"
 	"github.com/stoneworks/stoneworks/pkg/membership"
-	"github.com/stoneworks/stoneworks/pkg/once"
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// How the platform is called.
+// Intervals and limits of calls to the platform.
 const (
-	// WatchHolders is how many boxes of a zone hold the platform's watch; the
-	// others take configuration from them.
+	// WatchHolders is the number of boxes of a zone that watch the platform; the
+	// others get the configuration from them.
 	WatchHolders = 2
-	// firstPause and longestPause bound the pause after a failed call.
+	// firstPause and longestPause are the limits of the pause after a failed call.
 	firstPause   = 200 * time.Millisecond
 	longestPause = 5 * time.Second
-	// boxesEvery and boxesRarely are how often the list of boxes is read, by
-	// boxes that hold the watch and by the others.
-	boxesEvery  = 2 * time.Second
-	boxesRarely = 30 * time.Second
-	// relistEvery is how often the whole configuration is read again, in
-	// case a watch lost something.
+	// boxListEvery and boxesRarely are the intervals at which watch holders and
+	// the other boxes read the list of boxes.
+	boxListEvery       = 2 * time.Second
+	boxListEveryOthers = 30 * time.Second
+	// relistEvery is the interval at which a watch holder reads the whole
+	// configuration again, in case the watch missed a change.
 	relistEvery = time.Minute
-	// holdCheck is how often a box without the watch looks whether it should
-	// have it.
-	holdCheck = 500 * time.Millisecond
-	// platformFresh is for how long an answer shows that the platform is
-	// reachable.
-	platformFresh = 30 * time.Second
+	// watchHolderCheckEvery is the interval at which a box that does not watch checks whether
+	// it has become a watch holder.
+	watchHolderCheckEvery = 500 * time.Millisecond
+	// platformReachableFor is the time for which the platform counts as reachable
+	// after an answer.
+	platformReachableFor = 30 * time.Second
 )
 
-// KeysKind is the platform's kind of claims of keys that have no ticket.
+// KeysKind is the kind of the platform's objects that record who owns a key without
+// a ticket.
 const KeysKind = "keys"
 
 func (b *Box) countPlatformCall(verb string) {
@@ -50,14 +51,16 @@
 
 func (b *Box) platformAnswered() { b.lastAnswer.Store(int64(b.age()) + 1) }
 
-// PlatformReachable reports whether the platform answered lately.
+// PlatformReachable reports whether the platform has answered within
+// platformReachableFor.
 func (b *Box) PlatformReachable() bool {
 	last := b.lastAnswer.Load()
-	return last > 0 && b.age()-time.Duration(last) < platformFresh
+	return last > 0 && b.age()-time.Duration(last) < platformReachableFor
 }
 
-// holdsWatch reports whether this box is one of its zone's watch holders.
-func (b *Box) holdsWatch() bool {
+// isWatchHolder reports whether this box is one of its zone's watch holders: the first
+// WatchHolders live boxes in the order of a hash of their names.
+func (b *Box) isWatchHolder() bool {
 	var names []string
 	for _, m := range b.Table.Members() {
 		if m.Zone == b.Settings.Zone && (m.State == membership.Live || m.Box == b.Settings.Box) {
@@ -79,16 +82,16 @@
 // Configuration
 // ================================================================
 
-// watchPlatform keeps the configuration in step with the platform while this
-// box is a watch holder, and reads it once in any case.
+// watchPlatform keeps the configuration up to date with the platform while this box
+// is a watch holder. Until the box is ready it reads the configuration in any case.
 func (b *Box) watchPlatform() {
 	pause := backoff{}
 	var since uint64
 	var listed time.Time
 	for b.context.Err() == nil {
-		if b.Ready() && !b.holdsWatch() {
+		if b.Ready() && !b.isWatchHolder() {
 			listed = time.Time{}
-			b.sleep(b.context, holdCheck)
+			b.sleep(b.context, watchHolderCheckEvery)
 			continue
 		}
 		var err error
@@ -101,7 +104,7 @@
 			before := since
 			since, err = b.watch(before)
 			if since < before {
-				// The platform's own version fell: its store was put back.
+				// The platform's version fell: its store was restored to an older state.
 				listed = time.Time{}
 			}
 		}
@@ -121,17 +124,17 @@
 		return 0, err
 	}
 	b.platformAnswered()
-	b.take(page)
+	b.mergePage(page)
 	b.Store.MarkSynced()
-	b.wakeRebuild()
-	b.repair(page)
+	b.requestRebuild()
+	b.writeBack(page)
 	return page.Version, nil
 }
 
-// repair writes back what is in force and newer than what the platform has: a
-// store that was put back to an older state must not outlive the boxes that
-// know better. A list that was only stale makes these writes conflict.
-func (b *Box) repair(page platform.Page) {
+// writeBack writes objects back to the platform that are newer here than there, so
+// that a store that was restored to an older state gets the newer revisions while a
+// box still has them. If the list was only stale, these writes fail with a conflict.
+func (b *Box) writeBack(page platform.Page) {
 	versions := map[string]uint64{}
 	stored := map[string]*config.Object{}
 	for _, p := range page.Objects {
@@ -159,15 +162,15 @@
 		return since, err
 	}
 	b.platformAnswered()
-	b.take(page)
+	b.mergePage(page)
 	return page.Version, nil
 }
 
-func (b *Box) take(page platform.Page) {
+func (b *Box) mergePage(page platform.Page) {
 	for _, p := range page.Objects {
 		o, err := config.Decode(p)
 		if err != nil {
-			b.log.Warn("ignored a configuration object", map[string]any{"error": err})
+			b.log.Warn("ignored a configuration object that cannot be decoded", map[string]any{"error": err})
 			continue
 		}
 		if here := b.Store.Get(o.Name); here != nil && here.Newer(o) {
@@ -193,10 +196,10 @@
 		pause = backoff{}
 		b.platformAnswered()
 		b.Table.SetListed(list)
-		b.wakeRebuild()
-		wait := boxesRarely
-		if b.holdsWatch() {
-			wait = boxesEvery
+		b.requestRebuild()
+		wait := boxListEveryOthers
+		if b.isWatchHolder() {
+			wait = boxListEvery
 		}
 		b.sleep(b.context, jitter(wait))
 	}
@@ -207,9 +210,9 @@
 // ================================================================
 
 // claim makes this box the owner of a key by creating an object for it in the
-// platform, or returns the owner that was first.
-func (b *Box) claim(ctx context.Context, service, key string) (once.Ticket, *outcome.Failure) {
-	mine := once.Ticket{Box: b.Settings.Box, Incarnation: b.Incarnation, Issued: b.age()}
+// platform, or returns the owner that claimed it earlier.
+func (b *Box) claim(ctx context.Context, service, key string) (idempotency.Ticket, *outcome.Failure) {
+	mine := idempotency.Ticket{Box: b.Settings.Box, Incarnation: b.Incarnation, Issued: b.age()}
 	value, _ := json.Marshal(mine)
 	object := platform.Object{Kind: KeysKind, Name: service + "." + hashName(key), Value: value}
 	_, err := b.Platform.Put(ctx, object)
@@ -219,17 +222,17 @@
 	var conflict *platform.ConflictError
 	var lost *platform.UnknownWriteError
 	if !errors.As(err, &conflict) && !errors.As(err, &lost) {
-		return once.Ticket{}, platformDown(err)
+		return idempotency.Ticket{}, platformDown(err)
 	}
-	// Someone was first, or the answer to our own claim was lost: what is
-	// stored now stands for good, since a claim is never written over.
+	// Another box was first, or the answer to this box's claim was lost. The stored
+	// claim is final, since a claim is never overwritten.
 	got, err := b.Platform.Get(ctx, KeysKind, object.Name)
 	if err != nil {
-		return once.Ticket{}, platformDown(err)
+		return idempotency.Ticket{}, platformDown(err)
 	}
-	var owner once.Ticket
+	var owner idempotency.Ticket
 	if err := json.Unmarshal(got.Value, &owner); err != nil {
-		return once.Ticket{}, platformDown(err)
+		return idempotency.Ticket{}, platformDown(err)
 	}
 	return owner, nil
 }
@@ -242,8 +245,8 @@
 // Pauses
 // ================================================================
 
-// backoff gives growing pauses, each random, so that boxes do not return to a
-// recovering platform together.
+// backoff returns exponentially growing pauses with jitter, so that boxes do not all
+// call a recovering platform at once.
 type backoff struct {
 	last time.Duration
 }
@@ -253,7 +256,7 @@
 	return jitter(p.last)
 }
 
-// jitter returns d, more or less a quarter.
+// jitter returns a random duration within a quarter of d.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
--- a/pkg/ingress/ingress.go
+++ b/pkg/ingress/ingress.go
@@ -151,7 +151,7 @@
 	SyncClock func()
 	// Random returns a random number, which is the key of a request that has none.
 	Random func() uint64
-	Log    *logging.Part
+	Log    *logging.Logger
 	// Count counts an event, Observe records the duration of a request.
 	Count   func(name string)
 	Observe func(name string, d time.Duration)
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -87,7 +87,7 @@
 	if !meta.Signed || c.server.Quarantine.Empty() {
 		return
 	}
-	if c.server.Quarantine.Answered(c.fingerprint()) {
+	if c.server.Quarantine.ObserveAnswer(c.fingerprint()) {
 		c.server.ObserveRelease(c.fingerprint())
 	}
 }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -17,6 +17,7 @@
 	"github.com/stoneworks/stoneworks/pkg/backend"
 	"github.com/stoneworks/stoneworks/pkg/clock"
 	"github.com/stoneworks/stoneworks/pkg/customer"
+	"github.com/stoneworks/stoneworks/pkg/customerstats"
 	"github.com/stoneworks/stoneworks/pkg/directory"
 	"github.com/stoneworks/stoneworks/pkg/exchange"
 	"github.com/stoneworks/stoneworks/pkg/failurereport"
@@ -33,7 +34,6 @@
 	"github.com/stoneworks/stoneworks/pkg/routing"
 	"github.com/stoneworks/stoneworks/pkg/serverstatus"
 	"github.com/stoneworks/stoneworks/pkg/settings"
-	"github.com/stoneworks/stoneworks/pkg/standing"
 	"github.com/stoneworks/stoneworks/pkg/timer"
 	"github.com/stoneworks/stoneworks/pkg/topology"
 )
@@ -86,14 +86,14 @@
 	Statuses *serverstatus.Table
 	// Rollouts holds the orders to move services to new versions.
 	Rollouts  *rollout.Table
-	Ledger    *standing.Ledger
+	Ledger    *customerstats.Ledger
 	Directory *directory.Directory
 	Ingress   *ingress.Server
 
 	adapter *Adapter
 	store   *objects.Client
 	handler *logging.AsyncHandler
-	log     *logging.Part
+	log     *logging.Logger
 	started time.Time
 	// resumed is when the box last resumed after a pause that was longer than it remembers other
 	// boxes, in nanoseconds since the start.
@@ -168,7 +168,7 @@
 		started:  started,
 		pools:    map[poolKey]*exchange.Pool{},
 		idle:     exchange.NewIdleLimit(c.Now),
-		Ledger:   standing.NewLedger(c.Now),
+		Ledger:   customerstats.NewLedger(c.Now),
 		Rollouts: rollout.NewTable(s.Box, c.Now),
 		ports:    &ports{},
 		refused:  map[string]bool{},
@@ -277,7 +277,7 @@
 	}
 }
 
-func (n *Node) newMembers(log *logging.Part) {
+func (n *Node) newMembers(log *logging.Logger) {
 	s := n.Settings
 	self := gossip.Record{
 		Box: s.Box, Zone: s.Zone, Clients: s.Advertise.Callers, Peers: s.Advertise.Peers,
@@ -291,7 +291,7 @@
 	}
 }
 
-func (n *Node) newSet(log *logging.Part) {
+func (n *Node) newSet(log *logging.Logger) {
 	b := n.Settings.Bounds
 	n.Set = backend.NewSet(backend.Bounds{
 		ColdOverage: b.ColdOverage, ColdSlack: b.ColdSlack,
@@ -316,7 +316,7 @@
 	n.Set.SetPolicy(p)
 }
 
-func (n *Node) newIngress(log *logging.Part) {
+func (n *Node) newIngress(log *logging.Logger) {
 	n.Ingress = &ingress.Server{
 		Policy:           n.policy.Load,
 		Dialect:          n.adapter.Dialect,
@@ -332,7 +332,7 @@
 		KeysTrusted:      n.keysTrusted,
 		ReturnAdmission:  func(c *customer.Customer) { n.Quota.GiveBack(quota.IDOf(c.Name)) },
 		AwaitServerLimit: n.awaitRoom, ReleaseServerLimit: n.releaseRoom,
-		ObserveTarget:        func(c *customer.Customer, inTime bool) { n.Ledger.Settle(c.Name, inTime) },
+		ObserveTarget:        func(c *customer.Customer, inTime bool) { n.Ledger.Record(c.Name, inTime) },
 		Pool:                 n.pool,
 		HasCrashed:           n.hasCrashed,
 		ObserveCrash:         n.noteCrash,
--- a/pkg/node/node_limits.go
+++ b/pkg/node/node_limits.go
@@ -28,21 +28,21 @@
 	serverLimitWait = 100 * time.Millisecond
 )
 
-func (n *Node) newLimits(log *logging.Part) {
+func (n *Node) newLimits(log *logging.Logger) {
 	n.Statuses = serverstatus.NewTable(n.Clock.Now)
-	n.Statuses.Changed = func(r serverstatus.Record, what serverstatus.Change) {
-		if what == serverstatus.Leaves {
+	n.Statuses.OnChange = func(r serverstatus.Record, what serverstatus.Change) {
+		if what == serverstatus.ServerLeaving {
 			n.statusChanged.Store(true)
 			return
 		}
 		n.applyLimit(&r, what)
 		log.Info("limit of server "+what.String(), map[string]any{
-			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.Number,
+			"server": r.Server, "zone": r.Zone, "per_s": r.PerSecond, "number": r.LimitVersion,
 		})
 	}
 	n.Set.AnyLimited = func() bool { return !n.Statuses.Empty() }
 	n.Set.HasLimit = func(v *backend.Server) bool {
-		_, named := n.Statuses.Of(v.Incarnation())
+		_, named := n.Statuses.LimitOf(v.Incarnation())
 		return named
 	}
 	n.Set.Admit = n.admitToServer
@@ -54,9 +54,9 @@
 func (n *Node) applyLimit(r *serverstatus.Record, what serverstatus.Change) {
 	id := quota.ServerIDOf(r.Server)
 	switch what {
-	case serverstatus.Ended:
+	case serverstatus.LimitEnded:
 		n.Quota.DropServer(id)
-	case serverstatus.Forgotten:
+	case serverstatus.ServerForgotten:
 		n.Quota.ForgetServer(id)
 	default:
 		n.Quota.SetServer(id, r.PerSecond, n.zonesOfRegion(r.Zone))
@@ -94,7 +94,7 @@
 	if v.Limit.Present {
 		metrics.GetOrRegisterCounter("limits.answers", n.Metrics).Inc(1)
 	}
-	n.Statuses.Answered(server, v.Limit, v.Signed, sent)
+	n.Statuses.ObserveAnswer(server, v.Limit, v.Signed, sent)
 }
 
 // allocators returns the datagram addresses of the boxes that may grant tokens.
@@ -119,7 +119,7 @@
 // more urgent ones.
 func (n *Node) admitToServer(server *backend.Server, ask, yield bool) (a backend.Admission, retryAfter time.Duration) {
 	life := server.Incarnation()
-	if _, named := n.Statuses.Of(life); !named {
+	if _, named := n.Statuses.LimitOf(life); !named {
 		return backend.Unlimited, 0
 	}
 	if yield {
@@ -168,9 +168,9 @@
 // serveLimits returns to operators the limits that this box knows of and the counts of its
 // requests under them.
 func (n *Node) serveLimits(w http.ResponseWriter, _ *http.Request) {
-	body := serverstatus.Box{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
+	body := serverstatus.BoxLimits{Box: n.Settings.Box, Limits: []serverstatus.Limit{}}
 	for _, r := range n.Statuses.All() {
-		if !r.Named {
+		if !r.HasLimit {
 			continue
 		}
 		s := n.Quota.Stats(quota.ServerIDOf(r.Server))
--- a/pkg/node/node_status.go
+++ b/pkg/node/node_status.go
@@ -72,7 +72,7 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("words.leaving", n.Metrics).Inc(1)
-	n.Statuses.Leave(server)
+	n.Statuses.MarkLeaving(server)
 	n.Set.MarkLeaving(server.Incarnation())
 }
 
@@ -118,7 +118,7 @@
 		listed[known[i].Server] = n.Set.HasIncarnation(known[i].Server)
 	}
 	n.Statuses.Expire(func(life string) bool { return listed[life] }, unlistedTime)
-	records := n.Statuses.InForce(endedLimitSpreadTime)
+	records := n.Statuses.Active(endedLimitSpreadTime)
 	all, _ := n.liveBoxes()
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 	n.sendStatuses(randomSubset(all, spreadFanout), records[:min(maxSpreadRecords, len(records))])
@@ -137,7 +137,7 @@
 		return
 	}
 	for _, r := range m.Records {
-		n.Statuses.Learn(r)
+		n.Statuses.Merge(r)
 		if r.Leaving {
 			n.Set.MarkLeaving(r.Server)
 		}
@@ -156,7 +156,7 @@
 // box knows.
 func (n *Node) serveSaid(w http.ResponseWriter, _ *http.Request) {
 	rests := map[string]int64{}
-	records := n.Statuses.InForce(0)
+	records := n.Statuses.Active(0)
 	for _, r := range n.Set.BackedOff() {
 		life := r.Server.Incarnation()
 		rests[life] = r.Left.Milliseconds()
@@ -165,10 +165,10 @@
 			records = append(records, serverstatus.Record{Server: life, Zone: r.Server.Zone})
 		}
 	}
-	body := serverstatus.SaidBox{Box: n.Settings.Box, Servers: []serverstatus.Said{}}
+	body := serverstatus.BoxStatuses{Box: n.Settings.Box, Servers: []serverstatus.Status{}}
 	for _, r := range records {
-		said := serverstatus.Said{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
-		if r.Named {
+		said := serverstatus.Status{Server: r.Server, Zone: r.Zone, Leaving: r.Leaving, RestMS: rests[r.Server]}
+		if r.HasLimit {
 			said.PerSecond = &r.PerSecond
 		}
 		body.Servers = append(body.Servers, said)
--- a/pkg/policy/policy_test.go
+++ b/pkg/policy/policy_test.go
@@ -15,9 +15,9 @@
 	is.Equal(len(p.Check()), 0)
 }
 
-// TestEachFigureIsDescribed: a field without a name, unit or bounds could not
+// TestEachParameterIsDescribed: a field without a name, unit or bounds could not
 // be set, or not be checked.
-func TestEachFigureIsDescribed(t *testing.T) {
+func TestEachParameterIsDescribed(t *testing.T) {
 	kind := reflect.TypeFor[Policy]()
 	names := map[string]bool{}
 	for i := range kind.NumField() {
@@ -33,12 +33,12 @@
 		names[f.Tag.Get("yaml")] = true
 	}
 	p := Default()
-	if len(p.Figures()) != kind.NumField() {
-		t.Errorf("%d figures of %d are listed", len(p.Figures()), kind.NumField())
+	if len(p.Parameters()) != kind.NumField() {
+		t.Errorf("%d figures of %d are listed", len(p.Parameters()), kind.NumField())
 	}
 }
 
-func TestAllFaultsAreToldAtOnce(t *testing.T) {
+func TestCheckReturnsAllFaults(t *testing.T) {
 	is := is.New(t)
 	p := Default()
 	p.SpeedAnswers = 0
--- a/pkg/quarantine/fleet_test.go
+++ b/pkg/quarantine/fleet_test.go
@@ -13,15 +13,15 @@
 // ================================================================
 
 const (
-	modelStep    = 5 * time.Millisecond
-	modelContact = 4 * time.Second
-	// modelWay is the longest way of a datagram.
-	modelWay    = 60 * time.Millisecond
-	modelLength = 40 * time.Second
-	// modelCall is the longest time until a call of the store is answered.
-	modelCall   = 300 * time.Millisecond
-	modelSpread = 500 * time.Millisecond
-	modelFanOut = 3
+	modelStep          = 5 * time.Millisecond
+	modelContactWindow = 4 * time.Second
+	// modelMaxDelay is the longest way of a datagram.
+	modelMaxDelay = 60 * time.Millisecond
+	modelLength   = 40 * time.Second
+	// modelMaxStoreDelay is the longest time until a call of the store is answered.
+	modelMaxStoreDelay = 300 * time.Millisecond
+	modelSpread        = 500 * time.Millisecond
+	modelFanOut        = 3
 )
 
 // modelFleet is what is drawn, and what came of it.
@@ -35,18 +35,18 @@
 	servers  int
 	// crashes are the moments at which servers ended under the request, and late the sends of
 	// boxes in touch later than the time of contact after the third.
-	crashes []time.Time
-	late    int
-	loss    float64
+	crashes   []time.Time
+	lateSends int
+	loss      float64
 	// stored is what the store keeps of the request, and calls what is on its way there and back.
 	stored *Record
-	calls  []modelCallTo
+	calls  []modelStoreCall
 }
 
 type modelBox struct {
 	table *Table
-	// struck is when the box was last cut off or started.
-	struck, cutUntil time.Time
+	// disturbedAt is when the box was last cut off or started.
+	disturbedAt, disconnectedUntil time.Time
 }
 
 type modelDatagram struct {
@@ -60,23 +60,23 @@
 	ends time.Time
 	// tries is how many servers the attempt has met, and life the box's table when it began.
 	tries int
-	life  *Table
+	table *Table
 }
 
-// modelCallTo is a call of the store: a write of what a box holds, or a read of one that starts.
-type modelCallTo struct {
+// modelStoreCall is a call of the store: a write of what a box holds, or a read of one that starts.
+type modelStoreCall struct {
 	at    time.Time
 	write *Record
 	box   *modelBox
-	life  *Table
+	table *Table
 }
 
 const modelRequest Fingerprint = 7
 
 // callStore has a box call the store.
 func (f *modelFleet) callStore(b *modelBox, write *Record) {
-	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelCall))))
-	f.calls = append(f.calls, modelCallTo{at: at, write: write, box: b, life: b.table})
+	at := f.clock.now.Add(time.Duration(f.random.Int63n(int64(modelMaxStoreDelay))))
+	f.calls = append(f.calls, modelStoreCall{at: at, write: write, box: b, table: b.table})
 }
 
 // endCalls has the calls take effect whose time has come. One of a box that is cut off from
@@ -88,63 +88,65 @@
 		switch {
 		case now.Before(c.at):
 			f.calls = append(f.calls, c)
-		case c.life != c.box.table: // the box has started anew meanwhile
-		case f.isCut(c.box):
+		case c.table != c.box.table: // the box has started anew meanwhile
+		case f.isDisconnected(c.box):
 			f.callStore(c.box, c.write)
 		case c.write != nil:
 			f.stored = c.write
 		case f.stored != nil:
-			c.box.table.Learn(*f.stored)
+			c.box.table.Merge(*f.stored)
 		}
 	}
 }
 
 func (f *modelFleet) start(b *modelBox) {
 	b.table = newTable(f.clock)
-	b.struck = f.clock.now
+	b.disturbedAt = f.clock.now
 	f.callStore(b, nil)
 }
 
-func (f *modelFleet) inTouch(b *modelBox) bool { return f.clock.now.Sub(b.struck) >= modelContact }
+func (f *modelFleet) inContact(b *modelBox) bool {
+	return f.clock.now.Sub(b.disturbedAt) >= modelContactWindow
+}
 
-func (f *modelFleet) isCut(b *modelBox) bool { return f.clock.now.Before(b.cutUntil) }
+func (f *modelFleet) isDisconnected(b *modelBox) bool { return f.clock.now.Before(b.disconnectedUntil) }
 
 // send hands the request to a server unless the box holds it.
 func (f *modelFleet) send(b *modelBox, tries int) {
 	if held(b.table, modelRequest) {
 		return
 	}
-	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContact && f.inTouch(b) {
-		f.late++
+	if len(f.crashes) >= 3 && f.clock.now.Sub(f.crashes[2]) > modelContactWindow && f.inContact(b) {
+		f.lateSends++
 	}
 	took := 40*time.Millisecond + time.Duration(f.random.Intn(90))*time.Millisecond
-	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, life: b.table})
+	f.runs = append(f.runs, modelRun{box: b, ends: f.clock.now.Add(took), tries: tries + 1, table: b.table})
 }
 
 // tell sends records to a box, some of them in vain.
 func (f *modelFleet) tell(from, to *modelBox, records []Record) {
-	if f.isCut(from) || f.isCut(to) {
+	if f.isDisconnected(from) || f.isDisconnected(to) {
 		return
 	}
 	for _, r := range records {
 		if f.random.Float64() < f.loss {
 			continue
 		}
-		way := time.Duration(1 + f.random.Int63n(int64(modelWay)))
+		way := time.Duration(1 + f.random.Int63n(int64(modelMaxDelay)))
 		f.inFlight = append(f.inFlight, modelDatagram{to: to, at: f.clock.now.Add(way), record: r})
 	}
 }
 
 // step lets one step of time pass.
 func (f *modelFleet) step(number int) {
-	f.clock.pass(modelStep)
+	f.clock.advance(modelStep)
 	now := f.clock.now
 	kept := f.inFlight[:0]
 	for _, d := range f.inFlight {
 		if now.Before(d.at) {
 			kept = append(kept, d)
-		} else if !f.isCut(d.to) {
-			d.to.table.Learn(d.record)
+		} else if !f.isDisconnected(d.to) {
+			d.to.table.Merge(d.record)
 		}
 	}
 	f.inFlight = kept
@@ -177,10 +179,10 @@
 		}
 		f.servers++
 		f.crashes = append(f.crashes, now)
-		if r.life != r.box.table {
+		if r.table != r.box.table {
 			continue // the box has started anew meanwhile
 		}
-		if begun := r.box.table.Crashed(modelRequest, fmt.Sprint("i-", f.servers)); begun != nil {
+		if begun := r.box.table.ObserveCrash(modelRequest, fmt.Sprint("i-", f.servers)); begun != nil {
 			f.callStore(r.box, begun)
 		}
 		if r.tries < 2 {
@@ -189,15 +191,15 @@
 	}
 }
 
-// playFleet draws a fleet and 40 seconds of its life, and returns how often boxes in touch sent
+// simulateFleet draws a fleet and 40 seconds of its life, and returns how often boxes in touch sent
 // the request late, and how many servers ended.
-func playFleet(seed int64, losesPower bool) (late, ended int) {
+func simulateFleet(seed int64, losesPower bool) (late, ended int) {
 	random := rand.New(rand.NewSource(seed))
 	f := &modelFleet{random: random, clock: newClock(), loss: random.Float64() * 0.1}
 	for range 2 + random.Intn(24) {
 		b := &modelBox{}
 		f.start(b)
-		b.struck = f.clock.now.Add(-modelContact)
+		b.disturbedAt = f.clock.now.Add(-modelContactWindow)
 		f.boxes = append(f.boxes, b)
 	}
 	pause := 50*time.Millisecond + time.Duration(random.Intn(3000))*time.Millisecond
@@ -219,8 +221,8 @@
 			if random.Intn(2) == 0 {
 				f.start(b)
 			} else {
-				b.cutUntil = now.Add(time.Duration(random.Int63n(int64(5 * time.Second))))
-				b.struck = b.cutUntil
+				b.disconnectedUntil = now.Add(time.Duration(random.Int63n(int64(5 * time.Second))))
+				b.disturbedAt = b.disconnectedUntil
 			}
 		}
 		if losesPower && !now.Before(powerLoss) {
@@ -230,7 +232,7 @@
 			}
 		}
 	}
-	return f.late, len(f.crashes)
+	return f.lateSends, len(f.crashes)
 }
 
 // TestFleetsKeepTheRequestFromServers: whatever datagrams are lost, and whichever boxes are cut
@@ -241,7 +243,7 @@
 func TestFleetsKeepTheRequestFromServers(t *testing.T) {
 	for _, losesPower := range []bool{false, true} {
 		for _, seed := range seeds(100) {
-			if late, ended := playFleet(seed, losesPower); late > 3 {
+			if late, ended := simulateFleet(seed, losesPower); late > 3 {
 				t.Errorf("seed %d, all lose power %v: sent %d times late, %d servers ended", seed, losesPower, late, ended)
 			}
 		}
--- a/pkg/quota/fleet_test.go
+++ b/pkg/quota/fleet_test.go
@@ -11,33 +11,33 @@
 	"github.com/stoneworks/stoneworks/pkg/customer"
 )
 
-// fleet is a model of boxes with a network between them, in simulated time. Messages
-// are encoded and decoded as on the wire.
+// fleet simulates boxes and the network between them in simulated time. Messages are encoded
+// and decoded as on the wire.
 type fleet struct {
-	random *rand.Rand
-	now    time.Time
-	events eventHeap
-	order  int
-	terms  Tolerance
-	zones  []string
-	boxes  []*simBox
-	byName map[string]*simBox
-	list   []customer.Customer
-	// loss is the part of messages that are lost, and cut reports whether two boxes
-	// cannot reach each other.
+	random    *rand.Rand
+	now       time.Time
+	events    eventHeap
+	order     int
+	tolerance Tolerance
+	zones     []string
+	boxes     []*simBox
+	byName    map[string]*simBox
+	list      []customer.Customer
+	// loss is the fraction of messages that are lost, and cut reports whether two boxes cannot
+	// reach each other.
 	loss float64
 	cut  func(a, b *simBox) bool
-	// customers are what happened to each customer's requests.
+	// customers are the results of the customers' requests, by name.
 	customers map[string]*simCustomer
 	bytes     map[string]int
 	messages  map[string]int
-	// servers are backend servers that name limits; see server_test.go.
+	// servers are backend servers that declare limits; see server_test.go.
 	servers []simServer
-	// limiter makes a box's limiter; other ways than this package's are compared.
+	// limiter returns a box's limiter; a test may replace it by another algorithm.
 	limiter func(b *simBox) simLimiter
 }
 
-// simLimiter is what the model needs of a limiter.
+// simLimiter is what the simulation needs of a limiter.
 type simLimiter interface {
 	Arrive(id ID) Decision
 	Recheck(id ID, last bool) Decision
@@ -47,36 +47,36 @@
 	SetCustomers(list []customer.Customer)
 }
 
-// simBox is one box of the model.
+// simBox is one box of the simulation.
 type simBox struct {
-	f        *fleet
-	name     string
-	zone     string
-	region   int
-	capacity float64
-	life     int64
-	limiter  simLimiter
-	up       bool
-	frozen   bool
-	since    time.Time
-	// lost is when another box was last out of reach, by its index.
-	lost  map[int]time.Time
-	index int
+	f           *fleet
+	name        string
+	zone        string
+	region      int
+	capacity    float64
+	incarnation int64
+	limiter     simLimiter
+	up          bool
+	frozen      bool
+	startedAt   time.Time
+	// reachedAt is when another box was last reached, by its index.
+	reachedAt map[int]time.Time
+	index     int
 }
 
-// simCustomer is one customer of the model.
+// simCustomer is one customer of the simulation.
 type simCustomer struct {
 	id       ID
 	limit    Limit
 	admitted []time.Time
 	sent     int
 	refused  int
-	// falsely are the refusals of requests that one token bucket of the whole limit
-	// would have let pass.
-	falsely  int
-	bucket   float64
-	bucketAt time.Time
-	waited   time.Duration
+	// falseRefusals counts the refusals of requests that a single token bucket for the whole
+	// limit would have admitted.
+	falseRefusals int
+	bucket        float64
+	bucketAt      time.Time
+	waited        time.Duration
 }
 
 type event struct {
@@ -105,13 +105,13 @@
 
 var simStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-var simTerms = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+var simTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// newSimFleet makes a fleet of large and small boxes in each of the zones, two zones a
-// region.
+// newSimFleet returns a fleet with the given numbers of large and small boxes in each zone,
+// two zones per region.
 func newSimFleet(seed int64, zones, large, small int, list []customer.Customer) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewSource(seed)), now: simStart, terms: simTerms, list: list,
+		random: rand.New(rand.NewSource(seed)), now: simStart, tolerance: simTolerance, list: list,
 		cut: func(*simBox, *simBox) bool { return false }, customers: map[string]*simCustomer{},
 		bytes: map[string]int{}, byName: map[string]*simBox{}, messages: map[string]int{},
 	}
@@ -124,7 +124,7 @@
 			if i >= large {
 				capacity = 125
 			}
-			b := &simBox{f: f, name: fmt.Sprintf("%s-%d", zone, i), zone: zone, region: z / 2, capacity: capacity, index: len(f.boxes), lost: map[int]time.Time{}}
+			b := &simBox{f: f, name: fmt.Sprintf("%s-%d", zone, i), zone: zone, region: z / 2, capacity: capacity, index: len(f.boxes), reachedAt: map[int]time.Time{}}
 			f.boxes = append(f.boxes, b)
 			f.byName[b.name] = b
 		}
@@ -136,7 +136,7 @@
 	}
 	f.limiter = func(b *simBox) simLimiter {
 		l := &Limiter{
-			Tolerance: f.terms, ServerTolerance: simServerTerms, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.life,
+			Tolerance: f.tolerance, ServerTolerance: simServerTolerance, Zone: b.zone, Zones: f.zones, Self: Box{Key: KeyOf(b.name), Address: b.name}, Incarnation: b.incarnation,
 			Now: func() time.Time { return f.now }, Random: f.random.Float64,
 		}
 		l.Start()
@@ -145,7 +145,7 @@
 	return f
 }
 
-// start starts all boxes within some milliseconds, and lets them run for a while.
+// start starts all boxes within 300 ms and runs the simulation for 6 s.
 func (f *fleet) start() {
 	for _, b := range f.boxes {
 		b.start(time.Duration(f.random.Intn(300)) * time.Millisecond)
@@ -158,7 +158,7 @@
 	heap.Push(&f.events, event{at: f.now.Add(d), order: f.order, run: run})
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(end) {
@@ -169,16 +169,16 @@
 	f.now = end
 }
 
-// start makes a box begin a life after a time.
+// start starts an incarnation of a box after a delay.
 func (b *simBox) start(d time.Duration) {
 	b.f.after(d, func() {
-		b.life++
+		b.incarnation++
 		b.up, b.frozen = true, false
-		b.since = b.f.now
+		b.startedAt = b.f.now
 		b.limiter = b.f.limiter(b)
 		b.limiter.SetCustomers(b.f.list)
-		b.hearOfServers()
-		b.tick(b.life)
+		b.applyServerLimitsLater()
+		b.tick(b.incarnation)
 	})
 }
 
@@ -187,35 +187,35 @@
 	b.limiter = nil
 }
 
-func (b *simBox) tick(life int64) {
-	if !b.up || b.life != life {
+func (b *simBox) tick(incarnation int64) {
+	if !b.up || b.incarnation != incarnation {
 		return
 	}
 	if !b.frozen {
 		b.limiter.Tick(b.view())
 		b.flush()
 	}
-	b.f.after(ReportEvery, func() { b.tick(life) })
+	b.f.after(ReportEvery, func() { b.tick(incarnation) })
 }
 
-// settle is how long a box of the model waits before it holds its part, and silence
-// after what time one that is out of reach is taken for silent.
+// simShareDelay is how long a box of the simulation waits before it holds its share, and
+// simSilence how long a box may be unreachable until it is taken for silent.
 const (
-	simSettle = 400 * time.Millisecond
-	// simHolders is how many first boxes of a zone hold a part.
-	simHolders = 4
-	simSilence = 2500 * time.Millisecond
+	simShareDelay = 400 * time.Millisecond
+	// simShareHolders is how many of the first boxes of a zone hold a share.
+	simShareHolders = 4
+	simSilence      = 2500 * time.Millisecond
 )
 
-// reaches reports whether the box has lately heard of the other one.
+// reaches reports whether the box has recently reached the other one.
 func (b *simBox) reaches(o *simBox) bool {
 	if o == b {
 		return true
 	}
 	if o.up && !o.frozen && !b.f.cut(b, o) {
-		b.lost[o.index] = b.f.now
+		b.reachedAt[o.index] = b.f.now
 	}
-	return b.f.now.Sub(b.lost[o.index]) < simSilence && b.lost[o.index].After(b.since.Add(-simSilence))
+	return b.f.now.Sub(b.reachedAt[o.index]) < simSilence && b.reachedAt[o.index].After(b.startedAt.Add(-simSilence))
 }
 
 func (b *simBox) view() View {
@@ -227,7 +227,7 @@
 			if o == b {
 				own = place
 			}
-			if place < simHolders {
+			if place < simShareHolders {
 				total += o.capacity
 			}
 			place++
@@ -241,7 +241,7 @@
 			v.Zones[o.zone] = append(v.Zones[o.zone], Box{Key: KeyOf(o.name), Address: o.name})
 		}
 	}
-	if b.f.now.Sub(b.since) > simSettle && own < simHolders {
+	if b.f.now.Sub(b.startedAt) > simShareDelay && own < simShareHolders {
 		v.Weight = b.capacity / total
 	}
 	return v
@@ -255,23 +255,23 @@
 
 func (f *fleet) deliver(from *simBox, e Envelope) {
 	to := f.byName[e.To.Address]
-	way := "zone"
+	link := "zone"
 	delay := time.Millisecond / 2
 	switch {
 	case from.region != to.region:
-		way, delay = "region", 35*time.Millisecond
+		link, delay = "region", 35*time.Millisecond
 	case from.zone != to.zone:
-		way, delay = "near", time.Millisecond
+		link, delay = "near", time.Millisecond
 	}
 	datagram := Encode(&e.Message)
-	f.bytes[way] += len(datagram) + 28
-	f.messages[way]++
+	f.bytes[link] += len(datagram) + 28
+	f.messages[link]++
 	if f.cut(from, to) || f.random.Float64() < f.loss {
 		return
 	}
-	life := to.life
+	incarnation := to.incarnation
 	f.after(delay+time.Duration(f.random.Intn(200))*time.Microsecond, func() {
-		if !to.up || to.frozen || to.life != life || f.cut(from, to) {
+		if !to.up || to.frozen || to.incarnation != incarnation || f.cut(from, to) {
 			return
 		}
 		m, err := Decode(datagram)
@@ -283,8 +283,8 @@
 	})
 }
 
-// request sends a request of a customer to a box, which may hold it until its
-// allocator has answered, but no longer than 100 ms.
+// request sends a customer's request to a box, which may hold it until its allocator has
+// answered, but no longer than about 150 ms.
 func (f *fleet) request(b *simBox, name string) {
 	c := f.customers[name]
 	c.sent++
@@ -300,10 +300,10 @@
 	}
 	d := b.limiter.Arrive(c.id)
 	b.flush()
-	f.decided(b, name, d, within, f.now, b.life)
+	f.decided(b, name, d, within, f.now, b.incarnation)
 }
 
-func (f *fleet) decided(b *simBox, name string, d Decision, within bool, start time.Time, life int64) {
+func (f *fleet) decided(b *simBox, name string, d Decision, within bool, start time.Time, incarnation int64) {
 	c := f.customers[name]
 	switch d.Verdict {
 	case Admitted:
@@ -312,24 +312,24 @@
 	case Refused:
 		c.refused++
 		if within {
-			c.falsely++
+			c.falseRefusals++
 		}
 	case Waiting:
 		f.after(3*time.Millisecond, func() {
-			if !b.up || b.life != life {
+			if !b.up || b.incarnation != incarnation {
 				return
 			}
 			if !b.frozen {
 				d = b.limiter.Recheck(c.id, f.now.Sub(start) >= 150*time.Millisecond)
 				b.flush()
 			}
-			f.decided(b, name, d, within, start, life)
+			f.decided(b, name, d, within, start, incarnation)
 		})
 	}
 }
 
-// load sends a customer's requests at a rate that may change, to boxes that are
-// picked for each, until an end.
+// load sends a customer's requests for the given time, at a rate that may change, each to the
+// box that pick returns.
 func (f *fleet) load(name string, perSecond func(t time.Duration) float64, pick func(t time.Duration) *simBox, d time.Duration) {
 	begin := f.now
 	var next func()
@@ -348,7 +348,8 @@
 	f.after(time.Duration(f.random.ExpFloat64()/max(0.1, perSecond(0))*float64(time.Second)), next)
 }
 
-// most returns the most requests that were admitted in any window, and how many may be.
+// most returns the largest number of requests that were admitted in any window, and how many
+// are allowed.
 func (c *simCustomer) most(t Tolerance) (most int, allowed float64) {
 	times := c.admitted
 	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
@@ -362,25 +363,26 @@
 	return most, math.Floor((c.limit.Rate*t.Window.Seconds()+c.limit.Burst)*(1+t.Overage) + t.Slack)
 }
 
-// worst returns the customer that comes nearest to its bound, as a part of it.
+// worst returns the customer that comes nearest to its bound, and the part of the bound that
+// it uses.
 func (f *fleet) worst() (name string, part float64) {
 	for n, c := range f.customers {
-		if most, allowed := c.most(f.terms); float64(most)/allowed > part {
+		if most, allowed := c.most(f.tolerance); float64(most)/allowed > part {
 			name, part = n, float64(most)/allowed
 		}
 	}
 	return name, part
 }
 
-// falsely returns the part of requests that were refused although the limit left
-// room, and for how long requests waited on average.
-func (f *fleet) falsely() (part float64, waited time.Duration) {
-	sent, falsely := 0, 0
+// falseRefusals returns the fraction of requests that were refused although the limit left
+// room, and how long requests waited on average.
+func (f *fleet) falseRefusals() (part float64, waited time.Duration) {
+	sent, falseRefusals := 0, 0
 	var total time.Duration
 	for _, c := range f.customers {
 		sent += c.sent
-		falsely += c.falsely
+		falseRefusals += c.falseRefusals
 		total += c.waited
 	}
-	return float64(falsely) / float64(max(1, sent)), total / time.Duration(max(1, sent))
+	return float64(falseRefusals) / float64(max(1, sent)), total / time.Duration(max(1, sent))
 }
--- a/pkg/quota/reports.go
+++ b/pkg/quota/reports.go
@@ -6,11 +6,10 @@
 )
 
 // ================================================================
-// What a box tells allocators and hears from them.
+// Reports to allocators and their answers
 // ================================================================
 
-// Tick does what is due: call it every ReportEvery, with what is known of other
-// boxes.
+// Tick does the periodic work. Call it every ReportEvery with what is known of other boxes.
 func (l *Limiter) Tick(v View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -18,7 +17,7 @@
 	l.allocator.advance(now)
 	l.view = v
 	l.allocator.loans.zones = v.Zones
-	l.lending.choose(v.First, now)
+	l.lender.choose(v.First, now)
 	l.ticks++
 	cleanUp := l.ticks%cleanUpTicks == 0
 	if cleanUp {
@@ -28,10 +27,10 @@
 	l.allocator.tick(cleanUp)
 }
 
-// cleanUp gives unused tokens back and drops accounts of customers that send nothing.
+// cleanUp returns unused tokens and drops accounts of customers that send nothing.
 func (l *Limiter) cleanUp(now time.Time) {
 	for _, a := range l.accounts {
-		if a.returnIdle(owner(a.id, l.lending.target), now) {
+		if a.returnIdle(owner(a.id, l.lender.allocators), now) {
 			l.touch(a)
 		}
 		if !a.changed && a.waiting == 0 && now.Sub(a.usedAt) > forgetAfter {
@@ -40,16 +39,16 @@
 	}
 }
 
-// TakeMessages returns what is to be sent now.
+// TakeMessages removes and returns the messages to be sent.
 func (l *Limiter) TakeMessages() []Envelope {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := l.out
-	l.out = nil
+	out := l.outgoing
+	l.outgoing = nil
 	return out
 }
 
-// Receive takes in a message; address is where it came from.
+// Receive handles a message; address is where it came from.
 func (l *Limiter) Receive(m *Message, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,27 +58,27 @@
 func (l *Limiter) receive(m *Message, from Box) {
 	l.allocator.advance(l.Now())
 	switch {
-	case m.Report != nil && l.isLimited():
-		// One that knows no limits yet says nothing, so that others are asked.
+	case m.Report != nil && l.hasLimits():
+		// A box that knows no limits yet does not answer, so that others are asked.
 		l.allocator.report(from, m.Report)
-	case m.Ask != nil:
-		l.allocator.lend(from, m.Ask)
+	case m.LoanRequest != nil:
+		l.allocator.lend(from, m.LoanRequest)
 	case m.Loan != nil:
-		l.allocator.borrowed(from, m.Loan)
+		l.allocator.receiveLoan(from, m.Loan)
 	case m.Grant != nil:
-		l.granted(m.Grant, from)
+		l.receiveGrant(m.Grant, from)
 	}
 }
 
-// granted takes in what this box was granted. A first answer is reported at once: only
-// then does what this box lends count.
-func (l *Limiter) granted(m *Grant, from Box) {
+// receiveGrant handles a grant. The first answer of an allocator is followed by a report at
+// once: only a report that echoes the allocator's stamp makes the box's lease count.
+func (l *Limiter) receiveGrant(m *Grant, from Box) {
 	if m.Incarnation != l.Incarnation {
 		return
 	}
-	p := l.lending.peers[from.Key]
-	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lending.target, from.Key)
-	l.lending.heard(from.Key, m.Stamp)
+	p := l.lender.peers[from.Key]
+	first := p != nil && p.echo.Incarnation != m.Stamp.Incarnation && slices.Contains(l.lender.allocators, from.Key)
+	l.lender.answered(from.Key, m.Stamp)
 	now := l.Now()
 	for _, c := range m.Ceilings {
 		if a := l.accounts[c.ID]; a != nil {
@@ -91,34 +90,34 @@
 	}
 }
 
-// send hands a message over; one to this box itself is taken in at once.
+// send queues a message; one to this box itself is handled at once.
 func (l *Limiter) send(to Box, m Message) {
 	m.From = l.Self.Key
 	if to.Key == l.Self.Key {
 		l.receive(&m, l.Self)
 		return
 	}
-	l.out = append(l.out, Envelope{To: to, Message: m})
+	l.outgoing = append(l.outgoing, Envelope{To: to, Message: m})
 }
 
-// reportNow tells of one account at once, since a request waits. What has changed of
-// others is told with the next tick: looking at all for each request that waits would
-// take time with the number of customers.
+// reportNow reports one account at once, since a request waits. Changes of other accounts are
+// reported with the next tick: looking at all of them for each waiting request would take time
+// in proportion to the number of customers.
 func (l *Limiter) reportNow(a *account) {
 	now := l.Now()
 	l.allocator.advance(now)
-	p := l.lending.peers[owner(a.id, l.lending.target)]
+	p := l.lender.peers[owner(a.id, l.lender.allocators)]
 	if p == nil {
-		// Before the first tick nobody is known yet.
+		// No allocator is known before the first tick.
 		return
 	}
 	a.changed, a.reportedAt = false, now
 	l.reportTo(p, []Usage{a.usage(p.box.Key, now)}, now)
 }
 
-// report tells each allocator what has changed of its customers, and where bare is
-// set also those of whom nothing has.
-func (l *Limiter) report(bare bool) {
+// report reports to each allocator the accounts of its customers that are due. With evenEmpty
+// set, it also reports to allocators without any.
+func (l *Limiter) report(evenEmpty bool) {
 	now := l.Now()
 	changed := map[uint64][]Usage{}
 	for id, a := range l.dirty {
@@ -129,28 +128,28 @@
 			continue
 		}
 		a.changed, a.reportedAt = false, now
-		key := owner(id, l.lending.target)
+		key := owner(id, l.lender.allocators)
 		changed[key] = append(changed[key], a.usage(key, now))
 	}
-	for _, key := range l.lending.target {
-		if p := l.lending.peers[key]; bare || len(changed[key]) > 0 {
+	for _, key := range l.lender.allocators {
+		if p := l.lender.peers[key]; evenEmpty || len(changed[key]) > 0 {
 			l.reportTo(p, changed[key], now)
 		}
 	}
 }
 
 // reportTo sends a report, in as many messages as it needs.
-func (l *Limiter) reportTo(p *lendingPeer, usage []Usage, now time.Time) {
-	p.told = now
-	if p.asked.IsZero() {
-		p.asked = now
+func (l *Limiter) reportTo(p *allocatorPeer, usage []Usage, now time.Time) {
+	p.reportedAt = now
+	if p.unansweredSince.IsZero() {
+		p.unansweredSince = now
 	}
 	for first := true; first || len(usage) > 0; first = false {
 		n := min(len(usage), maxEntries)
-		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lending.lent(now), Usage: usage[:n]}
-		if l.lending.lends(p, now) {
+		r := &Report{Incarnation: l.Incarnation, Echo: p.echo, Allocators: l.lender.leaseHolders(now), Usage: usage[:n]}
+		if l.lender.mayLend(p, now) {
 			r.Weight = l.view.Weight
-			l.lending.hasLent = l.lending.hasLent || r.Weight > 0
+			l.lender.hasLent = l.lender.hasLent || r.Weight > 0
 		}
 		if p.box.Key == l.Self.Key {
 			r.Echo = l.allocator.stamp()
