--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -35,7 +35,7 @@
 	Now func() time.Time
 	// OnChange is called with a limit that has changed and with the idle time after which the
 	// peer closed a connection.
-	OnChange func(limit, rested time.Duration)
+	OnChange func(limit, idle time.Duration)
 
 	mu    sync.Mutex
 	limit time.Duration
