--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -69,16 +69,16 @@
 
 // Cap returns for how long a connection may be idle that could otherwise be idle for the given
 // time.
-func (l *IdleLimit) Cap(most time.Duration) time.Duration {
+func (l *IdleLimit) Cap(maxIdle time.Duration) time.Duration {
 	if l == nil {
-		return most
+		return maxIdle
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.Now().Before(l.until) {
-		return min(most, l.limit)
+		return min(maxIdle, l.limit)
 	}
-	return most
+	return maxIdle
 }
 
 // closedByPeer reports whether an exchange failed because the peer had closed the idle
