--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -48,20 +48,20 @@
 }
 
 // ObserveClosed records a connection that the peer closed after it had been idle.
-func (l *IdleLimit) ObserveClosed(idle time.Duration) {
+func (l *IdleLimit) ObserveClosed(idleFor time.Duration) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	limit := max(minCap, time.Duration(capShare*float64(idle)))
+	limit := max(minCap, time.Duration(capShare*float64(idleFor)))
 	known := now.Before(l.until)
 	if known {
 		limit = min(limit, l.limit)
 	}
 	if !known || limit != l.limit {
-		l.OnChange(limit, idle)
+		l.OnChange(limit, idleFor)
 	}
 	l.limit = limit
 	l.until = now.Add(capTTL)
