--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -71,7 +71,7 @@
 // Read implements net.Conn. net/http calls it from one goroutine at a time.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	isBetween, held, failure := c.framing.isBetween(), len(c.pending), c.failure
+	isBetween, held, failure := c.framing.betweenRequests(), len(c.pending), c.failure
 	c.mu.Unlock()
 	switch {
 	case failure != nil:
--- a/pkg/pipeline/framing.go
+++ b/pkg/pipeline/framing.go
@@ -21,9 +21,9 @@
 	opaque bool
 }
 
-// isBetween reports whether the last request has arrived whole and nothing of the next one
+// betweenRequests reports whether the last request has arrived whole and nothing of the next one
 // has.
-func (f *framing) isBetween() bool {
+func (f *framing) betweenRequests() bool {
 	return !f.opaque && f.bodyLeft == 0 && len(f.head) == 0
 }
 
--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -23,7 +23,7 @@
 		n := f.advance([]byte(piece))
 		request += piece[:n]
 		rest = rest[n:]
-		if f.isBetween() {
+		if f.betweenRequests() {
 			requests = append(requests, request)
 			request = ""
 		}
@@ -64,6 +64,6 @@
 		f := &framing{}
 		data := []byte(ambiguous + get + get)
 		is.New(t).Equal(f.advance(data), len(data))
-		is.New(t).Equal(f.isBetween(), false)
+		is.New(t).Equal(f.betweenRequests(), false)
 	}
 }
--- a/pkg/pipeline/pipeline.go
+++ b/pkg/pipeline/pipeline.go
@@ -92,7 +92,7 @@
 func nextHead(data []byte) []byte {
 	f := &framing{}
 	n := f.advance(data)
-	if !f.isBetween() || n == 0 || headerEnd(data) != n {
+	if !f.betweenRequests() || n == 0 || headerEnd(data) != n {
 		return nil
 	}
 	return bytes.Clone(data[:n])
