--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -85,10 +85,10 @@
 	// Otherwise net/http would guess a content type and add a date.
 	out["Content-Type"] = nil
 	out["Date"] = nil
-	listed := connectionListed([]string{string(answer.Header.Peek("Connection"))})
+	connectionHeaders := connectionListed([]string{string(answer.Header.Peek("Connection"))})
 	for name, value := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
-		if isHopByHop(n, listed) {
+		if isHopByHop(n, connectionHeaders) {
 			continue
 		}
 		c.noteUnknownHeader(n, answer)
