--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -277,9 +277,9 @@
 	h.SetRequestURI(c.r.RequestURI)
 	h.SetNoDefaultContentType(true)
 	h.SetHost(c.r.Host)
-	listed := connectionListed(c.r.Header["Connection"])
+	connectionHeaders := connectionListed(c.r.Header["Connection"])
 	for name, values := range c.r.Header {
-		if isHopByHop(name, listed) || c.server.Dialect.Internal(name) || c.hasCustomers && c.server.Dialect.CarriesKey(name) {
+		if isHopByHop(name, connectionHeaders) || c.server.Dialect.Internal(name) || c.hasCustomers && c.server.Dialect.CarriesKey(name) {
 			continue
 		}
 		for _, v := range values {
