--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -314,13 +314,13 @@
 	return listed
 }
 
-func isHopByHop(name string, listed []string) bool {
+func isHopByHop(name string, connectionHeaders []string) bool {
 	for _, h := range hopByHop {
 		if name == h {
 			return true
 		}
 	}
-	for _, h := range listed {
+	for _, h := range connectionHeaders {
 		if strings.EqualFold(name, h) {
 			return true
 		}
