--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -92,7 +92,7 @@
 		return nil, &Error{Stage: StageHeader, Sent: true, Cause: x.cause(err)}
 	}
 	x.closeAsked = answer.Header.ConnectionClose()
-	x.conn.keepAlive = keepAliveOf(&answer.Header)
+	x.conn.keepAlive = parseKeepAlive(&answer.Header)
 	x.openBody(req, answer)
 	return answer, nil
 }
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// keepAliveOf returns the idle time that the peer announces, 0 if it announces none.
-func keepAliveOf(h *fasthttp.ResponseHeader) time.Duration {
+// parseKeepAlive returns the idle time that the peer announces, 0 if it announces none.
+func parseKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
 	_, rest, found := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
 	if !found {
 		return 0
