--- a/pkg/exchange/idle.go
+++ b/pkg/exchange/idle.go
@@ -35,7 +35,7 @@
 	Now func() time.Time
 	// OnChange is called with a limit that has changed and with the idle time after which the
 	// peer closed a connection.
-	OnChange func(limit, rested time.Duration)
+	OnChange func(limit, idle time.Duration)
 
 	mu    sync.Mutex
 	limit time.Duration
@@ -48,20 +48,20 @@
 }
 
 // ObserveClosed records a connection that the peer closed after it had been idle.
-func (l *IdleLimit) ObserveClosed(idle time.Duration) {
+func (l *IdleLimit) ObserveClosed(idleFor time.Duration) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	limit := max(minCap, time.Duration(capShare*float64(idle)))
+	limit := max(minCap, time.Duration(capShare*float64(idleFor)))
 	known := now.Before(l.until)
 	if known {
 		limit = min(limit, l.limit)
 	}
 	if !known || limit != l.limit {
-		l.OnChange(limit, idle)
+		l.OnChange(limit, idleFor)
 	}
 	l.limit = limit
 	l.until = now.Add(capTTL)
@@ -69,16 +69,16 @@
 
 // Cap returns for how long a connection may be idle that could otherwise be idle for the given
 // time.
-func (l *IdleLimit) Cap(most time.Duration) time.Duration {
+func (l *IdleLimit) Cap(maxIdle time.Duration) time.Duration {
 	if l == nil {
-		return most
+		return maxIdle
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.Now().Before(l.until) {
-		return min(most, l.limit)
+		return min(maxIdle, l.limit)
 	}
-	return most
+	return maxIdle
 }
 
 // closedByPeer reports whether an exchange failed because the peer had closed the idle
--- a/pkg/ingress/ingress_answer.go
+++ b/pkg/ingress/ingress_answer.go
@@ -19,29 +19,29 @@
 
 // receive reads the answer and passes it on. A large answer is streamed; if it breaks off, the
 // client's connection is aborted.
-func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, verdict AnswerMeta) *outcome.Failure {
-	c.noteSurvival(verdict)
+func (c *call) receive(lease *backend.Lease, start time.Time, answer *exchange.Answer, meta AnswerMeta) *outcome.Failure {
+	c.noteSurvival(meta)
 	status := answer.Header.StatusCode()
 	c.server.ObserveAttempt(c.route.Name, lease, Attempt{
 		Failed:   status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout,
 		TimedOut: status == http.StatusGatewayTimeout, Took: c.server.Now().Sub(start),
 	})
-	held, err := io.ReadAll(io.LimitReader(answer.Body, bufferedAnswer+1))
+	buffered, err := io.ReadAll(io.LimitReader(answer.Body, bufferedAnswer+1))
 	if err != nil {
 		_ = answer.Body.Close()
 		return c.failed(lease, start, sentError(err))
 	}
 	c.copyHeader(answer)
-	if len(held) <= bufferedAnswer {
+	if len(buffered) <= bufferedAnswer {
 		_ = answer.Body.Close()
-		c.finish(lease, backend.Answered, verdict.Load, start, nil)
-		c.w.Header().Set("Content-Length", strconv.Itoa(len(held)))
+		c.finish(lease, backend.Answered, meta.Load, start, nil)
+		c.w.Header().Set("Content-Length", strconv.Itoa(len(buffered)))
 		c.w.WriteHeader(answer.Header.StatusCode())
-		_, _ = c.w.Write(held)
+		_, _ = c.w.Write(buffered)
 		c.answered(answer.Header.StatusCode())
 		return nil
 	}
-	c.stream(lease, start, answer, held, verdict)
+	c.stream(lease, start, answer, buffered, meta)
 	return nil
 }
 
@@ -55,12 +55,12 @@
 	return &exchange.Error{Stage: exchange.StageBody, Sent: true, Cause: err}
 }
 
-func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, held []byte, verdict AnswerMeta) {
+func (c *call) stream(lease *backend.Lease, start time.Time, answer *exchange.Answer, buffered []byte, meta AnswerMeta) {
 	if answer.Length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.Itoa(answer.Length))
 	}
 	c.w.WriteHeader(answer.Header.StatusCode())
-	_, err := c.w.Write(held)
+	_, err := c.w.Write(buffered)
 	if err == nil {
 		_, err = io.Copy(c.w, answer.Body)
 	}
@@ -70,13 +70,13 @@
 		if c.r.Context().Err() != nil {
 			result = backend.Abandoned
 		}
-		c.finish(lease, result, verdict.Load, start, err)
+		c.finish(lease, result, meta.Load, start, err)
 		c.log("answer broke off", outcome.ReasonTruncated, http.StatusBadGateway, 1)
 		// Aborting the connection is the only way to show the client that the answer is
 		// incomplete.
 		panic(http.ErrAbortHandler)
 	}
-	c.finish(lease, backend.Answered, verdict.Load, start, nil)
+	c.finish(lease, backend.Answered, meta.Load, start, nil)
 	c.answered(answer.Header.StatusCode())
 }
 
@@ -85,29 +85,29 @@
 	// Otherwise net/http would guess a content type and add a date.
 	out["Content-Type"] = nil
 	out["Date"] = nil
-	listed := connectionListed([]string{string(answer.Header.Peek("Connection"))})
+	connectionHeaders := connectionListed([]string{string(answer.Header.Peek("Connection"))})
 	for name, value := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
-		if isHopByHop(n, listed) {
+		if isHopByHop(n, connectionHeaders) {
 			continue
 		}
-		c.noteUnread(n, answer)
+		c.noteUnknownHeader(n, answer)
 		out[n] = append(out[n], string(value))
 	}
 }
 
-// noteRefusal reports the unknown headers of an answer that is not passed on.
-func (c *call) noteRefusal(answer *exchange.Answer) {
+// noteUnknownHeaders reports the unknown headers of an answer that is not passed on.
+func (c *call) noteUnknownHeaders(answer *exchange.Answer) {
 	for name := range answer.Header.All() {
 		n := http.CanonicalHeaderKey(string(name))
 		if !isHopByHop(n, nil) {
-			c.noteUnread(n, answer)
+			c.noteUnknownHeader(n, answer)
 		}
 	}
 }
 
-// noteUnread reports a header of an answer if the platform's adapter does not know it.
-func (c *call) noteUnread(name string, answer *exchange.Answer) {
+// noteUnknownHeader reports a header of an answer if the platform's adapter does not know it.
+func (c *call) noteUnknownHeader(name string, answer *exchange.Answer) {
 	if c.server.Dialect.IsUnknownHeader(name, answer.Header.StatusCode()) {
 		c.server.ObserveUnknownHeader(name)
 	}
