--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -50,9 +50,9 @@
 	})
 }
 
-// TestWalkerKeepsCap has plans jump at any moment: whatever comes, in no
+// TestMigratorKeepsCap has plans jump at any moment: whatever comes, in no
 // window do more than the cap's part of the requests change their region.
-func TestWalkerKeepsCap(t *testing.T) {
+func TestMigratorKeepsCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.01, 0.5).Draw(t, "cap")
 		window := 10 * time.Second
