--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestWalkerArrives(t *testing.T) {
+func TestMigratorReachesPlan(t *testing.T) {
 	is := is.New(t)
 	w := NewMigrator()
 	now := time.Unix(1_000, 0)
