--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -40,7 +40,7 @@
 	is.Equal(len(table.Members()), 1)
 }
 
-func TestOwnSilenceIsForgiven(t *testing.T) {
+func TestOwnSuspensionIsNotSilenceOfOthers(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000, 0)
 	table := NewTable("a", func() time.Time { return now })
