--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -84,7 +84,7 @@
 	is.True(failure == nil)
 }
 
-func TestRefusalNamesWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	is := is.New(t)
 	g, _ := newTestGate(ServerConfig{Name: "a", Share: 1})
 	_, failure := g.Acquire(context.Background(), Request{})
