--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -95,7 +95,7 @@
 	is.True(!g.HasFree())
 }
 
-func TestLeavingGetsNothing(t *testing.T) {
+func TestLeavingServerIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	g, _ := newTestGate(ServerConfig{Name: "a", Share: 1})
 	is.True(g.SetSelfLeaving("a", true))
