--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -31,7 +31,7 @@
 type span struct {
 	first, last netip.Addr
 	bits        int
-	site        uint16
+	zone        uint16
 }
 
 // NewBlockTable flattens the blocks. Blocks that cannot be parsed, or whose
@@ -45,7 +45,7 @@
 			continue
 		}
 		p = p.Masked()
-		s := span{first: p.Addr(), last: lastAddr(p), bits: p.Bits(), site: site}
+		s := span{first: p.Addr(), last: lastAddr(p), bits: p.Bits(), zone: site}
 		if p.Addr().Is4() {
 			v4 = append(v4, s)
 		} else {
@@ -134,14 +134,14 @@
 			}
 			site := noZone
 			if len(open) > 0 {
-				site = open[len(open)-1].site
+				site = open[len(open)-1].zone
 			}
 			put(next, site)
 		}
 	}
 	for _, s := range spans {
 		closeBefore(s.first, false)
-		put(s.first, s.site)
+		put(s.first, s.zone)
 		open = append(open, s)
 	}
 	closeBefore(netip.Addr{}, true)
