--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -155,20 +155,20 @@
 	last    uint16
 	pending bool
 	start   netip.Addr
-	site    uint16
+	zone    uint16
 }
 
 func (w *rangeWriter) put(start netip.Addr, site uint16) {
 	if w.pending && start != w.start {
 		w.flush()
 	}
-	w.pending, w.start, w.site = true, start, site
+	w.pending, w.start, w.zone = true, start, site
 }
 
 func (w *rangeWriter) flush() {
-	if w.pending && w.site != w.last {
-		w.emit(w.start, w.site)
-		w.last = w.site
+	if w.pending && w.zone != w.last {
+		w.emit(w.start, w.zone)
+		w.last = w.zone
 	}
 	w.pending = false
 }
