--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -40,12 +40,12 @@
 	var v4, v6 []span
 	for _, b := range blocks {
 		p, err := netip.ParsePrefix(b.Prefix)
-		site, ok := zoneIndex(b.Zone)
+		zone, ok := zoneIndex(b.Zone)
 		if err != nil || !ok {
 			continue
 		}
 		p = p.Masked()
-		s := span{first: p.Addr(), last: lastAddr(p), bits: p.Bits(), zone: site}
+		s := span{first: p.Addr(), last: lastAddr(p), bits: p.Bits(), zone: zone}
 		if p.Addr().Is4() {
 			v4 = append(v4, s)
 		} else {
