--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -58,9 +58,9 @@
 		t.starts4 = append(t.starts4, uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]))
 		t.zones4 = append(t.zones4, zone)
 	})
-	flatten(v6, func(start netip.Addr, site uint16) {
+	flatten(v6, func(start netip.Addr, zone uint16) {
 		t.starts6 = append(t.starts6, start.As16())
-		t.zones6 = append(t.zones6, site)
+		t.zones6 = append(t.zones6, zone)
 	})
 	t.buildIndex()
 	return t
