--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -78,7 +78,7 @@
 }
 
 // Find returns the site of the address.
-func (t *BlockTable) Find(a netip.Addr) (site int, ok bool) {
+func (t *BlockTable) Find(a netip.Addr) (zone int, ok bool) {
 	a = a.Unmap()
 	if a.Is4() {
 		return t.find4(a)
