--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -91,7 +91,7 @@
 	return int(t.zones6[i]), true
 }
 
-func (t *BlockTable) find4(a netip.Addr) (site int, ok bool) {
+func (t *BlockTable) find4(a netip.Addr) (zone int, ok bool) {
 	b := a.As4()
 	k := uint32(b[0])<<24 | uint32(b[1])<<16 | uint32(b[2])<<8 | uint32(b[3])
 	lo, hi := t.index4[k>>16], t.index4[k>>16+1]
