--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -132,11 +132,11 @@
 			if !next.IsValid() {
 				return
 			}
-			site := noZone
+			zone := noZone
 			if len(open) > 0 {
-				site = open[len(open)-1].zone
+				zone = open[len(open)-1].zone
 			}
-			put(next, site)
+			put(next, zone)
 		}
 	}
 	for _, s := range spans {
