--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -158,11 +158,11 @@
 	zone    uint16
 }
 
-func (w *rangeWriter) put(start netip.Addr, site uint16) {
+func (w *rangeWriter) put(start netip.Addr, zone uint16) {
 	if w.pending && start != w.start {
 		w.flush()
 	}
-	w.pending, w.start, w.zone = true, start, site
+	w.pending, w.start, w.zone = true, start, zone
 }
 
 func (w *rangeWriter) flush() {
