--- a/pkg/box/box_views.go
+++ b/pkg/box/box_views.go
@@ -8,22 +8,22 @@
 	"github.com/stoneworks/stoneworks/pkg/slots"
 )
 
-// takesPart reports whether a box shares the slots of its zone, as far as this
-// box knows: it is listed or was heard of lately, and has not given them up.
-func takesPart(m membership.Member) bool {
+// sharesSlots reports whether a box shares the slots of its zone, as far as this box
+// knows: it is listed or not dead, and has not released its slots.
+func sharesSlots(m membership.Member) bool {
 	return !m.Gone && (m.InList || m.State != membership.Dead)
 }
 
-// views returns the views that this box computes with: of every zone of its
-// region, by zone. A zone without boxes is adopted by the rest of the region.
+// views returns this box's present view of every zone of its region, by zone. The slots
+// of a zone without boxes are shared by all boxes of the region.
 func (b *Box) views(members []membership.Member) map[string]slots.View {
-	natives := map[string][]string{}
+	boxesOf := map[string][]string{}
 	var region []string
 	for _, m := range members {
-		if b.Topology.RegionOf(m.Zone) != b.region || !takesPart(m) {
+		if b.Topology.RegionOf(m.Zone) != b.region || !sharesSlots(m) {
 			continue
 		}
-		natives[m.Zone] = append(natives[m.Zone], m.Box)
+		boxesOf[m.Zone] = append(boxesOf[m.Zone], m.Box)
 		region = append(region, m.Box)
 	}
 	views := map[string]slots.View{}
@@ -31,17 +31,17 @@
 		if z.Region != b.region {
 			continue
 		}
-		views[z.Zone] = slots.NewView(natives[z.Zone]...)
-		if len(natives[z.Zone]) == 0 {
+		views[z.Zone] = slots.NewView(boxesOf[z.Zone]...)
+		if len(boxesOf[z.Zone]) == 0 {
 			views[z.Zone] = slots.NewView(region...)
 		}
 	}
 	return views
 }
 
-// speakers returns the other boxes of the region whose word on slots counts.
-// The word of a box that is dead, and off the views, has lapsed.
-func (b *Box) speakers(members []membership.Member, views map[string]slots.View) []membership.Member {
+// slotPeers returns the other boxes of the region whose views and excess limit this
+// box's slots. A dead box that is in no view no longer counts.
+func (b *Box) slotPeers(members []membership.Member, views map[string]slots.View) []membership.Member {
 	var list []membership.Member
 	for _, m := range members {
 		if m.Box == b.Settings.Box || m.State == membership.Listed || b.Topology.RegionOf(m.Zone) != b.region {
@@ -55,11 +55,12 @@
 	return list
 }
 
-// anyPartial reports whether a box of the region, older than this one, is known
-// only by way of another region. What it holds is not known until it was heard
-// itself or is dead. A younger one holds nothing that this box has not seen.
-func (b *Box) anyPartial(speakers []membership.Member) bool {
-	for _, m := range speakers {
+// anyPartial reports whether a box of the region that is older than this one is known
+// only from a record that came through another region. The slots that it holds are not
+// known until its full record arrives or it is dead. A younger box holds no slots that
+// this box does not know of.
+func (b *Box) anyPartial(peers []membership.Member) bool {
+	for _, m := range peers {
 		age := time.Duration(m.AgeMS)*time.Millisecond + m.SilentFor
 		if m.Partial && m.SilentFor <= membership.DeadAfter && age > b.age() {
 			return true
@@ -68,11 +69,11 @@
 	return false
 }
 
-// told returns what the speakers said of one server. A box that is gone has
-// told its excess only.
-func told(speakers []membership.Member, zone, server string) []slots.PeerReport {
-	all := make([]slots.PeerReport, 0, len(speakers))
-	for _, m := range speakers {
+// reportsOf returns what the peers report of one server. For a box that has released
+// its slots this is its excess only.
+func reportsOf(peers []membership.Member, zone, server string) []slots.PeerReport {
+	all := make([]slots.PeerReport, 0, len(peers))
+	for _, m := range peers {
 		t := slots.PeerReport{Excess: m.Excess[server]}
 		if !m.Gone {
 			t.Views = viewsOf(m.Views, zone)
@@ -90,9 +91,9 @@
 	return list
 }
 
-// countingViews returns this box's views that still count, with the present
-// ones as the last.
-func (b *Box) countingViews(views map[string]slots.View, speakers []membership.Member) []membership.SlotViews {
+// activeViews returns this box's views that some other box may still apply, the present
+// ones last.
+func (b *Box) activeViews(views map[string]slots.View, peers []membership.Member) []membership.SlotViews {
 	zones := map[string][]string{}
 	for zone, v := range views {
 		zones[zone] = v
@@ -108,7 +109,7 @@
 		own = append(own, membership.SlotViews{Version: version, Zones: zones})
 	}
 	var seen []uint64
-	for _, m := range speakers {
+	for _, m := range peers {
 		if !m.Gone {
 			seen = append(seen, m.Seen[b.Settings.Box])
 		}
@@ -116,13 +117,13 @@
 	return slots.ActiveViews(own, func(v membership.SlotViews) uint64 { return v.Version }, seen)
 }
 
-// noteViews remembers for heartbeats what the gates now keep to, and reports
-// whether this box's views that count have changed.
-func (b *Box) noteViews(own []membership.SlotViews, speakers []membership.Member) (changed bool) {
+// recordAppliedViews stores which views the gates now apply, for heartbeats and
+// applyNewViews, and reports whether this box's active views have changed.
+func (b *Box) recordAppliedViews(own []membership.SlotViews, peers []membership.Member) (changed bool) {
 	seen := map[string]uint64{}
-	heard := map[string]viewsHeard{}
-	for _, m := range speakers {
-		heard[m.Box] = viewsHeard{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}
+	applied := map[string]appliedView{}
+	for _, m := range peers {
+		applied[m.Box] = appliedView{version: m.ViewsVersion(), views: len(m.Views), excess: len(m.Excess), partial: m.Partial}
 		if v := m.ViewsVersion(); v > 0 {
 			seen[m.Box] = v
 		}
@@ -130,16 +131,16 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed = !sameVersions(b.ownViews, own)
-	b.ownViews, b.seenViews, b.heardOf = own, seen, heard
+	b.ownViews, b.seenViews, b.appliedViews = own, seen, applied
 	return changed
 }
 
-// viewsHeard is what the gates keep to of another box.
-type viewsHeard struct {
-	version  uint64
-	counting int
-	excess   int
-	partial  bool
+// appliedView identifies the views and the excess of another box that the gates apply.
+type appliedView struct {
+	version uint64
+	views   int
+	excess  int
+	partial bool
 }
 
 func sameVersions(a, b []membership.SlotViews) bool {
@@ -154,17 +155,17 @@
 	return true
 }
 
-// heardViews is called when another box has told something. If its views are
-// new, this box keeps to them before it answers that it has seen them.
-func (b *Box) heardViews() {
+// applyNewViews is called when records of other boxes have arrived. If their views are
+// new, the gates apply them before this box reports that it has seen them.
+func (b *Box) applyNewViews() {
 	b.mu.Lock()
-	known := b.heardOf
+	known := b.appliedViews
 	b.mu.Unlock()
 	for _, m := range b.Table.Members() {
 		if m.Box == b.Settings.Box || m.State == membership.Dead || b.Topology.RegionOf(m.Zone) != b.region {
 			continue
 		}
-		if known[m.Box] != (viewsHeard{version: m.ViewsVersion(), counting: len(m.Views), excess: len(m.Excess), partial: m.Partial}) {
+		if known[m.Box] != (appliedView{version: m.ViewsVersion(), views: len(m.Views), excess: len(m.Excess), partial: m.Partial}) {
 			b.rebuild()
 			return
 		}
--- a/pkg/objects/objects_test.go
+++ b/pkg/objects/objects_test.go
@@ -56,8 +56,8 @@
 	return list
 }
 
-// TestMirrorFollowsInAnyOrder: lists that are old, and lists of other boxes
-// between events, never take a mirror back, and it ends equal to the store.
+// TestMirrorFollowsInAnyOrder: old lists, and lists from other boxes between events, never
+// return a mirror to an older state, and it ends up equal to the store.
 func TestMirrorFollowsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{items: map[string]Object{}}
@@ -115,8 +115,8 @@
 	is.Equal(a.Version().Digest, b.Version().Digest)
 }
 
-// TestMirrorWithoutAListLacksAnEmptyOne: a list without objects has the digest of
-// a mirror without a list, and is what a box waits for all the same.
+// TestMirrorWithoutAListLacksAnEmptyOne: an empty list has the digest of a mirror without a
+// list, and a box that waits for a list must still take it.
 func TestMirrorWithoutAListLacksAnEmptyOne(t *testing.T) {
 	is := is.New(t)
 	a, b := NewMirror("things"), NewMirror("things")
@@ -129,7 +129,7 @@
 	is.True(!a.Lacks(b.Version()))
 }
 
-// script is a client whose answers a test gives one after the other.
+// script is a client whose answers a test provides.
 type script struct {
 	mu    sync.Mutex
 	calls []string
@@ -155,7 +155,7 @@
 	}
 }
 
-func follow(s *script, wait time.Duration) (*Follower, func()) {
+func startFollower(s *script, wait time.Duration) (*Follower, func()) {
 	f := NewFollower(s.client(), NewMirror("things"), wait, func() float64 { return 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -210,10 +210,10 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, time.Minute)
+	f, stop := startFollower(s, time.Minute)
 	eventually(is, has(f, "c"))
 	stop()
-	// It goes on from the first page's revision, and from the last event's.
+	// It continues from the revision of the first page, and from that of the last event.
 	is.Equal(s.calls[:3], []string{"list ", "list a", "watch 5"})
 }
 
@@ -236,13 +236,13 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, time.Minute)
+	f, stop := startFollower(s, time.Minute)
 	defer stop()
 	eventually(is, has(f, "b"))
 	is.True(!has(f, "a")())
 }
 
-func TestFollowerLeavesAWatchThatIsSilent(t *testing.T) {
+func TestFollowerAbandonsAWatchWithoutAnAnswer(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
 	s.list = func() (Page, error) { return Page{Revision: 1}, nil }
@@ -257,13 +257,13 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, 10*time.Millisecond)
+	f, stop := startFollower(s, 10*time.Millisecond)
 	defer stop()
 	eventually(is, has(f, "late"))
 }
 
-// TestRestartedFollowerAsksAtOnce: it goes on from where it was, so that it
-// costs one call and not a list.
+// TestRestartedFollowerAsksAtOnce: a restarted follower continues from its revision, which
+// costs one watch and no list.
 func TestRestartedFollowerAsksAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -279,7 +279,7 @@
 		}
 		return blocked(ctx)
 	}
-	f, stop := follow(s, time.Hour)
+	f, stop := startFollower(s, time.Hour)
 	defer stop()
 	eventually(is, func() bool {
 		s.mu.Lock()
@@ -293,8 +293,9 @@
 	is.True(time.Since(start) < time.Second)
 }
 
-// TestFollowerThatIsNotAllowedAsksNothing, and goes on where others brought
-// the mirror when it is allowed again.
+// TestFollowerThatIsNotAllowedAsksNothing: a follower that is not allowed to call the store
+// makes no calls, and continues from the revision that other boxes have brought the mirror to
+// once it is allowed again.
 func TestFollowerThatIsNotAllowedAsksNothing(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -337,7 +338,7 @@
 		return Page{Items: []Object{object("news", 2)}, Revision: 2}, nil
 	}
 	s.watch = func(ctx context.Context, _ uint64) ([]Event, uint64, error) { return blocked(ctx) }
-	f, stop := follow(s, time.Hour)
+	f, stop := startFollower(s, time.Hour)
 	defer stop()
 	eventually(is, func() bool {
 		s.mu.Lock()
@@ -347,7 +348,7 @@
 	s.mu.Lock()
 	down = false
 	s.mu.Unlock()
-	// The pause is one of half a second at least now.
+	// The pause is at least half a second by now.
 	time.Sleep(50 * time.Millisecond)
 	f.RetryNow()
 	start := time.Now()
@@ -355,8 +356,8 @@
 	is.True(time.Since(start) < 300*time.Millisecond)
 }
 
-// TestMirrorPassesItsChangesOn: a mirror that takes in another's changes since
-// its own revision is equal to it, wherever both began.
+// TestMirrorPassesItsChangesOn: a mirror that applies the changes of another one since its own
+// revision is equal to it, wherever both started.
 func TestMirrorPassesItsChangesOn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &storeModel{items: map[string]Object{}}
@@ -402,14 +403,14 @@
 	is.Equal(len(events), 11)
 }
 
-// TestLongListOfAFarStoreIsRead: each page has the time of an answer, and not
-// all pages together.
+// TestLongListOfAFarStoreIsRead: each page has the timeout of a call, rather than all pages
+// together.
 func TestLongListOfAFarStoreIsRead(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
 	pages := 0
 	s.list = func() (Page, error) {
-		time.Sleep(answerTime / 3)
+		time.Sleep(callTimeout / 3)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		pages++
@@ -430,8 +431,8 @@
 	eventually(is, has(f, "server-5"))
 }
 
-// TestLongListIsHandedOver: a box that is not to read a long list on stops after
-// the first pages, and goes on from what another one hands it.
+// TestLongListIsHandedOver: a box that may not continue a long list stops after the first
+// pages, and continues from the list that another box hands over.
 func TestLongListIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
@@ -443,11 +444,11 @@
 		return blocked(ctx)
 	}
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
-	f.ContinuesList = func() bool { return false }
+	f.ReadsAllPages = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
-	time.Sleep(4 * readPoll)
+	time.Sleep(4 * turnInterval)
 	is.True(!f.Mirror.Synced())
 	f.Mirror.Load([]Object{object("b", 6)}, Exactly(7))
 	eventually(is, has(f, "news"))
@@ -456,19 +457,19 @@
 	is.Equal(s.calls[:3], []string{"list ", "list a", "watch 7"})
 }
 
-// TestBoxWithoutAListDoesNotPressAStoreThatIsDown: one that is not to ask tries
-// once, and then leaves it to those that are.
-func TestBoxWithoutAListDoesNotPressAStoreThatIsDown(t *testing.T) {
+// TestBoxWithoutAListCallsAStoreThatIsDownOnce: a box that may not call the store tries
+// once and then leaves the calls to the boxes that may.
+func TestBoxWithoutAListCallsAStoreThatIsDownOnce(t *testing.T) {
 	is := is.New(t)
 	s := &script{}
 	s.list = func() (Page, error) { return Page{}, &UnavailableError{Status: 503} }
 	f := NewFollower(s.client(), NewMirror("things"), time.Hour, func() float64 { return 0 })
 	f.Allowed = func() bool { return false }
-	f.ContinuesList = func() bool { return false }
+	f.ReadsAllPages = func() bool { return false }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx)
-	time.Sleep(2 * firstRetry)
+	time.Sleep(2 * minRetry)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	is.Equal(s.calls, []string{"list "})
--- a/pkg/packet/packet_test.go
+++ b/pkg/packet/packet_test.go
@@ -12,14 +12,14 @@
 	Count int
 }
 
-var codec = Codec[message]{Kind: "test", First: 0x77}
+var codec = Codec[message]{Kind: "test", FirstByte: 0x77}
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	m := &message{Name: "box-1", Count: 7}
 	datagram, err := codec.Encode(m)
 	is.NoErr(err)
-	is.True(codec.Is(datagram))
+	is.True(codec.IsMessage(datagram))
 	is.True(len(datagram) < 12) // no names of fields
 	back, err := codec.Decode(datagram)
 	is.NoErr(err)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -17,12 +17,12 @@
 
 func (c *clock) Now() time.Time { return c.now }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *clock) advance(d time.Duration) { c.now = c.now.Add(d) }
 
-var terms = Terms{Crashes: 3, Hold: time.Minute}
+var testConfig = Config{Crashes: 3, Hold: time.Minute}
 
 func newTable(c *clock) *Table {
-	return NewTable(func() Terms { return terms }, c.Now)
+	return NewTable(func() Config { return testConfig }, c.Now)
 }
 
 func newClock() *clock { return &clock{now: time.Unix(1000, 0)} }
@@ -38,17 +38,17 @@
 	table := newTable(newClock())
 	is.True(table.Empty())
 	for range 5 {
-		table.Crashed(1, "i-1")
+		table.ObserveCrash(1, "i-1")
 	}
-	table.Crashed(1, "i-2")
-	table.Crashed(2, "i-3")
+	table.ObserveCrash(1, "i-2")
+	table.ObserveCrash(2, "i-3")
 	is.True(!held(table, 1))
 	is.True(table.Suspected(1))
 	is.True(!table.Suspected(3))
-	table.Crashed(1, "i-3")
+	table.ObserveCrash(1, "i-3")
 	left, isHeld := table.Held(1)
 	is.True(isHeld)
-	is.Equal(left, terms.Hold)
+	is.Equal(left, testConfig.Hold)
 	is.True(!held(table, 2))
 }
 
@@ -59,19 +59,19 @@
 	c := newClock()
 	here, there := newTable(c), newTable(c)
 	for _, server := range []string{"i-1", "i-2", "i-3"} {
-		here.Crashed(1, server)
+		here.ObserveCrash(1, server)
 	}
 	exchange(here, there)
 	is.True(held(there, 1))
-	there.Answered(1) // an attempt that was on its way
+	there.ObserveAnswer(1) // an attempt that was on its way
 	is.True(!held(there, 1))
 	is.True(!there.Suspected(1))
 	exchange(there, here)
 	is.True(!held(here, 1))
 	// The same crashes, told once more by one that has not heard, count no more.
-	there.Learn(Record{Request: 1, Crashed: []string{"i-3"}, Left: time.Second})
+	there.Merge(Record{Request: 1, Crashed: []string{"i-3"}, Remaining: time.Second})
 	is.True(!there.Suspected(1))
-	here.Crashed(1, "i-4")
+	here.ObserveCrash(1, "i-4")
 	is.True(here.Suspected(1))
 	is.True(!held(here, 1))
 }
@@ -79,7 +79,7 @@
 // exchange hands all that one table is to tell to the other one.
 func exchange(from, to *Table) {
 	for _, r := range from.Due() {
-		to.Learn(r)
+		to.Merge(r)
 	}
 }
 
@@ -90,46 +90,46 @@
 	c := newClock()
 	a, b := newTable(c), newTable(c)
 	for _, server := range []string{"i-1", "i-2", "i-3"} {
-		a.Crashed(1, server)
+		a.ObserveCrash(1, server)
 	}
 	spread := func(from, to *Table) {
 		records := from.Holds()
-		c.pass(20 * time.Millisecond) // on its way
+		c.advance(20 * time.Millisecond) // on its way
 		for _, r := range records {
-			to.Learn(r)
+			to.Merge(r)
 		}
 	}
 	for range 30 {
 		spread(a, b)
 		spread(b, a)
-		c.pass(2 * time.Second)
+		c.advance(2 * time.Second)
 	}
-	c.pass(100 * time.Millisecond)
+	c.advance(100 * time.Millisecond)
 	is.True(!held(a, 1))
 	is.True(!held(b, 1))
 	is.True(a.Suspected(1))
-	a.Crashed(1, "i-4")
+	a.ObserveCrash(1, "i-4")
 	left, isHeld := a.Held(1)
 	is.True(isHeld)
-	is.Equal(left, 2*terms.Hold)
-	c.pass(3*terms.Hold + time.Second)
+	is.Equal(left, 2*testConfig.Hold)
+	c.advance(3*testConfig.Hold + time.Second)
 	a.Expire()
 	is.True(a.Empty())
 }
 
-// TestChangesAreToldTwice: a datagram that is lost is made good for by the next one.
-func TestChangesAreToldTwice(t *testing.T) {
+// TestChangesAreBroadcastTwice: a datagram that is lost is made good for by the next one.
+func TestChangesAreBroadcastTwice(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	table := newTable(c)
-	table.Crashed(1, "i-1")
+	table.ObserveCrash(1, "i-1")
 	is.Equal(len(table.Due()), 1)
 	is.Equal(len(table.Due()), 0)
-	c.pass(tellAgain)
+	c.advance(tellAgain)
 	is.Equal(len(table.Due()), 1)
-	c.pass(tellAgain)
+	c.advance(tellAgain)
 	is.Equal(len(table.Due()), 0)
-	table.Learn(Record{Request: 2, Crashed: []string{"i-1"}})
+	table.Merge(Record{Request: 2, Crashed: []string{"i-1"}})
 	is.Equal(len(table.Due()), 0) // what was heard is told on by nobody
 }
 
@@ -138,24 +138,24 @@
 	is := is.New(t)
 	c := newClock()
 	table := newTable(c)
-	for i := range mostServers + 3 {
-		table.Crashed(1, fmt.Sprint("i-", i))
+	for i := range maxServers + 3 {
+		table.ObserveCrash(1, fmt.Sprint("i-", i))
 	}
-	for i := range 3 * mostRecords {
-		c.pass(time.Millisecond)
-		table.Crashed(Fingerprint(2+i), "i-1")
+	for i := range 3 * maxRecords {
+		c.advance(time.Millisecond)
+		table.ObserveCrash(Fingerprint(2+i), "i-1")
 	}
-	is.Equal(len(table.records), mostRecords)
-	is.Equal(len(table.records[1].crashed), mostServers)
+	is.Equal(len(table.records), maxRecords)
+	is.Equal(len(table.records[1].crashed), maxServers)
 	is.True(held(table, 1))
 	is.True(!table.Suspected(2))
-	is.True(table.Suspected(Fingerprint(1 + 3*mostRecords)))
-	for i := range 2 * mostRecords {
+	is.True(table.Suspected(Fingerprint(1 + 3*maxRecords)))
+	for i := range 2 * maxRecords {
 		for _, server := range []string{"i-1", "i-2", "i-3"} {
-			table.Crashed(Fingerprint(10_000+i), server)
+			table.ObserveCrash(Fingerprint(10_000+i), server)
 		}
 	}
-	is.Equal(len(table.records), mostRecords)
+	is.Equal(len(table.records), maxRecords)
 	is.True(held(table, 1))
 }
 
@@ -175,15 +175,15 @@
 			at := tables[box.Draw(t, "at")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				at.Crashed(request.Draw(t, "f"), fmt.Sprint("i-", rapid.IntRange(1, 5).Draw(t, "server")))
+				at.ObserveCrash(request.Draw(t, "f"), fmt.Sprint("i-", rapid.IntRange(1, 5).Draw(t, "server")))
 			case 1:
-				at.Answered(request.Draw(t, "f"))
+				at.ObserveAnswer(request.Draw(t, "f"))
 			case 2:
 				late = append(late, at.Due()...)
-				c.pass(tellAgain)
+				c.advance(tellAgain)
 			case 3:
 				if len(late) > 0 {
-					at.Learn(late[rapid.IntRange(0, len(late)-1).Draw(t, "datagram")])
+					at.Merge(late[rapid.IntRange(0, len(late)-1).Draw(t, "datagram")])
 				}
 			}
 		}
@@ -192,7 +192,7 @@
 				for f, r := range from.records {
 					for _, to := range tables {
 						if to != from {
-							to.Learn(r.export(f, c.now))
+							to.Merge(r.export(f, c.now))
 						}
 					}
 				}
@@ -208,12 +208,12 @@
 	})
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var records []Record
 	for i := range 60 {
-		r := Record{Request: Fingerprint(i), Left: time.Second}
-		for k := range i % (mostServers + 1) {
+		r := Record{Request: Fingerprint(i), Remaining: time.Second}
+		for k := range i % (maxServers + 1) {
 			r.Crashed = append(r.Crashed, fmt.Sprintf("i-%010d@%d", k, 1770320509021))
 			r.Excused = append(r.Excused, fmt.Sprintf("i-%010d@%d", k, 1770320509021))
 		}
@@ -234,7 +234,7 @@
 	for i := range back {
 		is.Equal(back[i].Request, records[i].Request)
 		is.Equal(back[i].Crashed, records[i].Crashed)
-		is.Equal(back[i].Left, records[i].Left)
+		is.Equal(back[i].Remaining, records[i].Remaining)
 	}
 }
 
@@ -257,25 +257,25 @@
 		}
 		table := newTable(newClock())
 		for i := range m.Records {
-			table.Learn(m.Records[i])
+			table.Merge(m.Records[i])
 		}
-		if len(table.records) > mostRecords {
+		if len(table.records) > maxRecords {
 			t.Fatal("more records than there is room for")
 		}
 	})
 }
 
-// TestManyCrashesAreToldOnce: boxes that each know of more crashes than a record names come to
+// TestRecordsWithManyCrashesConverge: boxes that each know of more crashes than a record names come to
 // name the same ones; what they go on telling each other changes nothing and prolongs nothing.
-func TestManyCrashesAreToldOnce(t *testing.T) {
+func TestRecordsWithManyCrashesConverge(t *testing.T) {
 	is := is.New(t)
 	c := newClock()
 	changes := 0
 	tables := []*Table{newTable(c), newTable(c), newTable(c)}
 	for i, table := range tables {
-		table.Changed = func(Record, string) { changes++ }
-		for k := range 2 * mostServers {
-			table.Crashed(1, fmt.Sprintf("i-%d-%d", (i+k)%3, k))
+		table.OnChange = func(Record, string) { changes++ }
+		for k := range 2 * maxServers {
+			table.ObserveCrash(1, fmt.Sprintf("i-%d-%d", (i+k)%3, k))
 		}
 	}
 	spread := func() {
@@ -283,10 +283,10 @@
 		for _, from := range tables {
 			told = append(told, from.Holds()...)
 		}
-		c.pass(20 * time.Millisecond)
+		c.advance(20 * time.Millisecond)
 		for i, to := range tables {
 			for k := range told {
-				to.Learn(told[(i+k)%len(told)])
+				to.Merge(told[(i+k)%len(told)])
 			}
 		}
 	}
@@ -305,6 +305,6 @@
 	// One more crash after the hold has ended holds the request again.
 	c.now = ends.Add(time.Second)
 	is.True(!held(tables[0], 1))
-	is.True(tables[0].Crashed(1, "z-last") != nil)
+	is.True(tables[0].ObserveCrash(1, "z-last") != nil)
 	is.True(held(tables[0], 1))
 }
--- a/pkg/replica/revisions.go
+++ b/pkg/replica/revisions.go
@@ -8,146 +8,147 @@
 )
 
 // ================================================================
-// What an answer for one kind says of the others: the store counts all changes with one
-// number, one for each change.
+// What an answer for one kind shows about the others: the store counts all changes with a
+// single number, one for each change.
 // ================================================================
 
 const (
-	// longWatch is how long a watch waits whose answers are not needed, since those of the
-	// servers tell whether anything else has changed. This saves half of all calls while nothing changes.
-	longWatch = 25 * time.Second
-	// answerSlack is how much longer than it waits a watch may take to be answered before
-	// it is asked for anew: the way between the farthest regions and back, and some.
+	// longWait is how long a watch waits whose answers are not needed because those for the
+	// servers show whether anything else has changed. This saves half of all calls while
+	// nothing changes.
+	longWait = 25 * time.Second
+	// answerSlack is how much longer than its wait a watch may take before it is sent again:
+	// the round trip between the farthest regions, and some more.
 	answerSlack = 300 * time.Millisecond
-	// mostExplained bounds the revisions that are kept.
-	mostExplained = 4096
+	// maxSeen bounds the revisions that are kept.
+	maxSeen = 4096
 )
 
-// revisions is what this box has seen of the store's count of changes.
+// revisions is what this box has seen of the store's revision counter.
 type revisions struct {
 	mu sync.Mutex
-	// newest is the highest revision that any answer told.
+	// newest is the highest revision in any answer.
 	newest uint64
-	// shared: a watch that brought no change told a higher revision than it was asked
-	// from. So the store counts the changes of all kinds together. One that counts each kind
-	// by itself never shows that.
-	shared bool
-	// explained are revisions of changes that this box was told, of any kind.
-	explained map[uint64]bool
-	// long tells the kinds whose watch waits for long.
-	long map[string]bool
+	// sharedCounter is true once a watch without changes has returned a higher revision than
+	// it was asked from. This shows that the store counts the changes of all kinds together; a
+	// store that counts each kind separately never returns such an answer.
+	sharedCounter bool
+	// seen holds the revisions of changes of any kind that this box has received.
+	seen map[uint64]bool
+	// hasLongWait holds the kinds whose watch has a long wait.
+	hasLongWait map[string]bool
 }
 
 func newRevisions() *revisions {
-	return &revisions{explained: map[uint64]bool{}, long: map[string]bool{}}
+	return &revisions{seen: map[uint64]bool{}, hasLongWait: map[string]bool{}}
 }
 
-// take takes in a call.
-func (v *revisions) take(c objects.Call) {
+// addCall records the revision of a call's answer.
+func (v *revisions) addCall(c objects.Call) {
 	if c.Err != nil {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.newest = max(v.newest, c.Revision)
-	v.shared = v.shared || c.Watch && c.Objects == 0 && c.Revision > c.Since
+	v.sharedCounter = v.sharedCounter || c.Watch && c.Objects == 0 && c.Revision > c.Since
 }
 
-// explain takes in changes.
-func (v *revisions) explain(events []objects.Event) {
+// addEvents records the revisions of changes.
+func (v *revisions) addEvents(events []objects.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.explained)+len(events) > mostExplained {
-		clear(v.explained)
+	if len(v.seen)+len(events) > maxSeen {
+		clear(v.seen)
 	}
 	for i := range events {
-		v.explained[events[i].Object.Revision] = true
+		v.seen[events[i].Object.Revision] = true
 	}
 }
 
-// reached returns up to which revision a copy lacks nothing, given the one it has come to by
-// itself: each call changes one object, so a change of another kind is none of this one.
-// all tells whether that is as far as the store had counted when it last answered.
-func (v *revisions) reached(own uint64) (upTo uint64, all bool) {
+// knownUpTo returns the revision up to which a copy lacks nothing, given its own revision:
+// each revision changes one object, so a change of another kind does not concern this copy.
+// all reports whether that is as high as the store's counter when it last answered.
+func (v *revisions) knownUpTo(own uint64) (upTo uint64, all bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.shared {
+	if !v.sharedCounter {
 		return own, false
 	}
 	upTo = own
-	for v.explained[upTo+1] {
+	for v.seen[upTo+1] {
 		upTo++
 	}
 	return upTo, upTo >= v.newest
 }
 
-func (v *revisions) setLong(kind string, long bool) {
+func (v *revisions) setLongWait(kind string, long bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.long[kind] = long
+	v.hasLongWait[kind] = long
 }
 
-func (v *revisions) isLong(kind string) bool {
+func (v *revisions) waitsLong(kind string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.long[kind]
+	return v.hasLongWait[kind]
 }
 
-// reached reports whether a copy is known to lack nothing that the store had counted when it
-// last answered, and has it come to the revision up to which that is known.
-func (r *Replica) reached(kind string) bool {
+// isUpToDate reports whether a copy is known to lack no change that the store had counted when
+// it last answered, and advances the copy to the revision up to which that is known.
+func (r *Replica) isUpToDate(kind string) bool {
 	m := r.mirrors[kind]
 	own := m.Version().Revision
-	upTo, all := r.revisions.reached(own)
+	upTo, all := r.revisions.knownUpTo(own)
 	if m.Synced() && upTo > own {
 		m.Apply(nil, objects.Exactly(upTo))
 	}
 	return all && m.Synced()
 }
 
-// waitNow is how long the next watch of a kind waits: as long as is needed to confirm the
-// copy where anything has changed that may concern it.
-func (r *Replica) waitNow(kind string, short time.Duration) time.Duration {
-	long := r.reached(kind)
-	r.revisions.setLong(kind, long)
+// nextWait returns the wait of the next watch of a kind. It is short if a change may concern
+// the copy, so that the answer confirms it soon.
+func (r *Replica) nextWait(kind string, short time.Duration) time.Duration {
+	long := r.isUpToDate(kind)
+	r.revisions.setLongWait(kind, long)
 	if long {
-		return longWatch
+		return longWait
 	}
 	return short
 }
 
-// confirmed follows each answer to a watch. One for the servers, which are watched most often,
-// confirms the copies of other kinds too where all changes since are explained. Where they
-// are not, these kinds are asked for, if their watch waits for long, or should have been
-// answered by now and may never be.
-func (r *Replica) confirmed(kind string, a objects.Answer) {
-	r.revisions.explain(a.Events)
+// handleAnswer processes an answer to a watch. One for the servers, which are watched most
+// often, also confirms the copies of other kinds if all changes since are known. Otherwise
+// these kinds are watched again if their watch has a long wait, or is overdue and may never be
+// answered.
+func (r *Replica) handleAnswer(kind string, a objects.Answer) {
+	r.revisions.addEvents(a.Events)
 	r.noteConfirmed(kind, a.At)
 	if kind != r.Kinds.Servers {
 		return
 	}
-	for _, other := range r.Kinds.all() {
+	for _, other := range r.Kinds.byUrgency() {
 		switch {
 		case other == kind:
-		case r.reached(other):
+		case r.isUpToDate(other):
 			r.noteConfirmed(other, a.At)
 		default:
-			r.followers[other].RestartBefore(a.At.Add(-r.due(other)))
+			r.followers[other].RestartBefore(a.At.Add(-r.maxWatchAge(other)))
 		}
 	}
 }
 
-// noteConfirmed notes that the copy of a kind was the newest at a time.
+// noteConfirmed records that the copy of a kind was current at a time.
 func (r *Replica) noteConfirmed(kind string, at time.Time) {
-	if c := r.contact.of(r.Kinds, kind); c != nil {
-		c.note(at)
+	if c := r.contact.confirmationOf(r.Kinds, kind); c != nil {
+		c.noteOwn(at)
 	}
 }
 
-// due is how old a watch of a kind may be before it is asked for anew.
-func (r *Replica) due(kind string) time.Duration {
-	if r.revisions.isLong(kind) {
+// maxWatchAge returns how old a pending watch of a kind may be before it is sent again.
+func (r *Replica) maxWatchAge(kind string) time.Duration {
+	if r.revisions.waitsLong(kind) {
 		return answerSlack
 	}
-	return r.shortWatch(kind) + answerSlack
+	return r.shortWait(kind) + answerSlack
 }
--- a/pkg/replica/store_test.go
+++ b/pkg/replica/store_test.go
@@ -11,69 +11,70 @@
 	"github.com/stoneworks/stoneworks/pkg/objects"
 )
 
-// storeKinds are the kinds of objects of the model's store.
+// storeKinds are the kinds of objects in the model's store.
 var storeKinds = Kinds{Configuration: "configuration", Servers: "servers", Evacuations: "evacuations"}
 
-// mood is how the store treats a box.
-type mood int
+// treatment is how the store treats a box.
+type treatment int
 
 const (
-	serving mood = iota
-	// silent: what it is asked is never answered; what waits is answered when it speaks
+	serving treatment = iota
+	// silent: calls are never answered; pending calls are answered once the store responds
 	// again.
 	silent
-	// refusing: what it is asked, and what waits, is refused at once.
+	// refusing: new and pending calls are refused at once.
 	refusing
 )
 
-// pageSize is how many objects a page of a list holds.
+// pageSize is the number of objects on a page of a list.
 const pageSize = 3
 
-// modelStore is a store whose answers take a while, and which may treat each box in its
-// own way.
+// modelStore is a store whose answers take some time, and which may treat each box
+// differently.
 type modelStore struct {
 	mu sync.Mutex
 	at uint64
-	// oldest is the revision from which on the history is known.
+	// oldest is the revision from which the history is known.
 	oldest uint64
-	// byKind: answers tell the revision of the last change of their own kind, and not of any.
+	// byKind means that answers contain the revision of the last change of their own kind,
+	// rather than of any kind.
 	byKind bool
 	last   map[string]uint64
-	// objects are all that there are, events all that happened since oldest, by kind.
-	objects map[string]map[string]objects.Object
-	events  map[string][]objects.Event
-	moods   map[string]mood
-	// watches are how many watches came, by kind.
+	// objects are all objects, events all changes since oldest, by kind.
+	objects    map[string]map[string]objects.Object
+	events     map[string][]objects.Event
+	treatments map[string]treatment
+	// watches counts the watches by kind.
 	watches map[string]int
 	// changed is closed when anything changes.
 	changed chan struct{}
 }
 
-// way is how long a call takes to the store, and its answer back.
-const way = 55 * time.Millisecond
+// storeDelay is how long a call takes to the store, and its answer back.
+const storeDelay = 55 * time.Millisecond
 
 func newModelStore() *modelStore {
 	return &modelStore{
 		objects: map[string]map[string]objects.Object{}, events: map[string][]objects.Event{},
-		moods: map[string]mood{}, last: map[string]uint64{}, watches: map[string]int{}, changed: make(chan struct{}),
+		treatments: map[string]treatment{}, last: map[string]uint64{}, watches: map[string]int{}, changed: make(chan struct{}),
 	}
 }
 
-// told is the revision that an answer for a kind tells. The store must be locked.
-func (s *modelStore) told(kind string) uint64 {
+// revisionFor returns the revision for an answer of a kind. The store must be locked.
+func (s *modelStore) revisionFor(kind string) uint64 {
 	if s.byKind {
 		return max(s.last[kind], s.oldest)
 	}
 	return s.at
 }
 
-// wake tells all that wait that something has changed. The store must be locked.
+// wake wakes all pending watches because something has changed. The store must be locked.
 func (s *modelStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// put makes or replaces an object.
+// put creates or replaces an object.
 func (s *modelStore) put(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -82,7 +83,7 @@
 	s.change(kind, name, text)
 }
 
-// remove takes an object away.
+// remove deletes an object.
 func (s *modelStore) remove(kind, name string) { s.change(kind, name, nil) }
 
 func (s *modelStore) change(kind, name string, spec json.RawMessage) {
@@ -104,16 +105,16 @@
 }
 
 // treat sets how the store treats boxes from now on.
-func (s *modelStore) treat(m mood, boxes ...string) {
+func (s *modelStore) treat(m treatment, boxes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range boxes {
-		s.moods[b] = m
+		s.treatments[b] = m
 	}
 	s.wake()
 }
 
-// compact forgets the history and cuts the watches.
+// compact discards the history and interrupts the watches.
 func (s *modelStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 	s.wake()
 }
 
-// client returns the store as a box sees it.
+// client returns a client of the store for a box.
 func (s *modelStore) client(box string) *objects.Client {
 	return &objects.Client{
 		List: func(ctx context.Context, kind, after string, _ bool) (objects.Page, error) {
@@ -135,14 +136,14 @@
 	}
 }
 
-// refusedStatus is what the store says to a box that it refuses.
+// refusedStatus is the status with which the store refuses a call.
 const refusedStatus = 503
 
 // arrive takes a call to the store.
 func (s *modelStore) arrive(ctx context.Context, box string) error {
-	time.Sleep(way)
+	time.Sleep(storeDelay)
 	s.mu.Lock()
-	m := s.moods[box]
+	m := s.treatments[box]
 	s.mu.Unlock()
 	switch m {
 	case silent:
@@ -165,7 +166,7 @@
 		return objects.Page{}, err
 	}
 	s.mu.Lock()
-	page := objects.Page{Revision: s.told(kind)}
+	page := objects.Page{Revision: s.revisionFor(kind)}
 	for _, name := range slices.Sorted(maps.Keys(s.objects[kind])) {
 		if name <= after {
 			continue
@@ -177,7 +178,7 @@
 		page.Items = append(page.Items, s.objects[kind][name])
 	}
 	s.mu.Unlock()
-	time.Sleep(way)
+	time.Sleep(storeDelay)
 	return page, unavailable(ctx.Err())
 }
 
@@ -191,7 +192,7 @@
 	end := time.Now().Add(wait)
 	for {
 		s.mu.Lock()
-		m, at, oldest, changed := s.moods[box], s.told(kind), s.oldest, s.changed
+		m, at, oldest, changed := s.treatments[box], s.revisionFor(kind), s.oldest, s.changed
 		var events []objects.Event
 		for _, e := range s.events[kind] {
 			if e.Object.Revision > since {
@@ -206,7 +207,7 @@
 		case since < oldest:
 			return nil, 0, &objects.CompactedError{}
 		case len(events) > 0 || over:
-			time.Sleep(way)
+			time.Sleep(storeDelay)
 			return events, at, unavailable(ctx.Err())
 		}
 		timer := time.NewTimer(max(time.Until(end), 0))
--- a/pkg/serverstatus/table_test.go
+++ b/pkg/serverstatus/table_test.go
@@ -26,11 +26,11 @@
 	c := &clock{at: time.Unix(1000, 0)}
 	t := NewTable(c.now)
 	var changes []string
-	t.Changed = func(r Record, what Change) { changes = append(changes, fmt.Sprint(what, " ", r.PerSecond)) }
+	t.OnChange = func(r Record, what Change) { changes = append(changes, fmt.Sprint(what, " ", r.PerSecond)) }
 	return t, c, &changes
 }
 
-func names(perSecond float64) backend.RateLimit {
+func rateLimit(perSecond float64) backend.RateLimit {
 	return backend.RateLimit{Present: true, PerSecond: perSecond}
 }
 
@@ -39,26 +39,26 @@
 	is := is.New(t)
 	l, c, changes := newTestTable()
 	is.True(l.Empty())
-	l.Answered(server, backend.RateLimit{}, true, c.at)
-	_, named := l.Of(server.Incarnation())
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
+	_, named := l.LimitOf(server.Incarnation())
 	is.True(!named)
-	l.Answered(server, names(2.7), true, c.at)
-	l.Answered(server, names(2.7), true, c.at)
-	perSecond, named := l.Of(server.Incarnation())
+	l.ObserveAnswer(server, rateLimit(2.7), true, c.at)
+	l.ObserveAnswer(server, rateLimit(2.7), true, c.at)
+	perSecond, named := l.LimitOf(server.Incarnation())
 	is.True(named)
 	is.Equal(perSecond, 2.7)
 	is.True(!l.Empty())
-	l.Answered(server, names(0), true, c.at)
-	perSecond, named = l.Of(server.Incarnation())
+	l.ObserveAnswer(server, rateLimit(0), true, c.at)
+	perSecond, named = l.LimitOf(server.Incarnation())
 	is.True(named && perSecond == 0) // it takes none
 	c.advance(time.Second)
 	sent := c.at
 	c.advance(time.Second)
-	l.Answered(server, backend.RateLimit{}, false, sent)
-	_, named = l.Of(server.Incarnation())
+	l.ObserveAnswer(server, backend.RateLimit{}, false, sent)
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(named) // one that was not run says nothing
-	l.Answered(server, backend.RateLimit{}, true, sent)
-	_, named = l.Of(server.Incarnation())
+	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(!named)
 	is.True(l.Empty())
 	is.Equal(*changes, []string{"begun 2.7", "changed 0", "ended 0"})
@@ -71,15 +71,15 @@
 	l, c, _ := newTestTable()
 	sent := c.at
 	c.advance(100 * time.Millisecond)
-	l.Answered(server, names(3), true, sent)
-	l.Answered(server, backend.RateLimit{}, true, sent)
-	_, named := l.Of(server.Incarnation())
+	l.ObserveAnswer(server, rateLimit(3), true, sent)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, sent)
+	_, named := l.LimitOf(server.Incarnation())
 	is.True(named)
-	l.Answered(server, backend.RateLimit{}, true, c.at)
-	_, named = l.Of(server.Incarnation())
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(named) // sent in the same moment
-	l.Answered(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
-	_, named = l.Of(server.Incarnation())
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
+	_, named = l.LimitOf(server.Incarnation())
 	is.True(!named)
 }
 
@@ -87,10 +87,10 @@
 func TestAnotherLifeNamesNothing(t *testing.T) {
 	is := is.New(t)
 	l, c, changes := newTestTable()
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	again := *server
 	again.StartedAtMs = 8
-	_, named := l.Of(again.Incarnation())
+	_, named := l.LimitOf(again.Incarnation())
 	is.True(!named)
 	listed := func(life string) bool { return life == again.Incarnation() }
 	l.Expire(listed, time.Minute)
@@ -104,56 +104,56 @@
 	is.Equal(*changes, []string{"begun 3", "forgotten 3"})
 }
 
-// TestChangesAreToldTwiceAndNotTooOften: others are told of each change twice, and of a server
+// TestChangesAreBroadcastTwiceAndNotTooOften: others are told of each change twice, and of a server
 // that names another limit in each answer once a second.
-func TestChangesAreToldTwiceAndNotTooOften(t *testing.T) {
+func TestChangesAreBroadcastTwiceAndNotTooOften(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	is.Equal(len(l.Due()), 1)
 	is.Equal(len(l.Due()), 0)
 	c.advance(tellAgain)
 	is.Equal(len(l.Due()), 1)
 	c.advance(10 * time.Second)
 	is.Equal(len(l.Due()), 0)
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	is.Equal(len(l.Due()), 0) // nothing has changed
 	told := 0
 	for i := range 100 {
-		l.Answered(server, names(float64(i)), true, c.at)
+		l.ObserveAnswer(server, rateLimit(float64(i)), true, c.at)
 		told += len(l.Due())
 		c.advance(100 * time.Millisecond)
 	}
 	is.True(told >= 10 && told <= 20)
-	l.Learn(Record{Server: "i-2", Named: true, PerSecond: 1, Number: 1})
+	l.Merge(Record{Server: "i-2", HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	for _, r := range l.Due() {
 		is.True(r.Server != "i-2") // who heard it first tells it
 	}
 }
 
-// TestBoxThatStartsAnewIsHeard: a box that has started since a limit ended counts from the beginning;
+// TestRestartedBoxIsBelieved: a box that has started since a limit ended counts from the beginning;
 // it is told what others know, and then others hear it.
-func TestBoxThatStartsAnewIsHeard(t *testing.T) {
+func TestRestartedBoxIsBelieved(t *testing.T) {
 	is := is.New(t)
 	c := &clock{at: time.Unix(1000, 0)}
 	old, anew := NewTable(c.now), NewTable(c.now)
-	old.Learn(Record{Server: server.Incarnation(), Named: true, PerSecond: 3, Number: 3})
-	old.Learn(Record{Server: server.Incarnation(), Number: 4})
+	old.Merge(Record{Server: server.Incarnation(), HasLimit: true, PerSecond: 3, LimitVersion: 3})
+	old.Merge(Record{Server: server.Incarnation(), LimitVersion: 4})
 	is.Equal(len(old.Due()), 0)
-	anew.Answered(server, names(2), true, c.at)
+	anew.ObserveAnswer(server, rateLimit(2), true, c.at)
 	for _, r := range anew.Due() {
-		old.Learn(r)
+		old.Merge(r)
 	}
 	is.True(old.Empty()) // what it knows is later, for all it can tell
 	for _, r := range old.Due() {
-		anew.Learn(r)
+		anew.Merge(r)
 	}
-	c.advance(tellPause)
-	anew.Answered(server, names(2), true, c.at)
+	c.advance(minBroadcastInterval)
+	anew.ObserveAnswer(server, rateLimit(2), true, c.at)
 	for _, r := range anew.Due() {
-		old.Learn(r)
+		old.Merge(r)
 	}
-	perSecond, named := old.Of(server.Incarnation())
+	perSecond, named := old.LimitOf(server.Incarnation())
 	is.True(named && perSecond == 2)
 }
 
@@ -161,11 +161,11 @@
 func TestEndsAreSpreadForAWhile(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Learn(Record{Server: "i-1", Named: true, PerSecond: 3, Number: 1})
-	l.Learn(Record{Server: "i-2", Number: 2})
-	is.Equal(len(l.InForce(time.Minute)), 2)
+	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: 3, LimitVersion: 1})
+	l.Merge(Record{Server: "i-2", LimitVersion: 2})
+	is.Equal(len(l.Active(time.Minute)), 2)
 	c.advance(time.Minute)
-	is.Equal(len(l.InForce(time.Minute)), 1)
+	is.Equal(len(l.Active(time.Minute)), 1)
 	is.Equal(len(l.All()), 2)
 }
 
@@ -173,13 +173,13 @@
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Answered(server, names(3), true, c.at)
-	l.Answered(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
-	for i := range mostRecords + 10 {
-		l.Learn(Record{Server: fmt.Sprint("j-", i), Named: true, PerSecond: 1, Number: 1})
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at.Add(time.Millisecond))
+	for i := range maxRecords + 10 {
+		l.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
-	is.Equal(len(l.All()), mostRecords)
-	_, named := l.Of("j-0")
+	is.Equal(len(l.All()), maxRecords)
+	_, named := l.LimitOf("j-0")
 	is.True(named)
 }
 
@@ -195,16 +195,16 @@
 			b := boxes[rapid.IntRange(0, 2).Draw(t, "box")]
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 3:
-				b.Leave(server)
+				b.MarkLeaving(server)
 			case 0:
-				b.Answered(server, names(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
+				b.ObserveAnswer(server, rateLimit(float64(rapid.IntRange(0, 3).Draw(t, "limit"))), true, c.at)
 			case 1:
 				ago := time.Duration(rapid.IntRange(0, 100).Draw(t, "ago")) * time.Millisecond
-				b.Answered(server, backend.RateLimit{}, rapid.Bool().Draw(t, "ran"), c.at.Add(-ago))
+				b.ObserveAnswer(server, backend.RateLimit{}, rapid.Bool().Draw(t, "ran"), c.at.Add(-ago))
 			case 2:
 				told = append(told, b.All()...)
 				if len(told) > 0 {
-					b.Learn(told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
+					b.Merge(told[rapid.IntRange(0, len(told)-1).Draw(t, "record")])
 				}
 			}
 		}
@@ -212,8 +212,8 @@
 			for _, from := range boxes {
 				for _, r := range from.All() {
 					for _, to := range boxes {
-						to.Learn(r)
-						to.Learn(r)
+						to.Merge(r)
+						to.Merge(r)
 					}
 				}
 			}
@@ -238,14 +238,14 @@
 	is := is.New(t)
 	l, c, changes := newTestTable()
 	is.True(!l.IsLeaving(server.Incarnation()))
-	l.Leave(server)
-	l.Leave(server)
+	l.MarkLeaving(server)
+	l.MarkLeaving(server)
 	is.True(l.IsLeaving(server.Incarnation()))
 	is.True(l.Empty()) // it names no limit
-	l.Answered(server, names(3), true, c.at)
+	l.ObserveAnswer(server, rateLimit(3), true, c.at)
 	c.advance(time.Second)
-	l.Answered(server, backend.RateLimit{}, true, c.at)
-	l.Learn(Record{Server: server.Incarnation(), Number: 9})
+	l.ObserveAnswer(server, backend.RateLimit{}, true, c.at)
+	l.Merge(Record{Server: server.Incarnation(), LimitVersion: 9})
 	is.True(l.IsLeaving(server.Incarnation()))
 	again := *server
 	again.StartedAtMs = 8
@@ -258,11 +258,11 @@
 	is.Equal(*changes, []string{"leaves 0", "begun 3", "ended 0", "forgotten 0"})
 }
 
-// TestLeavingIsTold: twice by who heard it, and spread for as long as the server is listed.
-func TestLeavingIsTold(t *testing.T) {
+// TestLeavingIsBroadcast: twice by who heard it, and spread for as long as the server is listed.
+func TestLeavingIsBroadcast(t *testing.T) {
 	is := is.New(t)
 	l, c, _ := newTestTable()
-	l.Leave(server)
+	l.MarkLeaving(server)
 	due := l.Due()
 	is.Equal(len(due), 1)
 	is.True(due[0].Leaving)
@@ -270,32 +270,32 @@
 	is.Equal(len(l.Due()), 1)
 	c.advance(time.Hour)
 	is.Equal(len(l.Due()), 0)
-	is.Equal(len(l.InForce(time.Minute)), 1)
+	is.Equal(len(l.Active(time.Minute)), 1)
 	other := NewTable(c.now)
-	other.Learn(due[0])
+	other.Merge(due[0])
 	is.True(other.IsLeaving(server.Incarnation()))
 	is.Equal(len(other.Due()), 0)
-	is.Equal(len(other.InForce(time.Minute)), 1)
+	is.Equal(len(other.Active(time.Minute)), 1)
 }
 
 // TestServersThatLeaveAreKeptInAFullTable: what makes room for others is a limit that has ended.
 func TestServersThatLeaveAreKeptInAFullTable(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
-	l.Leave(server)
-	for i := range mostRecords + 10 {
-		l.Learn(Record{Server: fmt.Sprint("j-", i), Number: 1})
+	l.MarkLeaving(server)
+	for i := range maxRecords + 10 {
+		l.Merge(Record{Server: fmt.Sprint("j-", i), LimitVersion: 1})
 	}
 	is.True(l.IsLeaving(server.Incarnation()))
-	is.Equal(len(l.All()), mostRecords)
+	is.Equal(len(l.All()), maxRecords)
 }
 
-// TestMessagesSurviveTheWire, in as many packets as they need.
-func TestMessagesSurviveTheWire(t *testing.T) {
+// TestMessagesRoundTrip, in as many packets as they need.
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var records []Record
 	for i := range 50 {
-		records = append(records, Record{Server: fmt.Sprintf("i-%010d@1780457620123", i), Zone: "ths-sud", Named: true, PerSecond: 2.7, Number: uint32(i), Leaving: i%2 == 0})
+		records = append(records, Record{Server: fmt.Sprintf("i-%010d@1780457620123", i), Zone: "ths-sud", HasLimit: true, PerSecond: 2.7, LimitVersion: uint32(i), Leaving: i%2 == 0})
 	}
 	var back []Record
 	for _, m := range Messages("edge-stl-sor-1", records) {
@@ -314,12 +314,12 @@
 	}
 }
 
-// TestWhatIsNoLimitIsNotLearnt: a datagram may hold any number.
-func TestWhatIsNoLimitIsNotLearnt(t *testing.T) {
+// TestInvalidLimitsAreIgnored: a datagram may hold any number.
+func TestInvalidLimitsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	l, _, _ := newTestTable()
-	l.Learn(Record{Server: "i-1", Named: true, PerSecond: math.NaN(), Number: 9})
-	l.Learn(Record{Server: "i-1", Named: true, PerSecond: -1, Number: 9})
+	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: math.NaN(), LimitVersion: 9})
+	l.Merge(Record{Server: "i-1", HasLimit: true, PerSecond: -1, LimitVersion: 9})
 	is.True(l.Empty())
 }
 
@@ -328,7 +328,7 @@
 	t := NewTable(time.Now)
 	at := time.Now()
 	for b.Loop() {
-		t.Answered(server, backend.RateLimit{}, true, at)
+		t.ObserveAnswer(server, backend.RateLimit{}, true, at)
 	}
 }
 
@@ -336,9 +336,9 @@
 func BenchmarkOf(b *testing.B) {
 	t := NewTable(time.Now)
 	for i := range 1000 {
-		t.Learn(Record{Server: fmt.Sprint("j-", i), Named: true, PerSecond: 1, Number: 1})
+		t.Merge(Record{Server: fmt.Sprint("j-", i), HasLimit: true, PerSecond: 1, LimitVersion: 1})
 	}
 	for b.Loop() {
-		t.Of("j-500")
+		t.LimitOf("j-500")
 	}
 }
