--- a/pkg/decide/snapshot.go
+++ b/pkg/decide/snapshot.go
@@ -1,7 +1,7 @@
-// Package decide makes the decisions: which region, availability zone and box
-// a request goes to, and which boxes a caller should use. It has no input or
-// output. Every decision is a function of an immutable snapshot and the
-// request, so boxes with equal snapshots decide alike.
+// Package decide makes the routing decisions: which region, availability zone and
+// box a request goes to, and which boxes a caller should use. It does no input or
+// output. Every decision is a function of an immutable snapshot and the request, so
+// boxes with equal snapshots make equal decisions.
 package decide
 
 import (
@@ -13,23 +13,24 @@
 	"github.com/stoneworks/stoneworks/pkg/topology"
 )
 
-// Buckets is the number of parts that the clients of one region fall into for
+// Buckets is the number of buckets into which the clients of a region are hashed for
 // each service. Shifts move whole buckets.
 const Buckets = 200
 
-// HomesPerServer is how many boxes of its availability zone connect to one
-// backend server, so that its connections suffice at any size of the zone.
+// HomesPerServer is the number of boxes of its availability zone that connect to a
+// backend server. It is constant so that the server's connections suffice for a zone of
+// any size.
 const HomesPerServer = 2
 
-// Snapshot is all that decisions depend on. It is never changed; a new one
-// takes its place.
+// Snapshot holds everything that decisions depend on. It is immutable; a change is
+// made by replacing it with a new one.
 type Snapshot struct {
 	Self     string
 	Zone     string
 	Region   string
 	Topology *topology.Map
 	Services map[string]*ServiceView
-	// Boxes lists the boxes of each zone that may get work, by name.
+	// Boxes lists the boxes of each zone that may get requests, sorted by name.
 	Boxes map[string][]*BoxView
 }
 
@@ -37,25 +38,24 @@
 type ServiceView struct {
 	Spec     *model.Service
 	Revision uint64
-	// Zones holds the zones that have backend servers which are not leaving.
+	// Zones holds the zones with at least one backend server that is not leaving.
 	Zones map[string]*ZoneView
-	// Assign gives for each client region the region that serves each
-	// bucket.
+	// Assign holds, for each client region, the region that serves each bucket.
 	Assign map[string]*Assignment
-	// regions lists the allowed regions that have backend servers, by name.
+	// regions lists the allowed regions with backend servers, sorted by name.
 	regions []string
 }
 
-// ZoneView is one service's part of one zone.
+// ZoneView is a service's view of one zone.
 type ZoneView struct {
 	Zone   string
 	Region string
-	// Homes lists the boxes that hold a share of the slots: the zone's own,
-	// or, if it has none, those of its region.
+	// Homes lists the boxes that hold a share of the slots: the boxes of the zone,
+	// or those of its region if the zone has none.
 	Homes []*BoxView
 }
 
-// BoxView is a box that may get work.
+// BoxView is a box that may get requests.
 type BoxView struct {
 	Box         string
 	Zone        string
@@ -63,22 +63,22 @@
 	AgeMS       int64
 	Callers     string
 	Peers       string
-	// Leaving: it goes on serving what reaches it, but look-ups no longer
-	// name it.
+	// Leaving is set if the box still serves the requests that reach it but is no
+	// longer named in look-ups.
 	Leaving bool
-	// Free is the free part of its slots, by service, as last heard.
+	// Free is the number of its free slots by service, as of its last heartbeat.
 	Free map[string]int
-	// Share is its part of the slots, by service, as last heard.
+	// Share is its share of the slots by service, as of its last heartbeat.
 	Share map[string]int
-	// Load is the share of all its slots that is in use.
+	// Load is the fraction of all its slots that is in use.
 	Load float64
 	hash uint64
 }
 
-// Assignment gives the serving region of each bucket.
+// Assignment maps each bucket to the region that serves it.
 type Assignment [Buckets]string
 
-// Input is what a snapshot is made from.
+// Input is the data that a snapshot is built from.
 type Input struct {
 	Self     string
 	Zone     string
@@ -87,14 +87,14 @@
 	Services []ServiceInput
 }
 
-// ServiceInput is one service in force, and its assignment if a plan has one.
+// ServiceInput is a service's active configuration, and its assignment if it has a plan.
 type ServiceInput struct {
 	Spec     *model.Service
 	Revision uint64
 	Assign   map[string]*Assignment
 }
 
-// NewSnapshot prepares a snapshot.
+// NewSnapshot builds a snapshot.
 func NewSnapshot(in Input) *Snapshot {
 	s := &Snapshot{
 		Self:     in.Self,
@@ -162,8 +162,9 @@
 	return v
 }
 
-// homes returns the zone's boxes that hold a share of the service's slots.
-// This box counts as one: it may queue, and it knows its own share best.
+// homes returns the zone's boxes that hold a share of the service's slots. It always
+// includes this box, which may queue requests and knows its own share better than its
+// heartbeat shows.
 func (s *Snapshot) homes(zone, service string) []*BoxView {
 	var homes []*BoxView
 	for _, b := range s.Boxes[zone] {
@@ -174,7 +175,8 @@
 	return homes
 }
 
-// Hash is the one hash of decisions: equal on all boxes, for ever.
+// Hash is the hash that all decisions use. Its values must be the same on all boxes and
+// in all versions.
 func Hash(parts ...string) uint64 { return hashing.Of(parts...) }
 
 func mix(x uint64) uint64 { return hashing.Mix(x) }
