--- a/pkg/decide/route.go
+++ b/pkg/decide/route.go
@@ -2,34 +2,35 @@
 
 import "net/netip"
 
-// Request is what a routing decision looks at.
+// Request holds the properties of a request that a routing decision depends on.
 type Request struct {
-	// Client is the caller's address; the zero value if it is not known.
+	// Client is the caller's address, or the zero value if it is unknown.
 	Client netip.Addr
-	// Spread picks among equals; any number, such as a hash of the request's id.
+	// Spread selects among equal candidates; it may be any number, such as a hash of
+	// the request's id.
 	Spread uint64
-	// Tried holds the boxes that have refused this request.
+	// Tried lists the boxes that have refused this request.
 	Tried [2]string
 }
 
-// Reason says why a decision fell as it did.
+// Reason is the reason for a decision.
 type Reason string
 
 // The reasons of decisions.
 const (
-	// OwnZone: this box's own availability zone has free slots.
+	// OwnZone means that a box of this availability zone serves the request.
 	OwnZone Reason = "own_zone"
-	// SameRegion: another zone of this box's region serves it.
+	// SameRegion means that another zone of this box's region serves it.
 	SameRegion Reason = "same_region"
-	// AssignedRegion: the client's bucket is assigned to another region.
+	// AssignedRegion means that another region serves the client's bucket.
 	AssignedRegion Reason = "assigned_region"
-	// NoZone: no zone of the assigned region can be used.
+	// NoZone means that no zone of the serving region can be used.
 	NoZone Reason = "no_zone"
 )
 
-// Decision is where a request goes.
+// Decision is the result of routing a request.
 type Decision struct {
-	// ClientRegion is the client's region, and Region the one that serves it.
+	// ClientRegion is the client's region, and Region is the region that serves it.
 	ClientRegion string
 	Region       string
 	Zone         string
@@ -39,7 +40,7 @@
 	Reason Reason
 }
 
-// BucketOf returns the bucket of a client.
+// BucketOf returns the bucket of a client address.
 func BucketOf(client netip.Addr) int {
 	b := client.As16()
 	var hi, lo uint64
@@ -50,8 +51,8 @@
 	return int(mix(hi^mix(lo)) % Buckets)
 }
 
-// ClientRegion returns the region that the client belongs to; clients whose
-// block is not known belong to the deciding box's region.
+// ClientRegion returns the region that the client belongs to. A client in no known
+// address block belongs to this box's region.
 func (s *Snapshot) ClientRegion(client netip.Addr) string {
 	if client.IsValid() {
 		if zone, ok := s.Topology.ZoneOfClient(client); ok {
@@ -61,8 +62,8 @@
 	return s.Region
 }
 
-// Route decides which box admits the request to its zone's backend servers.
-// It allocates nothing.
+// Route selects the box that admits the request to its zone's backend servers.
+// It does not allocate.
 func (s *Snapshot) Route(v *ServiceView, r *Request) Decision {
 	d := Decision{}
 	if r.Client.IsValid() {
@@ -79,9 +80,9 @@
 	return d
 }
 
-// servingRegion returns the region that serves a bucket of a client region:
-// what the assignment says, or the client's own region, or, where that has no
-// backend servers, the region its name falls to by hash.
+// servingRegion returns the region that serves a bucket of a client region: the region
+// in the assignment, else the client's own region, or, if that has no backend servers,
+// a region selected by the hash of the bucket.
 func (s *Snapshot) servingRegion(v *ServiceView, region string, bucket int) string {
 	if a := v.Assign[region]; a != nil && a[bucket] != "" {
 		return a[bucket]
@@ -97,8 +98,8 @@
 	return v.regions[mix(uint64(bucket))%uint64(len(v.regions))]
 }
 
-// routeOwnZone keeps the request in this zone if it has free slots, at this
-// box or at another home of the zone's backend servers.
+// routeOwnZone keeps the request in this zone if possible: at this box if it is a home
+// of the zone's backend servers, else at another home with free slots.
 func (s *Snapshot) routeOwnZone(z *ZoneView, v *ServiceView, r *Request, d *Decision) bool {
 	for _, b := range z.Homes {
 		if b.Box == s.Self && !r.tried(b.Box) {
@@ -113,8 +114,8 @@
 	return false
 }
 
-// routeOtherZone picks the zone of the serving region with the largest free
-// share, and a box there.
+// routeOtherZone selects the zone of the serving region whose candidate box has the
+// largest free share of its slots, and that box.
 func (s *Snapshot) routeOtherZone(v *ServiceView, r *Request, d *Decision) {
 	d.Reason = NoZone
 	best := -1.0
@@ -142,7 +143,8 @@
 	}
 }
 
-// pickHome takes the freer of two boxes picked by the request's spread.
+// pickHome returns the box with more free slots of two that the request's spread
+// selects.
 func pickHome(z *ZoneView, v *ServiceView, r *Request) *BoxView {
 	n := uint64(len(z.Homes))
 	if n == 0 {
