--- a/pkg/decide/lookup.go
+++ b/pkg/decide/lookup.go
@@ -2,17 +2,18 @@
 
 import "net/netip"
 
-// MaxEntries bounds the boxes named in one answer to a look-up.
+// MaxEntries is the maximum number of boxes in an answer to a look-up.
 const MaxEntries = 6
 
-// loadSteps is how finely loads are told apart when entries are ordered, so
-// that small differences do not send every client to one box.
+// loadSteps is the number of steps into which loads are rounded when entries are
+// ordered, so that small differences do not send every client to the same box.
 const loadSteps = 4
 
-// Entries returns the boxes a client should use, best first: those of its own
-// zone, then of its region, then others; within each, the least loaded first,
-// and equals in an order of the client's own, so that clients spread. Boxes
-// farther away are looked at only if those nearer are too few.
+// Entries returns the boxes that a client should use, best first: those of its zone,
+// then of its region, then all others. Within each group the least loaded come first,
+// and equally loaded ones in an order that depends on the client, so that clients
+// spread. Farther boxes are considered only if there are fewer than MaxEntries nearer
+// ones.
 func (s *Snapshot) Entries(client netip.Addr, service string) []*BoxView {
 	zone := s.Zone
 	if z, ok := s.Topology.ZoneOfClient(client); client.IsValid() && ok {
@@ -37,8 +38,8 @@
 	return p.entries
 }
 
-// picker keeps the best boxes of those added. Boxes before the seal stay
-// where they are.
+// picker keeps the best MaxEntries of the boxes added. Entries before sealed keep
+// their positions.
 type picker struct {
 	entries []*BoxView
 	sealed  int
@@ -57,7 +58,7 @@
 	}
 }
 
-// insert puts a box in its place; the last one falls out if there are too many.
+// insert adds a box in order, and drops the last one if there are more than MaxEntries.
 func (p *picker) insert(b *BoxView) {
 	at := len(p.entries)
 	for at > p.sealed && p.better(b, p.entries[at-1]) {
