--- a/pkg/decide/decide_test.go
+++ b/pkg/decide/decide_test.go
@@ -12,7 +12,8 @@
 	"github.com/stoneworks/stoneworks/pkg/topology"
 )
 
-// snapshot has boxes in each of two zones of two regions, and one service.
+// snapshot returns a snapshot of one service and two regions of two zones, with
+// boxesEach boxes in each zone.
 func snapshot(boxesEach int, inUse func(zone string) int) *Snapshot {
 	zones := []topology.Zone{{Zone: "dakar-a", Region: "dakar"}, {Zone: "dakar-b", Region: "dakar"}, {Zone: "thies-a", Region: "thies"}, {Zone: "thies-b", Region: "thies"}}
 	blocks := []topology.Block{{Prefix: "10.1.0.0/16", Zone: "dakar-a"}, {Prefix: "10.3.0.0/16", Zone: "thies-a"}}
