--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -1,29 +1,28 @@
-// Package slots splits the slots of each backend server over boxes, so that
-// all of them together never use more than there are, also while boxes come
-// and go and see that at different times.
+// Package slots divides the slots of each backend server among boxes, so that together
+// they never use more than there are, even while boxes start and stop and learn of that
+// at different times.
 //
 // A backend server's slots belong to the boxes of its own availability zone.
-// Only if that has no box left do the other boxes of its region adopt them.
+// The other boxes of its region use them only if that zone has no box left.
 //
-// Each box computes with a view of every zone: the boxes that it believes to
-// share the zone's slots. It tells its views in its heartbeat, and uses no
-// more than what every view that it knows of would give it. So a part is given
-// up before it is taken. Where requests in flight keep a box above its part,
-// it says by how much, and the others leave that much alone.
+// Each box has a view of every zone: the list of boxes that it believes to share the
+// zone's slots. It sends its views in its heartbeats, and uses no more slots than the
+// smallest share that any view known to it gives it. So one box releases a share before
+// another uses it. If requests in flight keep a box above its share, its heartbeat
+// carries the excess, and the other boxes leave that many slots unused.
 //
-// A box that gave its part up may not take it back on old news: another box
-// may have taken it meanwhile. So views have versions, boxes tell which version
-// of each other's view they have seen, and a view counts until every other box
-// has seen a later one. At any moment there is then one view, the oldest that
-// still counts, whose parts nobody exceeds.
+// A box that released its share must not take it back because of an outdated heartbeat,
+// since another box may be using it by then. Therefore views have versions, boxes
+// report which version of each other's views they have seen, and a view stays active
+// until every other box has seen a later one. So at any time there is one view, the
+// oldest active one, whose shares no box exceeds.
 //
-// Example: dakar-a-1 alone holds all 6 slots of a server. dakar-a-2 starts
-// and computes with both names, which would give it 3. The heartbeat of
-// dakar-a-1 still shows itself alone, a view that gives dakar-a-2 nothing, so
-// it uses none. When dakar-a-1 has heard of dakar-a-2 it goes down to 3, with
-// 4 requests still in flight: its next heartbeat shows both names and an
-// excess of 1. Once dakar-a-2 has seen that, and dakar-a-1 that it has seen
-// it, dakar-a-2 uses 2, and 3 as soon as the excess is gone.
+// Example: dakar-a-1 is alone and holds all 6 slots of a server. dakar-a-2 starts; its
+// view has both names and gives it 3. The heartbeat of dakar-a-1 still has a view with
+// only itself, which gives dakar-a-2 none, so dakar-a-2 uses none. When dakar-a-1
+// receives a heartbeat of dakar-a-2, it reduces its share to 3, with 4 requests still in
+// flight: its next heartbeat has both names and an excess of 1. Once dakar-a-2 has seen
+// it, and dakar-a-1 knows that, dakar-a-2 uses 2 slots, and 3 when the excess is gone.
 package slots
 
 import (
@@ -32,10 +31,10 @@
 	"github.com/stoneworks/stoneworks/pkg/decide"
 )
 
-// View is a sorted list of boxes of one zone.
+// View is the sorted list of the boxes that share one zone's slots.
 type View []string
 
-// NewView makes a view from names in any order, each kept once.
+// NewView makes a view from names in any order, without duplicates.
 func NewView(boxes ...string) View {
 	v := append(View(nil), boxes...)
 	sort.Strings(v)
@@ -48,14 +47,14 @@
 	return kept
 }
 
-// Has reports whether the view names the box.
+// Has reports whether the view contains the box.
 func (v View) Has(box string) bool {
 	i := sort.SearchStrings(v, box)
 	return i < len(v) && v[i] == box
 }
 
-// Homes returns the boxes of the view that connect to the server, in the
-// order in which they get the slots that do not divide evenly.
+// Homes returns the boxes of the view that connect to the server. The first ones get
+// one slot more if the slots do not divide evenly.
 func (v View) Homes(server string) []string {
 	type scored struct {
 		box   string
@@ -74,7 +73,7 @@
 	return homes
 }
 
-// Share returns how many of the server's slots the view gives to the box.
+// Share returns the number of the server's slots that the view gives to the box.
 func (v View) Share(box, server string, slots int) int {
 	homes := v.Homes(server)
 	for i, h := range homes {
@@ -90,23 +89,23 @@
 	return 0
 }
 
-// VersionedView is a view with its version, which rises with every change.
+// VersionedView is a view with its version, which increases with every change.
 type VersionedView struct {
 	Version uint64
 	View    View
 }
 
-// PeerReport is what another box said in its last heartbeat.
+// PeerReport is the content of another box's last heartbeat for one server.
 type PeerReport struct {
-	// Views are those of its views of the server's zone that still count.
+	// Views are the box's active views of the server's zone.
 	Views []VersionedView
-	// Excess is by how much it is above its part of the server.
+	// Excess is the number of slots that the box uses above its share of the server.
 	Excess int
 }
 
-// ActiveViews returns those of a box's own views that still count: the last one
-// that every other box has seen, and all later ones. seen has the version that
-// each other box was last heard to have seen.
+// ActiveViews returns the active ones of a box's own views: the last one that every
+// other box has seen, and all later ones. seen holds the version that each other box
+// last reported to have seen.
 func ActiveViews[V any](own []V, version func(V) uint64, seen []uint64) []V {
 	first := 0
 	for i, v := range own {
@@ -126,9 +125,9 @@
 	return true
 }
 
-// Usable returns how many of the server's slots the box may use: the least
-// that any view that still counts, its own and those told by others, gives
-// it, less what others hold in excess.
+// Usable returns the number of the server's slots that the box may use: the smallest
+// share that any active view, its own or another box's, gives it, less the excess of
+// the others.
 func Usable(box, server string, slots int, own []VersionedView, others []PeerReport) int {
 	part := slots
 	for _, v := range own {
