--- a/pkg/slots/slots_test.go
+++ b/pkg/slots/slots_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "20000")
@@ -30,8 +30,8 @@
 	})
 }
 
-// box is one box of the model: its views that count, what it told last, what
-// it heard, and what it holds.
+// box is one box of the model: its active views, the heartbeat that it sent last, the
+// heartbeats that it received, its requests in flight and its usable slots.
 type box struct {
 	views  []VersionedView
 	sent   heartbeat
@@ -46,10 +46,10 @@
 	excess int
 }
 
-// TestNeverAboveSlots drives boxes that change their views at any moment and
-// hear of each other late, in any order: together they never hold more than
-// the slots. Without versions and Seen this test failed: a box that had given
-// its part up took it back on old news.
+// TestNeverAboveSlots drives boxes that change their views at any time and receive each
+// other's heartbeats late and in any order: together they never use more than the slots.
+// Without view versions and Seen, a box that had released its share took it back because
+// of an outdated heartbeat.
 func TestNeverAboveSlots(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -98,7 +98,8 @@
 	})
 }
 
-// refresh does what a box does before it tells: first its part, then its word.
+// refresh does what a box does before a heartbeat: it computes its usable slots, then the
+// heartbeat.
 func (b *box) refresh(name string, slots int) {
 	var others []PeerReport
 	var seen []uint64
@@ -113,7 +114,8 @@
 	b.sent = heartbeat{views: b.views, seen: acknowledged, excess: max(b.inUse-b.usable, 0)}
 }
 
-// TestShareIsUsableOnceOthersHaveSeenTheView shows that the rule lets a box take its part in the end.
+// TestShareIsUsableOnceOthersHaveSeenTheView checks that a box can use a larger share once
+// all others have seen the view that gives it.
 func TestShareIsUsableOnceOthersHaveSeenTheView(t *testing.T) {
 	is := is.New(t)
 	own := []VersionedView{{1, NewView("a", "b")}, {2, NewView("a")}}
