--- a/pkg/shift/plan.go
+++ b/pkg/shift/plan.go
@@ -1,11 +1,11 @@
-// Package shift decides which region serves which clients, and how that may
-// change: never by more of the traffic, in any window, than the cap that the
-// operator set. It has no input or output.
+// Package shift decides which region serves which clients, and limits how fast that
+// changes: in any window, no more of the traffic changes its region than the cap that the
+// operator set. It does no input or output.
 //
-// The clients of each region fall into buckets. A plan gives each bucket its
-// serving region. The planner moves a plan towards its target in steps within
-// the cap; each box walks from what it has in force towards the plan within
-// the cap as well, so that neither a late plan nor a wrong one can break it.
+// The clients of each region are hashed into buckets. A plan assigns each bucket to a
+// serving region. The planner moves a plan towards its target in steps within the cap.
+// Each box moves from its active assignment towards the plan within the cap too, so that
+// neither a late plan nor a wrong one can exceed the cap.
 package shift
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// Plan is one service's assignment of buckets to regions.
+// Plan is the assignment of a service's buckets to regions.
 type Plan struct {
-	// Regions that the letters of Assign stand for: 'a' is the first.
+	// Regions lists the regions that the letters of Assign stand for; 'a' is the first.
 	Regions []string `json:"regions"`
-	// Assign has, for each client region, one letter for each bucket.
+	// Assign holds one letter for each bucket, by client region.
 	Assign map[string]string `json:"assign"`
 }
 
@@ -37,7 +37,7 @@
 	return p.Regions[i]
 }
 
-// Assignments returns the plan in the form that decisions use.
+// Assignments converts the plan to the form that package decide uses.
 func (p *Plan) Assignments() map[string]*decide.Assignment {
 	all := make(map[string]*decide.Assignment, len(p.Assign))
 	for client := range p.Assign {
@@ -50,7 +50,8 @@
 	return all
 }
 
-// WithMoves returns a copy in which some buckets of a client region have others.
+// WithMoves returns a copy in which the given buckets of a client region have new
+// serving regions.
 func (p *Plan) WithMoves(client string, moves map[int]string) *Plan {
 	next := &Plan{Regions: append([]string(nil), p.Regions...), Assign: map[string]string{}}
 	for c, letters := range p.Assign {
@@ -67,7 +68,7 @@
 	return next
 }
 
-// letter returns the letter of a region, which it adds if it is new.
+// letter returns the letter of a region, and adds the region if it is new.
 func (p *Plan) letter(region string) byte {
 	for i, r := range p.Regions {
 		if r == region {
@@ -82,18 +83,18 @@
 // Targets
 // ================================================================
 
-// Conditions is what a target depends on besides the service itself.
+// Conditions holds what a target depends on besides the service itself.
 type Conditions struct {
 	// ClientRegions lists all regions of the deployment.
 	ClientRegions []string
 	// Serving lists the regions with backend servers for the service.
 	Serving []string
-	// Usable reports whether a serving region can be reached at present.
+	// Usable reports whether a serving region is reachable.
 	Usable func(region string) bool
 }
 
-// Target returns the assignment that the operator's settings ask for under the
-// facts. Where nothing usable is left, the current assignment stands.
+// Target returns the assignment that the operator's settings require under the
+// conditions. If no serving region is usable, it keeps the current assignment.
 func Target(s *model.Service, current *Plan, f Conditions) *Plan {
 	next := &Plan{Assign: map[string]string{}}
 	var usable []string
@@ -113,8 +114,8 @@
 	return next
 }
 
-// plannedRegions gives the operator's shifts to the first buckets of a fixed
-// order, so that a larger share contains the smaller one.
+// plannedRegions assigns the operator's shifts to the first buckets of a fixed order, so
+// that the buckets of a smaller share are among those of a larger one.
 func plannedRegions(s *model.Service, client string) map[int]string {
 	wanted := map[int]string{}
 	order := bucketOrder(s.Name, client)
@@ -133,8 +134,9 @@
 	return wanted
 }
 
-// choose returns the first usable one of: the planned region, the client's own,
-// one by hash. Failing these, what is.
+// choose returns the planned region, the client's own region or one selected by hash,
+// whichever is usable first. If none is, it returns the bucket's current region, else the
+// client's own region if that serves or none does, else one of the serving regions.
 func choose(planned, client string, bucket int, serving, usable []string, current *Plan) string {
 	for _, r := range []string{planned, client} {
 		if r != "" && contains(usable, r) {
@@ -153,13 +155,13 @@
 	return serving[bucket%len(serving)]
 }
 
-// orders keeps the order of each service's and client region's buckets, since
-// it never changes and every walk and step needs it.
+// orders caches the bucket order of each service and client region, since it never
+// changes and every step of the planner and of a migrator needs it.
 var orders sync.Map
 
 type orderKey struct{ service, client string }
 
-// bucketOrder is the fixed order in which buckets move. It is not to be changed.
+// bucketOrder returns the fixed order in which buckets move. It must not be changed.
 func bucketOrder(service, client string) []int {
 	key := orderKey{service, client}
 	if order, ok := orders.Load(key); ok {
@@ -189,9 +191,9 @@
 // Steps
 // ================================================================
 
-// Step moves the current plan towards the target by at most the cap: of each
-// client region's buckets, so that it holds whatever the regions' sizes are.
-// mayEnter reports whether a region may take more.
+// Step moves the current plan towards the target by at most the cap. The cap applies to
+// the buckets of each client region, so that it holds for regions of any size.
+// mayEnter reports whether a region may get more clients.
 func Step(service string, current, target *Plan, limit float64, mayEnter func(region string) bool) *Plan {
 	next := current
 	for client := range target.Assign {
@@ -212,11 +214,11 @@
 	return next
 }
 
-// rounding forgives what floating point does to cap times buckets.
+// rounding is the tolerance for floating-point errors in cap times buckets.
 const rounding = 1e-9
 
-// Distance returns the largest share of a client region's buckets in which two
-// plans differ.
+// Distance returns the largest fraction of a client region's buckets in which two plans
+// differ.
 func Distance(a, b *Plan) float64 {
 	most := 0
 	for client := range b.Assign {
