--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -12,8 +12,8 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
@@ -50,8 +50,8 @@
 	})
 }
 
-// TestMigratorKeepsCap has plans jump at any moment: whatever comes, in no
-// window do more than the cap's part of the requests change their region.
+// TestMigratorKeepsCap applies plans that change at any time: in no window do more than
+// the cap's fraction of the buckets change their region.
 func TestMigratorKeepsCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.01, 0.5).Draw(t, "cap")
