--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -1,16 +1,15 @@
-// Package idempotency remembers which idempotency keys this box has taken, so that a
-// request that may not be repeated runs at most once.
+// Package idempotency records the idempotency keys that this box has accepted, so that a
+// request that is not idempotent runs at most once.
 //
-// Every key belongs to one life of one box: its owner, named by the ticket
-// that a look-up gave the caller and that the key starts with. Only the owner may send the request to a
-// backend server, wherever the caller's repeats land. So there is nothing to
-// agree on: the owner's own memory is the truth, and if the owner is dead the
-// truth is lost with it and the answer is "unknown", never a second run.
+// Each key belongs to one incarnation of one box, its owner. The key starts with the
+// ticket that a look-up gave the caller, and the ticket names the owner. Only the owner
+// sends the request to a backend server, whichever box receives the caller's retries. So
+// boxes need no agreement: the owner's table is authoritative. If the owner has died, its
+// table is lost and the outcome is "unknown"; the request never runs a second time.
 //
-// Example: a studio buys a licence with key K and a ticket of box dakar-a-1,
-// and the answer is lost. It sends K again through thies-b-1, which passes it
-// to dakar-a-1. That box finds K in flight, waits with it, and both get the
-// one answer.
+// Example: a studio buys a licence with key K and a ticket of box dakar-a-1, and the
+// answer is lost. It retries K through thies-b-1, which forwards it to dakar-a-1. That box
+// finds K in flight and waits for its end, and both requests get the same answer.
 package idempotency
 
 import (
@@ -22,52 +21,52 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// Answer is a kept answer to a request.
+// Answer is a stored answer to a request.
 type Answer struct {
 	Status int
 	Header [][2]string
 	Body   []byte
-	// Server and Zone say who answered.
+	// Server and Zone name the backend server that answered and its zone.
 	Server string
 	Zone   string
 }
 
-// state is how far a record has come.
+// state is the state of a record.
 type state int
 
 const (
 	inFlight state = iota
 	answered
-	// notKept: it ran, but its answer was too large to keep.
+	// notKept means that the request ran but its answer was too large to store.
 	notKept
 	unknown
 )
 
-// Key names one request of one service.
+// Key identifies a request of a service.
 type Key struct {
 	Service string
 	Key     string
-	// Fingerprint is a digest of method, path and body length. A repeat
-	// that differs is a mistake of the caller and is refused.
+	// Fingerprint is a digest of method, path and body length. A retry with another
+	// fingerprint is an error of the caller and is rejected.
 	Fingerprint uint64
 }
 
 type record struct {
 	key     Key
 	state   state
-	taken   time.Duration // age of the box when the key was taken
+	taken   time.Duration // age of the box when the key was accepted
 	answer  *Answer
 	failure *outcome.Failure
 	done    chan struct{}
 	place   *list.Element
 }
 
-// Table is the owner's memory. Its size is bounded in number and in age.
+// Table holds the keys that this box owns, up to a maximum number and age.
 type Table struct {
-	// Age returns how long this box has run; it also counts while the
-	// process stands still.
+	// Age returns the time since this box started, including times for which the
+	// process was suspended.
 	Age func() time.Duration
-	// MaxRecords and MaxAge bound the table.
+	// MaxRecords and MaxAge are the maximum number and age of records.
 	MaxRecords int
 	MaxAge     time.Duration
 
@@ -94,11 +93,10 @@
 	return len(t.records)
 }
 
-// Begin takes the key. issued is the box's age at which the ticket was given.
+// Begin accepts a key. issued is the age of the box when it issued the ticket.
 //
-// If first is true the caller must run the request and then call exactly one
-// of the run's methods. Otherwise the key was taken before, and repeat waits
-// for its end.
+// If first is true, the caller must send the request and then call either Complete or
+// Fail. Otherwise the key was accepted before, and the caller must call Wait.
 func (t *Table) Begin(k Key, issued time.Duration) (run *Execution, first bool, failure *outcome.Failure) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,12 +104,12 @@
 	name := k.Service + "\x00" + k.Key
 	if r, ok := t.records[name]; ok {
 		if r.key.Fingerprint != k.Fingerprint {
-			return nil, false, outcome.NewUnknown(outcome.ReasonBadRequest, "this Idempotency-Key was used for a different request")
+			return nil, false, outcome.NewUnknown(outcome.ReasonBadRequest, "this Idempotency-Key was already used for a different request")
 		}
 		return &Execution{table: t, record: r}, false, nil
 	}
 	if t.Age()-issued > t.MaxAge {
-		return nil, false, outcome.NewUnknown(outcome.ReasonStaleTicket, "the ticket is older than keys are remembered")
+		return nil, false, outcome.NewUnknown(outcome.ReasonStaleTicket, "the ticket in the Idempotency-Key has expired")
 	}
 	if len(t.records) >= t.MaxRecords {
 		return nil, false, outcome.NewNotRun(outcome.ReasonRecordsFull, "").WithRetryAfter(time.Second)
@@ -122,11 +120,11 @@
 	return &Execution{table: t, record: r}, true, nil
 }
 
-// expire forgets records that are older than any ticket that could still name
-// them. Records in flight stay.
+// expire removes records that are older than any valid ticket that could refer to them.
+// Records in flight stay.
 func (t *Table) expire() {
-	// A ticket is at most MaxAge old when its key is taken, so a repeat with
-	// the same ticket is refused by its age from taken+MaxAge on.
+	// A ticket is at most MaxAge old when its key is accepted, so from taken+MaxAge
+	// on a retry with the same ticket is rejected because of the ticket's age.
 	for e := t.oldest.Front(); e != nil; {
 		r := e.Value.(*record)
 		if t.Age()-r.taken <= t.MaxAge {
@@ -145,14 +143,14 @@
 	t.oldest.Remove(r.place)
 }
 
-// Execution is one key being run, or joined.
+// Execution is the execution of the request of a key, or a retry that waits for it.
 type Execution struct {
 	table  *Table
 	record *record
 }
 
-// Complete ends the run with an answer. A nil answer means that it was passed
-// on but was too large to keep.
+// Complete ends the execution with an answer. nil means that the answer was forwarded to
+// the caller but was too large to store.
 func (r *Execution) Complete(a *Answer) {
 	if a == nil {
 		r.finish(notKept, nil, nil)
@@ -161,8 +159,8 @@
 	r.finish(answered, a, nil)
 }
 
-// Fail ends the run without an answer. If the failure says "not run", the
-// key is free again; otherwise it stays taken for good.
+// Fail ends the execution without an answer. If the outcome of the failure is "not run",
+// the key may be used again; otherwise the record stays until it expires.
 func (r *Execution) Fail(f *outcome.Failure) {
 	r.finish(unknown, nil, f)
 }
@@ -183,7 +181,7 @@
 	close(r.record.done)
 }
 
-// Wait waits for the run that took the key, and returns its end.
+// Wait waits for the end of the first execution of the key, and returns its result.
 func (r *Execution) Wait(ctx context.Context) (*Answer, *outcome.Failure) {
 	select {
 	case <-r.record.done:
