--- a/pkg/idempotency/ticket.go
+++ b/pkg/idempotency/ticket.go
@@ -9,13 +9,12 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// MaxKeyLength bounds an idempotency key, in bytes.
+// MaxKeyLength is the maximum length of an idempotency key in bytes.
 const MaxKeyLength = 200
 
-// Ticket names the owner of keys: one life of one box, and the age of that
-// life when the ticket was given. A caller puts it in front of an id of its
-// own to make an idempotency key, so the key itself names its owner and a
-// repeat cannot name another:
+// Ticket names the owner of keys: an incarnation of a box, and its age when it issued
+// the ticket. A caller makes an idempotency key from the ticket, a slash and an id of its
+// own, so the key itself names its owner and a retry cannot name another one:
 //
 //	dakar-a-1/5f0c9e21/83120/score-771
 type Ticket struct {
@@ -24,7 +23,7 @@
 	Issued      time.Duration
 }
 
-// KeyError says that an idempotency key cannot be taken.
+// KeyError reports that an idempotency key is malformed.
 type KeyError struct {
 	Problem string
 }
@@ -34,20 +33,20 @@
 	return "Idempotency-Key: " + e.Problem
 }
 
-// String writes the ticket as callers carry it.
+// String returns the ticket in the form that keys start with.
 func (t Ticket) String() string {
 	return fmt.Sprintf("%s/%s/%d", t.Box, t.Incarnation, t.Issued.Milliseconds())
 }
 
-// ParseKey reads an idempotency key. hasTicket is false for a key that the
-// caller made up by itself; the error is a *KeyError.
+// ParseKey parses an idempotency key. hasTicket is false for a key that does not start
+// with a ticket. An error is a *KeyError.
 func ParseKey(key string) (ticket Ticket, hasTicket bool, err error) {
 	if key == "" || len(key) > MaxKeyLength {
-		return Ticket{}, false, &KeyError{Problem: fmt.Sprintf("%d bytes long, allowed are 1 to %d", len(key), MaxKeyLength)}
+		return Ticket{}, false, &KeyError{Problem: fmt.Sprintf("is %d bytes long; must be 1 to %d", len(key), MaxKeyLength)}
 	}
 	for i := range len(key) {
 		if key[i] <= ' ' || key[i] > '~' {
-			return Ticket{}, false, &KeyError{Problem: "has a character that is not printable ASCII"}
+			return Ticket{}, false, &KeyError{Problem: "contains a character that is not printable ASCII"}
 		}
 	}
 	parts := strings.SplitN(key, "/", 4)
