--- a/pkg/idempotency/table_test.go
+++ b/pkg/idempotency/table_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestTableAtMostOnce drives the table with any order of submissions, ends and
-// the passing of time: of one ticket's key no two runs are ever let through
-// unless the one before was certainly not run.
+// TestTableAtMostOnce drives the table with requests, ends of executions and the passing
+// of time in any order: a key is executed a second time only if the execution before
+// certainly did not run.
 func TestTableAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := time.Duration(0)
@@ -65,11 +65,11 @@
 				}
 				run, first, failure := table.Begin(Key{Service: "s", Key: key}, issued[key])
 				if failure != nil && failure.Outcome == outcome.NotRun && mayHaveRun[key] {
-					t.Fatalf("key %s: told not run, but it may have run", key)
+					t.Fatalf("key %s: reported as not run, but it may have run", key)
 				}
 				if first {
 					if mayHaveRun[key] || running[key] != nil {
-						t.Fatalf("key %s was let through twice", key)
+						t.Fatalf("key %s was executed twice", key)
 					}
 					running[key] = run
 				}
