--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -7,35 +7,35 @@
 	"github.com/stoneworks/stoneworks/pkg/decide"
 )
 
-// Migrator is one box's assignment of one service: what it has in force, and how
-// it walks from there to the plan.
+// Migrator holds a box's active assignment of one service, and moves it towards the plan
+// within the cap.
 type Migrator struct {
 	mu      sync.Mutex
 	inForce *Plan
-	// assigned is inForce in the form that decisions use.
+	// assigned is inForce in the form that package decide uses.
 	assigned map[string]*decide.Assignment
 	moves    []move
-	// counts and last are the requests of this window and of the one before,
-	// by client region and bucket.
+	// counts and previous are the numbers of requests in this window and in the one
+	// before, by client region and bucket.
 	counts   map[string]*[decide.Buckets]float64
 	previous map[string]*[decide.Buckets]float64
 	rotated  time.Time
 }
 
-// move is one bucket that changed its region.
+// move is a change of the region of one bucket.
 type move struct {
 	at     time.Time
 	client string
 	bucket int
 }
 
-// NewMigrator makes a walker that takes the first plan it sees as it is: a box
-// that has just started has no traffic to move.
+// NewMigrator makes a migrator that applies its first plan at once, since a box that has
+// just started has no traffic to move.
 func NewMigrator() *Migrator {
 	return &Migrator{counts: map[string]*[decide.Buckets]float64{}, previous: map[string]*[decide.Buckets]float64{}}
 }
 
-// Count notes a request.
+// Count counts a request.
 func (w *Migrator) Count(client string, bucket int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -47,16 +47,16 @@
 	c[bucket]++
 }
 
-// InForce returns the assignment in force, or nil before the first plan.
+// InForce returns the active assignment, or nil before the first plan.
 func (w *Migrator) InForce() *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inForce
 }
 
-// Advance walks towards the plan as far as the cap allows, and returns the
-// assignment in force. In any window the moved buckets of a client region are
-// at most the cap's part of its buckets and of its measured requests.
+// Advance moves towards the plan as far as the cap allows, and returns the active
+// assignment. In any window, the moved buckets of a client region are at most the cap's
+// fraction of its buckets and of its counted requests.
 func (w *Migrator) Advance(now time.Time, service string, plan *Plan, limit float64, window time.Duration) *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,7 +79,7 @@
 	return w.inForce
 }
 
-// Assignments returns what is in force in the form that decisions use, or nil
+// Assignments returns the active assignment in the form that package decide uses, or nil
 // before the first plan.
 func (w *Migrator) Assignments() map[string]*decide.Assignment {
 	w.mu.Lock()
@@ -90,7 +90,7 @@
 	return w.assigned
 }
 
-// windowMargin lengthens the window a little, since requests that were decided before
+// windowMargin returns the time that is added to the window, since requests routed before
 // a move may reach their region after it.
 func windowMargin(window time.Duration) time.Duration { return window / 10 }
 
@@ -131,7 +131,8 @@
 	return n, weight
 }
 
-// weightOf sums the requests of a bucket, or of all if it is negative.
+// weightOf returns the number of requests of a bucket, or of all buckets if it is
+// negative.
 func (w *Migrator) weightOf(client string, bucket int) float64 {
 	sum := 0.0
 	for _, counts := range []*[decide.Buckets]float64{w.counts[client], w.previous[client]} {
