--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -160,7 +160,7 @@
 }
 
 // Fail ends the execution without an answer. If the outcome of the failure is "not run",
-// the key may be used again; otherwise the record stays until it expires.
+// the key may be used again; otherwise it may not.
 func (r *Execution) Fail(f *outcome.Failure) {
 	r.finish(unknown, nil, f)
 }
