--- a/pkg/topology/topology.go
+++ b/pkg/topology/topology.go
@@ -1,5 +1,5 @@
-// Package topology knows which region each availability zone belongs to, and
-// which availability zone is nearest to each block of client addresses.
+// Package topology maps availability zones to regions, and blocks of client addresses to
+// the nearest availability zone.
 package topology
 
 import (
@@ -7,13 +7,13 @@
 	"sort"
 )
 
-// Zone is one availability zone and its region.
+// Zone is an availability zone and its region.
 type Zone struct {
 	Zone   string `json:"zone" yaml:"zone"`
 	Region string `json:"region" yaml:"region"`
 }
 
-// Map answers questions about zones and client blocks. It never changes.
+// Map holds the zones and client blocks of a deployment. It is immutable.
 type Map struct {
 	zones   []Zone
 	regions []string
@@ -41,10 +41,10 @@
 	return m
 }
 
-// Zones lists the zones by name.
+// Zones returns the zones, sorted by name.
 func (m *Map) Zones() []Zone { return m.zones }
 
-// Regions lists the regions by name.
+// Regions returns the regions, sorted by name.
 func (m *Map) Regions() []string { return m.regions }
 
 // HasZone reports whether the zone exists.
@@ -65,8 +65,8 @@
 	return m.zones[i].Region
 }
 
-// ZoneOfClient returns the zone nearest to the client address.
-// ok is false if no block holds the address.
+// ZoneOfClient returns the zone nearest to the client address. ok is false if no block
+// contains the address.
 func (m *Map) ZoneOfClient(client netip.Addr) (zone string, ok bool) {
 	i, ok := m.blocks.Find(client)
 	if !ok {
