--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -11,18 +11,19 @@
 	Zone   string `json:"zone" yaml:"zone"`
 }
 
-// noZone marks a range of addresses that no block covers.
+// noZone marks a range of addresses that no block contains.
 const noZone = ^uint16(0)
 
-// BlockTable maps addresses to sites by longest prefix. The prefixes are
-// flattened once into ranges that do not overlap, so a look-up is one index
-// into a table of the upper 16 bits and a short binary search.
+// BlockTable maps addresses to indexes of zones by longest prefix. The prefixes are
+// converted once into ranges that do not overlap. A look-up of an IPv4 address reads an
+// index by its upper 16 bits and does a short binary search; one of an IPv6 address is a
+// binary search.
 //
-// Cost: 6 bytes a range for IPv4 and 18 for IPv6, plus 256 KiB for the index.
+// It uses 6 bytes a range for IPv4, 18 bytes a range for IPv6, and 256 KiB for the index.
 type BlockTable struct {
 	starts4 []uint32
 	zones4  []uint16
-	// index4[h] is the number of ranges that start below h<<16.
+	// index4[h] is the number of IPv4 ranges that start below h<<16.
 	index4  []uint32
 	starts6 [][16]byte
 	zones6  []uint16
@@ -34,8 +35,8 @@
 	zone        uint16
 }
 
-// NewBlockTable flattens the blocks. Blocks that cannot be parsed, or whose
-// zone siteOf does not know, are left out: settings are checked before.
+// NewBlockTable makes a table of the blocks. It skips blocks that cannot be parsed or
+// whose zone has no index, since the settings are checked before.
 func NewBlockTable(blocks []Block, zoneIndex func(string) (uint16, bool)) *BlockTable {
 	var v4, v6 []span
 	for _, b := range blocks {
@@ -77,7 +78,8 @@
 	}
 }
 
-// Find returns the site of the address.
+// Find returns the index of the zone of the address. ok is false if no block contains
+// the address.
 func (t *BlockTable) Find(a netip.Addr) (zone int, ok bool) {
 	a = a.Unmap()
 	if a.Is4() {
@@ -109,8 +111,8 @@
 	return int(t.zones4[lo-1]), true
 }
 
-// flatten turns nested prefixes into consecutive ranges, calling emit with
-// each range's first address and site.
+// flatten converts nested prefixes into consecutive ranges, and calls emit with the first
+// address and the zone of each range.
 func flatten(spans []span, emit func(netip.Addr, uint16)) {
 	sort.Slice(spans, func(i, j int) bool {
 		if c := spans[i].first.Compare(spans[j].first); c != 0 {
@@ -148,8 +150,8 @@
 	out.flush()
 }
 
-// rangeWriter emits ranges in their order, but none that is empty and none
-// that continues the one before.
+// rangeWriter emits ranges in order. It omits empty ranges and merges adjacent ranges of
+// the same zone.
 type rangeWriter struct {
 	emit    func(netip.Addr, uint16)
 	last    uint16
