--- a/pkg/topology/topology_test.go
+++ b/pkg/topology/topology_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestTableAgreesWithScan compares look-ups with a scan of the prefixes.
+// TestTableAgreesWithScan compares look-ups with a linear scan of the prefixes.
 func TestTableAgreesWithScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sites := map[string]uint16{}
@@ -64,7 +64,7 @@
 	})
 }
 
-// blocksOfSize makes n blocks of /24 over 460 sites.
+// blocksOfSize returns n blocks of size /24 in 460 zones.
 func blocksOfSize(n int) []Block {
 	dice := rand.New(rand.NewPCG(1, 2))
 	blocks := make([]Block, 0, n)
