--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -1,9 +1,8 @@
-// Package membership knows which boxes there are and which of them are alive.
+// Package membership keeps track of which boxes exist and which of them are alive.
 //
-// The platform's list says which boxes exist; it lags. The exchange between
-// boxes corrects it: each box raises the version of its own record at every
-// heartbeat, records spread from box to box, and a record whose version has
-// not risen for a while belongs to a box that is suspected, then dead.
+// The platform's list of boxes lags, so heartbeats between boxes supplement it. Each box
+// increments the version of its own record at every heartbeat, and records spread from
+// box to box. A box whose version has not increased for a while is suspect, then dead.
 package membership
 
 import (
@@ -14,18 +13,18 @@
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// How long a box may be silent.
+// Limits of the time without a new version of a box's record.
 const (
-	// SuspectAfter is the silence after which a box gets no new work.
+	// SuspectAfter is the time after which a box gets no new requests.
 	SuspectAfter = 2 * time.Second
-	// DeadAfter is the silence after which a box counts as dead.
+	// DeadAfter is the time after which a box is considered dead.
 	DeadAfter = 6 * time.Second
-	// ForgetAfter is the silence after which a box that the platform's list
-	// does not name is forgotten.
+	// ForgetAfter is the time after which a box that is not in the platform's list
+	// is removed from the table.
 	ForgetAfter = time.Minute
 )
 
-// State is how a box seems to be.
+// State is the state of a box as seen by this box.
 type State string
 
 // The states of a box.
@@ -34,26 +33,27 @@
 	Suspect State = "suspect"
 	Dead    State = "dead"
 	Leaving State = "leaving"
-	// Listed: named by the platform's list, not heard of yet.
+	// Listed means that the box is in the platform's list and no record of it has
+	// arrived yet.
 	Listed State = "listed"
 )
 
-// ServiceLoad is what a box tells about its part of one service's slots.
+// ServiceLoad is a box's share of the slots of a service, and how many are in use.
 type ServiceLoad struct {
 	Service string `json:"s"`
 	Share   int    `json:"n"`
 	InUse   int    `json:"u"`
 }
 
-// SlotViews lists, by availability zone, the boxes among which a box splits
-// the slots of that zone's backend servers.
+// SlotViews holds, by availability zone, the boxes among which a box divides the slots of
+// the zone's backend servers.
 type SlotViews struct {
-	// Version rises with every change, also over restarts of the box.
+	// Version increases with every change, also across restarts of the box.
 	Version uint64              `json:"v"`
 	Zones   map[string][]string `json:"z"`
 }
 
-// ViewsVersion returns the version of the latest views; 0 if there are none.
+// ViewsVersion returns the version of the latest views, or 0 if there are none.
 func (r *Record) ViewsVersion() uint64 {
 	if len(r.Views) == 0 {
 		return 0
@@ -61,20 +61,21 @@
 	return r.Views[len(r.Views)-1].Version
 }
 
-// Record is what a box says of itself.
+// Record is what a box reports about itself in its heartbeats.
 type Record struct {
 	Box         string `json:"box"`
 	Zone        string `json:"zone"`
 	Incarnation string `json:"inc"`
-	// Started orders a box's lives: milliseconds since 1970 by its own clock.
+	// Started is the start of the incarnation in milliseconds since 1970 by the box's
+	// clock. It orders the incarnations of a box.
 	Started int64 `json:"started"`
-	// Version rises with every heartbeat of one life.
+	// Version increases with every heartbeat of an incarnation.
 	Version uint64 `json:"v"`
-	// AgeMS is how long the box has run.
+	// AgeMS is the time since the box started, in milliseconds.
 	AgeMS   int64 `json:"age"`
 	Leaving bool  `json:"leaving,omitempty"`
-	// Gone is set when a leaving box takes nothing new: it has given up its
-	// slots but for the excess that it tells.
+	// Gone is set when a leaving box accepts no new requests: it has released its
+	// slots except for those that Excess reports.
 	Gone         bool          `json:"gone,omitempty"`
 	Ready        bool          `json:"ready"`
 	Callers      string        `json:"callers"`
@@ -82,19 +83,19 @@
 	Operators    string        `json:"operators"`
 	ConfigDigest string        `json:"config"`
 	Load         []ServiceLoad `json:"load,omitempty"`
-	// Partial is set on a record that left its region: it lacks the views,
-	// what was seen, and the excess.
+	// Partial is set on a record that was sent to another region: it lacks Views, Seen
+	// and Excess.
 	Partial bool `json:"partial,omitempty"`
-	// Views are the views of slots that still count, the latest last.
+	// Views are the active views of slots, the latest last.
 	Views []SlotViews `json:"views,omitempty"`
-	// Seen has the version of the latest views seen of each box of the region.
+	// Seen holds, for each box of the region, the version of the latest views received.
 	Seen map[string]uint64 `json:"seen,omitempty"`
-	// Excess tells, by service and server, by how much requests in flight
-	// keep this box above its part.
+	// Excess is the number of slots that requests in flight use above this box's
+	// share, by service and server.
 	Excess map[string]int `json:"excess,omitempty"`
 }
 
-// newer reports whether r is later news than other of the same box.
+// newer reports whether r is newer than other, a record of the same box.
 func (r *Record) newer(other *Record) bool {
 	if r.Incarnation != other.Incarnation {
 		return r.Started > other.Started
@@ -102,19 +103,19 @@
 	return r.Version > other.Version
 }
 
-// Member is a box as this box sees it.
+// Member is a box as seen by this box.
 type Member struct {
 	Record
 	State State
-	// LastHeard is when the record's version last rose, by this box's clock.
+	// LastHeard is the time of the last new version of the record, by this box's clock.
 	LastHeard time.Time
-	// SilentFor is how long ago that was.
+	// SilentFor is the time since LastHeard.
 	SilentFor time.Duration
-	// InList is true if the platform's list names the box.
+	// InList reports whether the box is in the platform's list.
 	InList bool
 }
 
-// Table is this box's view of all boxes, its own record included.
+// Table holds the records of all boxes known to this box, including its own.
 type Table struct {
 	Now func() time.Time
 	// Self is the name of this box.
@@ -132,12 +133,12 @@
 	lastHeard time.Time
 }
 
-// NewTable makes a table that knows only its own box.
+// NewTable makes an empty table.
 func NewTable(self string, now func() time.Time) *Table {
 	return &Table{Now: now, Self: self, SameRegion: func(string) bool { return false }, records: map[string]*entry{}, listed: map[string]platform.Box{}}
 }
 
-// Merge takes in records heard from another box.
+// Merge merges records received from another box.
 func (t *Table) Merge(records []Record) {
 	now := t.Now()
 	t.mu.Lock()
@@ -157,9 +158,9 @@
 	}
 }
 
-// replaces reports whether r takes the place of a record. Of a box of this
-// region, a partial record must never hide what a full one of the same life
-// says, though its version be higher: the slots depend on it.
+// replaces reports whether r replaces a known record. For a box of this region, a partial
+// record never replaces a full one of the same incarnation, even with a higher version,
+// since the division of slots depends on the fields that it lacks.
 func (t *Table) replaces(r, known *Record) bool {
 	if r.Incarnation == known.Incarnation && t.SameRegion(r.Zone) && r.Partial != known.Partial {
 		return known.Partial
@@ -174,7 +175,7 @@
 	t.records[t.Self] = &entry{record: r, lastHeard: t.Now()}
 }
 
-// SetListed takes in the platform's list.
+// SetListed replaces the platform's list.
 func (t *Table) SetListed(list []platform.Box) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,8 +185,8 @@
 	}
 }
 
-// ResetSilence restarts the clock of every record, after this process stood
-// still: the silence was its own.
+// ResetSilence sets LastHeard of every record to now. It is called after a suspension of
+// this process, during which it could not receive heartbeats.
 func (t *Table) ResetSilence() {
 	now := t.Now()
 	t.mu.Lock()
@@ -195,7 +196,8 @@
 	}
 }
 
-// Expire forgets boxes that are long silent and no longer listed.
+// Expire removes boxes that are not in the platform's list and have been silent for
+// longer than ForgetAfter.
 func (t *Table) Expire() {
 	now := t.Now()
 	t.mu.Lock()
@@ -207,7 +209,8 @@
 	}
 }
 
-// UpdatedSince returns the records that rose since the given time, own one included.
+// UpdatedSince returns the records that have changed since the given time, including this
+// box's own.
 func (t *Table) UpdatedSince(since time.Time) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -221,7 +224,7 @@
 	return news
 }
 
-// Members returns every box known, by name.
+// Members returns all known boxes, sorted by name.
 func (t *Table) Members() []Member {
 	now := t.Now()
 	t.mu.RLock()
@@ -243,7 +246,7 @@
 	return members
 }
 
-// Get returns one box.
+// Get returns the box of that name, and whether there is a record of it.
 func (t *Table) Get(box string) (Member, bool) {
 	now := t.Now()
 	t.mu.RLock()
