--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -23,12 +23,12 @@
 	is.Equal(state("b"), Live)
 	now = now.Add(SuspectAfter + 1)
 	is.Equal(state("b"), Suspect)
-	table.Merge([]Record{{Box: "b", Incarnation: "1", Started: 1, Version: 5}}) // old news
+	table.Merge([]Record{{Box: "b", Incarnation: "1", Started: 1, Version: 5}}) // same version
 	now = now.Add(DeadAfter)
 	is.Equal(state("b"), Dead)
-	table.Merge([]Record{{Box: "b", Incarnation: "2", Started: 2, Version: 1}}) // a new life
+	table.Merge([]Record{{Box: "b", Incarnation: "2", Started: 2, Version: 1}}) // new incarnation
 	is.Equal(state("b"), Live)
-	table.Merge([]Record{{Box: "b", Incarnation: "1", Started: 1, Version: 9}}) // the old one, late
+	table.Merge([]Record{{Box: "b", Incarnation: "1", Started: 1, Version: 9}}) // late record of the old incarnation
 	m, _ := table.Get("b")
 	is.Equal(m.Incarnation, "2")
 	table.SetListed([]platform.Box{{Box: "b", Leaving: true}, {Box: "c"}})
@@ -51,9 +51,9 @@
 	is.Equal(m.State, Live)
 }
 
-// TestPartialNeverHidesFull is the failure in which a record that had gone
-// round by another region, without its views of slots, took the place of the
-// full one, and slots were used twice.
+// TestPartialNeverHidesFull guards against a partial record, which had passed through
+// another region and lacked the views of slots, replacing the full one, so that slots
+// were used twice.
 func TestPartialNeverHidesFull(t *testing.T) {
 	is := is.New(t)
 	table := NewTable("a", time.Now)
@@ -69,5 +69,5 @@
 	is.Equal(m.Version, uint64(5))
 	table.Merge([]Record{{Box: "b", Zone: "near", Incarnation: "2", Started: 1, Partial: true}})
 	m, _ = table.Get("b")
-	is.True(m.Partial) // a new life, of which nothing is known yet
+	is.True(m.Partial) // a new incarnation without a full record yet
 }
