--- a/pkg/topology/topology_test.go
+++ b/pkg/topology/topology_test.go
@@ -34,21 +34,21 @@
 // TestTableAgreesWithScan compares look-ups with a linear scan of the prefixes.
 func TestTableAgreesWithScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sites := map[string]uint16{}
+		zones := map[string]uint16{}
 		var blocks []Block
 		for range rapid.IntRange(0, 12).Draw(t, "n") {
 			address := netip.AddrFrom4([4]byte{10, byte(rapid.IntRange(0, 3).Draw(t, "b")), byte(rapid.IntRange(0, 255).Draw(t, "c")), 0})
 			prefix := netip.PrefixFrom(address, rapid.IntRange(6, 28).Draw(t, "bits")).Masked().String()
-			if _, ok := sites[prefix]; !ok {
-				sites[prefix] = uint16(len(sites))
+			if _, ok := zones[prefix]; !ok {
+				zones[prefix] = uint16(len(zones))
 				blocks = append(blocks, Block{prefix, prefix})
 			}
 		}
-		table := NewBlockTable(blocks, func(z string) (uint16, bool) { return sites[z], true })
+		table := NewBlockTable(blocks, func(z string) (uint16, bool) { return zones[z], true })
 		for range 20 {
 			a := netip.AddrFrom4([4]byte{10, byte(rapid.IntRange(0, 4).Draw(t, "x")), byte(rapid.IntRange(0, 255).Draw(t, "y")), byte(rapid.IntRange(0, 255).Draw(t, "z"))})
 			best, bits := -1, -1
-			for p, s := range sites {
+			for p, s := range zones {
 				if q := netip.MustParsePrefix(p); q.Contains(a) && q.Bits() > bits {
 					best, bits = int(s), q.Bits()
 				}
