--- a/pkg/topology/topology_test.go
+++ b/pkg/topology/topology_test.go
@@ -78,9 +78,9 @@
 
 func BenchmarkFindIn3300000Blocks(b *testing.B) {
 	table := NewBlockTable(blocksOfSize(3_300_000), func(z string) (uint16, bool) {
-		var site uint16
-		_, err := fmt.Sscan(z, &site)
-		return site, err == nil
+		var zone uint16
+		_, err := fmt.Sscan(z, &zone)
+		return zone, err == nil
 	})
 	dice := rand.New(rand.NewPCG(3, 4))
 	addresses := make([]netip.Addr, 1<<16)
