--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission gives out the slots of the backend servers that this box
-// is a home of. A request that gets no slot at once waits shortly or is
-// refused at once; nothing is held that cannot make its deadline.
+// Package admission controls the slots of the backend servers for which this box is a
+// home. A request that finds no free slot waits in a short queue or is rejected at once.
+// A request that cannot meet its deadline is not queued.
 package admission
 
 import (
@@ -12,38 +12,39 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// Tuning of the gate.
+// Parameters of the gate.
 const (
-	// EjectAfter is how many exchanges in a row must fail before a backend
-	// server gets a rest.
+	// EjectAfter is the number of consecutive failed exchanges after which a backend
+	// server is ejected.
 	EjectAfter = 3
-	// FirstEjection and LongestEjection bound that rest, which doubles.
+	// FirstEjection is the time of the first ejection, which doubles with each further
+	// one up to LongestEjection.
 	FirstEjection   = 500 * time.Millisecond
 	LongestEjection = 10 * time.Second
-	// QueuePerSlot bounds the requests that wait, per slot.
+	// QueuePerSlot is the maximum number of queued requests per slot.
 	QueuePerSlot = 2
-	// firstServiceTime is assumed until requests have been measured.
+	// firstServiceTime is the service time assumed before the first measurement.
 	firstServiceTime = 10 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+	// minRetryAfter and maxRetryAfter bound the retry-after time of a rejection.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// ServerConfig is this box's part of one backend server.
+// ServerConfig is a backend server, and this box's share of its slots.
 type ServerConfig struct {
 	Name    string
 	Address string
-	// Share is how many of its slots this box may use.
+	// Share is the number of its slots that this box may use.
 	Share   int
 	Leaving bool
 }
 
-// ServerStatus is how a backend server's part stands.
+// ServerStatus is the state of a backend server at this box.
 type ServerStatus struct {
 	ServerConfig
 	InUse   int
 	Ejected bool
-	// SelfLeaving is set by the backend server's own signal.
+	// SelfLeaving is set if the backend server itself has signalled that it is leaving.
 	SelfLeaving bool
 }
 
@@ -51,16 +52,16 @@
 type Gate struct {
 	Now       func() time.Time
 	QueueWait time.Duration
-	// MayAdmit reports whether the server may take a new request; a seam
-	// for tests.
+	// MayAdmit reports whether the server may get a new request. Tests may replace
+	// it.
 	MayAdmit func(s *ServerStatus) bool
-	// After calls a function once some time has passed; a seam for tests.
+	// After calls do after d. Tests may replace it.
 	After func(d time.Duration, do func())
 
 	mu      sync.Mutex
 	servers []*server
 	queue   []*waiter
-	// serviceTime is the mean time for which a slot is held.
+	// serviceTime is the moving average of the time for which a slot is held.
 	serviceTime time.Duration
 }
 
@@ -76,11 +77,11 @@
 	request Request
 }
 
-// Request is what admission looks at.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
-	// CacheKey is the hash of the request's cache key; 0 if it has none.
+	// CacheKey is the hash of the request's cache key, or 0 if it has none.
 	CacheKey uint64
-	// Avoid names a backend server that has just refused this request.
+	// Avoid is the name of a backend server that has just refused this request.
 	Avoid string
 }
 
@@ -99,7 +100,8 @@
 	return !s.Leaving && !s.SelfLeaving && !s.Ejected && s.InUse < s.Share
 }
 
-// Update replaces the configuration; work in flight is kept in the count.
+// Update replaces the configuration. Servers with the same name and address keep their
+// state, including the number of slots in use.
 func (g *Gate) Update(configs []ServerConfig) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -119,7 +121,8 @@
 	g.serveQueue()
 }
 
-// SetSelfLeaving records a backend server's own signal.
+// SetSelfLeaving records whether a backend server has signalled that it is leaving, and
+// reports whether that changed.
 func (g *Gate) SetSelfLeaving(name string, leaving bool) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,7 +138,7 @@
 	return changed
 }
 
-// Status returns the servers by name.
+// Status returns the status of the servers, sorted by name.
 func (g *Gate) Status() []ServerStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,9 +156,9 @@
 	return status
 }
 
-// mayEject reports whether one more server may get a rest. Where half of them
-// rest already, the fault is likelier in the network, or in this box, and
-// resting the others too would turn it into an outage.
+// mayEject reports whether one more server may be ejected. At most half of the usable
+// servers may be: if more fail, the fault is likelier in the network or in this box, and
+// ejecting the rest would turn it into an outage.
 func (g *Gate) mayEject(now time.Time) bool {
 	resting, usable := 0, 0
 	for _, s := range g.servers {
@@ -170,7 +173,7 @@
 	return 2*(resting+1) <= usable
 }
 
-// HasFree reports whether a slot is free and nobody waits for it.
+// HasFree reports whether a slot is free and no request is queued.
 func (g *Gate) HasFree() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -187,7 +190,8 @@
 	return false
 }
 
-// Acquire takes a slot. The failure always says "not run".
+// Acquire acquires a slot, and may wait for one. The outcome of a failure is always
+// "not run".
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Permit, *outcome.Failure) {
 	g.mu.Lock()
 	if p := g.tryAcquire(r); p != nil {
@@ -205,14 +209,14 @@
 func (g *Gate) enqueue(ctx context.Context, r Request) (*waiter, *outcome.Failure) {
 	slots := g.usableSlots()
 	if slots == 0 {
-		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "no backend server of this zone takes new work").WithRetryAfter(time.Second)
+		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "no backend server of this zone accepts new requests").WithRetryAfter(time.Second)
 	}
 	expected := g.serviceTime * time.Duration(len(g.queue)+1) / time.Duration(slots)
 	if len(g.queue) >= slots*QueuePerSlot || expected > g.QueueWait {
 		return nil, g.noCapacity(expected)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.Now().Add(expected+g.serviceTime).After(deadline) {
-		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(jitteredRetryAfter(expected, r))
+		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the expected wait for a slot exceeds the deadline").WithRetryAfter(jitteredRetryAfter(expected, r))
 	}
 	w := &waiter{ready: make(chan *Permit, 1), request: r}
 	g.queue = append(g.queue, w)
@@ -243,7 +247,7 @@
 	expected := g.serviceTime
 	g.mu.Unlock()
 	if !removed {
-		// A slot came at the same moment.
+		// A slot was assigned at the same time.
 		p := <-w.ready
 		if ctx.Err() == nil {
 			return p, nil
@@ -251,7 +255,7 @@
 		p.Release(Unused)
 	}
 	if ctx.Err() != nil {
-		return nil, outcome.NewNotRun(outcome.ReasonCancelled, "while waiting for a slot")
+		return nil, outcome.NewNotRun(outcome.ReasonCancelled, "cancelled while waiting for a slot")
 	}
 	return nil, g.noCapacity(expected)
 }
@@ -279,7 +283,7 @@
 	return n
 }
 
-// serveQueue hands free slots to the requests that have waited longest.
+// serveQueue assigns free slots to the requests that have waited longest.
 func (g *Gate) serveQueue() {
 	for len(g.queue) > 0 {
 		p := g.tryAcquire(g.queue[0].request)
