--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// tryAcquire picks a backend server with a free slot, or nil.
+// tryAcquire acquires a slot of a backend server without waiting, or returns nil. It uses
+// the server to avoid only if no other has a free slot.
 func (g *Gate) tryAcquire(r Request) *Permit {
 	best := g.pick(r, r.Avoid)
 	if best == nil && r.Avoid != "" {
@@ -15,8 +16,8 @@
 	return &Permit{gate: g, server: best, Server: best.ServerConfig, started: g.Now()}
 }
 
-// pick returns the usable server that suits the request best: the first in
-// the order of its cache key, or the one with the largest free part.
+// pick returns the best usable server: by rendezvous hashing of the cache key if the
+// request has one, else the server with the largest free share of its slots.
 func (g *Gate) pick(r Request, avoid string) *server {
 	now := g.Now()
 	var best *server
@@ -37,8 +38,8 @@
 	return best
 }
 
-// rendezvous gives every pair of key and server a fixed random score, so that
-// when one of N servers comes or goes only about 1/N of the keys move.
+// rendezvous returns a fixed pseudo-random score for a pair of key and server, so that
+// when one of N servers is added or removed, only about 1/N of the keys move.
 func rendezvous(key uint64, name string) float64 {
 	h := key
 	for i := range len(name) {
@@ -54,24 +55,24 @@
 // Permits
 // ================================================================
 
-// Result is how the exchange that held a slot ended.
+// Result is the result of the exchange that held a slot.
 type Result int
 
 // The results.
 const (
-	// Unused: nothing was sent.
+	// Unused means that nothing was sent.
 	Unused Result = iota
-	// Succeeded: the backend server answered.
+	// Succeeded means that the backend server answered.
 	Succeeded
-	// Broken: it could not be reached, or its connection failed.
+	// Broken means that the server could not be reached or its connection failed.
 	Broken
-	// TimedOut: the caller's deadline came first. That speaks against the
-	// backend server only if it had far more time than it usually needs.
+	// TimedOut means that the caller's deadline passed first. It counts as a failure of
+	// the server only if the server had far more time than it usually needs.
 	TimedOut
 )
 
-// A server that had timeoutFactor times the usual time, and at least
-// timeoutFloor, and did not answer, counts as broken.
+// A timeout counts as a failure of the server if the slot was held for at least
+// timeoutFactor times the mean service time and at least timeoutFloor.
 const (
 	timeoutFactor = 10
 	timeoutFloor  = 100 * time.Millisecond
@@ -86,27 +87,27 @@
 	done    bool
 }
 
-// AbandonDelay is for how long a server may go on working on a request whose
-// connection was closed: the close has to reach it, and it has to look.
+// AbandonDelay is the time for which a server may continue to process a request after
+// its connection was closed: the close has to arrive, and the server has to detect it.
 const AbandonDelay = 100 * time.Millisecond
 
-// Release gives the slot back; only the first call counts.
+// Release releases the slot. Only the first call of Release or Abandon has an effect.
 func (p *Permit) Release(result Result) {
 	if p.recordResult(result) {
 		p.releaseSlot()
 	}
 }
 
-// Abandon ends an exchange whose request was sent and not answered to its end.
-// The slot is given back when the server must have noticed. Of this and
-// Release only the first call counts.
+// Abandon ends an exchange whose request was sent and not completely answered. The slot
+// is released after AbandonDelay, when the server must have detected it. Only the first
+// call of Release or Abandon has an effect.
 func (p *Permit) Abandon(result Result) {
 	if p.recordResult(result) {
 		p.gate.After(AbandonDelay, p.releaseSlot)
 	}
 }
 
-// releaseSlot gives the slot to the request that has waited longest.
+// releaseSlot frees the slot for the request that has waited longest.
 func (p *Permit) releaseSlot() {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
@@ -114,7 +115,7 @@
 	p.gate.serveQueue()
 }
 
-// recordResult notes the result, and reports whether it is the first one.
+// recordResult records the result, and reports whether it is the first one.
 func (p *Permit) recordResult(result Result) (first bool) {
 	g := p.gate
 	g.mu.Lock()
@@ -144,7 +145,7 @@
 	}
 	rest := min(FirstEjection<<min(s.ejections, 10), LongestEjection)
 	s.ejections++
-	// One more failure after the rest is enough for the next one.
+	// One more failure after this ejection is enough for the next one.
 	s.failures = EjectAfter - 1
 	s.ejectedUntil = g.Now().Add(rest)
 }
