--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -12,13 +12,13 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
 
-// fakeClock is a clock that stands still until it is moved.
+// fakeClock is a clock that changes only when it is set.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) read() time.Time { return c.now }
@@ -42,7 +42,7 @@
 			}
 			p, failure := g.Acquire(context.Background(), Request{CacheKey: uint64(rapid.IntRange(0, 9).Draw(t, "key"))})
 			if failure != nil && failure.Outcome != outcome.NotRun {
-				t.Fatal("a refusal must say not run")
+				t.Fatal("the outcome of a refusal must be \"not run\"")
 			}
 			if p != nil {
 				held = append(held, p)
@@ -56,9 +56,9 @@
 	})
 }
 
-// TestSlotOfAnAbandonedExchangeStaysTaken is the failure in which a server
-// worked on more than its slots: it had not yet noticed that nobody waited for
-// the first request when the next one came.
+// TestSlotOfAnAbandonedExchangeStaysTaken guards against a server processing more
+// requests than it has slots, because it has not yet detected that the first one was
+// abandoned when the next one arrives.
 func TestSlotOfAnAbandonedExchangeStaysTaken(t *testing.T) {
 	is := is.New(t)
 	g, _ := newTestGate(ServerConfig{Name: "a", Share: 1})
@@ -78,7 +78,7 @@
 	is.Equal(pause, AbandonDelay)
 	due[0]()
 	is.Equal(g.Status()[0].InUse, 0)
-	p.Release(Succeeded) // only the first end counts
+	p.Release(Succeeded) // only the first call has an effect
 	is.Equal(g.Status()[0].InUse, 0)
 	_, failure = g.Acquire(context.Background(), Request{})
 	is.True(failure == nil)
@@ -103,8 +103,8 @@
 	is.Equal(failure.Reason, outcome.ReasonNoServer)
 }
 
-// TestEjectsAtMostHalf is the failure in which a fault of the network put
-// every server of a zone to rest at once.
+// TestEjectsAtMostHalf guards against ejecting all servers of a zone at once because of a
+// network fault.
 func TestEjectsAtMostHalf(t *testing.T) {
 	is := is.New(t)
 	g, clock := newTestGate(ServerConfig{Name: "a", Share: 1}, ServerConfig{Name: "b", Share: 1})
@@ -124,8 +124,8 @@
 	is.True(!g.Status()[0].Ejected && !g.Status()[1].Ejected)
 }
 
-// TestShortDeadlinesDoNotEject is the failure in which callers with deadlines
-// shorter than a request takes had healthy servers ejected.
+// TestShortDeadlinesDoNotEject guards against ejecting healthy servers because callers'
+// deadlines are shorter than the service time.
 func TestShortDeadlinesDoNotEject(t *testing.T) {
 	is := is.New(t)
 	g, clock := newTestGate(ServerConfig{Name: "a", Share: 1}, ServerConfig{Name: "b", Share: 1})
