--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is what a caller of stoneworks needs: it looks up which boxes
-// to use, keeps the answer while it may, sends requests, and repeats them by
-// the rules under which nothing that may not be repeated runs twice.
+// Package caller is the client library for callers of stoneworks. It looks up which boxes
+// to use, caches the answer for its time to live, sends requests, and retries them so that
+// no request that must run at most once runs twice.
 package caller
 
 import (
@@ -22,25 +22,27 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// Tuning of a caller.
+// Parameters of a client.
 const (
-	// DefaultAttempts bounds the submissions of one request.
+	// DefaultAttempts is the default maximum number of attempts of a request.
 	DefaultAttempts = 5
 	lookupTimeout   = 2 * time.Second
 	connectTimeout  = time.Second
 	initialBackoff  = 50 * time.Millisecond
 	maxBackoff      = 2 * time.Second
-	// maxIdle is how long a connection may have been idle to be used again.
+	// maxIdle is the time after which an idle connection is not used again.
 	maxIdle = 2 * time.Second
 )
 
-// Client sends requests of one client of the system.
+// Client sends requests on behalf of one caller.
 type Client struct {
-	// Boxes are addresses of boxes to ask first; any will do.
+	// Boxes are the addresses of some boxes, used for look-ups before an answer is
+	// cached and if the boxes in the cached answer fail.
 	Boxes []string
-	// Address is the client's own; empty to let the box see it.
+	// Address is the client's own address. If it is empty, boxes use the address of
+	// the connection.
 	Address string
-	// Attempts bounds the submissions of one request.
+	// Attempts is the maximum number of attempts of a request.
 	Attempts int
 
 	mu          sync.Mutex
@@ -54,7 +56,7 @@
 	until   time.Time
 }
 
-// Request is one request of a caller.
+// Request is a request of a caller.
 type Request struct {
 	Service string
 	Method  string
@@ -62,30 +64,31 @@
 	Path   string
 	Header [][2]string
 	Body   []byte
-	// ID names the request in logs; made up if empty.
+	// ID identifies the request in logs. If it is empty, Do generates one.
 	ID string
-	// AtMostOnce marks a request that may not be repeated; it gets a key.
+	// AtMostOnce marks a request that must not run twice; it gets an idempotency key.
 	AtMostOnce bool
 	// MayRepeat marks a request that may run more than once.
 	MayRepeat bool
 }
 
-// Result is the end of a request.
+// Result is the result of a request.
 type Result struct {
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
 	Status  int
 	Header  fasthttp.ResponseHeader
 	Body    []byte
-	// RetryAfter is when to come back; 0 if that is not known.
+	// RetryAfter is the time to wait before a retry, or 0 if it is unknown.
 	RetryAfter time.Duration
-	// Attempts counts the submissions; Entry is where the last one went.
+	// Attempts is the number of attempts, and Entry the address of the box that got
+	// the last one.
 	Attempts int
 	Entry    string
 	Key      string
 }
 
-// LookupError says that no box answered a look-up.
+// LookupError reports that no box answered a look-up.
 type LookupError struct {
 	Service string
 	Last    error
@@ -96,7 +99,7 @@
 	return fmt.Sprintf("no box answered the look-up of %q: %v", e.Service, e.Last)
 }
 
-// New makes a client that first asks the given boxes.
+// New makes a client that uses the given boxes for its first look-ups.
 func New(address string, boxes ...string) *Client {
 	return &Client{
 		Boxes: boxes, Address: address, Attempts: DefaultAttempts,
@@ -117,7 +120,8 @@
 // Look-ups
 // ================================================================
 
-// Lookup returns the boxes to use for the service, best first.
+// Lookup returns the boxes to use for the service, best first, from the cache or from a
+// box. The error is a *LookupError.
 func (c *Client) Lookup(ctx context.Context, service string) ([]entry.LookupEntry, error) {
 	c.mu.Lock()
 	cached, ok := c.lookups[service]
@@ -139,7 +143,8 @@
 	return nil, &LookupError{Service: service, Last: last}
 }
 
-// InvalidateLookup drops a cached answer, since it did not serve.
+// InvalidateLookup makes the cached answer for the service expire. Its boxes are still
+// used for the next look-up.
 func (c *Client) InvalidateLookup(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,8 +153,8 @@
 	c.lookups[service] = cached
 }
 
-// lookupTargets lists boxes for a look-up: those of the last answer, then the first
-// ones, starting at another each time.
+// lookupTargets returns the addresses to try for a look-up: those of the last answer, then
+// those in Boxes, starting with a different one each time.
 func (c *Client) lookupTargets(entries []entry.LookupEntry) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
