--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -13,23 +13,23 @@
 	"github.com/stoneworks/stoneworks/pkg/outcome"
 )
 
-// call is one request on its way through its attempts.
+// call is the state of one request over all its attempts.
 type call struct {
 	client  *Client
 	request Request
 	id      string
 	key     string
-	// notRun is true while every attempt so far was certainly not run.
+	// notRun is true as long as certainly no attempt has run.
 	notRun bool
 	tries  int
 }
 
-// Do sends the request and repeats it where that is safe, until it is
-// answered, the attempts are used up, or the context ends. The error is a
-// *LookupError; every other end is a Result.
+// Do sends the request and retries it where that is safe, until it is answered, the
+// maximum number of attempts is reached, or the context ends. The error is a *LookupError;
+// any other failure is reported in the Result.
 //
-// A request that may not be repeated keeps its key as soon as one attempt may
-// have run: repeats then reach the same owner, whatever box they go through.
+// An at-most-once request keeps its key as soon as an attempt may have run, so that
+// retries reach the same owner through any box.
 func (c *Client) Do(ctx context.Context, r Request) (*Result, error) {
 	x := &call{client: c, request: r, id: r.ID, notRun: true}
 	if x.id == "" {
@@ -59,8 +59,8 @@
 	return last, nil
 }
 
-// mergeOutcome keeps "unknown" once an attempt may have run, whatever later attempts
-// say of themselves.
+// mergeOutcome changes the outcome "not run" of an attempt to "unknown" if an earlier
+// attempt may have run.
 func (x *call) mergeOutcome(r *Result) *Result {
 	if r.Outcome == outcome.NotRun && !x.notRun {
 		r.Outcome = outcome.Unknown
@@ -87,8 +87,8 @@
 func (x *call) attempt(ctx context.Context, e entry.LookupEntry) *Result {
 	x.tries++
 	if x.request.AtMostOnce && x.notRun {
-		// Nothing ran yet, so a key of the box at hand may take the place of
-		// one whose owner is gone.
+		// No attempt has run, so a key owned by this box may replace one whose
+		// owner has failed.
 		x.key = e.KeyPrefix + "/" + x.id
 	}
 	result := x.client.Submit(ctx, e.Address, Submission{Request: x.request, ID: x.id, Key: x.key, First: x.notRun})
@@ -99,17 +99,17 @@
 	return result
 }
 
-// Submission is one sending of a request.
+// Submission is a single attempt of a request.
 type Submission struct {
 	Request Request
 	ID      string
-	// Key is the idempotency key; empty for none.
+	// Key is the idempotency key, or empty if there is none.
 	Key string
-	// First vouches that no request with this key can have run before.
+	// First asserts that no earlier attempt with this key can have run.
 	First bool
 }
 
-// Submit sends a request once to one box, and never again.
+// Submit sends a request to one box, without retries.
 func (c *Client) Submit(ctx context.Context, address string, s Submission) *Result {
 	result := &Result{Attempts: 1, Entry: address, Key: s.Key}
 	got, err := c.pool(address).Do(ctx, &exchange.Request{
@@ -156,7 +156,7 @@
 	return h
 }
 
-// fail ends an attempt without a whole answer of a box.
+// fail sets the result of an attempt without a complete answer from a box.
 func (r *Result) fail(err error) *Result {
 	f := entry.Classify(err)
 	r.Outcome, r.Reason = f.Outcome, f.Reason
