--- a/pkg/rpc/convert.go
+++ b/pkg/rpc/convert.go
@@ -6,7 +6,8 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// FromSpec makes a service from its form on the wire, with defaults filled in.
+// FromSpec converts a service from its gRPC message, and sets the default shift window if
+// the message has none.
 func FromSpec(s *pb.ServiceSpec) *model.Service {
 	if s == nil {
 		return &model.Service{}
@@ -33,7 +34,7 @@
 	return m
 }
 
-// ToSpec makes the form on the wire of a service.
+// ToSpec converts a service to its gRPC message.
 func ToSpec(m *model.Service) *pb.ServiceSpec {
 	if m == nil {
 		return nil
