--- a/pkg/rpc/errors.go
+++ b/pkg/rpc/errors.go
@@ -12,8 +12,8 @@
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// toStatus turns an error into the status that operators get, with a detail
-// that a program can read.
+// toStatus converts an error to the gRPC status that operators get. Invalid fields and
+// conflicts carry machine-readable details.
 func toStatus(err error) error {
 	var invalid *model.InvalidError
 	var conflict *config.ConflictError
@@ -30,7 +30,7 @@
 	case errors.As(err, &missing):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.As(err, &unknown):
-		// It may have been stored: neither yes nor no.
+		// The change may or may not have been stored.
 		return status.Error(codes.Unknown, err.Error())
 	case errors.As(err, &down):
 		return status.Error(codes.Unavailable, err.Error())
