--- a/pkg/rpc/rpc.go
+++ b/pkg/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package rpc serves the operators' remote procedure calls.
+// Package rpc implements the operators' gRPC service.
 package rpc
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// MaxChangeID bounds an operator's change id, in bytes.
+// MaxChangeID is the maximum length of an operator's change id in bytes.
 const MaxChangeID = 128
 
-// Operators implements the service of the schema file.
+// Operators implements the gRPC service Operators.
 type Operators struct {
 	pb.UnimplementedOperatorsServer
 
 	Store  *config.Store
 	Apply  func(ctx context.Context, c config.Change) (*config.Object, error)
 	Status func() *pb.StatusReply
-	// ExplainRoute says where a request would go.
+	// ExplainRoute returns the route that a request would take.
 	ExplainRoute func(r *pb.ExplainRequest) (*pb.ExplainReply, error)
 	KnownZone    func(string) bool
 	KnownRegion  func(string) bool
@@ -35,19 +35,19 @@
 	watchers map[chan struct{}]bool
 }
 
-// NewServer makes a gRPC server of the operators' calls.
+// NewServer makes a gRPC server of the service.
 func NewServer(o *Operators) *grpc.Server {
 	s := grpc.NewServer()
 	pb.RegisterOperatorsServer(s, o)
 	return s
 }
 
-// CreateService implements the call of that name.
+// CreateService creates a service.
 func (o *Operators) CreateService(ctx context.Context, r *pb.CreateServiceRequest) (*pb.ServiceReply, error) {
 	return o.change(ctx, r.GetSpec(), 0, r.GetChangeId())
 }
 
-// UpdateService implements the call of that name.
+// UpdateService replaces a service if its revision is the expected one.
 func (o *Operators) UpdateService(ctx context.Context, r *pb.UpdateServiceRequest) (*pb.ServiceReply, error) {
 	if r.GetExpectedRevision() == 0 {
 		return nil, toStatus(&model.InvalidError{Faults: []model.Fault{
@@ -65,7 +65,7 @@
 	return o.apply(ctx, config.Change{Name: service.Name, Expected: expected, ChangeID: id, Service: service})
 }
 
-// DeleteService implements the call of that name.
+// DeleteService deletes a service if its revision is the expected one.
 func (o *Operators) DeleteService(ctx context.Context, r *pb.DeleteServiceRequest) (*pb.ServiceReply, error) {
 	if !model.ValidName(r.GetName()) {
 		return nil, toStatus(&config.NotFoundError{Name: r.GetName()})
@@ -75,7 +75,7 @@
 
 func (o *Operators) apply(ctx context.Context, c config.Change) (*pb.ServiceReply, error) {
 	if len(c.ChangeID) > MaxChangeID {
-		return nil, status.Error(codes.InvalidArgument, "change_id: allowed are at most 128 bytes")
+		return nil, status.Error(codes.InvalidArgument, "change_id: must be at most 128 bytes long")
 	}
 	if c.ChangeID == "" {
 		c.ChangeID = newChangeID()
@@ -87,7 +87,7 @@
 	return toReply(object), nil
 }
 
-// GetService implements the call of that name.
+// GetService returns one service.
 func (o *Operators) GetService(_ context.Context, r *pb.GetServiceRequest) (*pb.ServiceReply, error) {
 	object := o.Store.Get(r.GetName())
 	if object == nil || !object.IsService() {
@@ -96,7 +96,7 @@
 	return toReply(object), nil
 }
 
-// ListServices implements the call of that name.
+// ListServices returns all services.
 func (o *Operators) ListServices(context.Context, *pb.ListServicesRequest) (*pb.ListServicesReply, error) {
 	reply := &pb.ListServicesReply{}
 	for _, object := range o.Store.All() {
@@ -107,12 +107,12 @@
 	return reply, nil
 }
 
-// GetStatus implements the call of that name.
+// GetStatus returns the status of the system as seen by this box.
 func (o *Operators) GetStatus(context.Context, *pb.GetStatusRequest) (*pb.StatusReply, error) {
 	return o.Status(), nil
 }
 
-// Explain implements the call of that name.
+// Explain returns the route that a request would take.
 func (o *Operators) Explain(_ context.Context, r *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	reply, err := o.ExplainRoute(r)
 	if err != nil {
