--- a/pkg/rpc/rpc_watch.go
+++ b/pkg/rpc/rpc_watch.go
@@ -7,7 +7,8 @@
 	"github.com/stoneworks/stoneworks/pkg/config"
 )
 
-// NotifyWatchers wakes the watches; the box calls it for every change in force.
+// NotifyWatchers notifies all watches. It must be called for every object that becomes
+// active.
 func (o *Operators) NotifyWatchers() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -19,8 +20,8 @@
 	}
 }
 
-// WatchServices implements the call of that name. A slow reader misses
-// revisions in between, never the last one.
+// WatchServices streams the services and their changes. A slow reader may miss
+// intermediate revisions but never the latest one.
 func (o *Operators) WatchServices(_ *pb.WatchServicesRequest, stream grpc.ServerStreamingServer[pb.ServiceReply]) error {
 	wake := make(chan struct{}, 1)
 	o.subscribe(wake)
