--- a/pkg/platform/platform_http.go
+++ b/pkg/platform/platform_http.go
@@ -12,10 +12,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// WatchTimeout is how long the platform may hold a watch that has no news.
+// WatchTimeout is the time for which the platform may hold a watch without changes.
 const WatchTimeout = 20 * time.Second
 
-// httpClient speaks the platform's HTTP protocol:
+// httpClient implements the platform's HTTP protocol:
 //
 //	GET /objects/KIND                     list
 //	GET /objects/KIND?since=V             watch
@@ -25,14 +25,14 @@
 type httpClient struct {
 	base    string
 	timeout time.Duration
-	// calls and watches are apart, since a watch waits long.
+	// calls and watches are separate clients, since watches need a longer timeout.
 	calls   *fasthttp.Client
 	watches *fasthttp.Client
 	count   func(verb string)
 }
 
-// NewHTTP makes a client of the platform at address. dial opens connections;
-// count is told of each call.
+// NewHTTP makes a client of the platform at the address. dial opens connections, and count
+// is called for each call.
 func NewHTTP(address string, timeout time.Duration, dial func(addr string) (net.Conn, error), count func(verb string)) *Client {
 	h := &httpClient{
 		base:    "http://" + address,
@@ -51,7 +51,7 @@
 		WriteTimeout:             timeout,
 		MaxIdleConnDuration:      5 * time.Second,
 		NoDefaultUserAgentHeader: true,
-		// Every retry is ours to decide.
+		// Disable the library's retries; the callers of this package decide on them.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
@@ -118,8 +118,8 @@
 	req.Header.Set("If-Match", strconv.FormatUint(o.Version, 10))
 	req.SetBody(o.Value)
 	if err := doWithin(ctx, h.calls, req, resp, h.timeout); err != nil {
-		// Any error after the dial may hide a write that took effect, and
-		// the library does not tell which it was.
+		// After any error but a failed dial, the write may have taken effect, and
+		// the library does not report which error it was.
 		return 0, &UnknownWriteError{Detail: err.Error()}
 	}
 	var answer Object
@@ -135,7 +135,7 @@
 	return 0, &UnknownWriteError{Detail: "status " + strconv.Itoa(resp.StatusCode())}
 }
 
-// doWithin bounds a call by the context's deadline and by timeout.
+// doWithin does a call within timeout and the context's deadline.
 func doWithin(ctx context.Context, c *fasthttp.Client, req *fasthttp.Request, resp *fasthttp.Response, timeout time.Duration) error {
 	if err := ctx.Err(); err != nil {
 		return err
