--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -1,10 +1,11 @@
-// Package peer is the exchange between boxes: heartbeats, and configuration.
+// Package peer implements the protocol between boxes: heartbeats, and synchronisation of
+// the configuration.
 //
-// Each box calls a fixed number of others at each beat, whatever the size of
-// the fleet, and tells them what it heard since it last called them. Boxes
-// whose configurations differ hand each other what is newer. A change that has
-// just come into force is also passed on at once to a few boxes, each of which
-// does the same, so that it does not wait for beats.
+// At each heartbeat a box calls a fixed number of others, independent of the size of the
+// fleet, and sends them the records that have changed since it last called them. Boxes
+// whose configurations differ send each other the newer objects. A change that has just
+// become active is also pushed at once to a few boxes, each of which does the same, so
+// that it does not wait for heartbeats.
 package peer
 
 import (
@@ -21,50 +22,50 @@
 	"github.com/stoneworks/stoneworks/pkg/membership"
 )
 
-// Tuning of the exchange.
+// Parameters of the protocol.
 const (
-	// HeartbeatInterval is the time between two heartbeats.
+	// HeartbeatInterval is the time between two rounds of heartbeats.
 	HeartbeatInterval = 500 * time.Millisecond
-	// CallTimeout bounds one call to another box.
+	// CallTimeout is the timeout of a call to another box.
 	CallTimeout = time.Second
-	// PushFanout is how many boxes of its own zone a box passes a change on
-	// to; PushFanoutOutside how many of other zones.
+	// PushFanout is the number of boxes of its own zone to which a box pushes a
+	// change, and PushFanoutOutside the number of boxes of other zones.
 	PushFanout        = 3
 	PushFanoutOutside = 2
-	// seedsCalled is how many boxes a starting box asks.
+	// seedsCalled is the number of seeds that a starting box calls.
 	seedsCalled = 5
 )
 
-// Paths of the exchange on the peers' port.
+// Paths of the protocol on the peers' port.
 const (
 	PathExchange = "/v1/peer/exchange"
 	PathSync     = "/v1/peer/sync"
 )
 
-// Heartbeat is a heartbeat and its answer.
+// Heartbeat is a heartbeat or the reply to one.
 type Heartbeat struct {
 	From    string              `json:"from"`
 	Records []membership.Record `json:"records"`
 	Digest  string              `json:"digest"`
 	Synced  bool                `json:"synced"`
-	// Stamps is set in an answer if the digests differ.
+	// Stamps is set in a reply if the digests differ.
 	Stamps map[string]config.Stamp `json:"stamps,omitempty"`
 }
 
-// Sync hands over configuration, and may ask for what is newer.
+// Sync carries configuration objects, and may ask for newer ones.
 type Sync struct {
 	From    string           `json:"from"`
 	Objects []*config.Object `json:"objects,omitempty"`
-	// WantsNewer wants an answer with all that is newer than Stamps. It is a field
-	// of its own, since a box that has nothing yet sends no stamps at all.
+	// WantsNewer asks for a reply with all objects newer than Stamps. It is a separate
+	// field because a box without objects sends no stamps.
 	WantsNewer bool                    `json:"ask,omitempty"`
 	Stamps     map[string]config.Stamp `json:"stamps,omitempty"`
-	// Complete is set in an answer if, with its objects, the asking box has all
-	// that a box with a whole configuration has.
+	// Complete is set in a reply if its sender has a complete configuration, so that
+	// the receiver has one too after merging the objects.
 	Complete bool `json:"whole,omitempty"`
 }
 
-// Exchanger calls other boxes and answers them.
+// Exchanger calls other boxes and handles their calls.
 type Exchanger struct {
 	Self  string
 	Zone  string
@@ -72,14 +73,15 @@
 	Table *membership.Table
 	Store *config.Store
 	Log   *logging.Logger
-	// Call sends a message to a box's peers' address; a seam.
+	// Call sends a message to the peer address of a box and decodes the reply into
+	// out. Tests may replace it.
 	Call func(ctx context.Context, address, path string, in, out any) error
 	// SameRegion reports whether a zone is in this box's region.
 	SameRegion func(zone string) bool
-	// OnMerge is called after records of others were taken in, before this
-	// box says anything itself.
+	// OnMerge is called after records of other boxes were merged and before this box
+	// sends or replies anything.
 	OnMerge func()
-	// OnFailure is told of each address that did not answer.
+	// OnFailure is called with each address that did not answer.
 	OnFailure func(address string, err error)
 
 	mu        sync.Mutex
@@ -87,7 +89,7 @@
 	rotations [3]int
 }
 
-// NewExchanger makes an exchanger.
+// NewExchanger makes an exchanger. Call has to be set before use.
 func NewExchanger(self, zone string, seeds []string, table *membership.Table, store *config.Store, log *logging.Logger) *Exchanger {
 	return &Exchanger{
 		Self: self, Zone: zone, Seeds: seeds, Table: table, Store: store, Log: log,
@@ -102,7 +104,8 @@
 // Calling
 // ================================================================
 
-// SendHeartbeats calls one box of this zone, one of another, and one that is silent.
+// SendHeartbeats calls one box of this zone, one of another zone, and one that is dead,
+// or of which only the address is known.
 func (x *Exchanger) SendHeartbeats(ctx context.Context) {
 	wg := conc.NewWaitGroup()
 	for _, address := range x.targets() {
@@ -111,9 +114,9 @@
 	wg.Wait()
 }
 
-// CallAll calls every box of this region that is known, and some of the others,
-// and returns when all of them have answered or failed, with the number of those
-// of the region that failed though they may be alive.
+// CallAll calls all known boxes of this region and some boxes of other regions, and
+// returns when all of them have answered or failed. failed is the number of boxes of this
+// region that failed and are not considered dead.
 func (x *Exchanger) CallAll(ctx context.Context) (failed int) {
 	var inside, outside []string
 	alive := map[string]bool{}
@@ -140,8 +143,8 @@
 	return int(missed.Load())
 }
 
-// CallSeeds calls some of the boxes that the settings name, for a box that
-// knows no other yet.
+// CallSeeds calls some of the seeds from the settings. It is for a box that does not know
+// any other box yet.
 func (x *Exchanger) CallSeeds(ctx context.Context) {
 	wg := conc.NewWaitGroup()
 	for _, address := range sample(append([]string(nil), x.Seeds...), seedsCalled) {
@@ -173,7 +176,7 @@
 	return x.rotate(groups)
 }
 
-// rotate picks the next address of each group in turn.
+// rotate returns the next address of each group, round robin.
 func (x *Exchanger) rotate(groups [3][]string) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -188,7 +191,8 @@
 	return picked
 }
 
-// callOne sends a heartbeat, and reports whether it was answered.
+// callOne sends a heartbeat, merges the reply, and synchronises the configuration if it
+// differs. It reports whether the heartbeat was answered.
 func (x *Exchanger) callOne(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
@@ -208,8 +212,9 @@
 	return true
 }
 
-// newHeartbeat makes the heartbeat for a box, of which the address or the name is
-// known. What is only of use within a region is left out for other regions.
+// newHeartbeat makes the heartbeat for a box, given by its address or its answerKey. It
+// omits the fields of records that are useful only within a region if the box is in
+// another one.
 func (x *Exchanger) newHeartbeat(to string) Heartbeat {
 	x.mu.Lock()
 	since := x.lastSent[to]
@@ -224,8 +229,8 @@
 	return Heartbeat{From: x.Self, Records: records, Digest: x.Store.Digest(), Synced: x.Store.Synced()}
 }
 
-// isNear reports whether a box is in this box's region; one that is not known
-// may be.
+// isNear reports whether a box, given by its address or its answerKey, is in this box's
+// region. An unknown box may be.
 func (x *Exchanger) isNear(to string) bool {
 	for _, m := range x.Table.Members() {
 		if m.Peers == to || answerKey(m.Box) == to {
@@ -235,7 +240,7 @@
 	return true
 }
 
-// answerKey is under which it is noted what a box was last answered.
+// answerKey returns the key in lastSent for replies to the box.
 func answerKey(box string) string { return "answer\x00" + box }
 
 func (x *Exchanger) markSent(to string, when time.Time) {
@@ -257,7 +262,7 @@
 	x.merge(reply)
 }
 
-// Push passes objects that have just come into force on to a few boxes.
+// Push sends objects that have just become active to a few boxes.
 func (x *Exchanger) Push(ctx context.Context, objects []*config.Object) {
 	message := Sync{From: x.Self, Objects: objects}
 	wg := conc.NewWaitGroup()
@@ -297,7 +302,7 @@
 // Answering
 // ================================================================
 
-// HandleHeartbeat takes in a heartbeat.
+// HandleHeartbeat merges the records of a heartbeat and returns the reply.
 func (x *Exchanger) HandleHeartbeat(b Heartbeat) Heartbeat {
 	key := answerKey(b.From)
 	now := x.Table.Now()
@@ -311,7 +316,8 @@
 	return reply
 }
 
-// HandleSync takes in configuration and returns what is newer here.
+// HandleSync merges configuration objects and, if asked, returns the newer ones that this
+// box has.
 func (x *Exchanger) HandleSync(s Sync) Sync {
 	x.merge(s)
 	reply := Sync{From: x.Self}
@@ -324,7 +330,7 @@
 
 func (x *Exchanger) merge(s Sync) {
 	for _, o := range x.Store.Merge(s.Objects...) {
-		x.Log.Info("took configuration from a peer", map[string]any{"from": s.From, "service": o.Name, "revision": o.Revision})
+		x.Log.Info("received newer configuration from a peer", map[string]any{"from": s.From, "service": o.Name, "revision": o.Revision})
 	}
 	if s.Complete && !x.Store.Synced() {
 		x.Store.MarkSynced()
