--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -20,7 +20,7 @@
 	return NewExchanger(name, "z", nil, table, config.NewStore(), logging.Discard())
 }
 
-// jsonCall carries messages as JSON, as the network does.
+// jsonCall returns a Call that passes messages to another exchanger as JSON.
 func jsonCall(to *Exchanger) func(context.Context, string, string, any, any) error {
 	return func(_ context.Context, _, path string, in, out any) error {
 		text, err := json.Marshal(in)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestEmptyBoxGetsEverything is the failure in which a box that had nothing
-// was told it had the whole configuration, and got none of it.
+// TestEmptyBoxGetsEverything guards against a box without configuration being told that
+// its configuration is complete without receiving any object.
 func TestEmptyBoxGetsEverything(t *testing.T) {
 	is := is.New(t)
 	full, empty := newExchanger("full"), newExchanger("empty")
@@ -58,7 +58,8 @@
 	is.Equal(empty.Store.Get("s").Revision, uint64(7))
 }
 
-// TestEmptyBoxOfEmptyBox: nobody is whole by asking a box that is not.
+// TestEmptyBoxOfEmptyBox checks that a box without a complete configuration does not make
+// another one complete.
 func TestEmptyBoxOfEmptyBox(t *testing.T) {
 	is := is.New(t)
 	a, b := newExchanger("a"), newExchanger("b")
