--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -1,10 +1,10 @@
-// Package config holds the configuration that is in force on this box and
-// moves it forward, only forward.
+// Package config holds the active configuration of this box, whose revisions only
+// increase.
 //
-// An object may arrive from the platform, from another box, or late, or from a
-// store that was put back to an older state. Whatever the way, the highest
-// revision of each object wins and everything older is ignored, so boxes that
-// have heard the same objects agree, in whatever order they heard them.
+// An object may arrive from the platform or from another box, late, or from a platform
+// that was restored to an older state. In any case the highest revision of each object
+// wins and older ones are ignored, so boxes that have received the same objects agree,
+// independent of their order.
 package config
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/stoneworks/stoneworks/pkg/shift"
 )
 
-// PlanPrefix starts the names of plans, which no service can have.
+// PlanPrefix is the prefix of the names of plans. It is not valid in the name of a service.
 const PlanPrefix = "plan:"
 
-// Object is one revision of one service, or of a service's plan. A deleted service stays as a
-// tombstone, so that an older revision cannot bring it back.
+// Object is a revision of a service, or of a service's plan. A deleted service stays as a
+// tombstone, so that an older revision cannot restore it.
 type Object struct {
 	Name     string         `json:"name"`
 	Revision uint64         `json:"revision"`
@@ -34,9 +34,9 @@
 // IsService reports whether o is a service that is not deleted.
 func (o *Object) IsService() bool { return o.Service != nil }
 
-// Newer reports whether o replaces other. Two objects of one revision that
-// differ can only come from a store that lost its memory; the change id
-// decides then, so that all boxes decide alike.
+// Newer reports whether o replaces other. Different objects with the same revision can
+// only come from a platform that lost data; the greater change id wins then, so that all
+// boxes agree.
 func (o *Object) Newer(other *Object) bool {
 	if other == nil || o.Revision != other.Revision {
 		return other == nil || o.Revision > other.Revision
@@ -44,13 +44,11 @@
 	return o.ChangeID > other.ChangeID
 }
 
-// Store is the configuration in force.
+// Store holds the active configuration.
 type Store struct {
-	// OnChange is called, without any lock held, with each object that came
-	// into force.
+	// OnChange is called, without any lock held, with each object that became active.
 	OnChange func(*Object)
-	// Newer reports whether an object replaces the one in force; a seam for
-	// tests.
+	// Newer reports whether an object replaces the active one. Tests may replace it.
 	Newer func(o, inForce *Object) bool
 
 	mu      sync.RWMutex
@@ -58,13 +56,13 @@
 	synced  bool
 }
 
-// NewStore makes an empty store that is not ready.
+// NewStore makes an empty store that is not synced.
 func NewStore() *Store {
 	return &Store{objects: map[string]*Object{}, OnChange: func(*Object) {}, Newer: (*Object).Newer}
 }
 
-// Merge takes in objects and returns those that came into force. Merge is
-// commutative, associative and idempotent.
+// Merge merges objects and returns those that became active. It is commutative,
+// associative and idempotent.
 func (s *Store) Merge(objects ...*Object) []*Object {
 	var news []*Object
 	s.mu.Lock()
@@ -81,29 +79,29 @@
 	return news
 }
 
-// MarkSynced says that a whole copy was read, from the platform or a peer.
+// MarkSynced records that a complete copy was read, from the platform or from a peer.
 func (s *Store) MarkSynced() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.synced = true
 }
 
-// Synced reports whether a whole copy was ever read. Until then a service
-// that is not here may exist all the same.
+// Synced reports whether a complete copy was ever read. Before that, a service that is
+// missing here may exist.
 func (s *Store) Synced() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.synced
 }
 
-// Get returns the object in force, tombstones too, or nil.
+// Get returns the active object, which may be a tombstone, or nil.
 func (s *Store) Get(name string) *Object {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.objects[name]
 }
 
-// All returns every object by name, tombstones too.
+// All returns all objects including tombstones, sorted by name.
 func (s *Store) All() []*Object {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -115,7 +113,7 @@
 	return all
 }
 
-// Digest returns a short text that is equal on boxes with the same objects.
+// Digest returns a hash of the names, revisions and change ids of all objects.
 func (s *Store) Digest() string {
 	h := fnv.New64a()
 	for _, o := range s.All() {
@@ -124,7 +122,7 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// Stamp tells two revisions of an object apart.
+// Stamp identifies a revision of an object.
 type Stamp struct {
 	Revision uint64 `json:"r"`
 	ChangeID string `json:"c"`
@@ -141,7 +139,7 @@
 	return m
 }
 
-// NewerThan returns the objects that are newer than those a peer has.
+// NewerThan returns the objects that are newer than a peer's, given by stamps.
 func (s *Store) NewerThan(stamps map[string]Stamp) []*Object {
 	var objects []*Object
 	for _, o := range s.All() {
