--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -12,14 +12,14 @@
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
 
-// TestMergeAgrees has two stores hear the same objects in different orders,
-// some more than once: they end alike, and never step back on the way.
+// TestMergeAgrees merges the same objects into two stores in different orders, some more
+// than once: the stores end up equal, and no revision decreases on the way.
 func TestMergeAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		objects := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *Object {
@@ -36,7 +36,7 @@
 			a.Merge(o)
 			for _, now := range a.All() {
 				if now.Revision < highest[now.Name] {
-					t.Fatalf("%s went back to %d", now.Name, now.Revision)
+					t.Fatalf("revision of %s decreased to %d", now.Name, now.Revision)
 				}
 				highest[now.Name] = now.Revision
 			}
