--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -56,7 +56,9 @@
 type NotFoundError struct{ Kind, Name string }
 
 // Error implements error.
-func (e *NotFoundError) Error() string { return fmt.Sprintf("platform: %s/%s not found", e.Kind, e.Name) }
+func (e *NotFoundError) Error() string {
+	return fmt.Sprintf("platform: %s/%s not found", e.Kind, e.Name)
+}
 
 // ConflictError reports that another version is current. The write had no effect.
 type ConflictError struct{ Current uint64 }
