--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -13,33 +13,33 @@
 	"github.com/stoneworks/stoneworks/pkg/shift"
 )
 
-// Kind is the platform's kind of the configuration objects.
+// Kind is the kind of configuration objects in the platform.
 const Kind = "services"
 
-// ConflictError says that somebody else changed the object first.
+// ConflictError reports that the object is at another revision than expected.
 type ConflictError struct {
 	Name string
-	// Current is the revision in force; 0 if the object does not exist.
+	// Current is the current revision, or 0 if the object does not exist.
 	Current uint64
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("service %q is at revision %d", e.Name, e.Current)
+	return fmt.Sprintf("conflict: the current revision of service %q is %d", e.Name, e.Current)
 }
 
-// NotFoundError says that the object does not exist.
+// NotFoundError reports that the object does not exist.
 type NotFoundError struct {
 	Name string
 }
 
 // Error implements error.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("no service %q", e.Name)
+	return fmt.Sprintf("service %q not found", e.Name)
 }
 
-// UnknownWriteError says that a write may or may not have taken effect, and
-// that the platform could not be asked which.
+// UnknownWriteError reports that a write may have taken effect, and that reading the
+// object did not show whether it has.
 type UnknownWriteError struct {
 	Name     string
 	ChangeID string
@@ -50,36 +50,35 @@
 	return fmt.Sprintf("service %q: change %s may have been stored; read it again when the platform answers", e.Name, e.ChangeID)
 }
 
-// Writer changes the configuration in the platform. Accepted means stored
-// there; Merge then puts it in force here, and the exchange between boxes
-// everywhere else.
+// Writer changes the configuration in the platform. A change is accepted once it is stored
+// there. Merge then activates it on this box, and package peer sends it to the others.
 type Writer struct {
 	Platform *platform.Client
 	Store    *Store
-	// Timeout bounds one change, with looking for a write whose answer was lost.
+	// Timeout is the timeout of one change, including the reads that check whether a
+	// write whose answer was lost took effect.
 	Timeout time.Duration
 }
 
-// Change is what an operator wants to become of one object.
+// Change is an operator's change of one object.
 type Change struct {
 	Name string
-	// Expected is the revision the operator saw; 0 to create.
+	// Expected is the revision that the operator read, or 0 to create the object.
 	Expected uint64
 	ChangeID string
-	// Service, or Plan, is what it becomes; both nil to delete.
+	// Service or Plan is the new value; both are nil to delete the object.
 	Service *model.Service
 	Plan    *shift.Plan
 }
 
-// retryPause is how long Apply waits before it reads the object again.
+// retryPause is the time that Apply waits before it reads the object again.
 const retryPause = 50 * time.Millisecond
 
-// Apply stores the change and returns the object that is then in force. The
-// error is a *ConflictError, *NotFoundError, *UnknownWriteError or one of
-// package platform's.
+// Apply stores the change and returns the object that is then active. The error is a
+// *ConflictError, *NotFoundError, *UnknownWriteError or an error of package platform.
 //
-// A conflict or a lost answer is followed by reading the object again: the
-// change id tells whether the write that is found there is ours.
+// After a conflict or a lost answer it reads the object again: the change id shows whether
+// the stored object is from this change.
 func (w *Writer) Apply(ctx context.Context, c Change) (*Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.Timeout)
 	defer cancel()
@@ -97,17 +96,17 @@
 	}
 }
 
-// attempt is the state of one Apply.
+// attempt is the state of one call of Apply.
 type attempt struct {
 	writer *Writer
 	change Change
-	// mayBeStored is set once a write of ours may have taken effect.
+	// mayBeStored is set once a write of this change may have taken effect.
 	mayBeStored bool
-	// writtenRevision is the revision that such a write has.
+	// writtenRevision is the revision of the last such write.
 	writtenRevision uint64
 }
 
-// tryOnce reads the object and tries to write it.
+// tryOnce reads the object and writes the change, unless it finds that already stored.
 func (a *attempt) tryOnce(ctx context.Context) (*Object, error) {
 	w, c := a.writer, a.change
 	stored, version, err := w.read(ctx, c.Name)
@@ -136,7 +135,7 @@
 	return nil, err
 }
 
-// retryable reports whether the error may pass when the object is read retryable.
+// retryable reports whether reading the object again may resolve the error.
 func (a *attempt) retryable(err error) bool {
 	var lost *platform.UnknownWriteError
 	var conflict *platform.ConflictError
@@ -161,8 +160,8 @@
 	return err
 }
 
-// newest is the newer of what the platform has and what is in force here; a
-// platform that was put back to an older state must not turn time back.
+// newest returns the newer of the platform's object and the active one, so that a platform
+// that was restored to an older state does not decrease the revision.
 func (w *Writer) newest(name string, stored *Object) *Object {
 	here := w.Store.Get(name)
 	if stored == nil || (here != nil && here.Newer(stored)) {
@@ -229,7 +228,8 @@
 	return o.Revision
 }
 
-// Decode reads a configuration object from the platform's.
+// Decode decodes a configuration object from a platform object. The error is a
+// *platform.MalformedError.
 func Decode(p platform.Object) (*Object, error) {
 	var o Object
 	if err := json.Unmarshal(p.Value, &o); err != nil {
