--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -66,7 +66,7 @@
 // assignment that the box applies.
 func (b *Box) planStatus(service string, s *pb.ServiceStatus) {
 	o := b.Store.Get(config.PlanPrefix + service)
-	inForce := b.walker(service).InForce()
+	inForce := b.walker(service).Active()
 	if o == nil || o.Plan == nil || inForce == nil {
 		return
 	}
--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -47,8 +47,8 @@
 	c[bucket]++
 }
 
-// InForce returns the active assignment, or nil before the first plan.
-func (w *Migrator) InForce() *Plan {
+// Active returns the active assignment, or nil before the first plan.
+func (w *Migrator) Active() *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inForce
--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -69,7 +69,7 @@
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
 				w.Count("dakar", rapid.IntRange(0, 10).Draw(t, "bucket"))
 			}
-			before := w.InForce()
+			before := w.Active()
 			after := w.Advance(now, "preview", target(rapid.Float64Range(0, 1).Draw(t, "share"), ""), limit, window)
 			changes = append(changes, change{now, Distance(before, after)})
 			sum := 0.0
@@ -91,7 +91,7 @@
 	now := time.Unix(1_000, 0)
 	w.Advance(now, "preview", target(0, ""), 0.1, time.Second)
 	steps := 0
-	for Distance(w.InForce(), target(0.5, "")) > 0 {
+	for Distance(w.Active(), target(0.5, "")) > 0 {
 		now = now.Add(1200 * time.Millisecond)
 		w.Advance(now, "preview", target(0.5, ""), 0.1, time.Second)
 		steps++
