--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -10,8 +10,8 @@
 // Migrator holds a box's active assignment of one service, and moves it towards the plan
 // within the cap.
 type Migrator struct {
-	mu      sync.Mutex
-	inForce *Plan
+	mu     sync.Mutex
+	active *Plan
 	// assigned is inForce in the form that package decide uses.
 	assigned map[string]*decide.Assignment
 	moves    []move
@@ -51,7 +51,7 @@
 func (w *Migrator) Active() *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.inForce
+	return w.active
 }
 
 // Advance moves towards the plan as far as the cap allows, and returns the active
@@ -60,23 +60,23 @@
 func (w *Migrator) Advance(now time.Time, service string, plan *Plan, limit float64, window time.Duration) *Plan {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.inForce == nil {
-		w.inForce = plan
+	if w.active == nil {
+		w.active = plan
 		return plan
 	}
 	w.rotate(now, window)
-	if w.inForce == plan {
+	if w.active == plan {
 		return plan
 	}
 	w.dropMovesBefore(now.Add(-window - windowMargin(window)))
 	for client := range plan.Assign {
 		w.advanceClient(now, service, client, plan, limit)
 	}
-	if Distance(w.inForce, plan) == 0 {
-		w.inForce = plan
+	if Distance(w.active, plan) == 0 {
+		w.active = plan
 		w.assigned = nil
 	}
-	return w.inForce
+	return w.active
 }
 
 // Assignments returns the active assignment in the form that package decide uses, or nil
@@ -84,8 +84,8 @@
 func (w *Migrator) Assignments() map[string]*decide.Assignment {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.assigned == nil && w.inForce != nil {
-		w.assigned = w.inForce.Assignments()
+	if w.assigned == nil && w.active != nil {
+		w.assigned = w.active.Assignments()
 	}
 	return w.assigned
 }
@@ -100,7 +100,7 @@
 	taken := map[int]string{}
 	for _, bucket := range bucketOrder(service, client) {
 		to := plan.Region(client, bucket)
-		if to == "" || to == w.inForce.Region(client, bucket) {
+		if to == "" || to == w.active.Region(client, bucket) {
 			continue
 		}
 		own := w.weightOf(client, bucket)
@@ -116,7 +116,7 @@
 		w.moves = append(w.moves, move{at: now, client: client, bucket: bucket})
 	}
 	if len(taken) > 0 {
-		w.inForce = w.inForce.WithMoves(client, taken)
+		w.active = w.active.WithMoves(client, taken)
 		w.assigned = nil
 	}
 }
