--- a/pkg/shift/migrator.go
+++ b/pkg/shift/migrator.go
@@ -97,7 +97,7 @@
 func (w *Migrator) advanceClient(now time.Time, service, client string, plan *Plan, limit float64) {
 	moved, weight := w.movedOf(client)
 	total := w.weightOf(client, -1)
-	taken := map[int]string{}
+	accepted := map[int]string{}
 	for _, bucket := range bucketOrder(service, client) {
 		to := plan.Region(client, bucket)
 		if to == "" || to == w.active.Region(client, bucket) {
@@ -112,11 +112,11 @@
 		}
 		moved++
 		weight += own
-		taken[bucket] = to
+		accepted[bucket] = to
 		w.moves = append(w.moves, move{at: now, client: client, bucket: bucket})
 	}
-	if len(taken) > 0 {
-		w.active = w.active.WithMoves(client, taken)
+	if len(accepted) > 0 {
+		w.active = w.active.WithMoves(client, accepted)
 		w.assigned = nil
 	}
 }
