--- a/pkg/shift/plan.go
+++ b/pkg/shift/plan.go
@@ -107,7 +107,7 @@
 		moves := map[int]string{}
 		wanted := plannedRegions(s, client)
 		for bucket := range decide.Buckets {
-			moves[bucket] = choose(wanted[bucket], client, bucket, f.Serving, usable, current)
+			moves[bucket] = chooseRegion(wanted[bucket], client, bucket, f.Serving, usable, current)
 		}
 		next = next.WithMoves(client, moves)
 	}
@@ -134,10 +134,10 @@
 	return wanted
 }
 
-// choose returns the planned region, the client's own region or one selected by hash,
+// chooseRegion returns the planned region, the client's own region or one selected by hash,
 // whichever is usable first. If none is, it returns the bucket's current region, else the
 // client's own region if that serves or none does, else one of the serving regions.
-func choose(planned, client string, bucket int, serving, usable []string, current *Plan) string {
+func chooseRegion(planned, client string, bucket int, serving, usable []string, current *Plan) string {
 	for _, r := range []string{planned, client} {
 		if r != "" && contains(usable, r) {
 			return r
