--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -129,16 +129,16 @@
 // share that any active view, its own or another box's, gives it, less the excess of
 // the others.
 func Usable(box, server string, slots int, own []VersionedView, others []PeerReport) int {
-	part := slots
+	share := slots
 	for _, v := range own {
-		part = min(part, v.View.Share(box, server, slots))
+		share = min(share, v.View.Share(box, server, slots))
 	}
 	excess := 0
 	for _, o := range others {
 		excess += o.Excess
 		for _, v := range o.Views {
-			part = min(part, v.View.Share(box, server, slots))
+			share = min(share, v.View.Share(box, server, slots))
 		}
 	}
-	return max(part-excess, 0)
+	return max(share-excess, 0)
 }
