--- a/pkg/slots/slots.go
+++ b/pkg/slots/slots.go
@@ -80,11 +80,11 @@
 		if h != box {
 			continue
 		}
-		part := slots / len(homes)
+		share := slots / len(homes)
 		if i < slots%len(homes) {
-			part++
+			share++
 		}
-		return part
+		return share
 	}
 	return 0
 }
