--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -160,17 +160,17 @@
 // servers may be: if more fail, the fault is likelier in the network or in this box, and
 // ejecting the rest would turn it into an outage.
 func (g *Gate) mayEject(now time.Time) bool {
-	resting, usable := 0, 0
+	ejected, usable := 0, 0
 	for _, s := range g.servers {
 		if s.Share == 0 || s.Leaving || s.SelfLeaving {
 			continue
 		}
 		usable++
 		if now.Before(s.ejectedUntil) {
-			resting++
+			ejected++
 		}
 	}
-	return 2*(resting+1) <= usable
+	return 2*(ejected+1) <= usable
 }
 
 // HasFree reports whether a slot is free and no request is queued.
