--- a/pkg/admission/admission_pick.go
+++ b/pkg/admission/admission_pick.go
@@ -143,9 +143,9 @@
 	if s.failures < EjectAfter || !g.mayEject(g.Now()) {
 		return
 	}
-	rest := min(FirstEjection<<min(s.ejections, 10), LongestEjection)
+	duration := min(FirstEjection<<min(s.ejections, 10), LongestEjection)
 	s.ejections++
 	// One more failure after this ejection is enough for the next one.
 	s.failures = EjectAfter - 1
-	s.ejectedUntil = g.Now().Add(rest)
+	s.ejectedUntil = g.Now().Add(duration)
 }
