--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -220,7 +220,7 @@
 	since := x.lastSent[to]
 	x.mu.Unlock()
 	records := x.Table.UpdatedSince(since)
-	if !x.isNear(to) {
+	if !x.isInRegion(to) {
 		for i := range records {
 			records[i].Views, records[i].Seen, records[i].Excess = nil, nil, nil
 			records[i].Partial = true
@@ -229,9 +229,9 @@
 	return Heartbeat{From: x.Self, Records: records, Digest: x.Store.Digest(), Synced: x.Store.Synced()}
 }
 
-// isNear reports whether a box, given by its address or its answerKey, is in this box's
+// isInRegion reports whether a box, given by its address or its answerKey, is in this box's
 // region. An unknown box may be.
-func (x *Exchanger) isNear(to string) bool {
+func (x *Exchanger) isInRegion(to string) bool {
 	for _, m := range x.Table.Members() {
 		if m.Peers == to || answerKey(m.Box) == to {
 			return x.SameRegion(m.Zone)
