--- a/pkg/peer/peer.go
+++ b/pkg/peer/peer.go
@@ -130,17 +130,17 @@
 			outside = append(outside, m.Peers)
 		}
 	}
-	var missed atomic.Int64
+	var failures atomic.Int64
 	wg := conc.NewWaitGroup()
 	for _, address := range append(inside, sample(outside, PushFanoutOutside)...) {
 		wg.Go(func() {
 			if !x.callOne(ctx, address) && alive[address] {
-				missed.Add(1)
+				failures.Add(1)
 			}
 		})
 	}
 	wg.Wait()
-	return int(missed.Load())
+	return int(failures.Load())
 }
 
 // CallSeeds calls some of the seeds from the settings. It is for a box that does not know
