--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -52,13 +52,13 @@
 }
 
 type record struct {
-	key     Key
-	state   state
-	taken   time.Duration // age of the box when the key was accepted
-	answer  *Answer
-	failure *outcome.Failure
-	done    chan struct{}
-	place   *list.Element
+	key        Key
+	state      state
+	acceptedAt time.Duration // age of the box when the key was accepted
+	answer     *Answer
+	failure    *outcome.Failure
+	done       chan struct{}
+	place      *list.Element
 }
 
 // Table holds the keys that this box owns, up to a maximum number and age.
@@ -114,7 +114,7 @@
 	if len(t.records) >= t.MaxRecords {
 		return nil, false, outcome.NewNotRun(outcome.ReasonRecordsFull, "").WithRetryAfter(time.Second)
 	}
-	r := &record{key: k, taken: t.Age(), done: make(chan struct{})}
+	r := &record{key: k, acceptedAt: t.Age(), done: make(chan struct{})}
 	r.place = t.oldest.PushBack(r)
 	t.records[name] = r
 	return &Execution{table: t, record: r}, true, nil
@@ -127,7 +127,7 @@
 	// on a retry with the same ticket is rejected because of the ticket's age.
 	for e := t.oldest.Front(); e != nil; {
 		r := e.Value.(*record)
-		if t.Age()-r.taken <= t.MaxAge {
+		if t.Age()-r.acceptedAt <= t.MaxAge {
 			return
 		}
 		next := e.Next()
