--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -72,7 +72,7 @@
 
 	mu      sync.Mutex
 	records map[string]*record
-	oldest  *list.List
+	byAge   *list.List
 }
 
 // NewTable makes an empty table.
@@ -82,7 +82,7 @@
 		MaxRecords: maxRecords,
 		MaxAge:     maxAge,
 		records:    map[string]*record{},
-		oldest:     list.New(),
+		byAge:      list.New(),
 	}
 }
 
@@ -115,7 +115,7 @@
 		return nil, false, outcome.NewNotRun(outcome.ReasonRecordsFull, "").WithRetryAfter(time.Second)
 	}
 	r := &record{key: k, acceptedAt: t.Age(), done: make(chan struct{})}
-	r.place = t.oldest.PushBack(r)
+	r.place = t.byAge.PushBack(r)
 	t.records[name] = r
 	return &Execution{table: t, record: r}, true, nil
 }
@@ -125,7 +125,7 @@
 func (t *Table) expire() {
 	// A ticket is at most MaxAge old when its key is accepted, so from taken+MaxAge
 	// on a retry with the same ticket is rejected because of the ticket's age.
-	for e := t.oldest.Front(); e != nil; {
+	for e := t.byAge.Front(); e != nil; {
 		r := e.Value.(*record)
 		if t.Age()-r.acceptedAt <= t.MaxAge {
 			return
@@ -140,7 +140,7 @@
 
 func (t *Table) remove(r *record) {
 	delete(t.records, r.key.Service+"\x00"+r.key.Key)
-	t.oldest.Remove(r.place)
+	t.byAge.Remove(r.place)
 }
 
 // Execution is the execution of the request of a key, or a retry that waits for it.
