--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -58,7 +58,7 @@
 	answer     *Answer
 	failure    *outcome.Failure
 	done       chan struct{}
-	place      *list.Element
+	element    *list.Element
 }
 
 // Table holds the keys that this box owns, up to a maximum number and age.
@@ -115,7 +115,7 @@
 		return nil, false, outcome.NewNotRun(outcome.ReasonRecordsFull, "").WithRetryAfter(time.Second)
 	}
 	r := &record{key: k, acceptedAt: t.Age(), done: make(chan struct{})}
-	r.place = t.byAge.PushBack(r)
+	r.element = t.byAge.PushBack(r)
 	t.records[name] = r
 	return &Execution{table: t, record: r}, true, nil
 }
@@ -140,7 +140,7 @@
 
 func (t *Table) remove(r *record) {
 	delete(t.records, r.key.Service+"\x00"+r.key.Key)
-	t.byAge.Remove(r.place)
+	t.byAge.Remove(r.element)
 }
 
 // Execution is the execution of the request of a key, or a retry that waits for it.
