--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -97,7 +97,7 @@
 //
 // If first is true, the caller must send the request and then call either Complete or
 // Fail. Otherwise the key was accepted before, and the caller must call Wait.
-func (t *Table) Begin(k Key, issued time.Duration) (run *Execution, first bool, failure *outcome.Failure) {
+func (t *Table) Begin(k Key, issued time.Duration) (execution *Execution, first bool, failure *outcome.Failure) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire()
