--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -117,7 +117,7 @@
 	if current != nil && current.ChangeID == c.ChangeID {
 		return w.activate(current), nil
 	}
-	if err := c.checkAgainst(current); err != nil {
+	if err := c.checkRevision(current); err != nil {
 		if a.mayBeStored && revisionOf(current) > a.writtenRevision {
 			return nil, &UnknownWriteError{Name: c.Name, ChangeID: c.ChangeID}
 		}
@@ -170,7 +170,7 @@
 	return stored
 }
 
-func (c Change) checkAgainst(current *Object) error {
+func (c Change) checkRevision(current *Object) error {
 	exists := current != nil && !current.Deleted
 	switch {
 	case c.Expected == 0 && exists:
