--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -123,7 +123,7 @@
 		}
 		return nil, err
 	}
-	next := c.object(current)
+	next := c.newObject(current)
 	err = w.put(ctx, next, version)
 	if err == nil {
 		return w.activate(next), nil
@@ -185,7 +185,7 @@
 	return nil
 }
 
-func (c Change) object(current *Object) *Object {
+func (c Change) newObject(current *Object) *Object {
 	next := &Object{Name: c.Name, Revision: 1, ChangeID: c.ChangeID, Service: c.Service, Plan: c.Plan}
 	next.Deleted = c.Service == nil && c.Plan == nil
 	if current != nil {
