--- a/pkg/decide/route.go
+++ b/pkg/decide/route.go
@@ -152,13 +152,13 @@
 	}
 	start := r.Spread % n
 	var best *BoxView
-	looked := 0
-	for i := uint64(0); i < n && looked < 2; i++ {
+	considered := 0
+	for i := uint64(0); i < n && considered < 2; i++ {
 		b := z.Homes[(start+i)%n]
 		if r.tried(b.Box) {
 			continue
 		}
-		looked++
+		considered++
 		if best == nil || free(b, v) > free(best, v) {
 			best = b
 		}
