--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -17,8 +17,8 @@
 	// EjectAfter is the number of consecutive failed exchanges after which a backend
 	// server is ejected.
 	EjectAfter = 3
-	// FirstEjection is the time of the first ejection, which doubles with each further
-	// one up to LongestEjection.
+	// FirstEjection is the duration of the first ejection. It doubles with each further
+	// one, up to LongestEjection.
 	FirstEjection   = 500 * time.Millisecond
 	LongestEjection = 10 * time.Second
 	// QueuePerSlot is the maximum number of queued requests per slot.
