--- a/pkg/platform/platform_http.go
+++ b/pkg/platform/platform_http.go
@@ -118,8 +118,8 @@
 	req.Header.Set("If-Match", strconv.FormatUint(o.Version, 10))
 	req.SetBody(o.Value)
 	if err := doWithin(ctx, h.calls, req, resp, h.timeout); err != nil {
-		// After any error but a failed dial, the write may have taken effect, and
-		// the library does not report which error it was.
+		// After any error later than the dial, the write may have taken effect, and
+		// the library does not report at which point the call failed.
 		return 0, &UnknownWriteError{Detail: err.Error()}
 	}
 	var answer Object
