--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -17,7 +17,7 @@
 	"github.com/stoneworks/stoneworks/pkg/shift"
 )
 
-// PlanPrefix is the prefix of the names of plans. It is not valid in the name of a service.
+// PlanPrefix is the prefix of the names of plans. No service can have such a name.
 const PlanPrefix = "plan:"
 
 // Object is a revision of a service, or of a service's plan. A deleted service stays as a
