--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -123,8 +123,8 @@
 // expire removes records that are older than any valid ticket that could refer to them.
 // Records in flight stay.
 func (t *Table) expire() {
-	// A ticket is at most MaxAge old when its key is accepted, so from taken+MaxAge
-	// on a retry with the same ticket is rejected because of the ticket's age.
+	// A ticket is at most MaxAge old when its key is accepted, so from
+	// acceptedAt+MaxAge on a retry with the same ticket is rejected because of the ticket's age.
 	for e := t.byAge.Front(); e != nil; {
 		r := e.Value.(*record)
 		if t.Age()-r.acceptedAt <= t.MaxAge {
