--- a/pkg/decide/snapshot.go
+++ b/pkg/decide/snapshot.go
@@ -163,8 +163,8 @@
 }
 
 // homes returns the zone's boxes that hold a share of the service's slots. It always
-// includes this box, which may queue requests and knows its own share better than its
-// heartbeat shows.
+// includes this box, which may queue requests and has the most recent information on its
+// own share.
 func (s *Snapshot) homes(zone, service string) []*BoxView {
 	var homes []*BoxView
 	for _, b := range s.Boxes[zone] {
