--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -42,8 +42,8 @@
 	// Address is the client's own address. If it is empty, boxes use the address of
 	// the connection.
 	Address string
-	// Attempts is the maximum number of attempts of a request.
-	Attempts int
+	// MaxAttempts is the maximum number of attempts of a request.
+	MaxAttempts int
 
 	mu          sync.Mutex
 	lookups     map[string]cachedLookup
@@ -102,7 +102,7 @@
 // New makes a client that uses the given boxes for its first look-ups.
 func New(address string, boxes ...string) *Client {
 	return &Client{
-		Boxes: boxes, Address: address, Attempts: DefaultAttempts,
+		Boxes: boxes, Address: address, MaxAttempts: DefaultAttempts,
 		lookups: map[string]cachedLookup{}, pools: map[string]*exchange.Pool{},
 	}
 }
--- a/pkg/caller/caller_do.go
+++ b/pkg/caller/caller_do.go
@@ -37,7 +37,7 @@
 	}
 	var last *Result
 	pause := initialBackoff
-	for x.tries < c.Attempts {
+	for x.tries < c.MaxAttempts {
 		entries, err := c.Lookup(ctx, r.Service)
 		if err != nil {
 			if last != nil {
