--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -209,14 +209,14 @@
 func (g *Gate) enqueue(ctx context.Context, r Request) (*waiter, *outcome.Failure) {
 	slots := g.usableSlots()
 	if slots == 0 {
-		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "no backend server of this zone accepts new requests").WithRetryAfter(time.Second)
+		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "no backend server of this zone takes new work").WithRetryAfter(time.Second)
 	}
 	expected := g.serviceTime * time.Duration(len(g.queue)+1) / time.Duration(slots)
 	if len(g.queue) >= slots*QueuePerSlot || expected > g.QueueWait {
 		return nil, g.noCapacity(expected)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.Now().Add(expected+g.serviceTime).After(deadline) {
-		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the expected wait for a slot exceeds the deadline").WithRetryAfter(jitteredRetryAfter(expected, r))
+		return nil, outcome.NewNotRun(outcome.ReasonDeadline, "the wait for a slot would outlast it").WithRetryAfter(jitteredRetryAfter(expected, r))
 	}
 	w := &waiter{ready: make(chan *Permit, 1), request: r}
 	g.queue = append(g.queue, w)
@@ -255,7 +255,7 @@
 		p.Release(Unused)
 	}
 	if ctx.Err() != nil {
-		return nil, outcome.NewNotRun(outcome.ReasonCancelled, "cancelled while waiting for a slot")
+		return nil, outcome.NewNotRun(outcome.ReasonCancelled, "while waiting for a slot")
 	}
 	return nil, g.noCapacity(expected)
 }
--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -103,7 +103,7 @@
 func (b *Box) explain(r *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	client, err := netip.ParseAddr(r.GetClient())
 	if err != nil {
-		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP address"}}}
+		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP number"}}}
 	}
 	s := b.snapshot.Load()
 	view := s.Services[r.GetService()]
--- a/pkg/config/writer.go
+++ b/pkg/config/writer.go
@@ -25,7 +25,7 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("conflict: the current revision of service %q is %d", e.Name, e.Current)
+	return fmt.Sprintf("service %q is at revision %d", e.Name, e.Current)
 }
 
 // NotFoundError reports that the object does not exist.
@@ -35,7 +35,7 @@
 
 // Error implements error.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("service %q not found", e.Name)
+	return fmt.Sprintf("no service %q", e.Name)
 }
 
 // UnknownWriteError reports that a write may have taken effect, and that reading the
--- a/pkg/entry/entry_local.go
+++ b/pkg/entry/entry_local.go
@@ -19,7 +19,7 @@
 func (e *Handler) serveLocally(r *Request, avoid string) (*Answer, *outcome.Failure) {
 	gate := e.Gate(r.Service)
 	if gate == nil {
-		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "this box does not admit requests of the service").WithRetryAfter(time.Second)
+		return nil, outcome.NewNotRun(outcome.ReasonNoServer, "this box is no home of the service").WithRetryAfter(time.Second)
 	}
 	permit, failure := gate.Acquire(r.ctx, admission.Request{CacheKey: r.cacheKey, Avoid: avoid})
 	if failure != nil {
@@ -61,7 +61,7 @@
 	var withdrawn *exchange.WithdrawnError
 	if errors.As(err, &withdrawn) {
 		permit.Release(admission.Unused)
-		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "this box was suspended; its share of the slots is being confirmed").WithRetryAfter(time.Second)
+		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "this box stood still; its part of the slots is being confirmed").WithRetryAfter(time.Second)
 	}
 	if err != nil {
 		return nil, e.exchangeFailure(r, permit, err)
@@ -100,7 +100,7 @@
 	if r.body.broken.Load() {
 		// The caller's body caused the failure, not the backend server.
 		permit.Abandon(admission.Unused)
-		return outcome.NewUnknown(outcome.ReasonBadRequest, "the request's body was cut short or has invalid framing")
+		return outcome.NewUnknown(outcome.ReasonBadRequest, "the request's body broke off or is misframed")
 	}
 	f := e.Classify(err)
 	result := admission.Broken
--- a/pkg/entry/entry_lookup.go
+++ b/pkg/entry/entry_lookup.go
@@ -58,7 +58,7 @@
 	}
 	client, err := parseClientOrBlock(clientText)
 	if err != nil {
-		return nil, badRequest("client: must be an IP address or a block such as 10.1.0.0/16")
+		return nil, badRequest("client: allowed is an IP number or a block such as 10.1.0.0/16")
 	}
 	if !e.Ready() {
 		return nil, outcome.NewNotRun(outcome.ReasonNotReady, "").WithRetryAfter(time.Second)
--- a/pkg/entry/entry_parse.go
+++ b/pkg/entry/entry_parse.go
@@ -38,7 +38,7 @@
 	}
 	if len(r.ID) > maxRequestIDBytes || !printable(r.ID) {
 		r.ID = newID()
-		return r, badRequest(HeaderRequestID + ": must be 1 to 128 printable characters")
+		return r, badRequest(HeaderRequestID + ": allowed are 1 to 128 printable characters")
 	}
 	if fromPeer {
 		r.Hop = Hop(h.Peek(HeaderHop))
@@ -94,7 +94,7 @@
 	}
 	client, err := netip.ParseAddr(text)
 	if err != nil {
-		return badRequest(HeaderClient + ": must be an IP address")
+		return badRequest(HeaderClient + ": allowed is an IP number")
 	}
 	r.Client = client.Unmap()
 	return nil
@@ -108,7 +108,7 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-		return badRequest(HeaderDeadline + ": must be 1 to 86400000 milliseconds")
+		return badRequest(HeaderDeadline + ": allowed are 1 to 86400000 milliseconds")
 	}
 	r.Deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	return nil
--- a/pkg/entry/entry_serve.go
+++ b/pkg/entry/entry_serve.go
@@ -170,7 +170,7 @@
 	f := &outcome.Failure{
 		Outcome: outcome.Outcome(h.Peek(HeaderOutcome)),
 		Reason:  outcome.Reason(h.Peek(HeaderReason)),
-		Detail:  "reported by box " + string(h.Peek(HeaderBox)),
+		Detail:  "said box " + string(h.Peek(HeaderBox)),
 	}
 	if ms, err := strconv.ParseInt(string(h.Peek(HeaderRetryMS)), 10, 64); err == nil && ms > 0 {
 		f.RetryAfter = time.Duration(ms) * time.Millisecond
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -64,7 +64,7 @@
 }
 
 // Error implements error.
-func (e *FramingError) Error() string { return "answer body does not match its framing: " + e.Detail }
+func (e *FramingError) Error() string { return "framing: " + e.Detail }
 
 // Request is a request to send.
 type Request struct {
--- a/pkg/idempotency/table.go
+++ b/pkg/idempotency/table.go
@@ -104,12 +104,12 @@
 	name := k.Service + "\x00" + k.Key
 	if r, ok := t.records[name]; ok {
 		if r.key.Fingerprint != k.Fingerprint {
-			return nil, false, outcome.NewUnknown(outcome.ReasonBadRequest, "this Idempotency-Key was already used for a different request")
+			return nil, false, outcome.NewUnknown(outcome.ReasonBadRequest, "this Idempotency-Key was used for a different request")
 		}
 		return &Execution{table: t, record: r}, false, nil
 	}
 	if t.Age()-issued > t.MaxAge {
-		return nil, false, outcome.NewUnknown(outcome.ReasonStaleTicket, "the ticket in the Idempotency-Key has expired")
+		return nil, false, outcome.NewUnknown(outcome.ReasonStaleTicket, "the ticket is older than keys are remembered")
 	}
 	if len(t.records) >= t.MaxRecords {
 		return nil, false, outcome.NewNotRun(outcome.ReasonRecordsFull, "").WithRetryAfter(time.Second)
--- a/pkg/idempotency/ticket.go
+++ b/pkg/idempotency/ticket.go
@@ -42,11 +42,11 @@
 // with a ticket. An error is a *KeyError.
 func ParseKey(key string) (ticket Ticket, hasTicket bool, err error) {
 	if key == "" || len(key) > MaxKeyLength {
-		return Ticket{}, false, &KeyError{Problem: fmt.Sprintf("is %d bytes long; must be 1 to %d", len(key), MaxKeyLength)}
+		return Ticket{}, false, &KeyError{Problem: fmt.Sprintf("%d bytes long, allowed are 1 to %d", len(key), MaxKeyLength)}
 	}
 	for i := range len(key) {
 		if key[i] <= ' ' || key[i] > '~' {
-			return Ticket{}, false, &KeyError{Problem: "contains a character that is not printable ASCII"}
+			return Ticket{}, false, &KeyError{Problem: "has a character that is not printable ASCII"}
 		}
 	}
 	parts := strings.SplitN(key, "/", 4)
--- a/pkg/model/service_check.go
+++ b/pkg/model/service_check.go
@@ -49,7 +49,7 @@
 	s.checkRegions(&c, knownRegion)
 	for i, r := range s.Repeatable {
 		if r.Method == "" || !strings.HasPrefix(r.PathPrefix, "/") {
-			c.add(fmt.Sprintf("repeatable[%d]", i), "method missing, or path prefix missing or without a leading '/'", "a method and a prefix that starts with '/'")
+			c.add(fmt.Sprintf("repeatable[%d]", i), "method or path prefix missing", "a method and a prefix that starts with '/'")
 		}
 	}
 	if len(c.faults) > 0 {
@@ -82,14 +82,14 @@
 			c.add(field+".name", fmt.Sprintf("%q", b.Name), namesAllowed)
 		}
 		if names[b.Name] {
-			c.add(field+".name", fmt.Sprintf("%q is used more than once", b.Name), "each name once")
+			c.add(field+".name", fmt.Sprintf("%q stands twice", b.Name), "each name once")
 		}
 		names[b.Name] = true
 		if _, err := netip.ParseAddrPort(b.Address); err != nil {
-			c.add(field+".address", fmt.Sprintf("%q", b.Address), "IP address and port")
+			c.add(field+".address", fmt.Sprintf("%q", b.Address), "IP number and port")
 		}
 		if addresses[b.Address] {
-			c.add(field+".address", fmt.Sprintf("%q is used more than once", b.Address), "each address once")
+			c.add(field+".address", fmt.Sprintf("%q stands twice", b.Address), "each address once")
 		}
 		addresses[b.Address] = true
 		if !knownZone(b.Zone) {
@@ -121,7 +121,7 @@
 		}
 		total[p.FromRegion] += p.Share
 		if total[p.FromRegion] > 1 {
-			c.add(field+".share", "the shares of one region sum to more than 1", "at most 1")
+			c.add(field+".share", "shares of one region sum to more than 1", "at most 1")
 		}
 	}
 }
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -57,7 +57,7 @@
 
 // Error implements error.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("platform: %s/%s not found", e.Kind, e.Name)
+	return fmt.Sprintf("platform: no %s/%s", e.Kind, e.Name)
 }
 
 // ConflictError reports that another version is current. The write had no effect.
@@ -86,4 +86,4 @@
 type MalformedError struct{ Detail string }
 
 // Error implements error.
-func (e *MalformedError) Error() string { return "platform: malformed answer: " + e.Detail }
+func (e *MalformedError) Error() string { return "platform: malformed: " + e.Detail }
--- a/pkg/quarantine/held.go
+++ b/pkg/quarantine/held.go
@@ -46,7 +46,7 @@
 
 // Error implements error.
 func (e *FingerprintError) Error() string {
-	return fmt.Sprintf("%q is not a fingerprint of 16 hexadecimal digits", e.Text)
+	return fmt.Sprintf("%q is no fingerprint: 16 hexadecimal digits", e.Text)
 }
 
 // ParseFingerprint parses what Fingerprint.String returns. The error is a *FingerprintError.
--- a/pkg/rpc/rpc.go
+++ b/pkg/rpc/rpc.go
@@ -75,7 +75,7 @@
 
 func (o *Operators) apply(ctx context.Context, c config.Change) (*pb.ServiceReply, error) {
 	if len(c.ChangeID) > MaxChangeID {
-		return nil, status.Error(codes.InvalidArgument, "change_id: must be at most 128 bytes long")
+		return nil, status.Error(codes.InvalidArgument, "change_id: allowed are at most 128 bytes")
 	}
 	if c.ChangeID == "" {
 		c.ChangeID = newChangeID()
