--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Word is a header by which a server says something of itself in its answers, named as the
+// StatusHeader is a header by which a server says something of itself in its answers, named as the
 // users' pages do. Tests may make others.
-type Word string
+type StatusHeader string
 
 // The words.
 const (
 	// SaysLimit: it takes so many requests a second from all boxes together.
-	SaysLimit Word = "Server-Limit"
+	SaysLimit StatusHeader = "Server-Limit"
 	// SaysLeaving: it leaves.
-	SaysLeaving Word = "Server-Leaving"
+	SaysLeaving StatusHeader = "Server-Leaving"
 	// SaysRest: it wants no requests from the box that gets this for so many seconds. It stands
 	// in refusals with 503 alone; see Refuse.
-	SaysRest Word = "Retry-After"
+	SaysRest StatusHeader = "Retry-After"
 )
 
 // Saying is one answer with a word.
@@ -32,8 +32,8 @@
 
 // words are what a server says now, and has said.
 type words struct {
-	now  map[Word]string
-	said map[Word][]Saying
+	now  map[StatusHeader]string
+	said map[StatusHeader][]Saying
 }
 
 // lines returns the lines of an answer's header that hold the words.
@@ -50,17 +50,17 @@
 }
 
 // Say sets what answers say from now on; empty for nothing.
-func (s *Server) Say(word Word, value string) {
+func (s *Server) Say(word StatusHeader, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.words.now == nil {
-		s.words.now, s.words.said = map[Word]string{}, map[Word][]Saying{}
+		s.words.now, s.words.said = map[StatusHeader]string{}, map[StatusHeader][]Saying{}
 	}
 	s.words.now[word] = value
 }
 
 // Said returns the answers that had the word.
-func (s *Server) Said(word Word) []Saying {
+func (s *Server) Said(word StatusHeader) []Saying {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Saying(nil), s.words.said[word]...)
