--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -44,7 +44,7 @@
 func mostWhileLimited(s *Server) int {
 	told := map[string]time.Time{}
 	var first time.Time
-	for _, n := range s.Said(SaysLimit) {
+	for _, n := range s.Said(LimitHeader) {
 		if first.IsZero() {
 			first = n.At
 		}
@@ -123,7 +123,7 @@
 			time.Sleep(time.Second)
 			s := busiest(f)
 			before := s.Arrivals()
-			s.Say(SaysLimit, limit)
+			s.Say(LimitHeader, limit)
 			time.Sleep(limitContact)
 			settled := time.Now()
 			time.Sleep(limitWindow + 2*time.Second)
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -11,8 +11,8 @@
 
 // The words.
 const (
-	// SaysLimit: it takes so many requests a second from all boxes together.
-	SaysLimit StatusHeader = "Server-Limit"
+	// LimitHeader: it takes so many requests a second from all boxes together.
+	LimitHeader StatusHeader = "Server-Limit"
 	// SaysLeaving: it leaves.
 	SaysLeaving StatusHeader = "Server-Leaving"
 	// SaysRest: it wants no requests from the box that gets this for so many seconds. It stands
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -54,9 +54,9 @@
 	if server == nil {
 		return
 	}
-	server.Say(machines.SaysLimit, strconv.FormatFloat(perSecond, 'g', -1, 64))
+	server.Say(machines.LimitHeader, strconv.FormatFloat(perSecond, 'g', -1, 64))
 	r.later(d, func() {
-		server.Say(machines.SaysLimit, "")
+		server.Say(machines.LimitHeader, "")
 		r.note(func(h *History) { h.Limited[index].To = time.Now() })
 	})
 }
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -206,7 +206,7 @@
 		h.Rests[id] = s.Said(machines.SaysRest)
 	}
 	for i := range h.Limited {
-		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].Said(machines.SaysLimit)
+		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].Said(machines.LimitHeader)
 	}
 	h.KeysLogged = r.keysLogged()
 	return h
