--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -28,7 +28,7 @@
 func lateAfterLeaving(s *Server) (fromTold, fromAny int) {
 	told := map[string]time.Time{}
 	var first time.Time
-	for _, said := range s.Said(SaysLeaving) {
+	for _, said := range s.Said(LeavingHeader) {
 		if first.IsZero() {
 			first = said.At
 		}
@@ -61,12 +61,12 @@
 	time.Sleep(time.Second)
 	silenceStore(f)
 	s := busiest(f)
-	s.Say(SaysLeaving, "1")
+	s.Say(LeavingHeader, "1")
 	time.Sleep(drainTime + 2*time.Second)
 	told, any := lateAfterLeaving(s)
 	counts := clients.end()
 	t.Logf("%d requests too late of boxes that were told, %d of all; answers %v", told, any, counts)
-	is.True(len(s.Said(SaysLeaving)) > 0)
+	is.True(len(s.Said(LeavingHeader)) > 0)
 	is.Equal(told, 0)
 	is.Equal(any, 0)
 	total := 0
@@ -95,14 +95,14 @@
 	f := newLimitFleet(t, 3)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.Say(SaysLeaving, "1")
+	s.Say(LeavingHeader, "1")
 	hears(t, f, 0, s)
 	eventually(t, "all boxes know that it leaves", knownToLeave(f, s))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", knownToLeave(f, s))
 	is.True(strings.Contains(operatorsSee(t, f, 2), lifeOf(s)))
-	s.Say(SaysLeaving, "")
+	s.Say(LeavingHeader, "")
 	before := s.Arrivals()
 	for box := range f.Boxes {
 		send(t, f, box, 3, 0)
@@ -117,7 +117,7 @@
 	f := newLimitFleet(t, 3)
 	silenceStore(f)
 	for _, s := range f.Servers {
-		s.Say(SaysLeaving, "1")
+		s.Say(LeavingHeader, "1")
 	}
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -176,7 +176,7 @@
 	}
 	rests.Say(LimitHeader, "5")
 	rests.AskForRest("1.5")
-	leaves.Say(SaysLeaving, "1")
+	leaves.Say(LeavingHeader, "1")
 	f.Servers["east-a.3"].Close()
 	time.Sleep(4 * time.Second)
 	rests.AskForRest("")
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -13,8 +13,8 @@
 const (
 	// LimitHeader: it takes so many requests a second from all boxes together.
 	LimitHeader StatusHeader = "Server-Limit"
-	// SaysLeaving: it leaves.
-	SaysLeaving StatusHeader = "Server-Leaving"
+	// LeavingHeader: it leaves.
+	LeavingHeader StatusHeader = "Server-Leaving"
 	// SaysRest: it wants no requests from the box that gets this for so many seconds. It stands
 	// in refusals with 503 alone; see Refuse.
 	SaysRest StatusHeader = "Retry-After"
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -202,7 +202,7 @@
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
-		h.Leavings[id] = s.Said(machines.SaysLeaving)
+		h.Leavings[id] = s.Said(machines.LeavingHeader)
 		h.Rests[id] = s.Said(machines.SaysRest)
 	}
 	for i := range h.Limited {
