--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -15,9 +15,9 @@
 	LimitHeader StatusHeader = "Server-Limit"
 	// LeavingHeader: it leaves.
 	LeavingHeader StatusHeader = "Server-Leaving"
-	// SaysRest: it wants no requests from the box that gets this for so many seconds. It stands
+	// RetryAfterHeader: it wants no requests from the box that gets this for so many seconds. It stands
 	// in refusals with 503 alone; see Refuse.
-	SaysRest StatusHeader = "Retry-After"
+	RetryAfterHeader StatusHeader = "Retry-After"
 )
 
 // Saying is one answer with a word.
@@ -40,7 +40,7 @@
 func (w *words) lines(to, id string, status int) string {
 	text := ""
 	for word, value := range w.now {
-		if value == "" || word == SaysRest && status != http.StatusServiceUnavailable {
+		if value == "" || word == RetryAfterHeader && status != http.StatusServiceUnavailable {
 			continue
 		}
 		text += string(word) + ": " + value + "\r\n"
@@ -69,7 +69,7 @@
 // AskForRest has the server turn all requests away and ask the boxes that sent them for so many
 // seconds of rest; with "" it works as before.
 func (s *Server) AskForRest(seconds string) {
-	s.Say(SaysRest, seconds)
+	s.Say(RetryAfterHeader, seconds)
 	if seconds == "" {
 		s.SetFault(nil)
 		return
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -203,7 +203,7 @@
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
 		h.Leavings[id] = s.Said(machines.LeavingHeader)
-		h.Rests[id] = s.Said(machines.SaysRest)
+		h.Rests[id] = s.Said(machines.RetryAfterHeader)
 	}
 	for i := range h.Limited {
 		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].Said(machines.LimitHeader)
