--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -20,8 +20,8 @@
 	RetryAfterHeader StatusHeader = "Retry-After"
 )
 
-// Saying is one answer with a word.
-type Saying struct {
+// SentHeader is one answer with a word.
+type SentHeader struct {
 	// To is the IP number that got it, and ID the request that it answers.
 	To string
 	ID string
@@ -33,7 +33,7 @@
 // words are what a server says now, and has said.
 type words struct {
 	now  map[StatusHeader]string
-	said map[StatusHeader][]Saying
+	said map[StatusHeader][]SentHeader
 }
 
 // lines returns the lines of an answer's header that hold the words.
@@ -44,7 +44,7 @@
 			continue
 		}
 		text += string(word) + ": " + value + "\r\n"
-		w.said[word] = append(w.said[word], Saying{To: to, ID: id, At: time.Now(), Value: value})
+		w.said[word] = append(w.said[word], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
 	}
 	return text
 }
@@ -54,16 +54,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.words.now == nil {
-		s.words.now, s.words.said = map[StatusHeader]string{}, map[StatusHeader][]Saying{}
+		s.words.now, s.words.said = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
 	}
 	s.words.now[word] = value
 }
 
 // Said returns the answers that had the word.
-func (s *Server) Said(word StatusHeader) []Saying {
+func (s *Server) Said(word StatusHeader) []SentHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Saying(nil), s.words.said[word]...)
+	return append([]SentHeader(nil), s.words.said[word]...)
 }
 
 // AskForRest has the server turn all requests away and ask the boxes that sent them for so many
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -44,14 +44,14 @@
 		"customer":  func(h *History) { h.Runs["s1"][0].Header.Set("X-Stoneworks-Tenant", "somebody-else") },
 		"keys-kept": func(h *History) { h.Runs["s1"][1].Header.Set("Authorization", "Bearer "+keyOf(usualCustomer)) },
 		"leaving-kept": func(h *History) {
-			h.Leavings = map[string][]machines.Saying{"s1": {{To: "b1", ID: "r0", At: start, Value: "1"}}}
+			h.Leavings = map[string][]machines.SentHeader{"s1": {{To: "b1", ID: "r0", At: start, Value: "1"}}}
 			late := h.Requests[0]
 			late.ID, late.Sent, late.Ended = "late", after(3*time.Second), after(3*time.Second+time.Millisecond)
 			h.Requests = append(h.Requests, late)
 			h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: "late", From: "b1", At: late.Sent})
 		},
 		"rest-kept": func(h *History) {
-			h.Rests = map[string][]machines.Saying{"s1": {{To: "b1", ID: "r0", At: start, Value: "3"}}}
+			h.Rests = map[string][]machines.SentHeader{"s1": {{To: "b1", ID: "r0", At: start, Value: "3"}}}
 			for i := range 3 {
 				h.Arrivals["s1"] = append(h.Arrivals["s1"], machines.Arrival{ID: fmt.Sprint("again", i), From: "b1", At: after(2500 * time.Millisecond)})
 			}
@@ -115,7 +115,7 @@
 			h.Left = append(h.Left, Request{ID: "o", Kind: "safe", Target: "/read/7", Status: 503, Reason: "crashes_backend_servers"})
 		},
 		"server-limit": func(h *History) {
-			h.Limited = []Limited{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
+			h.Limited = []Limited{{Server: "s1", PerSecond: 1, From: after(10 * time.Second), Namings: []machines.SentHeader{{To: "b1", At: after(10 * time.Second)}}}}
 			for i := range 12 {
 				id, at := fmt.Sprint("n", i), after(13*time.Second+time.Duration(i)*100*time.Millisecond)
 				h.Requests = append(h.Requests, Request{ID: id, Whole: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
@@ -167,7 +167,7 @@
 func TestLimitsCountWhoWasTold(t *testing.T) {
 	is := is.New(t)
 	h := calm()
-	h.Limited = []Limited{{Server: "s1", PerSecond: 0, From: start, Namings: []machines.Saying{{To: "b1", At: after(10 * time.Second)}}}}
+	h.Limited = []Limited{{Server: "s1", PerSecond: 0, From: start, Namings: []machines.SentHeader{{To: "b1", At: after(10 * time.Second)}}}}
 	for i := range 30 {
 		id, at := fmt.Sprint("n", i), after(10*time.Second+time.Duration(i)*10*time.Millisecond)
 		h.Requests = append(h.Requests, Request{ID: id, Whole: true, Signed: true, Timeout: time.Second, Sent: at, Ended: at})
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -84,8 +84,8 @@
 	Moves []Move
 	// Leavings and Rests are, by server, the answers that said that it leaves, and those that asked
 	// for rest.
-	Leavings map[string][]machines.Saying
-	Rests    map[string][]machines.Saying
+	Leavings map[string][]machines.SentHeader
+	Rests    map[string][]machines.SentHeader
 	// KeysLogged are lines of logs with a key in them.
 	KeysLogged     []string
 	Runs           map[string][]machines.Run
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -27,7 +27,7 @@
 	// To is zero if it names the limit until the end.
 	To time.Time
 	// Namings are the answers that name it.
-	Namings []machines.Saying
+	Namings []machines.SentHeader
 }
 
 // nameLimits has a server name a limit, and for one event in four all servers of its service.
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -197,8 +197,8 @@
 	h := &r.history
 	h.Runs = map[string][]machines.Run{}
 	h.Arrivals = map[string][]machines.Arrival{}
-	h.Leavings = map[string][]machines.Saying{}
-	h.Rests = map[string][]machines.Saying{}
+	h.Leavings = map[string][]machines.SentHeader{}
+	h.Rests = map[string][]machines.SentHeader{}
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
