--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -109,7 +109,7 @@
 	// known are the keys that it remembers, the latest last.
 	known []string
 	// words are what it says of itself: Server-Limit, Server-Leaving, and Retry-After in refusals.
-	words words
+	words statusHeaders
 }
 
 // Nature is what a server's answers depend on. The zero value is a server whose
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -30,14 +30,14 @@
 	Value string
 }
 
-// words are what a server says now, and has said.
-type words struct {
+// statusHeaders are what a server says now, and has said.
+type statusHeaders struct {
 	now  map[StatusHeader]string
 	said map[StatusHeader][]SentHeader
 }
 
 // lines returns the lines of an answer's header that hold the words.
-func (w *words) lines(to, id string, status int) string {
+func (w *statusHeaders) lines(to, id string, status int) string {
 	text := ""
 	for word, value := range w.now {
 		if value == "" || word == RetryAfterHeader && status != http.StatusServiceUnavailable {
