--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -32,14 +32,14 @@
 
 // statusHeaders are what a server says now, and has said.
 type statusHeaders struct {
-	now  map[StatusHeader]string
+	current  map[StatusHeader]string
 	said map[StatusHeader][]SentHeader
 }
 
 // lines returns the lines of an answer's header that hold the words.
 func (w *statusHeaders) lines(to, id string, status int) string {
 	text := ""
-	for word, value := range w.now {
+	for word, value := range w.current {
 		if value == "" || word == RetryAfterHeader && status != http.StatusServiceUnavailable {
 			continue
 		}
@@ -53,10 +53,10 @@
 func (s *Server) Say(word StatusHeader, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.words.now == nil {
-		s.words.now, s.words.said = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
+	if s.words.current == nil {
+		s.words.current, s.words.said = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
 	}
-	s.words.now[word] = value
+	s.words.current[word] = value
 }
 
 // Said returns the answers that had the word.
