--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -33,7 +33,7 @@
 // statusHeaders are what a server says now, and has said.
 type statusHeaders struct {
 	current  map[StatusHeader]string
-	said map[StatusHeader][]SentHeader
+	sent map[StatusHeader][]SentHeader
 }
 
 // lines returns the lines of an answer's header that hold the words.
@@ -44,7 +44,7 @@
 			continue
 		}
 		text += string(word) + ": " + value + "\r\n"
-		w.said[word] = append(w.said[word], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
+		w.sent[word] = append(w.sent[word], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
 	}
 	return text
 }
@@ -54,7 +54,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.words.current == nil {
-		s.words.current, s.words.said = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
+		s.words.current, s.words.sent = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
 	}
 	s.words.current[word] = value
 }
@@ -63,7 +63,7 @@
 func (s *Server) Said(word StatusHeader) []SentHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]SentHeader(nil), s.words.said[word]...)
+	return append([]SentHeader(nil), s.words.sent[word]...)
 }
 
 // AskForRest has the server turn all requests away and ask the boxes that sent them for so many
