--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -108,8 +108,8 @@
 	conns    map[net.Conn]bool
 	// known are the keys that it remembers, the latest last.
 	known []string
-	// words are what it says of itself: Server-Limit, Server-Leaving, and Retry-After in refusals.
-	words statusHeaders
+	// headers are what it says of itself: Server-Limit, Server-Leaving, and Retry-After in refusals.
+	headers statusHeaders
 }
 
 // Nature is what a server's answers depend on. The zero value is a server whose
@@ -455,7 +455,7 @@
 func (s *Server) head(c net.Conn, id string, status, length int, signed bool, extra string) {
 	s.mu.Lock()
 	load := fmt.Sprintf("%d,%d,%d", s.busy, s.waiting, s.Slots)
-	extra += s.words.lines(sourceOf(c), id, status)
+	extra += s.headers.lines(sourceOf(c), id, status)
 	s.mu.Unlock()
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -53,17 +53,17 @@
 func (s *Server) Say(word StatusHeader, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.words.current == nil {
-		s.words.current, s.words.sent = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
+	if s.headers.current == nil {
+		s.headers.current, s.headers.sent = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
 	}
-	s.words.current[word] = value
+	s.headers.current[word] = value
 }
 
 // Said returns the answers that had the word.
 func (s *Server) Said(word StatusHeader) []SentHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]SentHeader(nil), s.words.sent[word]...)
+	return append([]SentHeader(nil), s.headers.sent[word]...)
 }
 
 // AskForRest has the server turn all requests away and ask the boxes that sent them for so many
