--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -61,7 +61,7 @@
 	time.Sleep(time.Second)
 	silenceStore(f)
 	s := busiest(f)
-	s.Say(LeavingHeader, "1")
+	s.SetHeader(LeavingHeader, "1")
 	time.Sleep(drainTime + 2*time.Second)
 	told, any := lateAfterLeaving(s)
 	counts := clients.end()
@@ -95,14 +95,14 @@
 	f := newLimitFleet(t, 3)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.Say(LeavingHeader, "1")
+	s.SetHeader(LeavingHeader, "1")
 	hears(t, f, 0, s)
 	eventually(t, "all boxes know that it leaves", knownToLeave(f, s))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", knownToLeave(f, s))
 	is.True(strings.Contains(operatorsSee(t, f, 2), lifeOf(s)))
-	s.Say(LeavingHeader, "")
+	s.SetHeader(LeavingHeader, "")
 	before := s.Arrivals()
 	for box := range f.Boxes {
 		send(t, f, box, 3, 0)
@@ -117,7 +117,7 @@
 	f := newLimitFleet(t, 3)
 	silenceStore(f)
 	for _, s := range f.Servers {
-		s.Say(LeavingHeader, "1")
+		s.SetHeader(LeavingHeader, "1")
 	}
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -154,7 +154,7 @@
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
 	s.AskForRest("a while")
-	s.Say(LimitHeader, "9")
+	s.SetHeader(LimitHeader, "9")
 	hears(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("words.unread", f.Boxes[0].Metrics).Count() > 0)
 	is.True(allHold(f, s, "9")())
@@ -174,9 +174,9 @@
 	if rests == nil || leaves == nil {
 		t.Fatal("no such servers")
 	}
-	rests.Say(LimitHeader, "5")
+	rests.SetHeader(LimitHeader, "5")
 	rests.AskForRest("1.5")
-	leaves.Say(LeavingHeader, "1")
+	leaves.SetHeader(LeavingHeader, "1")
 	f.Servers["east-a.3"].Close()
 	time.Sleep(4 * time.Second)
 	rests.AskForRest("")
--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -123,7 +123,7 @@
 			time.Sleep(time.Second)
 			s := busiest(f)
 			before := s.Arrivals()
-			s.Say(LimitHeader, limit)
+			s.SetHeader(LimitHeader, limit)
 			time.Sleep(limitContact)
 			settled := time.Now()
 			time.Sleep(limitWindow + 2*time.Second)
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -49,8 +49,8 @@
 	return text
 }
 
-// Say sets what answers say from now on; empty for nothing.
-func (s *Server) Say(word StatusHeader, value string) {
+// SetHeader sets what answers say from now on; empty for nothing.
+func (s *Server) SetHeader(word StatusHeader, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.headers.current == nil {
@@ -69,7 +69,7 @@
 // AskForRest has the server turn all requests away and ask the boxes that sent them for so many
 // seconds of rest; with "" it works as before.
 func (s *Server) AskForRest(seconds string) {
-	s.Say(RetryAfterHeader, seconds)
+	s.SetHeader(RetryAfterHeader, seconds)
 	if seconds == "" {
 		s.SetFault(nil)
 		return
--- a/test/machines/suspended_test.go
+++ b/test/machines/suspended_test.go
@@ -118,7 +118,7 @@
 		is.Equal(do(20+i).Status, 200)
 	}
 	is.True(home.Arrivals() > rested)
-	other.Say(LeavingHeader, "1")
+	other.SetHeader(LeavingHeader, "1")
 	home.AskForRest("1")
 	do(30)
 	left := other.Arrivals()
--- a/test/machines/words_test.go
+++ b/test/machines/words_test.go
@@ -32,10 +32,10 @@
 		is.NoErr(err)
 		return strings.Count(string(text), `"`+word+`"`)
 	}
-	s.Say("Server-Colour", "secret")
+	s.SetHeader("Server-Colour", "secret")
 	send(t, f, 0, 5, 0)
-	s.Say("Server-Colour", "")
-	s.Say("Server-Pace", "secret")
+	s.SetHeader("Server-Colour", "")
+	s.SetHeader("Server-Pace", "secret")
 	s.SetFault(func(*Run) Fault { return Refuse })
 	send(t, f, 0, 5, 0)
 	f.Store.Put("servers", "east-a.2", map[string]any{
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -54,9 +54,9 @@
 	if server == nil {
 		return
 	}
-	server.Say(machines.LimitHeader, strconv.FormatFloat(perSecond, 'g', -1, 64))
+	server.SetHeader(machines.LimitHeader, strconv.FormatFloat(perSecond, 'g', -1, 64))
 	r.later(d, func() {
-		server.Say(machines.LimitHeader, "")
+		server.SetHeader(machines.LimitHeader, "")
 		r.note(func(h *History) { h.Limited[index].To = time.Now() })
 	})
 }
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -32,7 +32,7 @@
 		return
 	}
 	old := s.server
-	old.Say(machines.LeavingHeader, "1")
+	old.SetHeader(machines.LeavingHeader, "1")
 	r.later(min(e.For, mostUnlisted)+boundDrain, func() {
 		r.fleet.List(old, s.service, s.zone, "draining", 0)
 		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
