--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -28,7 +28,7 @@
 func lateAfterLeaving(s *Server) (fromTold, fromAny int) {
 	told := map[string]time.Time{}
 	var first time.Time
-	for _, said := range s.Said(LeavingHeader) {
+	for _, said := range s.SentHeaders(LeavingHeader) {
 		if first.IsZero() {
 			first = said.At
 		}
@@ -66,7 +66,7 @@
 	told, any := lateAfterLeaving(s)
 	counts := clients.end()
 	t.Logf("%d requests too late of boxes that were told, %d of all; answers %v", told, any, counts)
-	is.True(len(s.Said(LeavingHeader)) > 0)
+	is.True(len(s.SentHeaders(LeavingHeader)) > 0)
 	is.Equal(told, 0)
 	is.Equal(any, 0)
 	total := 0
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -35,7 +35,7 @@
 // asked that box for.
 func mostWhileResting(s *Server, rest time.Duration) (most int) {
 	arrivals := s.ArrivalLog()
-	for _, asked := range s.Said(RetryAfterHeader) {
+	for _, asked := range s.SentHeaders(RetryAfterHeader) {
 		n := 0
 		for _, a := range arrivals {
 			after := a.At.Sub(asked.At)
@@ -66,7 +66,7 @@
 	back := arrivedSince(s, rested)
 	counts := clients.end()
 	t.Logf("at most %d requests in a time of rest, %d in the fourth second after the last; answers %v", most, back, counts)
-	is.True(len(s.Said(RetryAfterHeader)) > 0)
+	is.True(len(s.SentHeaders(RetryAfterHeader)) > 0)
 	is.True(most <= mostInRest)
 	is.True(back > 20) // it is used as before
 	total := 0
@@ -97,7 +97,7 @@
 	for _, s := range f.Servers {
 		is.True(s.Arrivals() > 0)
 		asked += s.Arrivals()
-		if at := s.Said(RetryAfterHeader)[0].At; first.IsZero() || at.Before(first) {
+		if at := s.SentHeaders(RetryAfterHeader)[0].At; first.IsZero() || at.Before(first) {
 			first = at
 		}
 		s.AskForRest("")
--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -44,7 +44,7 @@
 func mostWhileLimited(s *Server) int {
 	told := map[string]time.Time{}
 	var first time.Time
-	for _, n := range s.Said(LimitHeader) {
+	for _, n := range s.SentHeaders(LimitHeader) {
 		if first.IsZero() {
 			first = n.At
 		}
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -59,8 +59,8 @@
 	s.headers.current[word] = value
 }
 
-// Said returns the answers that had the word.
-func (s *Server) Said(word StatusHeader) []SentHeader {
+// SentHeaders returns the answers that had the word.
+func (s *Server) SentHeaders(word StatusHeader) []SentHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]SentHeader(nil), s.headers.sent[word]...)
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -202,11 +202,11 @@
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
-		h.Leavings[id] = s.Said(machines.LeavingHeader)
-		h.Rests[id] = s.Said(machines.RetryAfterHeader)
+		h.Leavings[id] = s.SentHeaders(machines.LeavingHeader)
+		h.Rests[id] = s.SentHeaders(machines.RetryAfterHeader)
 	}
 	for i := range h.Limited {
-		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].Said(machines.LimitHeader)
+		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].SentHeaders(machines.LimitHeader)
 	}
 	h.KeysLogged = r.keysLogged()
 	return h
