--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -56,10 +56,10 @@
 	clients := newTraffic(f, 12)
 	time.Sleep(time.Second)
 	s := busiest(f)
-	s.AskForRest("3")
+	s.RejectWithRetryAfter("3")
 	time.Sleep(5 * time.Second)
 	most := mostWhileResting(s, 3*time.Second)
-	s.AskForRest("")
+	s.RejectWithRetryAfter("")
 	time.Sleep(3 * time.Second)
 	rested := time.Now()
 	time.Sleep(time.Second)
@@ -83,7 +83,7 @@
 	f := newLimitFleet(t, 3)
 	first := time.Time{}
 	for _, s := range f.Servers {
-		s.AskForRest("2")
+		s.RejectWithRetryAfter("2")
 	}
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
@@ -100,7 +100,7 @@
 		if at := s.SentHeaders(RetryAfterHeader)[0].At; first.IsZero() || at.Before(first) {
 			first = at
 		}
-		s.AskForRest("")
+		s.RejectWithRetryAfter("")
 	}
 	is.Equal(asked, len(f.Servers)) // each is asked once
 	ready := first.Add(2 * time.Second)
@@ -132,9 +132,9 @@
 	f := newLimitFleet(t, 3)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.AskForRest("60")
+	s.RejectWithRetryAfter("60")
 	hears(t, f, 0, s)
-	s.AskForRest("")
+	s.RejectWithRetryAfter("")
 	is.True(strings.Contains(operatorsSee(t, f, 0), lifeOf(s)))
 	is.True(!strings.Contains(operatorsSee(t, f, 1), lifeOf(s)))
 	before := s.Arrivals()
@@ -153,12 +153,12 @@
 	f := newLimitFleet(t, 1)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.AskForRest("a while")
+	s.RejectWithRetryAfter("a while")
 	s.SetHeader(LimitHeader, "9")
 	hears(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("words.unread", f.Boxes[0].Metrics).Count() > 0)
 	is.True(allHold(f, s, "9")())
-	s.AskForRest("")
+	s.RejectWithRetryAfter("")
 	hears(t, f, 0, s) // it is used on
 }
 
@@ -175,11 +175,11 @@
 		t.Fatal("no such servers")
 	}
 	rests.SetHeader(LimitHeader, "5")
-	rests.AskForRest("1.5")
+	rests.RejectWithRetryAfter("1.5")
 	leaves.SetHeader(LeavingHeader, "1")
 	f.Servers["east-a.3"].Close()
 	time.Sleep(4 * time.Second)
-	rests.AskForRest("")
+	rests.RejectWithRetryAfter("")
 	time.Sleep(3 * time.Second)
 	ran := len(rests.Runs())
 	time.Sleep(2 * time.Second)
--- a/test/machines/server_words.go
+++ b/test/machines/server_words.go
@@ -66,9 +66,9 @@
 	return append([]SentHeader(nil), s.headers.sent[word]...)
 }
 
-// AskForRest has the server turn all requests away and ask the boxes that sent them for so many
+// RejectWithRetryAfter has the server turn all requests away and ask the boxes that sent them for so many
 // seconds of rest; with "" it works as before.
-func (s *Server) AskForRest(seconds string) {
+func (s *Server) RejectWithRetryAfter(seconds string) {
 	s.SetHeader(RetryAfterHeader, seconds)
 	if seconds == "" {
 		s.SetFault(nil)
--- a/test/machines/suspended_test.go
+++ b/test/machines/suspended_test.go
@@ -101,11 +101,11 @@
 	if home.Arrivals() == 0 {
 		home, other = other, home
 	}
-	home.AskForRest("30")
+	home.RejectWithRetryAfter("30")
 	for i := range 5 {
 		do(1 + i)
 	}
-	home.AskForRest("")
+	home.RejectWithRetryAfter("")
 	rested := home.Arrivals()
 	is.True(rested <= 2)
 	b.Suspend(20 * time.Second)
@@ -119,11 +119,11 @@
 	}
 	is.True(home.Arrivals() > rested)
 	other.SetHeader(LeavingHeader, "1")
-	home.AskForRest("1")
+	home.RejectWithRetryAfter("1")
 	do(30)
 	left := other.Arrivals()
 	b.Suspend(20 * time.Second)
-	home.AskForRest("")
+	home.RejectWithRetryAfter("")
 	for i := range 5 {
 		is.Equal(do(40+i).Status, 200)
 	}
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -55,8 +55,8 @@
 		}
 		var server *machines.Server
 		r.note(func(*History) { server = other.server })
-		server.AskForRest(seconds)
-		r.later(min(restTimes*e.For, r.Plan.Length-e.At), func() { server.AskForRest("") })
+		server.RejectWithRetryAfter(seconds)
+		r.later(min(restTimes*e.For, r.Plan.Length-e.At), func() { server.RejectWithRetryAfter("") })
 	}
 }
 
