--- a/test/cmd/stoneworks-experiment/main.go
+++ b/test/cmd/stoneworks-experiment/main.go
@@ -31,7 +31,7 @@
 	flag.Parse()
 	plan := &experiment.Plan{
 		Length: *length, Keys: *keys, Skew: *skew, Refuse: *refuse, Unlike: *unlike, Target: *target,
-		Nature: machines.Nature{Memory: *memory, Gain: *gain},
+		Nature: machines.Performance{Memory: *memory, Gain: *gain},
 	}
 	for i := range *seeds {
 		plan.Seeds = append(plan.Seeds, *seed+uint64(i))
--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -32,7 +32,7 @@
 	Skew float64
 	// Nature is that of all servers; with Unlike every third is slower by half
 	// and every third quicker.
-	Nature machines.Nature
+	Nature machines.Performance
 	Unlike bool
 	// Refuse is which part of all requests servers refuse in the last third,
 	// though slots are free.
--- a/test/experiment/experiment_test.go
+++ b/test/experiment/experiment_test.go
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	p := &Plan{
 		Seeds: []uint64{7}, Length: 1500 * time.Millisecond, Keys: 20, Skew: 0.2, Refuse: 0.1, Unlike: true,
-		Nature: machines.Nature{Memory: 30, Gain: 0.7}, Target: 150 * time.Millisecond,
+		Nature: machines.Performance{Memory: 30, Gain: 0.7}, Target: 150 * time.Millisecond,
 	}
 	a := policy.Default()
 	pairs, err := p.Run("127.95", &a, &a)
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -92,7 +92,7 @@
 	// Large is how many bytes more than usual whole answers have, which go out little by little.
 	Large int
 	// Nature is what else decides how long; set it before the first request.
-	Nature Nature
+	Nature Performance
 
 	mu       sync.Mutex
 	fault    func(r *Run) Fault
@@ -112,9 +112,9 @@
 	headers statusHeaders
 }
 
-// Nature is what a server's answers depend on. The zero value is a server whose
+// Performance is what a server's answers depend on. The zero value is a server whose
 // requests all take as long.
-type Nature struct {
+type Performance struct {
 	// Memory is how many keys it remembers, and Gain which part of the work it
 	// is spared for one that it remembers.
 	Memory int
