--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Nature = nature
+	s.Performance = nature
 	f.Servers[id] = s
 	f.List(s, service, zone, "ready", 0)
 	return s, nil
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -696,7 +696,7 @@
 // that it knows, and forgets the one that was not used for longest.
 func TestServersRememberABoundedNumberOfKeys(t *testing.T) {
 	is := is.New(t)
-	s := &Server{Work: 100 * time.Millisecond, Nature: Performance{Memory: 2, Gain: 0.5, Speed: 2}}
+	s := &Server{Work: 100 * time.Millisecond, Performance: Performance{Memory: 2, Gain: 0.5, Speed: 2}}
 	const first, known = 50 * time.Millisecond, 25 * time.Millisecond
 	is.Equal(s.workOf("a"), first)
 	is.Equal(s.workOf("b"), first)
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -91,8 +91,8 @@
 	Work time.Duration
 	// Large is how many bytes more than usual whole answers have, which go out little by little.
 	Large int
-	// Nature is what else decides how long; set it before the first request.
-	Nature Performance
+	// Performance is what else decides how long; set it before the first request.
+	Performance Performance
 
 	mu       sync.Mutex
 	fault    func(r *Run) Fault
@@ -339,18 +339,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := float64(s.Work)
-	if s.Nature.Speed > 0 {
-		took /= s.Nature.Speed
+	if s.Performance.Speed > 0 {
+		took /= s.Performance.Speed
 	}
-	if key == "" || s.Nature.Memory == 0 {
+	if key == "" || s.Performance.Memory == 0 {
 		return time.Duration(took)
 	}
 	if i := slices.Index(s.known, key); i >= 0 {
-		took *= 1 - s.Nature.Gain
+		took *= 1 - s.Performance.Gain
 		s.known = slices.Delete(s.known, i, i+1)
 	}
 	s.known = append(s.known, key)
-	if len(s.known) > s.Nature.Memory {
+	if len(s.known) > s.Performance.Memory {
 		s.known = s.known[1:]
 	}
 	return time.Duration(took)
