--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -144,7 +144,7 @@
 	if p.Unlike {
 		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
-	_, err := f.AddServerOf(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, work)
+	_, err := f.AddServerWithPerformance(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, work)
 	return err
 }
 
--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -87,11 +87,11 @@
 
 // AddServer starts a backend server and lists it in the store.
 func (f *Fleet) AddServer(id, service, zone string, slots int, work time.Duration) (*Server, error) {
-	return f.AddServerOf(Performance{}, id, service, zone, slots, work)
+	return f.AddServerWithPerformance(Performance{}, id, service, zone, slots, work)
 }
 
-// AddServerOf is AddServer for a server of some nature.
-func (f *Fleet) AddServerOf(nature Performance, id, service, zone string, slots int, work time.Duration) (*Server, error) {
+// AddServerWithPerformance is AddServer for a server of some nature.
+func (f *Fleet) AddServerWithPerformance(nature Performance, id, service, zone string, slots int, work time.Duration) (*Server, error) {
 	s, err := NewServer(f.network+".100", id, slots, work)
 	if err != nil {
 		return nil, err
