--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -114,7 +114,7 @@
 	}
 	f.Store.Put("servers", s.ID, map[string]any{
 		"service": service, "address": address, "zone": zone, "slots": s.Slots, "state": state,
-		"cold-remaining-ms": cold.Milliseconds(), "version": version, "call-seq": 1, "born": s.Born,
+		"cold-remaining-ms": cold.Milliseconds(), "version": version, "call-seq": 1, "born": s.StartedAtMs,
 	})
 }
 
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -85,8 +85,8 @@
 	Version string
 	Slots   int
 	Queue   int
-	// Born is when it started, in milliseconds since 1970.
-	Born int64
+	// StartedAtMs is when it started, in milliseconds since 1970.
+	StartedAtMs int64
 	// Work is how long a request takes.
 	Work time.Duration
 	// Large is how many bytes more than usual whole answers have, which go out little by little.
@@ -131,7 +131,7 @@
 	}
 	s := &Server{
 		ID: id, Address: l.Addr().String(), Slots: slots, Queue: 3 * slots, Work: work,
-		free: make(chan struct{}, slots), listener: l, Born: time.Now().UnixMilli(), conns: map[net.Conn]bool{},
+		free: make(chan struct{}, slots), listener: l, StartedAtMs: time.Now().UnixMilli(), conns: map[net.Conn]bool{},
 	}
 	for range slots {
 		s.free <- struct{}{}
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -16,7 +16,7 @@
 
 // lifeOf names the life of a server as boxes do.
 func lifeOf(s *Server) string {
-	return (&backend.Server{ID: s.ID, StartedAtMs: s.Born}).Incarnation()
+	return (&backend.Server{ID: s.ID, StartedAtMs: s.StartedAtMs}).Incarnation()
 }
 
 // allHold reports whether all boxes know that the server names this limit, or with "" none.
@@ -170,7 +170,7 @@
 	again, err := NewServer(f.network+".100", s.ID, 4, 10*time.Millisecond)
 	is.NoErr(err)
 	s.Close()
-	again.Born = s.Born + 1000
+	again.StartedAtMs = s.StartedAtMs + 1000
 	f.Servers[s.ID] = again
 	f.List(again, "shop", "east-a", "ready", 0)
 	eventually(t, "boxes use the next life", func() bool {
