--- a/test/machines/client_leaves_test.go
+++ b/test/machines/client_leaves_test.go
@@ -60,10 +60,10 @@
 			left := time.Now()
 			time.Sleep(1500 * time.Millisecond)
 			for _, r := range runsOf(f, "leaver") {
-				t.Logf("told %v after its client left", r.Left.Sub(left))
+				t.Logf("told %v after its client left", r.CanceledAt.Sub(left))
 				is.Equal(r.Ended && r.At.After(left), false)
 				if !r.Ended {
-					is.True(r.Left.Sub(left) < 500*time.Millisecond || c.busy > 0)
+					is.True(r.CanceledAt.Sub(left) < 500*time.Millisecond || c.busy > 0)
 				}
 			}
 			for _, s := range f.Servers {
@@ -138,9 +138,9 @@
 	is.NoErr(err)
 	c.Close()
 	left := time.Now()
-	eventually(t, "the server is told", func() bool { return !s.Runs()[0].Left.IsZero() })
-	t.Logf("told %v after its client left", s.Runs()[0].Left.Sub(left))
-	is.True(s.Runs()[0].Left.Sub(left) < 500*time.Millisecond)
+	eventually(t, "the server is told", func() bool { return !s.Runs()[0].CanceledAt.IsZero() })
+	t.Logf("told %v after its client left", s.Runs()[0].CanceledAt.Sub(left))
+	is.True(s.Runs()[0].CanceledAt.Sub(left) < 500*time.Millisecond)
 }
 
 // TestClientThatLeavesWhileItsBoxConnects: nothing reaches a server that takes no connection for now, also when it
--- a/test/machines/pipelined_test.go
+++ b/test/machines/pipelined_test.go
@@ -43,9 +43,9 @@
 	left := time.Now()
 	time.Sleep(1500 * time.Millisecond)
 	for _, r := range s.Runs() {
-		t.Logf("%s began %v after its client left, told to end after %v, ended by itself: %v", r.ID, r.At.Sub(left), r.Left.Sub(left), r.Ended)
+		t.Logf("%s began %v after its client left, told to end after %v, ended by itself: %v", r.ID, r.At.Sub(left), r.CanceledAt.Sub(left), r.Ended)
 		is.Equal(r.Ended, false)
-		is.True(!r.Left.IsZero() && r.Left.Sub(left) < 500*time.Millisecond)
+		is.True(!r.CanceledAt.IsZero() && r.CanceledAt.Sub(left) < 500*time.Millisecond)
 	}
 	for _, a := range s.ArrivalLog() {
 		is.True(a.At.Before(left))
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -57,8 +57,8 @@
 	At     time.Time
 	// Ended is false if the client's connection closed before.
 	Ended bool
-	// Left is when the server was told, by the connection's end, that nobody waits; zero if it was not.
-	Left time.Time
+	// CanceledAt is when the server was told, by the connection's end, that nobody waits; zero if it was not.
+	CanceledAt time.Time
 }
 
 // Arrival is one request that reached a server, run or not.
@@ -320,7 +320,7 @@
 	s.mu.Unlock()
 	if !s.work(c, reader, s.workOf(run.Key)) {
 		s.mu.Lock()
-		run.Left = time.Now()
+		run.CanceledAt = time.Now()
 		s.mu.Unlock()
 		return false
 	}
@@ -434,7 +434,7 @@
 		rest = rest[len(part):]
 		if _, err := io.WriteString(c, part); err != nil {
 			s.mu.Lock()
-			run.Left = time.Now()
+			run.CanceledAt = time.Now()
 			s.mu.Unlock()
 			return false
 		}
