--- a/test/machines/client_leaves_test.go
+++ b/test/machines/client_leaves_test.go
@@ -61,8 +61,8 @@
 			time.Sleep(1500 * time.Millisecond)
 			for _, r := range runsOf(f, "leaver") {
 				t.Logf("told %v after its client left", r.CanceledAt.Sub(left))
-				is.Equal(r.Ended && r.At.After(left), false)
-				if !r.Ended {
+				is.Equal(r.Completed && r.At.After(left), false)
+				if !r.Completed {
 					is.True(r.CanceledAt.Sub(left) < 500*time.Millisecond || c.busy > 0)
 				}
 			}
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -287,7 +287,7 @@
 		return s.busy == 0
 	})
 	is.True(time.Since(s.Runs()[0].At) < 500*time.Millisecond)
-	is.Equal(s.Runs()[0].Ended, false)
+	is.Equal(s.Runs()[0].Completed, false)
 }
 
 func TestRequestsEndAtTheirTime(t *testing.T) {
--- a/test/machines/pipelined_test.go
+++ b/test/machines/pipelined_test.go
@@ -43,8 +43,8 @@
 	left := time.Now()
 	time.Sleep(1500 * time.Millisecond)
 	for _, r := range s.Runs() {
-		t.Logf("%s began %v after its client left, told to end after %v, ended by itself: %v", r.ID, r.At.Sub(left), r.CanceledAt.Sub(left), r.Ended)
-		is.Equal(r.Ended, false)
+		t.Logf("%s began %v after its client left, told to end after %v, ended by itself: %v", r.ID, r.At.Sub(left), r.CanceledAt.Sub(left), r.Completed)
+		is.Equal(r.Completed, false)
 		is.True(!r.CanceledAt.IsZero() && r.CanceledAt.Sub(left) < 500*time.Millisecond)
 	}
 	for _, a := range s.ArrivalLog() {
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -55,8 +55,8 @@
 	// Header is all that came.
 	Header http.Header
 	At     time.Time
-	// Ended is false if the client's connection closed before.
-	Ended bool
+	// Completed is false if the client's connection closed before.
+	Completed bool
 	// CanceledAt is when the server was told, by the connection's end, that nobody waits; zero if it was not.
 	CanceledAt time.Time
 }
@@ -329,7 +329,7 @@
 		return false
 	}
 	s.mu.Lock()
-	run.Ended = true
+	run.Completed = true
 	s.mu.Unlock()
 	return s.spoil(c, run, fault)
 }
