--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -85,7 +85,7 @@
 		return
 	}
 	c.servers = append(c.servers, s)
-	s.SetDeadly(c.isDeadly, func() { c.replace(t, id, zone) })
+	s.SetCrashOn(c.isDeadly, func() { c.replace(t, id, zone) })
 }
 
 // isDeadly reports whether the target ends the server that runs it. It takes no lock that
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -157,9 +157,9 @@
 	s.fault = fault
 }
 
-// SetDeadly sets which requests end the server while it works on them: all its connections
+// SetCrashOn sets which requests end the server while it works on them: all its connections
 // close without an answer, and its port refuses new ones. Ended is called once, then.
-func (s *Server) SetDeadly(deadly func(target string) bool, ended func()) {
+func (s *Server) SetCrashOn(deadly func(target string) bool, ended func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deadly, s.ended = deadly, ended
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	server.Advertised = s.link.Address()
-	server.SetDeadly(r.isDeadly, func() { r.serverEnded(s, server) })
+	server.SetCrashOn(r.isDeadly, func() { r.serverEnded(s, server) })
 	s.link.SetTarget(server.Address)
 	r.note(func(*History) {
 		s.server, s.left, s.key = server, false, id
