--- a/test/machines/client_leaves_test.go
+++ b/test/machines/client_leaves_test.go
@@ -131,7 +131,7 @@
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1")
 	s := f.Servers["east-a.1"]
-	s.Large = 8 << 20
+	s.ExtraBytes = 8 << 20
 	c := &Client{Address: f.Boxes[0].Clients}
 	is.NoErr(c.Send("GET", "/read/1", "leaver", "", ""))
 	_, err := io.ReadFull(c.reader, make([]byte, 300<<10)) // more than a box holds before it passes an answer on
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -89,8 +89,8 @@
 	StartedAtMs int64
 	// Work is how long a request takes.
 	Work time.Duration
-	// Large is how many bytes more than usual whole answers have, which go out little by little.
-	Large int
+	// ExtraBytes is how many bytes more than usual whole answers have, which go out little by little.
+	ExtraBytes int
 	// Performance is what else decides how long; set it before the first request.
 	Performance Performance
 
@@ -402,7 +402,7 @@
 		s.head(c, run.ID, http.StatusInternalServerError, 0, true, "")
 		return true
 	}
-	if s.Large > 0 {
+	if s.ExtraBytes > 0 {
 		return s.large(c, run)
 	}
 	s.whole(c, run.ID)
@@ -427,8 +427,8 @@
 // large gives a large answer, and reports whether all of it went out. The run notes when its client has left.
 func (s *Server) large(c net.Conn, run *Run) bool {
 	body := AnswerBody(run.ID)
-	s.head(c, run.ID, http.StatusOK, len(body)+s.Large, true, "")
-	rest := body + strings.Repeat(".", s.Large)
+	s.head(c, run.ID, http.StatusOK, len(body)+s.ExtraBytes, true, "")
+	rest := body + strings.Repeat(".", s.ExtraBytes)
 	for rest != "" {
 		part := rest[:min(len(rest), largePart)]
 		rest = rest[len(part):]
