--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -146,7 +146,7 @@
 		{"no answer, unsafe", CutAnswer, "/buy/1", []int{502}, 1},
 		{"no length", Unframed, "/buy/1", []int{200}, 1},
 		{"one too many", Extra, "/buy/1", []int{200}, 1},
-		{"another's answer first", Foreign, "/buy/1", []int{200}, 1},
+		{"another's answer first", AnotherAnswerFirst, "/buy/1", []int{200}, 1},
 		{"garbage, safe", Garbage, "/read/1", []int{200}, 2},
 		{"garbage, unsafe", Garbage, "/buy/1", []int{502}, 1},
 		{"early refusal", Early, "/buy/1", []int{200, 503}, -1},
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -28,8 +28,8 @@
 	Unframed
 	// Extra sends a second answer after the whole one.
 	Extra
-	// Foreign sends the answer to another request before the right one.
-	Foreign
+	// AnotherAnswerFirst sends the answer to another request before the right one.
+	AnotherAnswerFirst
 	// Early answers a long request before it is read.
 	Early
 	// Refuse says that the request was not run, although slots are free.
@@ -396,7 +396,7 @@
 	case Mute:
 		_, _ = io.Copy(io.Discard, c)
 		return false
-	case Foreign:
+	case AnotherAnswerFirst:
 		s.whole(c, "another-request")
 	case Fail:
 		s.head(c, run.ID, http.StatusInternalServerError, 0, true, "")
