--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -150,7 +150,7 @@
 		{"garbage, safe", Garbage, "/read/1", []int{200}, 2},
 		{"garbage, unsafe", Garbage, "/buy/1", []int{502}, 1},
 		{"early refusal", Early, "/buy/1", []int{200, 503}, -1},
-		{"silence, unsafe", Mute, "/buy/1", []int{504}, 1},
+		{"silence, unsafe", NoAnswer, "/buy/1", []int{504}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -36,8 +36,8 @@
 	Refuse
 	// Garbage sends bytes that are not an answer.
 	Garbage
-	// Mute never answers.
-	Mute
+	// NoAnswer never answers.
+	NoAnswer
 	// Fail answers 500 of its own.
 	Fail
 )
@@ -393,7 +393,7 @@
 	case Garbage:
 		_, _ = io.WriteString(c, "these bytes are no answer\r\n\r\n")
 		return false
-	case Mute:
+	case NoAnswer:
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	case AnotherAnswerFirst:
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -265,7 +265,7 @@
 
 // spoils are the ways in which servers spoil answers.
 var spoils = []machines.Fault{
-	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.AnotherAnswerFirst, machines.Garbage, machines.Mute,
+	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.AnotherAnswerFirst, machines.Garbage, machines.NoAnswer,
 }
 
 // spoilShare of a spoiled server's answers are spoiled, one in so many.
