--- a/test/load/load.go
+++ b/test/load/load.go
@@ -207,7 +207,7 @@
 	}{
 		{"draining " + server.ID, func() { p.fleet.List(server, "shop", "east-a", "draining", 0) }},
 		{"the store turns " + turnedAway.Name + " away", func() {
-			p.store.SetTreat(func(ip, _ string) machines.Mode {
+			p.store.SetMode(func(ip, _ string) machines.Mode {
 				if ip == turnedAway.IP {
 					return machines.Busy
 				}
--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -98,7 +98,7 @@
 func TestBoxAsksItselfWhereAllThatAskAreTurnedAway(t *testing.T) {
 	f := newContactFleet(t)
 	away := watching(t, f)
-	f.Store.SetTreat(func(ip, _ string) Mode {
+	f.Store.SetMode(func(ip, _ string) Mode {
 		if away[ip] {
 			return Silent
 		}
@@ -124,9 +124,9 @@
 	// The watches of the servers return, and are asked for anew within the silence.
 	f.List(f.Servers["east-a.1"], "shop", "east-a", "ready", time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
-	f.Store.SetTreat(func(string, string) Mode { return Silent })
+	f.Store.SetMode(func(string, string) Mode { return Silent })
 	time.Sleep(time.Second)
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	time.Sleep(4 * time.Second)
 	f.List(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
 	time.Sleep(2 * time.Second)
--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -425,10 +425,10 @@
 func TestHeldRequestsOutlastTheLossOfAllBoxes(t *testing.T) {
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/buy/deadly" })
-	f.Store.SetTreat(func(string, string) Mode { return Busy })
+	f.Store.SetMode(func(string, string) Mode { return Busy })
 	sendAgain(f, "POST", "/buy/deadly", "", "", 100*time.Millisecond, 700*time.Millisecond)
 	is.Equal(len(c.runs("/buy/deadly")), 3)
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	time.Sleep(2 * time.Second)
 	for _, b := range f.Boxes {
 		b.Stop()
--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -220,7 +220,7 @@
 func TestABoxOutOfContactDoesNotDenyAKey(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 2, customers())
-	f.Store.SetTreat(func(string, string) Mode { return Busy })
+	f.Store.SetMode(func(string, string) Mode { return Busy })
 	client := &Client{Address: f.Boxes[0].Clients}
 	defer client.Close()
 	eventually(t, "the box knows that its configuration may be old", func() bool {
@@ -228,7 +228,7 @@
 	})
 	is.Equal(client.Do("GET", "/read/1", "none", "", "").Status, 503)
 	is.Equal(client.Do("GET", "/read/1", "old", "", bearer(studioKey)).Status, 200)
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	eventually(t, "a fresh box says so", func() bool {
 		return client.Do("GET", "/read/1", "new", "", bearer("kk-secret-new")).Status == 401
 	})
@@ -306,7 +306,7 @@
 		for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			is.True(all(200)())
 		}
-		f.Store.SetTreat(func(string, string) Mode { return Silent })
+		f.Store.SetMode(func(string, string) Mode { return Silent })
 		down := time.Now()
 		if !enforce {
 			time.Sleep(4 * time.Second)
@@ -315,7 +315,7 @@
 		}
 		eventually(t, "none serves by key", all(503))
 		is.True(time.Since(down) < 4*time.Second)
-		f.Store.SetTreat(nil)
+		f.Store.SetMode(nil)
 		eventually(t, "all serve again", all(200))
 	}
 }
--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -49,7 +49,7 @@
 
 // silenceStore has the store say nothing to any box.
 func silenceStore(f *Fleet) {
-	f.Store.SetTreat(func(string, string) Mode { return Silent })
+	f.Store.SetMode(func(string, string) Mode { return Silent })
 }
 
 // TestServerThatSaysItLeaves: with the store silent, it gets nothing new of any box some time after it has
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -218,7 +218,7 @@
 	f, err := NewFleet(networkOf(t), io.Discard)
 	is.NoErr(err)
 	defer f.Close()
-	f.Store.SetTreat(func(string, string) Mode { return Busy })
+	f.Store.SetMode(func(string, string) Mode { return Busy })
 	b, err := f.AddBox("east-a")
 	is.NoErr(err)
 	c := &Client{Address: b.Clients}
@@ -230,7 +230,7 @@
 	f.Configure(1, read)
 	_, err = f.AddServer("east-a.1", "shop", "east-a", 4, time.Millisecond)
 	is.NoErr(err)
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	eventually(t, "ready", func() bool { return status(t, "http://"+b.Ready+"/-/ready") == 200 })
 	is.Equal(c.Do("GET", "/read/1", "id", "", "").Status, 200)
 	is.Equal(c.Do("GET", "/none/1", "id", "", "").Status, 404)
@@ -320,7 +320,7 @@
 			f := newFleet(t, 3, "east-a.1", "east-a.2", "east-b.1")
 			turnedAway := f.Boxes[2]
 			eventually(t, "the boxes know each other", func() bool { return turnedAway.Members.Count() == 3 })
-			f.Store.SetTreat(func(ip, _ string) Mode {
+			f.Store.SetMode(func(ip, _ string) Mode {
 				if ip == turnedAway.IP {
 					return mode
 				}
@@ -347,11 +347,11 @@
 // known soon after.
 func TestStoreThatForgetsIsListedAnew(t *testing.T) {
 	f := newFleet(t, 1, "east-a.1")
-	f.Store.SetTreat(func(string, string) Mode { return Silent })
+	f.Store.SetMode(func(string, string) Mode { return Silent })
 	f.Configure(7, Route{Prefix: "/new/", Kind: "safe", Service: "shop"})
 	time.Sleep(200 * time.Millisecond)
 	f.Store.Compact()
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
 	eventually(t, "the new route is served", func() bool { return c.Do("GET", "/new/1", "id", "", "").Status == 200 })
@@ -492,7 +492,7 @@
 	f := newFleet(t, 2, "east-a.1", "east-a.2")
 	cutOff := f.Boxes[1]
 	eventually(t, "the boxes know each other", func() bool { return cutOff.Members.Count() == 2 })
-	f.Store.SetTreat(func(ip, _ string) Mode {
+	f.Store.SetMode(func(ip, _ string) Mode {
 		if ip == cutOff.IP {
 			return Busy
 		}
@@ -595,7 +595,7 @@
 	const boxes = 12
 	f := newFleetIn(t, func(int) string { return "east-a" }, boxes, "east-a.1", "east-a.2")
 	time.Sleep(4 * time.Second)
-	f.Store.SetTreat(func(string, string) Mode { return Busy })
+	f.Store.SetMode(func(string, string) Mode { return Busy })
 	time.Sleep(3 * time.Second) // roles settle
 	before := map[string]int{}
 	for _, b := range f.Boxes {
@@ -610,7 +610,7 @@
 	}
 	is.True(trying >= 1)
 	is.True(trying <= 4) // after four times of contact without the store
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	f.Configure(30, read, Route{Prefix: "/back/", Kind: "safe", Service: "shop"})
 	start := time.Now()
 	eventually(t, "all boxes have the change", allServe("/back/", f.Boxes))
@@ -636,7 +636,7 @@
 			for _, b := range f.Boxes[:c.away] {
 				away[b.IP] = true
 			}
-			f.Store.SetTreat(func(ip, _ string) Mode {
+			f.Store.SetMode(func(ip, _ string) Mode {
 				if away[ip] {
 					return Busy
 				}
--- a/test/machines/starting_test.go
+++ b/test/machines/starting_test.go
@@ -22,7 +22,7 @@
 	f.Configure(1, read)
 	_, err = f.AddServer("east-a.1", "shop", "east-a", 4, time.Millisecond)
 	is.NoErr(err)
-	f.Store.SetTreat(func(_, path string) Mode {
+	f.Store.SetMode(func(_, path string) Mode {
 		if strings.HasSuffix(path, "/servers") {
 			return Busy
 		}
@@ -50,7 +50,7 @@
 		t.Logf("after %v it is told to come back in %v", least, told)
 		is.True(told >= least && told <= most)
 	}
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	eventually(t, "ready", func() bool { return status(t, "http://"+b.Ready+"/-/ready") == 200 })
 	c := &Client{Address: b.Clients}
 	defer c.Close()
--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -94,8 +94,8 @@
 	_ = s.server.Close()
 }
 
-// SetTreat sets how calls are treated from now on; nil serves all.
-func (s *Store) SetTreat(treat func(ip, path string) Mode) {
+// SetMode sets how calls are treated from now on; nil serves all.
+func (s *Store) SetMode(treat func(ip, path string) Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.treat = treat
--- a/test/machines/suspended_test.go
+++ b/test/machines/suspended_test.go
@@ -19,7 +19,7 @@
 	client := &Client{Address: b.Clients}
 	defer client.Close()
 	is.Equal(client.Do("GET", "/unknown/1", "before", "", "").Status, 404)
-	f.Store.SetTreat(func(string, string) Mode { return Silent })
+	f.Store.SetMode(func(string, string) Mode { return Silent })
 	b.Suspend(10 * time.Second)
 	is.Equal(client.Do("GET", "/unknown/1", "after", "", "").Status, 503)
 	is.Equal(client.Do("GET", "/read/1", "served", "", "").Status, 200) // with what it has
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -191,14 +191,14 @@
 		struck[b.IP] = all || i%2 == e.Target/2%2
 	}
 	end := r.open(e.Kind, "")
-	r.fleet.Store.SetTreat(func(ip, _ string) machines.Mode {
+	r.fleet.Store.SetMode(func(ip, _ string) machines.Mode {
 		if struck[ip] {
 			return mode
 		}
 		return machines.Serving
 	})
 	r.later(e.For, func() {
-		r.fleet.Store.SetTreat(nil)
+		r.fleet.Store.SetMode(nil)
 		end()
 	})
 }
@@ -206,9 +206,9 @@
 // silenceStore has the store say nothing to any box for a moment.
 func (r *run) silenceStore(e Event) {
 	end := r.open(StoreBlink, "")
-	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
+	r.fleet.Store.SetMode(func(string, string) machines.Mode { return machines.Silent })
 	r.later(e.For/blinkShare, func() {
-		r.fleet.Store.SetTreat(nil)
+		r.fleet.Store.SetMode(nil)
 		end()
 	})
 }
