--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -314,7 +314,7 @@
 // TestBoxThatTheStoreTurnsAwayLearnsFromOthers: drains, evacuations and
 // configurations reach it all the same.
 func TestBoxThatTheStoreTurnsAwayLearnsFromOthers(t *testing.T) {
-	for _, mode := range []Mode{Busy, Many, Silent, Resetting} {
+	for _, mode := range []Mode{Busy, TooMany, Silent, Resetting} {
 		t.Run(fmt.Sprint("mode ", int(mode)), func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, 3, "east-a.1", "east-a.2", "east-b.1")
--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -22,7 +22,7 @@
 	Serving Mode = iota
 	// Busy answers 503, Many 429.
 	Busy
-	Many
+	TooMany
 	// Silent never answers what it is asked meanwhile; watches that wait are answered
 	// when it speaks again. Resetting breaks the connection.
 	Silent
@@ -276,7 +276,7 @@
 	switch s.modeOf(r) {
 	case Busy:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Many:
+	case TooMany:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case Silent:
 		select {
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -182,7 +182,7 @@
 // troubleStore has the store turn some or all boxes away.
 func (r *run) troubleStore(e Event) {
 	mode := map[Kind]machines.Mode{
-		StoreBusy: machines.Busy, StoreMany: machines.Many, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
+		StoreBusy: machines.Busy, StoreMany: machines.TooMany, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
 	}[e.Kind]
 	// Every other such event strikes all boxes, the others every second one.
 	all := e.Target%2 == 0
