--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -205,8 +205,8 @@
 	Body   string
 	// Problem is what broke the exchange, nil if the answer is whole.
 	Problem error
-	// Last is true if the box announced that it closes the connection.
-	Last bool
+	// CloseAnnounced is true if the box announced that it closes the connection.
+	CloseAnnounced bool
 	Took time.Duration
 }
 
@@ -269,5 +269,5 @@
 	if err != nil || response.Close {
 		c.Close()
 	}
-	return &Answer{Status: response.StatusCode, Header: response.Header, Body: string(text), Problem: err, Last: response.Close}
+	return &Answer{Status: response.StatusCode, Header: response.Header, Body: string(text), Problem: err, CloseAnnounced: response.Close}
 }
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -451,7 +451,7 @@
 	defer late.Close()
 	a := late.Do("GET", "/read/9", "late", "", "")
 	is.Equal(a.Status, 200)
-	is.True(a.Last)
+	is.True(a.CloseAnnounced)
 	select {
 	case <-left:
 	case <-time.After(2 * time.Second):
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -130,7 +130,7 @@
 		if isOpen {
 			answer := c.Read()
 			read(c, q, answer)
-			isOpen = answer.Problem == nil && !answer.Last
+			isOpen = answer.Problem == nil && !answer.CloseAnnounced
 		} else {
 			q.Ended = time.Now()
 		}
