--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	f.Change = func(s *settings.Settings) {
+	f.ChangeSettings = func(s *settings.Settings) {
 		s.Bounds.Contact = 4 * time.Second
 		s.Bounds.Drain = 2500 * time.Millisecond
 	}
--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -283,7 +283,7 @@
 	is := is.New(t)
 	for _, enforce := range []bool{false, true} {
 		f := newCustomerFleet(t, io.Discard, 0, customers())
-		f.Change = func(s *settings.Settings) {
+		f.ChangeSettings = func(s *settings.Settings) {
 			s.Bounds.EnforceRevocation, s.Bounds.Revoke = enforce, 2500*time.Millisecond
 		}
 		for range 3 {
--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -26,8 +26,8 @@
 	Policy *policy.Policy
 	// Customers of the next configuration.
 	Customers []Customer
-	// Change changes the settings of the boxes that are added; nil for none.
-	Change  func(s *settings.Settings)
+	// ChangeSettings changes the settings of the boxes that are added; nil for none.
+	ChangeSettings  func(s *settings.Settings)
 	Store   *Store
 	Boxes   []*Box
 	Servers map[string]*Server
@@ -180,8 +180,8 @@
 	if f.Policy != nil {
 		s.Policy = *f.Policy
 	}
-	if f.Change != nil {
-		f.Change(&s)
+	if f.ChangeSettings != nil {
+		f.ChangeSettings(&s)
 	}
 	handler := logging.NewAsyncJSONHandler(f.log)
 	logContext, endLog := context.WithCancel(context.Background())
--- a/test/machines/limits_test.go
+++ b/test/machines/limits_test.go
@@ -203,7 +203,7 @@
 func TestAFleetThatStartsServesLimitedCustomersSoon(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 0, []Customer{{Name: "studio", Keys: []string{studioKey}, Rate: 40, Burst: 20}})
-	f.Change = func(s *settings.Settings) { s.Seeds = []string{f.network + ".4:8102"} }
+	f.ChangeSettings = func(s *settings.Settings) { s.Seeds = []string{f.network + ".4:8102"} }
 	for range 4 {
 		_, err := f.AddBox("east-a")
 		is.NoErr(err)
--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	f.Change = func(s *settings.Settings) { s.Platform.Rollouts = true }
+	f.ChangeSettings = func(s *settings.Settings) { s.Platform.Rollouts = true }
 	f.Configure(1, read, buy, upload)
 	for i := range 10 {
 		if _, err := f.AddServer(fmt.Sprint("east-a.old-", i), "shop", "east-a", 8, 10*time.Millisecond); err != nil {
