--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -158,7 +158,7 @@
 	if err := p.addServer(f, zone, serversEach); err != nil {
 		return err
 	}
-	f.List(old, "shop", zone, "draining", 0)
+	f.PutServer(old, "shop", zone, "draining", 0)
 	time.Sleep(third)
 	var mu sync.Mutex
 	for _, s := range f.Servers {
--- a/test/load/load.go
+++ b/test/load/load.go
@@ -205,7 +205,7 @@
 		what string
 		do   func()
 	}{
-		{"draining " + server.ID, func() { p.fleet.List(server, "shop", "east-a", "draining", 0) }},
+		{"draining " + server.ID, func() { p.fleet.PutServer(server, "shop", "east-a", "draining", 0) }},
 		{"the store turns " + turnedAway.Name + " away", func() {
 			p.store.SetMode(func(ip, _ string) machines.Mode {
 				if ip == turnedAway.IP {
--- a/test/machines/client_leaves_test.go
+++ b/test/machines/client_leaves_test.go
@@ -155,7 +155,7 @@
 	is.NoErr(err)
 	s.Advertised = full.address
 	f.Servers[s.ID] = s
-	f.List(s, "shop", "east-a", "ready", 0)
+	f.PutServer(s, "shop", "east-a", "ready", 0)
 	eventually(t, "it is listed", func() bool { return len(f.Boxes[0].Set.List()) == 1 })
 	c := &Client{Address: f.Boxes[0].Clients}
 	is.NoErr(c.Send("GET", "/read/1", "leaver", "", ""))
--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -104,7 +104,7 @@
 		}
 		return Serving
 	})
-	f.List(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
+	f.PutServer(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
 	f.Configure(2, read, Route{Prefix: "/new/", Kind: "safe", Service: "shop"})
 	time.Sleep(2400 * time.Millisecond)
 	var served []*Box
@@ -122,13 +122,13 @@
 func TestShortSilenceOfTheStoreLeavesNoBoxDeaf(t *testing.T) {
 	f := newContactFleet(t)
 	// The watches of the servers return, and are asked for anew within the silence.
-	f.List(f.Servers["east-a.1"], "shop", "east-a", "ready", time.Millisecond)
+	f.PutServer(f.Servers["east-a.1"], "shop", "east-a", "ready", time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	f.Store.SetMode(func(string, string) Mode { return Silent })
 	time.Sleep(time.Second)
 	f.Store.SetMode(nil)
 	time.Sleep(4 * time.Second)
-	f.List(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
+	f.PutServer(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
 	time.Sleep(2 * time.Second)
 	for _, b := range f.Boxes {
 		is.New(t).True(knowsLeaver(b, "east-a.2"))
--- a/test/machines/entries_test.go
+++ b/test/machines/entries_test.go
@@ -43,7 +43,7 @@
 		before := out.Arrivals()
 		serve(fmt.Sprint("out", i), 20)
 		is.Equal(out.Arrivals(), before)
-		f.List(out, "shop", "east-a", "ready", 0)
+		f.PutServer(out, "shop", "east-a", "ready", 0)
 		eventually(t, "the server is back", func() bool { return !gone(out.ID)() })
 	}
 	eventually(t, "it serves again", func() bool {
--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -98,12 +98,12 @@
 	}
 	s.Performance = nature
 	f.Servers[id] = s
-	f.List(s, service, zone, "ready", 0)
+	f.PutServer(s, service, zone, "ready", 0)
 	return s, nil
 }
 
-// List writes a server's entry.
-func (f *Fleet) List(s *Server, service, zone, state string, cold time.Duration) {
+// PutServer writes a server's entry.
+func (f *Fleet) PutServer(s *Server, service, zone, state string, cold time.Duration) {
 	address := s.Address
 	if s.Advertised != "" {
 		address = s.Advertised
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -326,7 +326,7 @@
 				}
 				return Serving
 			})
-			f.List(f.Servers["east-a.1"], "shop", "east-a", "draining", 0)
+			f.PutServer(f.Servers["east-a.1"], "shop", "east-a", "draining", 0)
 			f.Store.Put("evacuations", "east-b", map[string]any{})
 			f.Configure(2, read, Route{Prefix: "/new/", Kind: "safe", Service: "shop"})
 			start := time.Now()
@@ -467,7 +467,7 @@
 	cold, err := NewServer(f.network+".100", "east-a.2", 4, time.Millisecond)
 	is.NoErr(err)
 	f.Servers["east-a.2"] = cold
-	f.List(cold, "shop", "east-a", "ready", time.Second)
+	f.PutServer(cold, "shop", "east-a", "ready", time.Second)
 	eventually(t, "it is listed", func() bool { return len(f.Boxes[0].Set.List()) == 2 })
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -65,7 +65,7 @@
 		s.Version = "v2"
 		s.SetFault(func(r *Run) Fault { return fault(r, time.Since(ordered)) })
 		f.Servers[s.ID] = s
-		f.List(s, "shop", "east-a", "ready", 0)
+		f.PutServer(s, "shop", "east-a", "ready", 0)
 	}
 	f.Store.Put("rollouts", "shop", map[string]any{"service": "shop", "target-version": "v2", "duration-s": rolloutTime.Seconds()})
 	for time.Since(ordered) < rolloutTime+time.Second {
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -172,7 +172,7 @@
 	s.Close()
 	again.StartedAtMs = s.StartedAtMs + 1000
 	f.Servers[s.ID] = again
-	f.List(again, "shop", "east-a", "ready", 0)
+	f.PutServer(again, "shop", "east-a", "ready", 0)
 	eventually(t, "boxes use the next life", func() bool {
 		send(t, f, 0, 5, 0)
 		return again.Arrivals() > 5
--- a/test/machines/walks_test.go
+++ b/test/machines/walks_test.go
@@ -46,7 +46,7 @@
 		{
 			name: "refused", target: "/buy/1", status: 503,
 			spoil: func(f *Fleet, s *Server) {
-				f.List(s, "shop", "east-a", "draining", 0)
+				f.PutServer(s, "shop", "east-a", "draining", 0)
 				waitFor(func() bool { return !f.Boxes[0].Set.HasServers() })
 			},
 			causes: []string{"backend: server draining", "request: not answered", "reason=no_backend_server"},
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -134,7 +134,7 @@
 		again := false
 		r.note(func(*History) { again = replaced && s.server == server && !s.left })
 		if again {
-			r.fleet.List(server, s.service, s.zone, "ready", 0)
+			r.fleet.PutServer(server, s.service, s.zone, "ready", 0)
 		}
 	})
 }
--- a/test/soak/moves.go
+++ b/test/soak/moves.go
@@ -59,7 +59,7 @@
 	r.later(d, func() {
 		r.fleet.Store.Delete("rollouts", m.Service)
 		for _, server := range servers {
-			r.fleet.List(server, m.Service, s.zone, "draining", 0)
+			r.fleet.PutServer(server, m.Service, s.zone, "draining", 0)
 			r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: server.ID, At: time.Now()}) })
 		}
 		time.Sleep(boundDrain)
@@ -99,7 +99,7 @@
 				}
 			}
 		})
-		r.fleet.List(server, m.Service, zone, "ready", 0)
+		r.fleet.PutServer(server, m.Service, zone, "ready", 0)
 	}
 	return list
 }
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -68,7 +68,7 @@
 		}
 		r.fleet.Servers[s.key] = server
 	})
-	r.fleet.List(server, s.service, s.zone, "ready", 0)
+	r.fleet.PutServer(server, s.service, s.zone, "ready", 0)
 	return nil
 }
 
@@ -238,7 +238,7 @@
 	wait := replaceAfter
 	switch e.Kind {
 	case ServerDrain:
-		r.fleet.List(old, s.service, s.zone, "draining", 0)
+		r.fleet.PutServer(old, s.service, s.zone, "draining", 0)
 		wait += boundDrain
 	case ServerCrash:
 		old.Close()
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -34,7 +34,7 @@
 	old := s.server
 	old.SetHeader(machines.LeavingHeader, "1")
 	r.later(min(e.For, mostUnlisted)+boundDrain, func() {
-		r.fleet.List(old, s.service, s.zone, "draining", 0)
+		r.fleet.PutServer(old, s.service, s.zone, "draining", 0)
 		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
 		time.Sleep(replaceAfter)
 		if err := r.serve(s, fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())); err != nil {
