--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -331,7 +331,7 @@
 	s.mu.Lock()
 	run.Completed = true
 	s.mu.Unlock()
-	return s.spoil(c, run, fault)
+	return s.writeAnswer(c, run, fault)
 }
 
 // workOf returns how long a request for the key takes, and remembers the key.
@@ -374,7 +374,7 @@
 // AnswerBody is the body of a whole answer to the request.
 func AnswerBody(id string) string { return "the answer to " + id + strings.Repeat(".", 2000) }
 
-func (s *Server) spoil(c net.Conn, run *Run, fault Fault) bool {
+func (s *Server) writeAnswer(c net.Conn, run *Run, fault Fault) bool {
 	body := AnswerBody(run.ID)
 	switch fault {
 	case CutBody:
