--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -397,7 +397,7 @@
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	case AnotherAnswerFirst:
-		s.whole(c, "another-request")
+		s.writeComplete(c, "another-request")
 	case Fail:
 		s.head(c, run.ID, http.StatusInternalServerError, 0, true, "")
 		return true
@@ -405,14 +405,14 @@
 	if s.ExtraBytes > 0 {
 		return s.large(c, run)
 	}
-	s.whole(c, run.ID)
+	s.writeComplete(c, run.ID)
 	if fault == Extra {
-		s.whole(c, run.ID)
+		s.writeComplete(c, run.ID)
 	}
 	return true
 }
 
-func (s *Server) whole(c net.Conn, id string) {
+func (s *Server) writeComplete(c net.Conn, id string) {
 	body := AnswerBody(id)
 	s.head(c, id, http.StatusOK, len(body), true, "")
 	_, _ = io.WriteString(c, body)
