--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -403,7 +403,7 @@
 		return true
 	}
 	if s.ExtraBytes > 0 {
-		return s.large(c, run)
+		return s.writeLarge(c, run)
 	}
 	s.writeComplete(c, run.ID)
 	if fault == Extra {
@@ -424,8 +424,8 @@
 	largePause = 20 * time.Millisecond
 )
 
-// large gives a large answer, and reports whether all of it went out. The run notes when its client has left.
-func (s *Server) large(c net.Conn, run *Run) bool {
+// writeLarge gives a writeLarge answer, and reports whether all of it went out. The run notes when its client has left.
+func (s *Server) writeLarge(c net.Conn, run *Run) bool {
 	body := AnswerBody(run.ID)
 	s.head(c, run.ID, http.StatusOK, len(body)+s.ExtraBytes, true, "")
 	rest := body + strings.Repeat(".", s.ExtraBytes)
