--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -378,7 +378,7 @@
 	body := AnswerBody(run.ID)
 	switch fault {
 	case CutBody:
-		s.head(c, run.ID, http.StatusOK, len(body), true, "")
+		s.writeHead(c, run.ID, http.StatusOK, len(body), true, "")
 		_, _ = io.WriteString(c, body[:100])
 		return false
 	case CutAnswer:
@@ -387,7 +387,7 @@
 		}
 		return false
 	case Unframed:
-		s.head(c, run.ID, http.StatusOK, -1, true, "Connection: close\r\n")
+		s.writeHead(c, run.ID, http.StatusOK, -1, true, "Connection: close\r\n")
 		_, _ = io.WriteString(c, body)
 		return false
 	case Garbage:
@@ -399,7 +399,7 @@
 	case AnotherAnswerFirst:
 		s.writeComplete(c, "another-request")
 	case Fail:
-		s.head(c, run.ID, http.StatusInternalServerError, 0, true, "")
+		s.writeHead(c, run.ID, http.StatusInternalServerError, 0, true, "")
 		return true
 	}
 	if s.ExtraBytes > 0 {
@@ -414,7 +414,7 @@
 
 func (s *Server) writeComplete(c net.Conn, id string) {
 	body := AnswerBody(id)
-	s.head(c, id, http.StatusOK, len(body), true, "")
+	s.writeHead(c, id, http.StatusOK, len(body), true, "")
 	_, _ = io.WriteString(c, body)
 }
 
@@ -427,7 +427,7 @@
 // writeLarge gives a writeLarge answer, and reports whether all of it went out. The run notes when its client has left.
 func (s *Server) writeLarge(c net.Conn, run *Run) bool {
 	body := AnswerBody(run.ID)
-	s.head(c, run.ID, http.StatusOK, len(body)+s.ExtraBytes, true, "")
+	s.writeHead(c, run.ID, http.StatusOK, len(body)+s.ExtraBytes, true, "")
 	rest := body + strings.Repeat(".", s.ExtraBytes)
 	for rest != "" {
 		part := rest[:min(len(rest), largePart)]
@@ -449,10 +449,10 @@
 	if notRun {
 		extra = "X-Stoneworks-Not-Executed: 1\r\n"
 	}
-	s.head(c, run.ID, status, 0, false, extra)
+	s.writeHead(c, run.ID, status, 0, false, extra)
 }
 
-func (s *Server) head(c net.Conn, id string, status, length int, signed bool, extra string) {
+func (s *Server) writeHead(c net.Conn, id string, status, length int, signed bool, extra string) {
 	s.mu.Lock()
 	load := fmt.Sprintf("%d,%d,%d", s.busy, s.waiting, s.Slots)
 	extra += s.headers.lines(sourceOf(c), id, status)
