--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -283,7 +283,7 @@
 		s.refuse(c, run, http.StatusServiceUnavailable, true)
 		return true
 	}
-	if !s.enter() {
+	if !s.acquireSlot() {
 		s.refuse(c, run, http.StatusServiceUnavailable, true)
 		return true
 	}
@@ -291,7 +291,7 @@
 	return s.run(c, reader, run, fault)
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireSlot() bool {
 	s.mu.Lock()
 	if s.busy+s.waiting >= s.Slots+s.Queue {
 		s.mu.Unlock()
