--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -287,7 +287,7 @@
 		s.refuse(c, run, http.StatusServiceUnavailable, true)
 		return true
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	return s.run(c, reader, run, fault)
 }
 
@@ -307,7 +307,7 @@
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	s.busy--
 	s.mu.Unlock()
