--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -106,8 +106,8 @@
 	free     chan struct{}
 	listener net.Listener
 	conns    map[net.Conn]bool
-	// known are the keys that it remembers, the latest last.
-	known []string
+	// cachedKeys are the keys that it remembers, the latest last.
+	cachedKeys []string
 	// headers are what it says of itself: Server-Limit, Server-Leaving, and Retry-After in refusals.
 	headers statusHeaders
 }
@@ -345,13 +345,13 @@
 	if key == "" || s.Performance.Memory == 0 {
 		return time.Duration(took)
 	}
-	if i := slices.Index(s.known, key); i >= 0 {
+	if i := slices.Index(s.cachedKeys, key); i >= 0 {
 		took *= 1 - s.Performance.Gain
-		s.known = slices.Delete(s.known, i, i+1)
+		s.cachedKeys = slices.Delete(s.cachedKeys, i, i+1)
 	}
-	s.known = append(s.known, key)
-	if len(s.known) > s.Performance.Memory {
-		s.known = s.known[1:]
+	s.cachedKeys = append(s.cachedKeys, key)
+	if len(s.cachedKeys) > s.Performance.Memory {
+		s.cachedKeys = s.cachedKeys[1:]
 	}
 	return time.Duration(took)
 }
