--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -698,11 +698,11 @@
 	is := is.New(t)
 	s := &Server{Work: 100 * time.Millisecond, Performance: Performance{Memory: 2, Gain: 0.5, Speed: 2}}
 	const first, known = 50 * time.Millisecond, 25 * time.Millisecond
-	is.Equal(s.workOf("a"), first)
-	is.Equal(s.workOf("b"), first)
-	is.Equal(s.workOf("a"), known)
-	is.Equal(s.workOf("c"), first) // b is forgotten
-	is.Equal(s.workOf("a"), known)
-	is.Equal(s.workOf("b"), first)
-	is.Equal(s.workOf(""), first)
+	is.Equal(s.serviceTime("a"), first)
+	is.Equal(s.serviceTime("b"), first)
+	is.Equal(s.serviceTime("a"), known)
+	is.Equal(s.serviceTime("c"), first) // b is forgotten
+	is.Equal(s.serviceTime("a"), known)
+	is.Equal(s.serviceTime("b"), first)
+	is.Equal(s.serviceTime(""), first)
 }
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -318,7 +318,7 @@
 	s.mu.Lock()
 	s.runs = append(s.runs, run)
 	s.mu.Unlock()
-	if !s.work(c, reader, s.workOf(run.Key)) {
+	if !s.work(c, reader, s.serviceTime(run.Key)) {
 		s.mu.Lock()
 		run.CanceledAt = time.Now()
 		s.mu.Unlock()
@@ -334,8 +334,8 @@
 	return s.writeAnswer(c, run, fault)
 }
 
-// workOf returns how long a request for the key takes, and remembers the key.
-func (s *Server) workOf(key string) time.Duration {
+// serviceTime returns how long a request for the key takes, and remembers the key.
+func (s *Server) serviceTime(key string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := float64(s.Work)
