--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -318,7 +318,7 @@
 	s.mu.Lock()
 	s.runs = append(s.runs, run)
 	s.mu.Unlock()
-	if !s.work(c, reader, s.serviceTime(run.Key)) {
+	if !s.simulateWork(c, reader, s.serviceTime(run.Key)) {
 		s.mu.Lock()
 		run.CanceledAt = time.Now()
 		s.mu.Unlock()
@@ -356,8 +356,8 @@
 	return time.Duration(took)
 }
 
-// work waits for as long as the request takes, or until its client leaves.
-func (s *Server) work(c net.Conn, reader *bufio.Reader, took time.Duration) bool {
+// simulateWork waits for as long as the request takes, or until its client leaves.
+func (s *Server) simulateWork(c net.Conn, reader *bufio.Reader, took time.Duration) bool {
 	end := time.Now().Add(took)
 	_ = c.SetReadDeadline(end)
 	defer func() { _ = c.SetReadDeadline(time.Time{}) }()
