--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -165,7 +165,7 @@
 	s.deadly, s.ended = deadly, ended
 }
 
-func (s *Server) isDeadly(target string) bool {
+func (s *Server) crashesOn(target string) bool {
 	s.mu.Lock()
 	deadly := s.deadly
 	s.mu.Unlock()
@@ -324,7 +324,7 @@
 		s.mu.Unlock()
 		return false
 	}
-	if s.isDeadly(run.Target) {
+	if s.crashesOn(run.Target) {
 		s.crash()
 		return false
 	}
