--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -96,7 +96,7 @@
 
 	mu       sync.Mutex
 	fault    func(r *Run) Fault
-	deadly   func(target string) bool
+	crashOn   func(target string) bool
 	ended    func()
 	busy     int
 	waiting  int
@@ -162,12 +162,12 @@
 func (s *Server) SetCrashOn(deadly func(target string) bool, ended func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deadly, s.ended = deadly, ended
+	s.crashOn, s.ended = deadly, ended
 }
 
 func (s *Server) crashesOn(target string) bool {
 	s.mu.Lock()
-	deadly := s.deadly
+	deadly := s.crashOn
 	s.mu.Unlock()
 	return deadly != nil && deadly(target)
 }
