--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -97,7 +97,7 @@
 	mu       sync.Mutex
 	fault    func(r *Run) Fault
 	crashOn   func(target string) bool
-	ended    func()
+	onCrash    func()
 	busy     int
 	waiting  int
 	runs     []*Run
@@ -162,7 +162,7 @@
 func (s *Server) SetCrashOn(deadly func(target string) bool, ended func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crashOn, s.ended = deadly, ended
+	s.crashOn, s.onCrash = deadly, ended
 }
 
 func (s *Server) crashesOn(target string) bool {
@@ -175,8 +175,8 @@
 // crash ends the server, and tells of it once.
 func (s *Server) crash() {
 	s.mu.Lock()
-	ended := s.ended
-	s.ended = nil
+	ended := s.onCrash
+	s.onCrash = nil
 	s.mu.Unlock()
 	if ended != nil {
 		// What stands before the server is gone with it.
