--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -103,7 +103,7 @@
 	runs     []*Run
 	arrivals []Arrival
 	accepted int
-	free     chan struct{}
+	freeSlots     chan struct{}
 	listener net.Listener
 	conns    map[net.Conn]bool
 	// cachedKeys are the keys that it remembers, the latest last.
@@ -131,10 +131,10 @@
 	}
 	s := &Server{
 		ID: id, Address: l.Addr().String(), Slots: slots, Queue: 3 * slots, Work: work,
-		free: make(chan struct{}, slots), listener: l, StartedAtMs: time.Now().UnixMilli(), conns: map[net.Conn]bool{},
+		freeSlots: make(chan struct{}, slots), listener: l, StartedAtMs: time.Now().UnixMilli(), conns: map[net.Conn]bool{},
 	}
 	for range slots {
-		s.free <- struct{}{}
+		s.freeSlots <- struct{}{}
 	}
 	go s.accept()
 	return s, nil
@@ -299,7 +299,7 @@
 	}
 	s.waiting++
 	s.mu.Unlock()
-	<-s.free
+	<-s.freeSlots
 	s.mu.Lock()
 	s.waiting--
 	s.busy++
@@ -311,7 +311,7 @@
 	s.mu.Lock()
 	s.busy--
 	s.mu.Unlock()
-	s.free <- struct{}{}
+	s.freeSlots <- struct{}{}
 }
 
 func (s *Server) run(c net.Conn, reader *bufio.Reader, run *Run, fault Fault) bool {
