--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -37,7 +37,7 @@
 	Address string
 	// Treat returns the mode for a caller's call, by its IP number; nil
 	// serves all. Guarded by SetTreat.
-	treat func(ip, path string) Mode
+	mode func(ip, path string) Mode
 
 	mu       sync.Mutex
 	objects  map[string]map[string]*storedObject
@@ -98,7 +98,7 @@
 func (s *Store) SetMode(treat func(ip, path string) Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.treat = treat
+	s.mode = treat
 	s.wake()
 }
 
@@ -262,7 +262,7 @@
 // modeOf returns how a call is treated now.
 func (s *Store) modeOf(r *http.Request) Mode {
 	s.mu.Lock()
-	treat := s.treat
+	treat := s.mode
 	s.mu.Unlock()
 	if treat == nil {
 		return Serving
