--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -99,7 +99,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = treat
-	s.wake()
+	s.notifyWatches()
 }
 
 // Put makes or replaces an object. The spec is anything that JSON can hold.
@@ -117,7 +117,7 @@
 	o := &storedObject{Metadata: metadata{Name: name, Revision: s.at}, Spec: text}
 	s.objects[kind][name] = o
 	s.events = append(s.events, storedEvent{kind: kind, object: *o, at: s.at})
-	s.wake()
+	s.notifyWatches()
 }
 
 // putStatus replaces an object's status, and reports whether its last change was of the revision.
@@ -132,7 +132,7 @@
 	changed := &storedObject{Metadata: metadata{Name: name, Revision: s.at}, Spec: o.Spec, Status: status}
 	s.objects[kind][name] = changed
 	s.events = append(s.events, storedEvent{kind: kind, object: *changed, at: s.at})
-	s.wake()
+	s.notifyWatches()
 	return true
 }
 
@@ -157,7 +157,7 @@
 	delete(s.objects[kind], name)
 	s.at++
 	s.events = append(s.events, storedEvent{kind: kind, object: *o, gone: true, at: s.at})
-	s.wake()
+	s.notifyWatches()
 }
 
 // Compact forgets the history and cuts the watches.
@@ -167,7 +167,7 @@
 	s.events = nil
 	s.oldest = s.at
 	s.at++
-	s.wake()
+	s.notifyWatches()
 }
 
 // Calls returns how many calls came from an IP number.
@@ -177,7 +177,7 @@
 	return s.calls[ip]
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
