--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -47,7 +47,7 @@
 	changed  chan struct{}
 	calls    map[string]int
 	server   *http.Server
-	silenced chan struct{}
+	closed chan struct{}
 }
 
 type metadata struct {
@@ -76,7 +76,7 @@
 	}
 	s := &Store{
 		Address: l.Addr().String(), objects: map[string]map[string]*storedObject{},
-		changed: make(chan struct{}), silenced: make(chan struct{}), calls: map[string]int{},
+		changed: make(chan struct{}), closed: make(chan struct{}), calls: map[string]int{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/objects/{kind}", s.serve)
@@ -90,7 +90,7 @@
 
 // Close stops the store.
 func (s *Store) Close() {
-	close(s.silenced)
+	close(s.closed)
 	_ = s.server.Close()
 }
 
@@ -280,7 +280,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 	case Silent:
 		select {
-		case <-s.silenced:
+		case <-s.closed:
 		case <-r.Context().Done():
 		}
 		panic(http.ErrAbortHandler)
@@ -336,7 +336,7 @@
 			}
 		case <-timeout.C:
 			over = true
-		case <-s.silenced:
+		case <-s.closed:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
