--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -41,7 +41,7 @@
 
 	mu       sync.Mutex
 	objects  map[string]map[string]*storedObject
-	at       uint64
+	revision       uint64
 	events   []storedEvent
 	oldest   uint64
 	changed  chan struct{}
@@ -113,10 +113,10 @@
 	if s.objects[kind] == nil {
 		s.objects[kind] = map[string]*storedObject{}
 	}
-	s.at++
-	o := &storedObject{Metadata: metadata{Name: name, Revision: s.at}, Spec: text}
+	s.revision++
+	o := &storedObject{Metadata: metadata{Name: name, Revision: s.revision}, Spec: text}
 	s.objects[kind][name] = o
-	s.events = append(s.events, storedEvent{kind: kind, object: *o, at: s.at})
+	s.events = append(s.events, storedEvent{kind: kind, object: *o, at: s.revision})
 	s.notifyWatches()
 }
 
@@ -128,10 +128,10 @@
 	if o == nil || o.Metadata.Revision != revision {
 		return false
 	}
-	s.at++
-	changed := &storedObject{Metadata: metadata{Name: name, Revision: s.at}, Spec: o.Spec, Status: status}
+	s.revision++
+	changed := &storedObject{Metadata: metadata{Name: name, Revision: s.revision}, Spec: o.Spec, Status: status}
 	s.objects[kind][name] = changed
-	s.events = append(s.events, storedEvent{kind: kind, object: *changed, at: s.at})
+	s.events = append(s.events, storedEvent{kind: kind, object: *changed, at: s.revision})
 	s.notifyWatches()
 	return true
 }
@@ -155,8 +155,8 @@
 		return
 	}
 	delete(s.objects[kind], name)
-	s.at++
-	s.events = append(s.events, storedEvent{kind: kind, object: *o, gone: true, at: s.at})
+	s.revision++
+	s.events = append(s.events, storedEvent{kind: kind, object: *o, gone: true, at: s.revision})
 	s.notifyWatches()
 }
 
@@ -165,8 +165,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = nil
-	s.oldest = s.at
-	s.at++
+	s.oldest = s.revision
+	s.revision++
 	s.notifyWatches()
 }
 
@@ -307,7 +307,7 @@
 	for _, name := range page {
 		items = append(items, s.objects[kind][name])
 	}
-	writeJSON(w, map[string]any{"items": items, "more": len(names) > len(page), "at": s.at})
+	writeJSON(w, map[string]any{"items": items, "more": len(names) > len(page), "at": s.revision})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, kind string, since uint64, wait time.Duration) {
@@ -317,7 +317,7 @@
 	for {
 		s.mu.Lock()
 		events, gone := s.eventsSince(kind, since)
-		at, changed := s.at, s.changed
+		at, changed := s.revision, s.changed
 		s.mu.Unlock()
 		silent := s.modeOf(r) == Silent
 		switch {
