--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -65,7 +65,7 @@
 	kind   string
 	object storedObject
 	gone   bool
-	at     uint64
+	revision     uint64
 }
 
 // NewStore starts a store on a free port of the IP number.
@@ -116,7 +116,7 @@
 	s.revision++
 	o := &storedObject{Metadata: metadata{Name: name, Revision: s.revision}, Spec: text}
 	s.objects[kind][name] = o
-	s.events = append(s.events, storedEvent{kind: kind, object: *o, at: s.revision})
+	s.events = append(s.events, storedEvent{kind: kind, object: *o, revision: s.revision})
 	s.notifyWatches()
 }
 
@@ -131,7 +131,7 @@
 	s.revision++
 	changed := &storedObject{Metadata: metadata{Name: name, Revision: s.revision}, Spec: o.Spec, Status: status}
 	s.objects[kind][name] = changed
-	s.events = append(s.events, storedEvent{kind: kind, object: *changed, at: s.revision})
+	s.events = append(s.events, storedEvent{kind: kind, object: *changed, revision: s.revision})
 	s.notifyWatches()
 	return true
 }
@@ -156,7 +156,7 @@
 	}
 	delete(s.objects[kind], name)
 	s.revision++
-	s.events = append(s.events, storedEvent{kind: kind, object: *o, gone: true, at: s.revision})
+	s.events = append(s.events, storedEvent{kind: kind, object: *o, gone: true, revision: s.revision})
 	s.notifyWatches()
 }
 
@@ -349,7 +349,7 @@
 		return nil, true
 	}
 	for _, e := range s.events {
-		if e.kind == kind && e.at > since {
+		if e.kind == kind && e.revision > since {
 			events = append(events, map[string]any{"object": e.object, "gone": e.gone})
 		}
 	}
