--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -64,7 +64,7 @@
 type storedEvent struct {
 	kind   string
 	object storedObject
-	gone   bool
+	deleted   bool
 	revision     uint64
 }
 
@@ -156,7 +156,7 @@
 	}
 	delete(s.objects[kind], name)
 	s.revision++
-	s.events = append(s.events, storedEvent{kind: kind, object: *o, gone: true, revision: s.revision})
+	s.events = append(s.events, storedEvent{kind: kind, object: *o, deleted: true, revision: s.revision})
 	s.notifyWatches()
 }
 
@@ -350,7 +350,7 @@
 	}
 	for _, e := range s.events {
 		if e.kind == kind && e.revision > since {
-			events = append(events, map[string]any{"object": e.object, "gone": e.gone})
+			events = append(events, map[string]any{"object": e.object, "gone": e.deleted})
 		}
 	}
 	return events, false
