--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -43,7 +43,7 @@
 	objects  map[string]map[string]*storedObject
 	revision       uint64
 	events   []storedEvent
-	oldest   uint64
+	oldestRevision   uint64
 	changed  chan struct{}
 	calls    map[string]int
 	server   *http.Server
@@ -165,7 +165,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = nil
-	s.oldest = s.revision
+	s.oldestRevision = s.revision
 	s.revision++
 	s.notifyWatches()
 }
@@ -345,7 +345,7 @@
 }
 
 func (s *Store) eventsSince(kind string, since uint64) (events []map[string]any, gone bool) {
-	if since < s.oldest {
+	if since < s.oldestRevision {
 		return nil, true
 	}
 	for _, e := range s.events {
