--- a/test/machines/machine.go
+++ b/test/machines/machine.go
@@ -9,7 +9,7 @@
 type machine struct {
 	mu      sync.Mutex
 	started time.Time
-	away    time.Duration
+	suspended    time.Duration
 }
 
 func newMachine() *machine { return &machine{started: time.Now()} }
@@ -18,7 +18,7 @@
 func (m *machine) boottime() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.started) + m.away, nil
+	return time.Since(m.started) + m.suspended, nil
 }
 
 // Suspend has the box's machine wake from a suspension: the box has done nothing for so long,
@@ -26,5 +26,5 @@
 func (b *Box) Suspend(d time.Duration) {
 	b.machine.mu.Lock()
 	defer b.machine.mu.Unlock()
-	b.machine.away += d
+	b.machine.suspended += d
 }
