--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -17,20 +17,20 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// notes is a log that tests read while boxes write it.
-type notes struct {
+// syncBuffer is a log that tests read while boxes write it.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (n *notes) Write(p []byte) (int, error) {
+func (n *syncBuffer) Write(p []byte) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.text.Write(p)
 }
 
-func (n *notes) String() string {
+func (n *syncBuffer) String() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.text.String()
@@ -238,7 +238,7 @@
 // with the configuration that holds them.
 func TestKeysAreNeverTold(t *testing.T) {
 	is := is.New(t)
-	log := &notes{}
+	log := &syncBuffer{}
 	f := newCustomerFleet(t, log, 2, customers())
 	client := &Client{Address: f.Boxes[0].Clients}
 	defer client.Close()
--- a/test/machines/suspended_test.go
+++ b/test/machines/suspended_test.go
@@ -58,7 +58,7 @@
 func TestSuspensionIsNoted(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 0, "east-a.1")
-	log := &notes{}
+	log := &syncBuffer{}
 	f.log = log
 	b, err := f.AddBox("east-a")
 	is.NoErr(err)
