--- a/test/machines/limits_test.go
+++ b/test/machines/limits_test.go
@@ -18,8 +18,8 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// sendings are what came of a customer's requests.
-type sendings struct {
+// loadResult are what came of a customer's requests.
+type loadResult struct {
 	// statuses are how many got each status.
 	statuses map[int]int
 	// took is how long each took, the shortest first.
@@ -29,11 +29,11 @@
 }
 
 // p99 is within how long 99 of 100 were answered.
-func (s *sendings) p99() time.Duration { return s.took[len(s.took)*99/100] }
+func (s *loadResult) p99() time.Duration { return s.took[len(s.took)*99/100] }
 
 // sendFor lets clients of a customer send requests to boxes in turn for a time.
-func sendFor(f *Fleet, key string, every time.Duration, clients int, d time.Duration) *sendings {
-	s := &sendings{statuses: map[int]int{}}
+func sendFor(f *Fleet, key string, every time.Duration, clients int, d time.Duration) *loadResult {
+	s := &loadResult{statuses: map[int]int{}}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for n := range clients {
@@ -96,7 +96,7 @@
 	})
 	// The buckets fill.
 	time.Sleep(2 * time.Second)
-	var studio, label *sendings
+	var studio, label *loadResult
 	var all sync.WaitGroup
 	all.Add(2)
 	go func() {
@@ -139,7 +139,7 @@
 	time.Sleep(time.Second)
 	alone := sendFor(f, labelKey, 200*time.Millisecond, 6, 3*time.Second)
 	is.Equal(alone.statuses[200], len(alone.took))
-	done := make(chan *sendings)
+	done := make(chan *loadResult)
 	go func() { done <- sendFor(f, studioKey, 100*time.Millisecond, 30*rate/10, 4*time.Second) }()
 	time.Sleep(500 * time.Millisecond)
 	beside := sendFor(f, labelKey, 200*time.Millisecond, 6, 3*time.Second)
@@ -156,7 +156,7 @@
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 6, []Customer{{Name: "studio", Keys: []string{studioKey}, Rate: 40, Burst: 20}})
 	time.Sleep(time.Second)
-	done := make(chan *sendings)
+	done := make(chan *loadResult)
 	go func() { done <- sendFor(f, studioKey, 20*time.Millisecond, 12, 4*time.Second) }()
 	time.Sleep(time.Second)
 	f.Boxes[0].Stop()
