--- a/test/machines/limits_test.go
+++ b/test/machines/limits_test.go
@@ -61,8 +61,8 @@
 	return s
 }
 
-// mostIn returns the most requests of a customer that began in any window.
-func (f *Fleet) mostIn(customer string, window time.Duration) int {
+// maxInWindow returns the most requests of a customer that began in any window.
+func (f *Fleet) maxInWindow(customer string, window time.Duration) int {
 	var times []time.Time
 	for _, r := range f.runs() {
 		if r.Header.Get("X-Stoneworks-Tenant") == customer {
@@ -109,7 +109,7 @@
 	}()
 	all.Wait()
 	allowed := bound(30, 15)
-	most := f.mostIn("studio", 5*time.Second)
+	most := f.maxInWindow("studio", 5*time.Second)
 	t.Logf("studio %v, %d in 5 s of %d; label %v", studio.statuses, most, allowed, label.statuses)
 	is.True(most <= allowed)
 	is.True(studio.statuses[200] >= 60)
@@ -161,7 +161,7 @@
 	time.Sleep(time.Second)
 	f.Boxes[0].Stop()
 	statuses := (<-done).statuses
-	most := f.mostIn("studio", 5*time.Second)
+	most := f.maxInWindow("studio", 5*time.Second)
 	t.Logf("%v, %d in 5 s", statuses, most)
 	is.True(most <= bound(40, 20))
 	is.True(statuses[200] >= 80)
