--- a/test/machines/limits_test.go
+++ b/test/machines/limits_test.go
@@ -82,8 +82,8 @@
 	return most
 }
 
-// bound is how many requests a limit may let pass in 5 s.
-func bound(rate, burst float64) int { return int((rate*5+burst)*1.1 + 20) }
+// allowedInFiveSeconds is how many requests a limit may let pass in 5 s.
+func allowedInFiveSeconds(rate, burst float64) int { return int((rate*5+burst)*1.1 + 20) }
 
 // TestLimitsHoldOverAllBoxes: one customer sends far more than it may, to all boxes at
 // once, and is refused with when to come back; another one, below its limit, is
@@ -108,7 +108,7 @@
 		label = sendFor(f, labelKey, 200*time.Millisecond, 6, 4*time.Second)
 	}()
 	all.Wait()
-	allowed := bound(30, 15)
+	allowed := allowedInFiveSeconds(30, 15)
 	most := f.maxInWindow("studio", 5*time.Second)
 	t.Logf("studio %v, %d in 5 s of %d; label %v", studio.statuses, most, allowed, label.statuses)
 	is.True(most <= allowed)
@@ -163,7 +163,7 @@
 	statuses := (<-done).statuses
 	most := f.maxInWindow("studio", 5*time.Second)
 	t.Logf("%v, %d in 5 s", statuses, most)
-	is.True(most <= bound(40, 20))
+	is.True(most <= allowedInFiveSeconds(40, 20))
 	is.True(statuses[200] >= 80)
 }
 
