--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -80,7 +80,7 @@
 func knownToLeave(f *Fleet, s *Server) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
-			if !b.Statuses.IsLeaving(lifeOf(s)) {
+			if !b.Statuses.IsLeaving(incarnationOf(s)) {
 				return false
 			}
 		}
@@ -101,7 +101,7 @@
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", knownToLeave(f, s))
-	is.True(strings.Contains(operatorsSee(t, f, 2), lifeOf(s)))
+	is.True(strings.Contains(operatorsSee(t, f, 2), incarnationOf(s)))
 	s.SetHeader(LeavingHeader, "")
 	before := s.Arrivals()
 	for box := range f.Boxes {
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -14,8 +14,8 @@
 	"github.com/stoneworks/stoneworks/pkg/ctl"
 )
 
-// lifeOf names the life of a server as boxes do.
-func lifeOf(s *Server) string {
+// incarnationOf names the life of a server as boxes do.
+func incarnationOf(s *Server) string {
 	return (&backend.Server{ID: s.ID, StartedAtMs: s.StartedAtMs}).Incarnation()
 }
 
@@ -23,7 +23,7 @@
 func allHold(f *Fleet, s *Server, limit string) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
-			perSecond, named := b.Statuses.LimitOf(lifeOf(s))
+			perSecond, named := b.Statuses.LimitOf(incarnationOf(s))
 			if named != (limit != "") || named && strconv.FormatFloat(perSecond, 'g', -1, 64) != limit {
 				return false
 			}
@@ -79,7 +79,7 @@
 	admin := f.Boxes[2].Settings.Listen.Admin
 	var out, problems strings.Builder
 	is.Equal(ctl.Main([]string{"limits", admin}, nil, &out, &problems), 0)
-	is.True(strings.Contains(out.String(), lifeOf(s)) && strings.Contains(out.String(), "7.5"))
+	is.True(strings.Contains(out.String(), incarnationOf(s)) && strings.Contains(out.String(), "7.5"))
 	s.SetHeader(LimitHeader, "")
 	hears(t, f, 0, s)
 	eventually(t, "all boxes know that it has ended", allHold(f, s, ""))
