--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -108,7 +108,7 @@
 		send(t, f, box, 3, 0)
 	}
 	is.Equal(s.Arrivals(), before) // an answer or a list without the word does not end it
-	usesNextLife(t, f, s)
+	usesNextIncarnation(t, f, s)
 }
 
 // TestAllServersLeave: once all have said so, requests are refused at once, and have not run.
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -144,7 +144,7 @@
 		send(t, f, box, 3, 0)
 	}
 	is.True(s.Arrivals() > before)
-	usesNextLife(t, f, s)
+	usesNextIncarnation(t, f, s)
 }
 
 // TestRestThatCannotBeRead asks for nothing, is counted, and hides no other word.
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -160,11 +160,11 @@
 	hears(t, f, 0, s)
 	eventually(t, "all boxes know the limit", allHold(f, s, "0"))
 	is.Equal(f.Boxes[1].Statuses.Empty(), false)
-	usesNextLife(t, f, s)
+	usesNextIncarnation(t, f, s)
 }
 
-// usesNextLife has a server end and start again under its id, and sees to it that the first box uses it.
-func usesNextLife(t *testing.T, f *Fleet, s *Server) {
+// usesNextIncarnation has a server end and start again under its id, and sees to it that the first box uses it.
+func usesNextIncarnation(t *testing.T, f *Fleet, s *Server) {
 	t.Helper()
 	is := is.New(t)
 	again, err := NewServer(f.network+".100", s.ID, 4, 10*time.Millisecond)
