--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -96,7 +96,7 @@
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
 	s.SetHeader(LeavingHeader, "1")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	eventually(t, "all boxes know that it leaves", knownToLeave(f, s))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -133,7 +133,7 @@
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
 	s.RejectWithRetryAfter("60")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	s.RejectWithRetryAfter("")
 	is.True(strings.Contains(operatorsSee(t, f, 0), incarnationOf(s)))
 	is.True(!strings.Contains(operatorsSee(t, f, 1), incarnationOf(s)))
@@ -155,11 +155,11 @@
 	s := busiest(f)
 	s.RejectWithRetryAfter("a while")
 	s.SetHeader(LimitHeader, "9")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("words.unread", f.Boxes[0].Metrics).Count() > 0)
 	is.True(allHold(f, s, "9")())
 	s.RejectWithRetryAfter("")
-	hears(t, f, 0, s) // it is used on
+	requestUntilAnswered(t, f, 0, s) // it is used on
 }
 
 // TestRestBesideOtherTrouble: one server asks for rest and names a limit, another one says that it leaves,
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -46,8 +46,8 @@
 	return statuses
 }
 
-// hears has a box get an answer of the server, whose limit may let none pass for a while.
-func hears(t *testing.T, f *Fleet, box int, s *Server) {
+// requestUntilAnswered has a box get an answer of the server, whose limit may let none pass for a while.
+func requestUntilAnswered(t *testing.T, f *Fleet, box int, s *Server) {
 	t.Helper()
 	before := s.Arrivals()
 	eventually(t, "the server answers", func() bool {
@@ -64,24 +64,24 @@
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
 	s.SetHeader(LimitHeader, "9")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	eventually(t, "all boxes know the limit", allHold(f, s, "9"))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", allHold(f, s, "9"))
 	s.SetHeader(LimitHeader, "many")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("limits.unread", f.Boxes[0].Metrics).Count() > 0)
 	is.True(allHold(f, s, "9")()) // what cannot be read says nothing
 	s.SetHeader(LimitHeader, "7.5")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	eventually(t, "all boxes know that it has changed", allHold(f, s, "7.5"))
 	admin := f.Boxes[2].Settings.Listen.Admin
 	var out, problems strings.Builder
 	is.Equal(ctl.Main([]string{"limits", admin}, nil, &out, &problems), 0)
 	is.True(strings.Contains(out.String(), incarnationOf(s)) && strings.Contains(out.String(), "7.5"))
 	s.SetHeader(LimitHeader, "")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	eventually(t, "all boxes know that it has ended", allHold(f, s, ""))
 }
 
@@ -157,7 +157,7 @@
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
 	s.SetHeader(LimitHeader, "0")
-	hears(t, f, 0, s)
+	requestUntilAnswered(t, f, 0, s)
 	eventually(t, "all boxes know the limit", allHold(f, s, "0"))
 	is.Equal(f.Boxes[1].Statuses.Empty(), false)
 	usesNextIncarnation(t, f, s)
