--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -157,7 +157,7 @@
 	s.SetHeader(LimitHeader, "9")
 	requestUntilAnswered(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("words.unread", f.Boxes[0].Metrics).Count() > 0)
-	is.True(allHold(f, s, "9")())
+	is.True(allKnowLimit(f, s, "9")())
 	s.RejectWithRetryAfter("")
 	requestUntilAnswered(t, f, 0, s) // it is used on
 }
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -19,8 +19,8 @@
 	return (&backend.Server{ID: s.ID, StartedAtMs: s.StartedAtMs}).Incarnation()
 }
 
-// allHold reports whether all boxes know that the server names this limit, or with "" none.
-func allHold(f *Fleet, s *Server, limit string) func() bool {
+// allKnowLimit reports whether all boxes know that the server names this limit, or with "" none.
+func allKnowLimit(f *Fleet, s *Server, limit string) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
 			perSecond, named := b.Statuses.LimitOf(incarnationOf(s))
@@ -65,24 +65,24 @@
 	s := busiest(f)
 	s.SetHeader(LimitHeader, "9")
 	requestUntilAnswered(t, f, 0, s)
-	eventually(t, "all boxes know the limit", allHold(f, s, "9"))
+	eventually(t, "all boxes know the limit", allKnowLimit(f, s, "9"))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
-	eventually(t, "a box that starts later knows it", allHold(f, s, "9"))
+	eventually(t, "a box that starts later knows it", allKnowLimit(f, s, "9"))
 	s.SetHeader(LimitHeader, "many")
 	requestUntilAnswered(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("limits.unread", f.Boxes[0].Metrics).Count() > 0)
-	is.True(allHold(f, s, "9")()) // what cannot be read says nothing
+	is.True(allKnowLimit(f, s, "9")()) // what cannot be read says nothing
 	s.SetHeader(LimitHeader, "7.5")
 	requestUntilAnswered(t, f, 0, s)
-	eventually(t, "all boxes know that it has changed", allHold(f, s, "7.5"))
+	eventually(t, "all boxes know that it has changed", allKnowLimit(f, s, "7.5"))
 	admin := f.Boxes[2].Settings.Listen.Admin
 	var out, problems strings.Builder
 	is.Equal(ctl.Main([]string{"limits", admin}, nil, &out, &problems), 0)
 	is.True(strings.Contains(out.String(), incarnationOf(s)) && strings.Contains(out.String(), "7.5"))
 	s.SetHeader(LimitHeader, "")
 	requestUntilAnswered(t, f, 0, s)
-	eventually(t, "all boxes know that it has ended", allHold(f, s, ""))
+	eventually(t, "all boxes know that it has ended", allKnowLimit(f, s, ""))
 }
 
 // TestServerThatTakesNothing gets a request now and then, by which boxes hear when it takes more.
@@ -99,7 +99,7 @@
 	is.True(mostWhileLimited(s) <= allowedBy("0"))
 	is.True(arrivedSince(s, settled) > 0)
 	s.SetHeader(LimitHeader, "")
-	eventually(t, "all boxes hear that it takes all", allHold(f, s, ""))
+	eventually(t, "all boxes hear that it takes all", allKnowLimit(f, s, ""))
 	lifted := time.Now()
 	time.Sleep(time.Second)
 	counts := clients.end()
@@ -158,7 +158,7 @@
 	s := busiest(f)
 	s.SetHeader(LimitHeader, "0")
 	requestUntilAnswered(t, f, 0, s)
-	eventually(t, "all boxes know the limit", allHold(f, s, "0"))
+	eventually(t, "all boxes know the limit", allKnowLimit(f, s, "0"))
 	is.Equal(f.Boxes[1].Statuses.Empty(), false)
 	usesNextIncarnation(t, f, s)
 }
@@ -190,7 +190,7 @@
 	s := busiest(f)
 	before := s.Arrivals()
 	s.SetHeader(LimitHeader, limit)
-	eventually(t, "all boxes know the limit", allHold(f, s, limit))
+	eventually(t, "all boxes know the limit", allKnowLimit(f, s, limit))
 	time.Sleep(limitContact)
 	settled := time.Now()
 	time.Sleep(limitWindow + 2*time.Second)
