--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -44,8 +44,8 @@
 	return f
 }
 
-// knowsLeaver reports whether the box sends a server nothing any more.
-func knowsLeaver(b *Box, id string) bool {
+// knowsDraining reports whether the box sends a server nothing any more.
+func knowsDraining(b *Box, id string) bool {
 	for _, v := range b.Set.List() {
 		if v.ID == id {
 			return v.Draining
@@ -110,7 +110,7 @@
 	var served []*Box
 	for _, b := range f.Boxes {
 		if !away[b.IP] {
-			is.New(t).True(knowsLeaver(b, "east-a.2"))
+			is.New(t).True(knowsDraining(b, "east-a.2"))
 			served = append(served, b)
 		}
 	}
@@ -131,6 +131,6 @@
 	f.PutServer(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
 	time.Sleep(2 * time.Second)
 	for _, b := range f.Boxes {
-		is.New(t).True(knowsLeaver(b, "east-a.2"))
+		is.New(t).True(knowsDraining(b, "east-a.2"))
 	}
 }
