--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -54,9 +54,9 @@
 	return true
 }
 
-// watching returns the boxes that ask the store for their zones, one of each, once they
+// storePollers returns the boxes that ask the store for their zones, one of each, once they
 // have settled that.
-func watching(t *testing.T, f *Fleet) map[string]bool {
+func storePollers(t *testing.T, f *Fleet) map[string]bool {
 	t.Helper()
 	for range 4 {
 		if found := asking(f); len(found) == len(Zones) {
@@ -97,7 +97,7 @@
 // leaving server in time, whoever else the store turns away.
 func TestBoxAsksItselfWhereAllThatAskAreTurnedAway(t *testing.T) {
 	f := newContactFleet(t)
-	away := watching(t, f)
+	away := storePollers(t, f)
 	f.Store.SetMode(func(ip, _ string) Mode {
 		if away[ip] {
 			return Silent
