--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -59,7 +59,7 @@
 func storePollers(t *testing.T, f *Fleet) map[string]bool {
 	t.Helper()
 	for range 4 {
-		if found := asking(f); len(found) == len(Zones) {
+		if found := callersOfStore(f); len(found) == len(Zones) {
 			return found
 		}
 	}
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// asking returns the boxes that ask the store, by their calls within a while.
-func asking(f *Fleet) map[string]bool {
+// callersOfStore returns the boxes that ask the store, by their calls within a while.
+func callersOfStore(f *Fleet) map[string]bool {
 	before := map[string]int{}
 	for _, b := range f.Boxes {
 		before[b.IP] = f.Store.Calls(b.IP)
