--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -101,7 +101,7 @@
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", knownToLeave(f, s))
-	is.True(strings.Contains(operatorsSee(t, f, 2), incarnationOf(s)))
+	is.True(strings.Contains(printedStatuses(t, f, 2), incarnationOf(s)))
 	s.SetHeader(LeavingHeader, "")
 	before := s.Arrivals()
 	for box := range f.Boxes {
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -118,8 +118,8 @@
 	is.Equal(do(101).Status, 200)
 }
 
-// operatorsSee is what operators are told of what servers say, by one box.
-func operatorsSee(t *testing.T, f *Fleet, box int) string {
+// printedStatuses is what operators are told of what servers say, by one box.
+func printedStatuses(t *testing.T, f *Fleet, box int) string {
 	t.Helper()
 	var out, problems strings.Builder
 	is.New(t).Equal(ctl.Main([]string{"servers", f.Boxes[box].Settings.Listen.Admin}, nil, &out, &problems), 0)
@@ -135,8 +135,8 @@
 	s.RejectWithRetryAfter("60")
 	requestUntilAnswered(t, f, 0, s)
 	s.RejectWithRetryAfter("")
-	is.True(strings.Contains(operatorsSee(t, f, 0), incarnationOf(s)))
-	is.True(!strings.Contains(operatorsSee(t, f, 1), incarnationOf(s)))
+	is.True(strings.Contains(printedStatuses(t, f, 0), incarnationOf(s)))
+	is.True(!strings.Contains(printedStatuses(t, f, 1), incarnationOf(s)))
 	before := s.Arrivals()
 	send(t, f, 0, 20, 0)
 	is.Equal(s.Arrivals(), before)
