--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -31,9 +31,9 @@
 	mostInRest = 2
 )
 
-// mostWhileResting is how many requests a server got from a box in a time of rest that it had
+// maxDuringRetryAfter is how many requests a server got from a box in a time of rest that it had
 // asked that box for.
-func mostWhileResting(s *Server, rest time.Duration) (most int) {
+func maxDuringRetryAfter(s *Server, rest time.Duration) (most int) {
 	arrivals := s.ArrivalLog()
 	for _, asked := range s.SentHeaders(RetryAfterHeader) {
 		n := 0
@@ -58,7 +58,7 @@
 	s := busiest(f)
 	s.RejectWithRetryAfter("3")
 	time.Sleep(5 * time.Second)
-	most := mostWhileResting(s, 3*time.Second)
+	most := maxDuringRetryAfter(s, 3*time.Second)
 	s.RejectWithRetryAfter("")
 	time.Sleep(3 * time.Second)
 	rested := time.Now()
@@ -184,7 +184,7 @@
 	ran := len(rests.Runs())
 	time.Sleep(2 * time.Second)
 	told, any := lateAfterLeaving(leaves)
-	most, limited := mostWhileResting(rests, 1500*time.Millisecond), mostWhileLimited(rests)
+	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), mostWhileLimited(rests)
 	counts := clients.end()
 	t.Logf("%d in a time of rest, %d in %s by the limit, %d of %d too late, %d run after; %v",
 		most, limited, limitWindow, told, any, len(rests.Runs())-ran, counts)
