--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -24,8 +24,8 @@
 // here up to 173 requests of one box reached a server in three seconds of rest.
 
 const (
-	// restTold is how long after a server has asked for rest requests may still be on their way.
-	restTold = 500 * time.Millisecond
+	// retryAfterDelay is how long after a server has asked for rest requests may still be on their way.
+	retryAfterDelay = 500 * time.Millisecond
 	// mostInRest is how many requests may reach a server from a box that it has asked for rest,
 	// between restTold and the end of that time.
 	mostInRest = 2
@@ -39,7 +39,7 @@
 		n := 0
 		for _, a := range arrivals {
 			after := a.At.Sub(asked.At)
-			if a.From == asked.To && after >= restTold && after < rest {
+			if a.From == asked.To && after >= retryAfterDelay && after < rest {
 				n++
 			}
 		}
