--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -26,9 +26,9 @@
 const (
 	// retryAfterDelay is how long after a server has asked for rest requests may still be on their way.
 	retryAfterDelay = 500 * time.Millisecond
-	// mostInRest is how many requests may reach a server from a box that it has asked for rest,
+	// maxRequestsInRetryAfter is how many requests may reach a server from a box that it has asked for rest,
 	// between restTold and the end of that time.
-	mostInRest = 2
+	maxRequestsInRetryAfter = 2
 )
 
 // maxDuringRetryAfter is how many requests a server got from a box in a time of rest that it had
@@ -67,7 +67,7 @@
 	counts := clients.end()
 	t.Logf("at most %d requests in a time of rest, %d in the fourth second after the last; answers %v", most, back, counts)
 	is.True(len(s.SentHeaders(RetryAfterHeader)) > 0)
-	is.True(most <= mostInRest)
+	is.True(most <= maxRequestsInRetryAfter)
 	is.True(back > 20) // it is used as before
 	total := 0
 	for _, n := range counts {
@@ -188,7 +188,7 @@
 	counts := clients.end()
 	t.Logf("%d in a time of rest, %d in %s by the limit, %d of %d too late, %d run after; %v",
 		most, limited, limitWindow, told, any, len(rests.Runs())-ran, counts)
-	is.True(most <= mostInRest)
+	is.True(most <= maxRequestsInRetryAfter)
 	is.True(limited <= allowedBy("5"))
 	is.Equal(told, 0)
 	is.Equal(any, 0)
