--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -184,7 +184,7 @@
 	ran := len(rests.Runs())
 	time.Sleep(2 * time.Second)
 	told, any := lateAfterLeaving(leaves)
-	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), mostWhileLimited(rests)
+	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), maxInLimitWindow(rests)
 	counts := clients.end()
 	t.Logf("%d in a time of rest, %d in %s by the limit, %d of %d too late, %d run after; %v",
 		most, limited, limitWindow, told, any, len(rests.Runs())-ran, counts)
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -96,7 +96,7 @@
 	time.Sleep(limitContact)
 	settled := time.Now()
 	time.Sleep(limitWindow + 2*time.Second)
-	is.True(mostWhileLimited(s) <= allowedBy("0"))
+	is.True(maxInLimitWindow(s) <= allowedBy("0"))
 	is.True(arrivedSince(s, settled) > 0)
 	s.SetHeader(LimitHeader, "")
 	eventually(t, "all boxes hear that it takes all", allKnowLimit(f, s, ""))
@@ -139,8 +139,8 @@
 	total := 0
 	for id, s := range f.Servers {
 		got := arrivedSince(s, settled)
-		t.Log(id, "got", got, "in", span.Round(time.Millisecond), "at most", mostWhileLimited(s), "of", allowedBy(limit))
-		is.True(mostWhileLimited(s) <= allowedBy(limit))
+		t.Log(id, "got", got, "in", span.Round(time.Millisecond), "at most", maxInLimitWindow(s), "of", allowedBy(limit))
+		is.True(maxInLimitWindow(s) <= allowedBy(limit))
 		total += got
 	}
 	t.Log("refused", refused, "the slowest after", slowest, "others' answers", counts)
@@ -194,7 +194,7 @@
 	time.Sleep(limitContact)
 	settled := time.Now()
 	time.Sleep(limitWindow + 2*time.Second)
-	got, taken := mostWhileLimited(s), arrivedSince(s, settled)
+	got, taken := maxInLimitWindow(s), arrivedSince(s, settled)
 	span := time.Since(settled)
 	t.Logf("%d in two seconds before, then at most %d in %s where %d are allowed, %d in %s; answers %v",
 		before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), clients.end())
--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -39,9 +39,9 @@
 	return int(limitOverage*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// mostWhileLimited is how many requests a server got in a window from boxes that it had told of
+// maxInLimitWindow is how many requests a server got in a window from boxes that it had told of
 // its limit. It must have named one limit only, from some moment on.
-func mostWhileLimited(s *Server) int {
+func maxInLimitWindow(s *Server) int {
 	told := map[string]time.Time{}
 	var first time.Time
 	for _, n := range s.SentHeaders(LimitHeader) {
@@ -127,7 +127,7 @@
 			time.Sleep(limitContact)
 			settled := time.Now()
 			time.Sleep(limitWindow + 2*time.Second)
-			got, taken := mostWhileLimited(s), arrivedSince(s, settled)
+			got, taken := maxInLimitWindow(s), arrivedSince(s, settled)
 			span := time.Since(settled)
 			counts := clients.end()
 			t.Logf("%d requests in a second before, then at most %d in %s where %d are allowed, %d in %s; answers %v",
