--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -21,12 +21,12 @@
 
 // The bound on a server that names a limit, from the users' rule: in any time of limitWindow it
 // gets at most the limit's requests x limitOverage + limitSlack, counted from boxes that had
-// been told for limitTold, once it has named one for the time of contact.
+// been told for limitDelay, once it has named one for the time of contact.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
-	limitTold    = 500 * time.Millisecond
+	limitDelay    = 500 * time.Millisecond
 	limitContact = 1500 * time.Millisecond
 )
 
@@ -55,7 +55,7 @@
 	var counted []time.Time
 	for _, a := range s.ArrivalLog() {
 		at, known := told[a.From]
-		if known && a.At.Sub(at) >= limitTold {
+		if known && a.At.Sub(at) >= limitDelay {
 			counted = append(counted, a.At)
 		}
 	}
