--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -28,9 +28,9 @@
 // requests of all boxes share one request's path, and the number of servers that ended grew
 // with the attempts and never levelled off.
 
-// crashes is a service some of whose requests end the servers that run them. The platform
+// crashingService is a service some of whose requests end the servers that run them. The platform
 // starts another server for each that has ended, under an id of its own or the same one.
-type crashes struct {
+type crashingService struct {
 	fleet *Fleet
 	// deadly reports whether a request ends servers.
 	deadly func(target string) bool
@@ -58,9 +58,9 @@
 	lapseTime   = 900 * time.Millisecond
 )
 
-func newCrashes(t *testing.T, f *Fleet, servers int, deadly func(target string) bool) *crashes {
+func newCrashes(t *testing.T, f *Fleet, servers int, deadly func(target string) bool) *crashingService {
 	t.Helper()
-	c := &crashes{fleet: f, deadly: deadly, done: make(chan struct{})}
+	c := &crashingService{fleet: f, deadly: deadly, done: make(chan struct{})}
 	for i := range servers {
 		c.start(t, crashZones[i%len(crashZones)], "")
 	}
@@ -72,7 +72,7 @@
 }
 
 // start starts a server in the zone, under the id or a new one.
-func (c *crashes) start(t *testing.T, zone, id string) {
+func (c *crashingService) start(t *testing.T, zone, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.started++
@@ -90,21 +90,21 @@
 
 // isDeadly reports whether the target ends the server that runs it. It takes no lock that
 // a server's start holds.
-func (c *crashes) isDeadly(target string) bool {
+func (c *crashingService) isDeadly(target string) bool {
 	c.sparedMu.Lock()
 	defer c.sparedMu.Unlock()
 	return target != c.spared && c.deadly(target)
 }
 
 // spare has a target crash no servers from now on.
-func (c *crashes) spare(target string) {
+func (c *crashingService) spare(target string) {
 	c.sparedMu.Lock()
 	defer c.sparedMu.Unlock()
 	c.spared = target
 }
 
 // replace starts another server in the place of one that has ended, and has its entry lapse.
-func (c *crashes) replace(t *testing.T, id, zone string) {
+func (c *crashingService) replace(t *testing.T, id, zone string) {
 	c.pending.Add(1)
 	go func() {
 		defer c.pending.Done()
@@ -123,7 +123,7 @@
 }
 
 // wait reports whether the time has passed before the test was over.
-func (c *crashes) wait(d time.Duration) bool {
+func (c *crashingService) wait(d time.Duration) bool {
 	select {
 	case <-c.done:
 		return false
@@ -133,7 +133,7 @@
 }
 
 // runs returns when servers began to run the target, in their order.
-func (c *crashes) runs(target string) []time.Time {
+func (c *crashingService) runs(target string) []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var at []time.Time
@@ -274,7 +274,7 @@
 }
 
 // newCrashFleet starts a box in each zone and nine servers that some requests crash.
-func newCrashFleet(t *testing.T, deadly func(target string) bool) (*Fleet, *crashes) {
+func newCrashFleet(t *testing.T, deadly func(target string) bool) (*Fleet, *crashingService) {
 	t.Helper()
 	f := newFleet(t, 0)
 	c := newCrashes(t, f, 9, deadly)
