--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -58,7 +58,7 @@
 	lapseTime   = 900 * time.Millisecond
 )
 
-func newCrashes(t *testing.T, f *Fleet, servers int, deadly func(target string) bool) *crashingService {
+func newCrashingService(t *testing.T, f *Fleet, servers int, deadly func(target string) bool) *crashingService {
 	t.Helper()
 	c := &crashingService{fleet: f, deadly: deadly, done: make(chan struct{})}
 	for i := range servers {
@@ -277,7 +277,7 @@
 func newCrashFleet(t *testing.T, deadly func(target string) bool) (*Fleet, *crashingService) {
 	t.Helper()
 	f := newFleet(t, 0)
-	c := newCrashes(t, f, 9, deadly)
+	c := newCrashingService(t, f, 9, deadly)
 	for i := range 3 {
 		if _, err := f.AddBox(Zones[i].Zone); err != nil {
 			t.Fatal(err)
