--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -229,9 +229,9 @@
 	return tr.answers
 }
 
-// sendAgain sends the request again and again, to each box in turn, as clients do that come
+// sendRepeatedly sends the request again and again, to each box in turn, as clients do that come
 // back after a failure.
-func sendAgain(f *Fleet, method, target, body, extra string, every, total time.Duration) (answers map[int]int) {
+func sendRepeatedly(f *Fleet, method, target, body, extra string, every, total time.Duration) (answers map[int]int) {
 	answers = map[int]int{}
 	for i, end := 0, time.Now().Add(total); time.Now().Before(end); i++ {
 		c := &Client{Address: f.Boxes[i%len(f.Boxes)].Clients}
@@ -258,7 +258,7 @@
 	c.sameID = sameID
 	ordinary := newTraffic(f, 9)
 	time.Sleep(300 * time.Millisecond)
-	got := sendAgain(f, "GET", "/read/deadly", "", "X-Stoneworks-Affinity-Key: 3\r\n", 50*time.Millisecond, 4*time.Second)
+	got := sendRepeatedly(f, "GET", "/read/deadly", "", "X-Stoneworks-Affinity-Key: 3\r\n", 50*time.Millisecond, 4*time.Second)
 	counts := ordinary.end()
 	at := c.runs("/read/deadly")
 	t.Log("the deadly request's answers", got, "runs", len(at), "ordinary requests' answers", counts)
@@ -303,7 +303,7 @@
 func TestUnsafeRequestThatCrashesServersIsHeld(t *testing.T) {
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/buy/deadly" })
-	got := sendAgain(f, "POST", "/buy/deadly", "the same body", "", 100*time.Millisecond, 2*time.Second)
+	got := sendRepeatedly(f, "POST", "/buy/deadly", "the same body", "", 100*time.Millisecond, 2*time.Second)
 	is.Equal(len(c.runs("/buy/deadly")), 3)
 	is.Equal(got[502], 3)
 	client := &Client{Address: f.Boxes[0].Clients}
@@ -350,7 +350,7 @@
 func TestBoxThatStartsLaterKnowsHeldRequests(t *testing.T) {
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/read/deadly" })
-	sendAgain(f, "GET", "/read/deadly", "", "", 50*time.Millisecond, time.Second)
+	sendRepeatedly(f, "GET", "/read/deadly", "", "", 50*time.Millisecond, time.Second)
 	before := len(c.runs("/read/deadly"))
 	b, err := f.AddBox("west-a")
 	is.NoErr(err)
@@ -376,10 +376,10 @@
 		})
 	}
 	for range 2 {
-		for status := range sendAgain(f, "GET", "/read/lost", "", "", 10*time.Millisecond, 300*time.Millisecond) {
+		for status := range sendRepeatedly(f, "GET", "/read/lost", "", "", 10*time.Millisecond, 300*time.Millisecond) {
 			is.Equal(status, 502)
 		}
-		sendAgain(f, "POST", "/buy/lost", "", "", 10*time.Millisecond, 300*time.Millisecond)
+		sendRepeatedly(f, "POST", "/buy/lost", "", "", 10*time.Millisecond, 300*time.Millisecond)
 	}
 	for _, b := range f.Boxes {
 		is.True(b.Quarantine.Empty())
@@ -401,7 +401,7 @@
 			clients.Add(1)
 			go func() {
 				defer clients.Done()
-				sendAgain(f, "GET", target, "", "X-Stoneworks-Affinity-Key: 3\r\n", 50*time.Millisecond, 4*time.Second)
+				sendRepeatedly(f, "GET", target, "", "X-Stoneworks-Affinity-Key: 3\r\n", 50*time.Millisecond, 4*time.Second)
 			}()
 		}
 	}
@@ -426,7 +426,7 @@
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/buy/deadly" })
 	f.Store.SetMode(func(string, string) Mode { return Busy })
-	sendAgain(f, "POST", "/buy/deadly", "", "", 100*time.Millisecond, 700*time.Millisecond)
+	sendRepeatedly(f, "POST", "/buy/deadly", "", "", 100*time.Millisecond, 700*time.Millisecond)
 	is.Equal(len(c.runs("/buy/deadly")), 3)
 	f.Store.SetMode(nil)
 	time.Sleep(2 * time.Second)
@@ -439,6 +439,6 @@
 		is.NoErr(err)
 	}
 	eventually(t, "all boxes are ready and know each other", allKnown(f))
-	sendAgain(f, "POST", "/buy/deadly", "", "", 100*time.Millisecond, 700*time.Millisecond)
+	sendRepeatedly(f, "POST", "/buy/deadly", "", "", 100*time.Millisecond, 700*time.Millisecond)
 	is.Equal(len(c.runs("/buy/deadly")), 3)
 }
