--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -317,13 +317,13 @@
 	// Another body is another request.
 	c.spare("/buy/deadly")
 	is.Equal(client.Do("POST", "/buy/deadly", "other", "another body", "").Status, 200)
-	releases(t, f)
+	releaseHeldRequest(t, f)
 	is.Equal(client.Do("POST", "/buy/deadly", "repaired", "the same body", "").Status, 200)
 }
 
-// releases has an operator release the one request that is held, at one box, and waits until
+// releaseHeldRequest has an operator release the one request that is held, at one box, and waits until
 // all have.
-func releases(t *testing.T, f *Fleet) {
+func releaseHeldRequest(t *testing.T, f *Fleet) {
 	t.Helper()
 	is := is.New(t)
 	admin := f.Boxes[1].Settings.Listen.Admin
