--- a/test/machines/client_leaves_test.go
+++ b/test/machines/client_leaves_test.go
@@ -46,7 +46,7 @@
 			occupy(t, f, c.busy)
 			client := &Client{Address: f.Boxes[0].Clients}
 			if c.cut {
-				earnRepeats(t, f, client)
+				earnRetries(t, f, client)
 				cutFirst(f)
 			}
 			extra := ""
@@ -86,8 +86,8 @@
 	eventually(t, "the slots are taken", func() bool { return len(f.Servers["east-a.1"].Runs()) == requests })
 }
 
-// earnRepeats sends requests that pay for a repeat.
-func earnRepeats(t *testing.T, f *Fleet, c *Client) {
+// earnRetries sends requests that pay for a repeat.
+func earnRetries(t *testing.T, f *Fleet, c *Client) {
 	t.Helper()
 	for _, s := range f.Servers {
 		s.Work = time.Millisecond
