--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -25,9 +25,9 @@
 	rollbackTime  = 5 * time.Second
 )
 
-// playRollout has a service of ten servers move to a version whose servers fail as told, while clients send
+// runRollout has a service of ten servers move to a version whose servers fail as told, while clients send
 // requests, and returns the fleet, when it was ordered, and the states noted, each a second.
-func playRollout(t *testing.T, fault func(r *Run, since time.Duration) Fault, slower float64) (f *Fleet, ordered time.Time, states []string) {
+func runRollout(t *testing.T, fault func(r *Run, since time.Duration) Fault, slower float64) (f *Fleet, ordered time.Time, states []string) {
 	t.Helper()
 	f, err := NewFleet(networkOf(t), io.Discard)
 	if err != nil {
@@ -108,7 +108,7 @@
 func TestGoodVersionTakesOver(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f, ordered, states := playRollout(t, func(*Run, time.Duration) Fault { return NoFault }, 1)
+	f, ordered, states := runRollout(t, func(*Run, time.Duration) Fault { return NoFault }, 1)
 	is.Equal(states[1], "running")
 	is.Equal(states[len(states)-2], "complete")
 	old, fresh := runsByVersion(f, ordered.Add(rolloutTime))
@@ -137,7 +137,7 @@
 			t.Parallel()
 			is := is.New(t)
 			bad := &badAnswers{}
-			f, ordered, states := playRollout(t, func(r *Run, since time.Duration) Fault {
+			f, ordered, states := runRollout(t, func(r *Run, since time.Duration) Fault {
 				fault := c.fault(r, since)
 				if fault != NoFault || c.slower > 1 {
 					bad.note(time.Now())
