--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -19,7 +19,7 @@
 // The shares of requests that a version may get until its deadline if it turns out to be bad, with a slack
 // in requests, and how long it may get any after mostBad bad answers.
 const (
-	mostExposed   = 0.1
+	maxExposure   = 0.1
 	exposureSlack = 20
 	mostBad       = 50
 	rollbackTime  = 5 * time.Second
@@ -148,7 +148,7 @@
 			old, fresh := runsByVersion(f, ordered)
 			t.Logf("%d requests at the new version, %d at the old one", len(fresh), len(old))
 			is.True(len(fresh) > 0)
-			is.True(float64(len(fresh)) <= mostExposed*float64(len(old)+len(fresh))+exposureSlack)
+			is.True(float64(len(fresh)) <= maxExposure*float64(len(old)+len(fresh))+exposureSlack)
 			if at, ok := bad.nth(mostBad); ok {
 				_, late := runsByVersion(f, at.Add(rollbackTime))
 				is.Equal(len(late), 0)
