--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -17,11 +17,11 @@
 const rolloutTime = 10 * time.Second
 
 // The shares of requests that a version may get until its deadline if it turns out to be bad, with a slack
-// in requests, and how long it may get any after mostBad bad answers.
+// in requests, and how long it may get any after maxBadAnswers bad answers.
 const (
 	maxExposure   = 0.1
 	exposureSlack = 20
-	mostBad       = 50
+	maxBadAnswers       = 50
 	rollbackTime  = 5 * time.Second
 )
 
@@ -149,7 +149,7 @@
 			t.Logf("%d requests at the new version, %d at the old one", len(fresh), len(old))
 			is.True(len(fresh) > 0)
 			is.True(float64(len(fresh)) <= maxExposure*float64(len(old)+len(fresh))+exposureSlack)
-			if at, ok := bad.nth(mostBad); ok {
+			if at, ok := bad.nth(maxBadAnswers); ok {
 				_, late := runsByVersion(f, at.Add(rollbackTime))
 				is.Equal(len(late), 0)
 			}
