--- a/test/machines/machine.go
+++ b/test/machines/machine.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// machine is what a box runs on, as far as its clocks are concerned.
+// machine simulates the clocks of the machine that a box runs on.
 type machine struct {
-	mu      sync.Mutex
-	started time.Time
-	suspended    time.Duration
+	mu        sync.Mutex
+	started   time.Time
+	suspended time.Duration
 }
 
 func newMachine() *machine { return &machine{started: time.Now()} }
 
-// boottime is the clock that counts suspensions.
+// boottime returns the time since the machine started, suspensions included.
 func (m *machine) boottime() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Since(m.started) + m.suspended, nil
 }
 
-// Suspend has the box's machine wake from a suspension: the box has done nothing for so long,
-// and its steady clock has stood still.
+// Suspend simulates the end of a suspension of the box's machine that lasted d: the boot-time
+// clock advances by d, the monotonic clock does not.
 func (b *Box) Suspend(d time.Duration) {
 	b.machine.mu.Lock()
 	defer b.machine.mu.Unlock()
