--- a/test/machines/server_headers.go
+++ b/test/machines/server_headers.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// StatusHeader is a header by which a server says something of itself in its answers, named as the
-// users' pages do. Tests may make others.
+// StatusHeader is the name of a header by which a server reports its own state in its answers.
+// Tests may define others.
 type StatusHeader string
 
-// The words.
+// The status headers that boxes read.
 const (
-	// LimitHeader: it takes so many requests a second from all boxes together.
+	// LimitHeader is the number of requests per second that the server accepts from all boxes
+	// together.
 	LimitHeader StatusHeader = "Server-Limit"
-	// LeavingHeader: it leaves.
+	// LeavingHeader announces that the server is shutting down.
 	LeavingHeader StatusHeader = "Server-Leaving"
-	// RetryAfterHeader: it wants no requests from the box that gets this for so many seconds. It stands
-	// in refusals with 503 alone; see Refuse.
+	// RetryAfterHeader asks the box that receives it to send no requests for a number of seconds.
+	// Only answers with status 503 carry it; see Refuse.
 	RetryAfterHeader StatusHeader = "Retry-After"
 )
 
-// SentHeader is one answer with a word.
+// SentHeader is one answer that carried a status header.
 type SentHeader struct {
-	// To is the IP number that got it, and ID the request that it answers.
+	// To is the IP address of the receiver, and ID the request that was answered.
 	To string
 	ID string
 	At time.Time
-	// Value is what was said.
+	// Value is the header's value.
 	Value string
 }
 
-// statusHeaders are what a server says now, and has said.
+// statusHeaders holds the status headers that a server sends, and those that it has sent.
 type statusHeaders struct {
-	current  map[StatusHeader]string
-	sent map[StatusHeader][]SentHeader
+	current map[StatusHeader]string
+	sent    map[StatusHeader][]SentHeader
 }
 
-// lines returns the lines of an answer's header that hold the words.
+// lines returns the header lines of an answer with the status, and records them as sent.
 func (w *statusHeaders) lines(to, id string, status int) string {
 	text := ""
 	for word, value := range w.current {
@@ -49,7 +50,7 @@
 	return text
 }
 
-// SetHeader sets what answers say from now on; empty for nothing.
+// SetHeader sets the value of the header in all further answers; "" omits it.
 func (s *Server) SetHeader(word StatusHeader, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,15 +60,15 @@
 	s.headers.current[word] = value
 }
 
-// SentHeaders returns the answers that had the word.
+// SentHeaders returns the answers that carried the header.
 func (s *Server) SentHeaders(word StatusHeader) []SentHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]SentHeader(nil), s.headers.sent[word]...)
 }
 
-// RejectWithRetryAfter has the server turn all requests away and ask the boxes that sent them for so many
-// seconds of rest; with "" it works as before.
+// RejectWithRetryAfter makes the server refuse all requests with 503 and a Retry-After header of
+// that many seconds; "" ends this and removes any fault.
 func (s *Server) RejectWithRetryAfter(seconds string) {
 	s.SetHeader(RetryAfterHeader, seconds)
 	if seconds == "" {
