--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -1,5 +1,5 @@
-// Package machines has stand-ins for what the users' machines bring: the
-// platform's store and backend servers, by their published protocol.
+// Package machines has stand-ins for the platform's store and for backend servers, which speak
+// their published protocol, and runs boxes against them.
 package machines
 
 import (
@@ -13,41 +13,41 @@
 	"time"
 )
 
-// Mode is how the store treats a call.
+// Mode is how the store handles a call.
 type Mode int
 
 // The modes.
 const (
-	// Serving answers.
+	// Serving answers normally.
 	Serving Mode = iota
-	// Busy answers 503, Many 429.
+	// Busy answers 503, and TooMany answers 429.
 	Busy
 	TooMany
-	// Silent never answers what it is asked meanwhile; watches that wait are answered
-	// when it speaks again. Resetting breaks the connection.
+	// Silent never answers calls that arrive in this mode; watches that already wait are
+	// answered when the mode ends. Resetting closes the connection without an answer.
 	Silent
 	Resetting
 )
 
-// pageSize is how many objects a page of a list holds.
+// pageSize is the number of objects on a page of a list.
 const pageSize = 5
 
 // Store is a stand-in for the platform's store.
 type Store struct {
 	Address string
-	// Treat returns the mode for a caller's call, by its IP number; nil
-	// serves all. Guarded by SetTreat.
+	// treat returns the mode of a call by the caller's IP address and the path; nil means
+	// Serving. It is set by SetMode and guarded by mu.
 	mode func(ip, path string) Mode
 
-	mu       sync.Mutex
-	objects  map[string]map[string]*storedObject
+	mu             sync.Mutex
+	objects        map[string]map[string]*storedObject
 	revision       uint64
-	events   []storedEvent
-	oldestRevision   uint64
-	changed  chan struct{}
-	calls    map[string]int
-	server   *http.Server
-	closed chan struct{}
+	events         []storedEvent
+	oldestRevision uint64
+	changed        chan struct{}
+	calls          map[string]int
+	server         *http.Server
+	closed         chan struct{}
 }
 
 type metadata struct {
@@ -62,13 +62,13 @@
 }
 
 type storedEvent struct {
-	kind   string
-	object storedObject
-	deleted   bool
-	revision     uint64
+	kind     string
+	object   storedObject
+	deleted  bool
+	revision uint64
 }
 
-// NewStore starts a store on a free port of the IP number.
+// NewStore starts a store on a free port of the IP address.
 func NewStore(ip string) (*Store, error) {
 	l, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
@@ -94,7 +94,7 @@
 	_ = s.server.Close()
 }
 
-// SetMode sets how calls are treated from now on; nil serves all.
+// SetMode sets the function that chooses the mode of each call; nil means Serving.
 func (s *Store) SetMode(treat func(ip, path string) Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	s.notifyWatches()
 }
 
-// Put makes or replaces an object. The spec is anything that JSON can hold.
+// Put creates or replaces an object. The spec is any value that can be encoded as JSON.
 func (s *Store) Put(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -120,7 +120,8 @@
 	s.notifyWatches()
 }
 
-// putStatus replaces an object's status, and reports whether its last change was of the revision.
+// putStatus replaces an object's status if the object still has the revision, and reports whether
+// it did.
 func (s *Store) putStatus(kind, name string, revision uint64, status json.RawMessage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +137,7 @@
 	return true
 }
 
-// StatusOf returns an object's status, empty if it has none.
+// StatusOf returns an object's status, or "" if it has none.
 func (s *Store) StatusOf(kind, name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +161,7 @@
 	s.notifyWatches()
 }
 
-// Compact forgets the history and cuts the watches.
+// Compact discards the history of changes, so that watches of older revisions are answered 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +171,7 @@
 	s.notifyWatches()
 }
 
-// Calls returns how many calls came from an IP number.
+// Calls returns the number of calls from an IP address.
 func (s *Store) Calls(ip string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +198,7 @@
 	s.serveWatch(w, r, kind, since, time.Duration(wait)*time.Millisecond)
 }
 
-// serveCreate makes an object unless there is one of its name.
+// serveCreate creates an object, or answers 409 if one of its name exists.
 func (s *Store) serveCreate(w http.ResponseWriter, r *http.Request) {
 	s.countCall(r)
 	if s.refused(w, r) {
@@ -228,7 +229,7 @@
 	s.Delete(r.PathValue("kind"), r.PathValue("name"))
 }
 
-// serveStatus replaces an object's status if its revision is that of its last change.
+// serveStatus replaces an object's status, or answers 409 if its revision is outdated.
 func (s *Store) serveStatus(w http.ResponseWriter, r *http.Request) {
 	s.countCall(r)
 	if s.refused(w, r) {
@@ -244,14 +245,14 @@
 	}
 }
 
-// Has reports whether there is an object.
+// Has reports whether the object exists.
 func (s *Store) Has(kind, name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.objects[kind][name] != nil
 }
 
-// countCall counts a call by who made it.
+// countCall counts a call under the caller's IP address.
 func (s *Store) countCall(r *http.Request) {
 	ip, _, _ := strings.Cut(r.RemoteAddr, ":")
 	s.mu.Lock()
@@ -259,7 +260,7 @@
 	s.calls[ip]++
 }
 
-// modeOf returns how a call is treated now.
+// modeOf returns the current mode of a call.
 func (s *Store) modeOf(r *http.Request) Mode {
 	s.mu.Lock()
 	treat := s.mode
@@ -271,7 +272,7 @@
 	return treat(ip, r.URL.Path)
 }
 
-// refused treats the call as the test wants.
+// refused handles the call according to its mode, and returns false if it is to be served.
 func (s *Store) refused(w http.ResponseWriter, r *http.Request) bool {
 	switch s.modeOf(r) {
 	case Busy:
