--- a/test/machines/fleet.go
+++ b/test/machines/fleet.go
@@ -19,21 +19,20 @@
 	"github.com/stoneworks/stoneworks/platform"
 )
 
-// Fleet is some boxes with a store and backend servers.
+// Fleet is a set of boxes with a store and backend servers.
 type Fleet struct {
-	// Policy holds the figures of the boxes that are added; nil for the
-	// defaults.
+	// Policy holds the policy parameters of boxes that are added later; nil means the defaults.
 	Policy *policy.Policy
-	// Customers of the next configuration.
+	// Customers are the customers of the next configuration.
 	Customers []Customer
-	// ChangeSettings changes the settings of the boxes that are added; nil for none.
-	ChangeSettings  func(s *settings.Settings)
-	Store   *Store
-	Boxes   []*Box
-	Servers map[string]*Server
-	zones   []topology.Zone
-	network string
-	log     io.Writer
+	// ChangeSettings modifies the settings of boxes that are added later; nil leaves them as they are.
+	ChangeSettings func(s *settings.Settings)
+	Store          *Store
+	Boxes          []*Box
+	Servers        map[string]*Server
+	zones          []topology.Zone
+	network        string
+	log            io.Writer
 }
 
 // Customer is a customer of a fleet's configuration.
@@ -50,7 +49,7 @@
 type Box struct {
 	*node.Node
 	IP string
-	// Clients, Ready and Directory are its addresses.
+	// Clients, Ready and Directory are the box's listen addresses.
 	Clients   string
 	Ready     string
 	Directory string
@@ -63,8 +62,8 @@
 	{Zone: "east-a", Region: "east"}, {Zone: "east-b", Region: "east"}, {Zone: "west-a", Region: "west"},
 }
 
-// NewFleet starts a store in a network of its own, such as "127.90.1"; each
-// test takes another. Log lines go to log.
+// NewFleet starts a store in the network, such as "127.90.1"; each test uses a network of its
+// own. The boxes write their log lines to log.
 func NewFleet(network string, log io.Writer) (*Fleet, error) {
 	store, err := NewStore(network + ".200")
 	if err != nil {
@@ -73,7 +72,7 @@
 	return &Fleet{Store: store, Servers: map[string]*Server{}, zones: Zones, network: network, log: log}, nil
 }
 
-// Close ends everything.
+// Close stops all boxes, servers and the store.
 func (f *Fleet) Close() {
 	for _, b := range f.Boxes {
 		b.Stop()
@@ -90,7 +89,7 @@
 	return f.AddServerWithPerformance(Performance{}, id, service, zone, slots, work)
 }
 
-// AddServerWithPerformance is AddServer for a server of some nature.
+// AddServerWithPerformance is AddServer for a server with the given performance.
 func (f *Fleet) AddServerWithPerformance(nature Performance, id, service, zone string, slots int, work time.Duration) (*Server, error) {
 	s, err := NewServer(f.network+".100", id, slots, work)
 	if err != nil {
@@ -102,7 +101,7 @@
 	return s, nil
 }
 
-// PutServer writes a server's entry.
+// PutServer writes a server's entry to the store.
 func (f *Fleet) PutServer(s *Server, service, zone, state string, cold time.Duration) {
 	address := s.Address
 	if s.Advertised != "" {
@@ -124,11 +123,11 @@
 	TimeoutMS             int
 	Regions               []string
 	Anonymous             bool
-	// Split are services that get equal parts, in place of Service.
+	// Split are services that share the route's requests equally, in place of Service.
 	Split []string
 }
 
-// Configure puts a configuration of the host shop.example in the store.
+// Configure writes a configuration of the host shop.example to the store.
 func (f *Fleet) Configure(version int, routes ...Route) {
 	paths := []map[string]any{}
 	services := map[string]bool{}
@@ -198,19 +197,19 @@
 	return b, nil
 }
 
-// Answer is what a client got.
+// Answer is the result of a client's request.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Problem is what broke the exchange, nil if the answer is whole.
+	// Problem is the error that ended the exchange, or nil if the answer is complete.
 	Problem error
-	// CloseAnnounced is true if the box announced that it closes the connection.
+	// CloseAnnounced is true if the box announced that it will close the connection.
 	CloseAnnounced bool
-	Took time.Duration
+	Took           time.Duration
 }
 
-// Client sends requests over one connection at a time.
+// Client sends requests over one connection, and opens a new one after it was closed.
 type Client struct {
 	Address string
 	conn    net.Conn
@@ -225,8 +224,7 @@
 	}
 }
 
-// Do sends a request and reads its answer. Extra lines of the header end with
-// a line break each.
+// Do sends a request and reads its answer. Extra holds further header lines, each with its CRLF.
 func (c *Client) Do(method, target, id, body, extra string) *Answer {
 	start := time.Now()
 	if err := c.Send(method, target, id, body, extra); err != nil {
@@ -237,7 +235,7 @@
 	return a
 }
 
-// Send sends a request.
+// Send sends a request without waiting for its answer.
 func (c *Client) Send(method, target, id, body, extra string) error {
 	if c.conn == nil {
 		conn, err := net.DialTimeout("tcp4", c.Address, time.Second)
@@ -256,7 +254,7 @@
 	return err
 }
 
-// Read reads one answer; a problem closes the connection.
+// Read reads one answer, and closes the connection after an error.
 func (c *Client) Read() *Answer {
 	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	response, err := http.ReadResponse(c.reader, nil)
