--- a/test/machines/bench_test.go
+++ b/test/machines/bench_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// BenchmarkRequest tells the processor time of a request, client and server
-// included, without anything between them, through a plain relay of the
-// standard library, and through a box: the differences are what each costs.
+// BenchmarkRequest reports the processor time of a request, client and server included: sent
+// directly, through a plain reverse proxy of the standard library, and through a box. The
+// differences are the costs of the proxy and of the box.
 func BenchmarkRequest(b *testing.B) {
 	f, err := NewFleet(networkOf(b), io.Discard)
 	if err != nil {
@@ -69,9 +69,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRequestOfACustomer tells the processor time of a request through one of two
-// boxes of a zone, client and server included, where there are no customers, where
-// each of 79 has a key, and where each has a limit too.
+// BenchmarkRequestOfACustomer reports the processor time of a request through one of two boxes of
+// a zone, client and server included: without customers, with 79 customers that have a key each,
+// and with 79 that also have a limit each.
 func BenchmarkRequestOfACustomer(b *testing.B) {
 	for _, c := range []struct {
 		name string
