--- a/test/machines/client_leaves_test.go
+++ b/test/machines/client_leaves_test.go
@@ -12,25 +12,25 @@
 	"github.com/matryer/is"
 )
 
-// TestWhereverARequestIsItsClientMayLeave: a server is told at once that nobody waits, and nothing is sent
-// to one after that.
+// TestWhereverARequestIsItsClientMayLeave checks that, in whatever state a request is when its
+// client disconnects, the server's connection is closed at once and no server gets it afterwards.
 func TestWhereverARequestIsItsClientMayLeave(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		method, target, body string
-		// busy are requests of other clients that take all slots first.
+		// busy is the number of other clients' requests that occupy the slots first.
 		busy int
-		// cut: the first server ends the exchange without an answer.
+		// cut makes the first server reset the connection without an answer.
 		cut bool
-		// runs is how many servers have begun with the request when its client leaves.
+		// runs is how many servers have started the request when its client disconnects.
 		runs int
 	}{
-		{name: "running, may be repeated", method: "GET", target: "/read/1", runs: 1},
-		{name: "running, may run once", method: "POST", target: "/buy/1", body: "one", runs: 1},
+		{name: "running, may be retried", method: "GET", target: "/read/1", runs: 1},
+		{name: "running, must not be retried", method: "POST", target: "/buy/1", body: "one", runs: 1},
 		{name: "running, an upload", method: "POST", target: "/up/1", body: "one", runs: 1},
 		{name: "queued at its server", method: "GET", target: "/read/1", busy: 4},
-		{name: "repeated at a second server", method: "GET", target: "/read/1", cut: true, runs: 2},
-		{name: "body on its way to the box", method: "POST", target: "/up/1", body: "half"},
+		{name: "retried at a second server", method: "GET", target: "/read/1", cut: true, runs: 2},
+		{name: "body partly received by the box", method: "POST", target: "/up/1", body: "half"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -51,16 +51,16 @@
 			}
 			extra := ""
 			if c.body == "half" {
-				extra = "Transfer-Encoding: chunked\r\n" // its last chunk does not come
+				extra = "Transfer-Encoding: chunked\r\n" // the last chunk is never sent
 			}
 			is.NoErr(client.Send(c.method, c.target, "leaver", c.body, extra))
-			eventually(t, "it is where it should be", func() bool { return len(runsOf(f, "leaver")) == c.runs })
+			eventually(t, "the request has reached its servers", func() bool { return len(runsOf(f, "leaver")) == c.runs })
 			time.Sleep(50 * time.Millisecond)
 			client.Close()
 			left := time.Now()
 			time.Sleep(1500 * time.Millisecond)
 			for _, r := range runsOf(f, "leaver") {
-				t.Logf("told %v after its client left", r.CanceledAt.Sub(left))
+				t.Logf("server's connection closed %v after the client left", r.CanceledAt.Sub(left))
 				is.Equal(r.Completed && r.At.After(left), false)
 				if !r.Completed {
 					is.True(r.CanceledAt.Sub(left) < 500*time.Millisecond || c.busy > 0)
@@ -75,7 +75,7 @@
 	}
 }
 
-// occupy has other clients take slots of the servers.
+// occupy sends requests of other clients, which occupy slots of the servers.
 func occupy(t *testing.T, f *Fleet, requests int) {
 	t.Helper()
 	for i := range requests {
@@ -83,10 +83,10 @@
 		t.Cleanup(other.Close)
 		is.New(t).NoErr(other.Send("GET", "/read/0", fmt.Sprint("other-", i), "", ""))
 	}
-	eventually(t, "the slots are taken", func() bool { return len(f.Servers["east-a.1"].Runs()) == requests })
+	eventually(t, "the slots are occupied", func() bool { return len(f.Servers["east-a.1"].Runs()) == requests })
 }
 
-// earnRetries sends requests that pay for a repeat.
+// earnRetries sends requests that earn the budget for a retry.
 func earnRetries(t *testing.T, f *Fleet, c *Client) {
 	t.Helper()
 	for _, s := range f.Servers {
@@ -100,7 +100,8 @@
 	}
 }
 
-// cutFirst has the server that gets the next request end it without an answer, and no other.
+// cutFirst makes whichever server gets the next request reset the connection without an answer,
+// for that request only.
 func cutFirst(f *Fleet) {
 	var cut atomic.Bool
 	for _, s := range f.Servers {
@@ -113,7 +114,7 @@
 	}
 }
 
-// runsOf returns the runs of a request at all servers.
+// runsOf returns a request's runs at all servers.
 func runsOf(f *Fleet, id string) []Run {
 	var runs []Run
 	for _, s := range f.Servers {
@@ -126,7 +127,8 @@
 	return runs
 }
 
-// TestClientThatLeavesAmidItsAnswer: a server whose answer is half passed on is told, and does not send the rest.
+// TestClientThatLeavesAmidItsAnswer checks that the server's connection is closed when the client
+// disconnects while its answer is being forwarded, so that the rest is not sent.
 func TestClientThatLeavesAmidItsAnswer(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1")
@@ -134,17 +136,17 @@
 	s.ExtraBytes = 8 << 20
 	c := &Client{Address: f.Boxes[0].Clients}
 	is.NoErr(c.Send("GET", "/read/1", "leaver", "", ""))
-	_, err := io.ReadFull(c.reader, make([]byte, 300<<10)) // more than a box holds before it passes an answer on
+	_, err := io.ReadFull(c.reader, make([]byte, 300<<10)) // more than a box buffers before it forwards an answer
 	is.NoErr(err)
 	c.Close()
 	left := time.Now()
-	eventually(t, "the server is told", func() bool { return !s.Runs()[0].CanceledAt.IsZero() })
-	t.Logf("told %v after its client left", s.Runs()[0].CanceledAt.Sub(left))
+	eventually(t, "the server's connection is closed", func() bool { return !s.Runs()[0].CanceledAt.IsZero() })
+	t.Logf("server's connection closed %v after the client left", s.Runs()[0].CanceledAt.Sub(left))
 	is.True(s.Runs()[0].CanceledAt.Sub(left) < 500*time.Millisecond)
 }
 
-// TestClientThatLeavesWhileItsBoxConnects: nothing reaches a server that takes no connection for now, also when it
-// does again.
+// TestClientThatLeavesWhileItsBoxConnects checks that no byte of a request reaches a server that
+// accepts connections only after the client has disconnected.
 func TestClientThatLeavesWhileItsBoxConnects(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
@@ -156,7 +158,7 @@
 	s.Advertised = full.address
 	f.Servers[s.ID] = s
 	f.PutServer(s, "shop", "east-a", "ready", 0)
-	eventually(t, "it is listed", func() bool { return len(f.Boxes[0].Set.List()) == 1 })
+	eventually(t, "the server is listed", func() bool { return len(f.Boxes[0].Set.List()) == 1 })
 	c := &Client{Address: f.Boxes[0].Clients}
 	is.NoErr(c.Send("GET", "/read/1", "leaver", "", ""))
 	time.Sleep(100 * time.Millisecond)
@@ -165,14 +167,14 @@
 	is.Equal(full.bytesOfNext(2*time.Second), 0)
 }
 
-// listener takes no connections until they are taken from it one by one.
+// listener listens on a port whose backlog is full, and accepts connections only in bytesOfNext.
 type listener struct {
 	address string
 	fd      int
 	held    []net.Conn
 }
 
-// fullListener listens on a free port with room for no further connection.
+// fullListener listens on a free port and fills the backlog.
 func fullListener(ip string) (*listener, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -194,7 +196,7 @@
 	for {
 		c, err := net.DialTimeout("tcp4", l.address, 300*time.Millisecond)
 		if err != nil {
-			return l, nil // it is full
+			return l, nil // the backlog is full
 		}
 		l.held = append(l.held, c)
 	}
@@ -207,8 +209,8 @@
 	_ = syscall.Close(l.fd)
 }
 
-// bytesOfNext takes all connections that come within the time, and returns how many bytes came over others
-// than those that filled it.
+// bytesOfNext accepts all connections for the time within, and returns how many bytes arrive over
+// them. The connections that filled the backlog send none.
 func (l *listener) bytesOfNext(within time.Duration) int {
 	_ = syscall.SetNonblock(l.fd, true)
 	total := 0
