--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -10,7 +10,8 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// newContactFleet starts two boxes in each zone, with the bounds of the users' machines.
+// newContactFleet starts two boxes in each zone, with the contact and drain bounds of the users'
+// machines.
 func newContactFleet(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := NewFleet(networkOf(t), io.Discard)
@@ -44,7 +45,7 @@
 	return f
 }
 
-// knowsDraining reports whether the box sends a server nothing any more.
+// knowsDraining reports whether the box has the server as draining or no longer lists it.
 func knowsDraining(b *Box, id string) bool {
 	for _, v := range b.Set.List() {
 		if v.ID == id {
@@ -54,8 +55,7 @@
 	return true
 }
 
-// storePollers returns the boxes that ask the store for their zones, one of each, once they
-// have settled that.
+// storePollers waits until there is one store poller in each zone, and returns their IP addresses.
 func storePollers(t *testing.T, f *Fleet) map[string]bool {
 	t.Helper()
 	for range 4 {
@@ -63,11 +63,11 @@
 			return found
 		}
 	}
-	t.Fatal("the boxes did not settle who asks the store")
+	t.Fatal("there is not one store poller in each zone")
 	return nil
 }
 
-// callersOfStore returns the boxes that ask the store, by their calls within a while.
+// callersOfStore returns the IP addresses of the boxes that call the store within three seconds.
 func callersOfStore(f *Fleet) map[string]bool {
 	before := map[string]int{}
 	for _, b := range f.Boxes {
@@ -83,18 +83,11 @@
 	return found
 }
 
-// The story. The store turned away most boxes without a word, among them those that ask it
-// for their zones. Others could reach it, and asked nothing: their zones' boxes had seemed
-// well a moment ago, and were found out only after 2.8 to 3.6 s. Until then requests went to
-// a server that had said it was leaving, for longer than the 2.5 s that are allowed.
-//
-// The cause: a box knew how new its copy of the list was only by the word of another one
-// that asks in its place, and did nothing as that word grew old. The evidence: with all logs,
-// the boxes that asked noted the store's silence 2.8 s after it had begun, and those beside
-// them took over within 0.1 s of that and heard of the server at once.
-
-// TestBoxAsksItselfWhereAllThatAskAreTurnedAway: a box that the store serves knows of a
-// leaving server in time, whoever else the store turns away.
+// TestBoxAsksItselfWhereAllThatAskAreTurnedAway guards against requests to a draining server for
+// longer than the allowed 2.5 s when the store stops answering all store pollers but still
+// answers other boxes. The pollers noticed the silence only after 2.8 to 3.6 s; the others relied
+// on the pollers' reports and did not call the store themselves as these reports grew old. Once a
+// poller noticed, the boxes beside it took over within 0.1 s.
 func TestBoxAsksItselfWhereAllThatAskAreTurnedAway(t *testing.T) {
 	f := newContactFleet(t)
 	away := storePollers(t, f)
@@ -114,14 +107,14 @@
 			served = append(served, b)
 		}
 	}
-	is.New(t).True(allServe("/new/", served)()) // configurations have the same bound
+	is.New(t).True(allServe("/new/", served)()) // the bound holds for configurations too
 }
 
-// TestShortSilenceOfTheStoreLeavesNoBoxDeaf: what is asked of a store that says nothing
-// for a moment is never answered; servers that leave later are known in time all the same.
+// TestShortSilenceOfTheStoreLeavesNoBoxDeaf checks that a box learns of draining servers in time
+// after a short silence of the store, although calls made during the silence are never answered.
 func TestShortSilenceOfTheStoreLeavesNoBoxDeaf(t *testing.T) {
 	f := newContactFleet(t)
-	// The watches of the servers return, and are asked for anew within the silence.
+	// The watches of servers return, and are renewed during the silence.
 	f.PutServer(f.Servers["east-a.1"], "shop", "east-a", "ready", time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	f.Store.SetMode(func(string, string) Mode { return Silent })
