--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -16,44 +16,39 @@
 	"github.com/stoneworks/stoneworks/pkg/quarantine"
 )
 
-// The story. One request for a preview crashed each server that ran it. The box sent it to
-// the next server, and to the one after that; the client got a 502 and came back to another
-// box, which had not seen it. 30 servers of 24 places ended within ten seconds, each with up
-// to 20 requests of others in flight, and half of the service was down for as long as the
-// request came.
-//
-// The cause: no box remembered a request beyond its own attempt, and none told another, so
-// each attempt killed as many servers as the route allows tries. The evidence: nearly all
-// sends were first sends (an eighth of the budget of repeats was used), the lines of lost
-// requests of all boxes share one request's path, and the number of servers that ended grew
-// with the attempts and never levelled off.
-
-// crashingService is a service some of whose requests end the servers that run them. The platform
-// starts another server for each that has ended, under an id of its own or the same one.
+// These tests guard against a request that crashes each server that executes it. Such a request
+// crashed 30 servers of a service with 24 within ten seconds, each with up to 20 other requests in
+// flight, and half of the service was down for as long as its client kept coming back. No box
+// remembered a request after its own attempt or reported it to other boxes, so each attempt
+// crashed as many servers as the route allows tries. Nearly all of these attempts were first
+// ones; only an eighth of the retry budget was used.
+
+// crashingService is a service whose servers crash on some requests. The platform replaces each
+// crashed server, under a new id or the same one.
 type crashingService struct {
 	fleet *Fleet
-	// deadly reports whether a request ends servers.
+	// deadly reports whether a request crashes servers.
 	deadly func(target string) bool
 
-	// sameID: a server starts again under its id.
+	// sameID makes a replacement start under the id of the crashed server.
 	sameID bool
 
 	mu      sync.Mutex
 	started int
 	servers []*Server
-	// spared is a target that crashes no servers any more.
+	// spared is a target that no longer crashes servers.
 	sparedMu sync.Mutex
 	spared   string
 	pending  sync.WaitGroup
 	done     chan struct{}
 }
 
-// crashZones are where the servers of crashes start.
+// crashZones are the zones in which a crashingService starts its servers.
 var crashZones = []string{"east-a", "east-b", "west-a"}
 
 const (
-	// restartTime is after what time another server has taken the place of one that has
-	// ended, and lapseTime when the entry of that one goes.
+	// restartTime is the time from a crash until the replacement starts, and lapseTime the time
+	// until the store removes the entry of the crashed server.
 	restartTime = 600 * time.Millisecond
 	lapseTime   = 900 * time.Millisecond
 )
@@ -71,7 +66,7 @@
 	return c
 }
 
-// start starts a server in the zone, under the id or a new one.
+// start starts a server in the zone under the id, or under a new id if that is "".
 func (c *crashingService) start(t *testing.T, zone, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,22 +83,23 @@
 	s.SetCrashOn(c.isDeadly, func() { c.replace(t, id, zone) })
 }
 
-// isDeadly reports whether the target ends the server that runs it. It takes no lock that
-// a server's start holds.
+// isDeadly reports whether the target crashes the server that executes it. It does not lock mu,
+// which is held while a server starts.
 func (c *crashingService) isDeadly(target string) bool {
 	c.sparedMu.Lock()
 	defer c.sparedMu.Unlock()
 	return target != c.spared && c.deadly(target)
 }
 
-// spare has a target crash no servers from now on.
+// spare makes the target harmless from now on.
 func (c *crashingService) spare(target string) {
 	c.sparedMu.Lock()
 	defer c.sparedMu.Unlock()
 	c.spared = target
 }
 
-// replace starts another server in the place of one that has ended, and has its entry lapse.
+// replace starts a replacement of a crashed server, and removes the entry of a server whose id is
+// not reused.
 func (c *crashingService) replace(t *testing.T, id, zone string) {
 	c.pending.Add(1)
 	go func() {
@@ -122,7 +118,7 @@
 	}()
 }
 
-// wait reports whether the time has passed before the test was over.
+// wait waits for d, and returns false if the test ends before.
 func (c *crashingService) wait(d time.Duration) bool {
 	select {
 	case <-c.done:
@@ -132,7 +128,7 @@
 	}
 }
 
-// runs returns when servers began to run the target, in their order.
+// runs returns the sorted times at which servers started to execute the target.
 func (c *crashingService) runs(target string) []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +144,7 @@
 	return at
 }
 
-// lateRuns counts the runs later than the time of contact after the third.
+// lateRuns counts the runs that started later than the contact time after the third run.
 func lateRuns(at []time.Time, contact time.Duration) int {
 	late := 0
 	for i, when := range at {
@@ -162,7 +158,7 @@
 // ordinaryPause is how long an ordinary client waits between two requests.
 const ordinaryPause = 5 * time.Millisecond
 
-// traffic sends ordinary requests to all boxes until it is stopped, and counts answers.
+// traffic sends requests to all boxes until it is stopped, and counts the answers by kind.
 type traffic struct {
 	stop    chan struct{}
 	running sync.WaitGroup
@@ -170,9 +166,8 @@
 	answers map[string]int
 }
 
-// newTraffic starts clients of ordinary requests. A third ask for one target, as for a track
-// that everybody hears; the others' targets are their own. Some have the affinity key of the
-// requests that crash servers.
+// newTraffic starts clients that send ordinary requests. A third of the requests have one common
+// target, the others a target each. Some share the affinity key of the requests that crash servers.
 func newTraffic(f *Fleet, clients int) *traffic {
 	return newTrafficOf(f, clients, ordinaryPause, func(c *Client, i, n int) *Answer {
 		id := fmt.Sprintf("ordinary-%d-%d", i, n)
@@ -184,8 +179,8 @@
 	})
 }
 
-// newTrafficOf starts clients that pause, and then make a request, given the client's number and the
-// request's.
+// newTrafficOf starts clients that alternate between the pause and a request; request gets the
+// client's number and the request's.
 func newTrafficOf(f *Fleet, clients int, pause time.Duration, request func(c *Client, i, n int) *Answer) *traffic {
 	tr := &traffic{stop: make(chan struct{}), answers: map[string]int{}}
 	for i := range clients {
@@ -222,15 +217,15 @@
 	return line
 }
 
-// end stops the clients and returns what they got, and how often.
+// end stops the clients and returns the number of answers of each kind.
 func (tr *traffic) end() map[string]int {
 	close(tr.stop)
 	tr.running.Wait()
 	return tr.answers
 }
 
-// sendRepeatedly sends the request again and again, to each box in turn, as clients do that come
-// back after a failure.
+// sendRepeatedly sends the request to each box in turn, as clients do that retry after a failure,
+// and counts the answers by status.
 func sendRepeatedly(f *Fleet, method, target, body, extra string, every, total time.Duration) (answers map[int]int) {
 	answers = map[int]int{}
 	for i, end := 0, time.Now().Add(total); time.Now().Before(end); i++ {
@@ -243,9 +238,9 @@
 	return answers
 }
 
-// TestRequestThatCrashesServersIsKeptFromThem: whatever box it comes to and however often, a
-// request under which three servers have ended reaches no more than three others once boxes
-// had the time of contact to tell each other; ordinary requests are served on.
+// TestRequestThatCrashesServersIsKeptFromThem checks that a request that has crashed three servers
+// reaches no more than three others once the contact time has passed, in which boxes inform each
+// other, whatever box gets it and however often; other requests are still served.
 func TestRequestThatCrashesServersIsKeptFromThem(t *testing.T) {
 	for _, sameID := range []bool{false, true} {
 		t.Run(fmt.Sprint("same id ", sameID), func(t *testing.T) { keepsFromServers(t, sameID) })
@@ -262,10 +257,10 @@
 	counts := ordinary.end()
 	at := c.runs("/read/deadly")
 	t.Log("the deadly request's answers", got, "runs", len(at), "ordinary requests' answers", counts)
-	is.True(len(at) >= 3)                              // it was found out by what it did
-	is.True(lateRuns(at, 1500*time.Millisecond) <= 3)  // and kept from servers then
-	is.True(len(at) <= 6)                              // soon
-	is.Equal(counts["503 crashes_backend_servers"], 0) // no other request was taken for one
+	is.True(len(at) >= 3)                              // three crashes identify it
+	is.True(lateRuns(at, 1500*time.Millisecond) <= 3)  // then it is kept from servers
+	is.True(len(at) <= 6)                              // and soon
+	is.Equal(counts["503 crashes_backend_servers"], 0) // no other request is quarantined
 	total := 0
 	for _, n := range counts {
 		total += n
@@ -273,7 +268,7 @@
 	is.True(counts["200 answer"] >= total*98/100)
 }
 
-// newCrashFleet starts a box in each zone and nine servers that some requests crash.
+// newCrashFleet starts a box in each zone and nine servers that crash on some requests.
 func newCrashFleet(t *testing.T, deadly func(target string) bool) (*Fleet, *crashingService) {
 	t.Helper()
 	f := newFleet(t, 0)
@@ -298,8 +293,8 @@
 	}
 }
 
-// TestUnsafeRequestThatCrashesServersIsHeld: what is never sent again by a box comes again
-// from its client. It ends three servers and no more, also where its body alone names it.
+// TestUnsafeRequestThatCrashesServersIsHeld checks that a request that boxes never retry, but its
+// client does, crashes no more than three servers, also if only its body distinguishes it.
 func TestUnsafeRequestThatCrashesServersIsHeld(t *testing.T) {
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/buy/deadly" })
@@ -313,16 +308,16 @@
 	is.Equal(strings.TrimSpace(a.Body), "crashes_backend_servers")
 	retry, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(retry > 500) // not soon
-	// Another body is another request.
+	is.True(retry > 500) // in seconds; the hold lasts long
+	// The same target with another body is another request.
 	c.spare("/buy/deadly")
 	is.Equal(client.Do("POST", "/buy/deadly", "other", "another body", "").Status, 200)
 	releaseHeldRequest(t, f)
 	is.Equal(client.Do("POST", "/buy/deadly", "repaired", "the same body", "").Status, 200)
 }
 
-// releaseHeldRequest has an operator release the one request that is held, at one box, and waits until
-// all have.
+// releaseHeldRequest releases the one held request at one box with stoneworksctl, and waits until
+// no box holds it.
 func releaseHeldRequest(t *testing.T, f *Fleet) {
 	t.Helper()
 	is := is.New(t)
@@ -333,7 +328,7 @@
 	is.NoErr(json.Unmarshal([]byte(out.String()), &boxes))
 	is.Equal(len(boxes[0].Held), 1)
 	is.Equal(ctl.Main([]string{"release", "7", admin}, nil, &out, &problems), 2)
-	is.True(ctl.Main([]string{"release", "0000000000000007", admin}, nil, &out, &problems) != 0) // not held
+	is.True(ctl.Main([]string{"release", "0000000000000007", admin}, nil, &out, &problems) != 0) // no such request is held
 	is.Equal(ctl.Main([]string{"release", boxes[0].Held[0].Fingerprint, admin}, nil, &out, &problems), 0)
 	eventually(t, "no box holds the request", func() bool {
 		for _, b := range f.Boxes {
@@ -345,8 +340,8 @@
 	})
 }
 
-// TestBoxThatStartsLaterKnowsHeldRequests: it learns them from others before they cost it
-// a server.
+// TestBoxThatStartsLaterKnowsHeldRequests checks that a new box learns the held requests from
+// other boxes before one of them crashes a server.
 func TestBoxThatStartsLaterKnowsHeldRequests(t *testing.T) {
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/read/deadly" })
@@ -362,8 +357,8 @@
 	is.Equal(len(c.runs("/read/deadly")), before)
 }
 
-// TestLostAnswersAreNoCrashes: a server that runs a request, closes the connection without
-// an answer and goes on living has not crashed, however often.
+// TestLostAnswersAreNoCrashes checks that a server that closes the connection without an answer
+// and stays up does not count as crashed, however often this happens.
 func TestLostAnswersAreNoCrashes(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, "east-a.1", "east-a.2", "east-b.1", "west-a.1")
@@ -386,9 +381,9 @@
 	}
 }
 
-// TestSeveralRequestsCrashServersAtOnce: requests that crash servers are told apart from each
-// other and from what they take with them, also when each comes from several clients at once
-// and they have one affinity key, and so the same next servers.
+// TestSeveralRequestsCrashServersAtOnce checks that several requests that crash servers are
+// distinguished from each other and from the requests in flight beside them, also if each comes
+// from several clients at once and all have one affinity key, and so the same next servers.
 func TestSeveralRequestsCrashServersAtOnce(t *testing.T) {
 	is := is.New(t)
 	targets := []string{"/read/deadly-1", "/read/deadly-2", "/read/deadly-3"}
@@ -420,8 +415,9 @@
 	}
 }
 
-// TestHeldRequestsOutlastTheLossOfAllBoxes: where nobody is left to tell those that start, they
-// learn from the store what is held, also if the store was silent when it was.
+// TestHeldRequestsOutlastTheLossOfAllBoxes checks that boxes that start after all others have
+// stopped learn the held requests from the store, also if the store refused all calls when the
+// requests were first held.
 func TestHeldRequestsOutlastTheLossOfAllBoxes(t *testing.T) {
 	is := is.New(t)
 	f, c := newCrashFleet(t, func(target string) bool { return target == "/buy/deadly" })
