--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -17,7 +17,7 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// syncBuffer is a log that tests read while boxes write it.
+// syncBuffer is a log that boxes write and tests read at the same time.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -36,8 +36,8 @@
 	return n.text.String()
 }
 
-// Keys of the customers of these tests. All have a part in common, so that a
-// search for that part finds any of them.
+// These are the customers' API keys in these tests. All contain keysPart, so that a search for it
+// finds any of them.
 const (
 	studioKey  = "kk-secret-studio-1"
 	studioKey2 = "kk-secret-studio-2"
@@ -49,7 +49,7 @@
 
 var open = Route{Prefix: "/open/", Kind: "safe", Service: "shop", TimeoutMS: 1500, Anonymous: true}
 
-// customers are those of a fleet in these tests.
+// customers returns the customers of these tests' fleets.
 func customers() []Customer {
 	return []Customer{
 		{Name: "studio", Keys: []string{studioKey, studioKey2}},
@@ -57,7 +57,8 @@
 	}
 }
 
-// newCustomerFleet starts boxes and servers of all zones that serve customers.
+// newCustomerFleet starts a fleet with the customers, a server in each zone, and boxes spread over
+// the zones.
 func newCustomerFleet(t *testing.T, log io.Writer, boxes int, list []Customer) *Fleet {
 	t.Helper()
 	f, err := NewFleet(networkOf(t), log)
@@ -88,7 +89,7 @@
 	return f
 }
 
-// runs returns all requests that the fleet's servers ran.
+// runs returns the runs of all servers of the fleet.
 func (f *Fleet) runs() []Run {
 	var list []Run
 	for _, s := range f.Servers {
@@ -135,7 +136,8 @@
 	}
 }
 
-// TestServersLearnTheCustomerAndNeverTheKey: whatever a client says of itself.
+// TestServersLearnTheCustomerAndNeverTheKey checks that servers get the name of the authenticated
+// customer and no API key, whatever headers the client sends.
 func TestServersLearnTheCustomerAndNeverTheKey(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 1, customers())
@@ -167,8 +169,8 @@
 	is.Equal(len(f.runs()), 7)
 }
 
-// TestRegionsOfRouteAndCustomerBothBind: no server of another region gets the
-// request, and none runs it where the two have no region in common.
+// TestRegionsOfRouteAndCustomerBothBind checks that only servers in regions that both the route and
+// the customer allow get a request, and no server if there is no such region.
 func TestRegionsOfRouteAndCustomerBothBind(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 2, customers())
@@ -177,7 +179,7 @@
 	f.Configure(2, read, east)
 	client := &Client{Address: f.Boxes[0].Clients}
 	defer client.Close()
-	eventually(t, "the route is in force", func() bool {
+	eventually(t, "the route is active", func() bool {
 		return client.Do("GET", "/east/1", "probe", "", bearer(studioKey)).Status == 200
 	})
 	for i := range 40 {
@@ -200,7 +202,7 @@
 	}
 }
 
-// TestKeysComeAndGo: a key that is taken away or added counts so at all boxes.
+// TestKeysComeAndGo checks that keys that are added or removed are accepted or rejected at all boxes.
 func TestKeysComeAndGo(t *testing.T) {
 	f := newCustomerFleet(t, io.Discard, 3, customers())
 	f.Customers = []Customer{{Name: "studio", Keys: []string{studioKey2, "kk-secret-new"}}, customers()[1]}
@@ -208,7 +210,7 @@
 	for _, b := range f.Boxes {
 		client := &Client{Address: b.Clients}
 		for key, status := range map[string]int{studioKey: 401, studioKey2: 200, "kk-secret-new": 200, labelKey: 200} {
-			eventually(t, "the keys of version 2 are in force", func() bool {
+			eventually(t, "the keys of version 2 are active", func() bool {
 				return client.Do("GET", "/read/1", "id", "", bearer(key)).Status == status
 			})
 		}
@@ -216,26 +218,27 @@
 	}
 }
 
-// TestABoxOutOfContactDoesNotDenyAKey: one that may have been added meanwhile.
+// TestABoxOutOfContactDoesNotDenyAKey checks that a box that cannot reach the store answers 503,
+// not 401, to an unknown key, since the key may have been added meanwhile.
 func TestABoxOutOfContactDoesNotDenyAKey(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 2, customers())
 	f.Store.SetMode(func(string, string) Mode { return Busy })
 	client := &Client{Address: f.Boxes[0].Clients}
 	defer client.Close()
-	eventually(t, "the box knows that its configuration may be old", func() bool {
+	eventually(t, "the box knows that its configuration may be stale", func() bool {
 		return client.Do("GET", "/read/1", "new", "", bearer("kk-secret-new")).Status == 503
 	})
 	is.Equal(client.Do("GET", "/read/1", "none", "", "").Status, 503)
 	is.Equal(client.Do("GET", "/read/1", "old", "", bearer(studioKey)).Status, 200)
 	f.Store.SetMode(nil)
-	eventually(t, "a fresh box says so", func() bool {
+	eventually(t, "a box with a current configuration answers 401", func() bool {
 		return client.Do("GET", "/read/1", "new", "", bearer("kk-secret-new")).Status == 401
 	})
 }
 
-// TestKeysAreNeverTold: not in any log line, answer or metric, whatever goes wrong
-// with the configuration that holds them.
+// TestKeysAreNeverTold checks that no log line, answer or metric contains an API key, whatever is
+// wrong with the configuration that defines it.
 func TestKeysAreNeverTold(t *testing.T) {
 	is := is.New(t)
 	log := &syncBuffer{}
@@ -256,7 +259,7 @@
 	f.Configure(4, read)
 	f.Customers = customers()
 	f.Configure(5, read)
-	eventually(t, "the last configuration is in force", func() bool { return strings.Count(log.String(), `"version":5`) == len(f.Boxes) })
+	eventually(t, "the last configuration is active", func() bool { return strings.Count(log.String(), `"version":5`) == len(f.Boxes) })
 	is.True(strings.Contains(log.String(), "share the key"))
 	is.True(strings.Contains(log.String(), "rate -1"))
 	is.Equal(client.Do("GET", "/read/1", "after", "", bearer(studioKey)).Status, 200)
@@ -271,14 +274,15 @@
 	}
 	for _, text := range []string{told.String(), log.String()} {
 		if at := strings.Index(text, keysPart); at >= 0 {
-			t.Errorf("a key is told: ...%s...", text[max(0, at-200):at+30])
+			t.Errorf("an API key is disclosed: ...%s...", text[max(0, at-200):at+30])
 		}
 	}
 }
 
-// TestOutOfContactKeysHoldForAsLongAsTheSettingsSay: without enforcement they hold on;
-// with it a box that may not know of a key that was taken away serves nobody by key,
-// whoever of its zone asks the store, until it is confirmed again.
+// TestOutOfContactKeysHoldForAsLongAsTheSettingsSay checks how long boxes without contact to the
+// store accept API keys. Without enforcement they go on; with it, no box accepts any key after the
+// bound, since it may have missed a revocation, whichever box of the zone is the store poller,
+// until its configuration is confirmed again.
 func TestOutOfContactKeysHoldForAsLongAsTheSettingsSay(t *testing.T) {
 	is := is.New(t)
 	for _, enforce := range []bool{false, true} {
@@ -302,7 +306,7 @@
 			return func() bool { return fmt.Sprint(statuses()) == fmt.Sprint([]int{status, status, status}) }
 		}
 		eventually(t, "all serve", all(200))
-		// In contact they serve on for longer than the bound.
+		// Boxes in contact with the store still accept keys after the bound.
 		for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			is.True(all(200)())
 		}
@@ -313,15 +317,16 @@
 			is.True(all(200)())
 			continue
 		}
-		eventually(t, "none serves by key", all(503))
+		eventually(t, "no box accepts keys", all(503))
 		is.True(time.Since(down) < 4*time.Second)
 		f.Store.SetMode(nil)
 		eventually(t, "all serve again", all(200))
 	}
 }
 
-// TestOperatorsAreToldHowCustomersAreServed: a request in time, one that came late and one
-// that no server could take; what was over the limit or unauthorized is left out.
+// TestOperatorsAreToldHowCustomersAreServed checks the counts of a customer's requests: one answered
+// in time, one late and one that no server could take. Requests over the limit and unauthorized
+// ones do not count.
 func TestOperatorsAreToldHowCustomersAreServed(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 1, customers())
@@ -336,7 +341,7 @@
 	for _, z := range Zones {
 		f.Store.Put("evacuations", z.Zone, map[string]any{})
 	}
-	eventually(t, "no server may take it", func() bool {
+	eventually(t, "no server is available", func() bool {
 		return client.Do("GET", "/read/1", "refused", "", bearer(studioKey)).Status == 503
 	})
 	answer, err := http.Get("http://" + f.Boxes[0].IP + ":8103" + customerstats.Path)
