--- a/test/machines/entries_test.go
+++ b/test/machines/entries_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestEntryOfAnotherWriterTakesItsServerOut: an entry that names no server gets no request,
-// also where it has taken the place of one that did; the others serve on, and the server is
-// back with its own entry.
+// TestEntryOfAnotherWriterTakesItsServerOut checks that a malformed entry, as another writer of the
+// store may leave it, gets no requests, also if it replaces a server's valid one. The other servers
+// are still used, and the server is used again once its valid entry is back.
 func TestEntryOfAnotherWriterTakesItsServerOut(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, "east-a.1", "east-b.1")
@@ -39,14 +39,14 @@
 	} {
 		f.Store.Put("servers", "foreign", spec)
 		f.Store.Put("servers", out.ID, spec)
-		eventually(t, "the server is out", gone(out.ID))
+		eventually(t, "the server is removed", gone(out.ID))
 		before := out.Arrivals()
 		serve(fmt.Sprint("out", i), 20)
 		is.Equal(out.Arrivals(), before)
 		f.PutServer(out, "shop", "east-a", "ready", 0)
 		eventually(t, "the server is back", func() bool { return !gone(out.ID)() })
 	}
-	eventually(t, "it serves again", func() bool {
+	eventually(t, "the server gets requests again", func() bool {
 		before := out.Arrivals()
 		serve("back", 20)
 		return out.Arrivals() > before
