--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -9,22 +9,18 @@
 	"github.com/matryer/is"
 )
 
-// The story. The platform's store was silent when a backend server began to leave: it said so in all
-// its answers, and could not write it to the store. Boxes that had passed such answers on to clients
-// went on sending it requests, 3 to 9 a second, until the store had its word 13 s later; no more than
-// 2.5 s are allowed. Nobody noticed but the server.
-//
-// The cause: nothing read the word in answers; the state in the store's list was all that boxes knew of
-// leaving. The evidence: at the users' boxes the rate at the server was the same before and after, and each
-// box logged once that it does not read a header of that name. Here, with the store silent, such a server got
-// 456 requests too late in two seconds, as many as before it said so.
+// These tests guard against requests to a server that announces in its answers that it is leaving
+// while the store is silent, so that its entry still has it as ready. Boxes read only the state in
+// the store's list and ignored the header, and so sent the server 3 to 9 requests per second until
+// the store had the state 13 s later; 2.5 s are allowed. Without the header being read, a server
+// in these tests gets 456 late requests in two seconds, as many as before its announcement.
 
-// drainTime is within what time a server that leaves gets nothing new any more.
+// drainTime is how long after its announcement a leaving server may still get new requests.
 const drainTime = 2500 * time.Millisecond
 
-// lateAfterLeaving counts the requests that a server got from boxes later than the time of
-// draining after it had told the box that it leaves, and those that it got from any box later than
-// that after it had told the first one.
+// lateAfterLeaving counts a server's late requests: fromTold those that came later than drainTime
+// after it had announced to the same box that it leaves, fromAny those that came from any box later
+// than drainTime after its first announcement.
 func lateAfterLeaving(s *Server) (fromTold, fromAny int) {
 	told := map[string]time.Time{}
 	var first time.Time
@@ -47,13 +43,13 @@
 	return fromTold, fromAny
 }
 
-// silenceStore has the store say nothing to any box.
+// silenceStore makes the store answer no box.
 func silenceStore(f *Fleet) {
 	f.Store.SetMode(func(string, string) Mode { return Silent })
 }
 
-// TestServerThatSaysItLeaves: with the store silent, it gets nothing new of any box some time after it has
-// first said so, and its keys are served elsewhere.
+// TestServerThatSaysItLeaves checks that, with the store silent, a leaving server gets no new request
+// from any box later than drainTime after its first announcement, and that other servers take over.
 func TestServerThatSaysItLeaves(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
@@ -65,7 +61,7 @@
 	time.Sleep(drainTime + 2*time.Second)
 	told, any := lateAfterLeaving(s)
 	counts := clients.end()
-	t.Logf("%d requests too late of boxes that were told, %d of all; answers %v", told, any, counts)
+	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", told, any, counts)
 	is.True(len(s.SentHeaders(LeavingHeader)) > 0)
 	is.Equal(told, 0)
 	is.Equal(any, 0)
@@ -76,7 +72,7 @@
 	is.True(counts["200 answer"] >= total*98/100)
 }
 
-// knownToLeave reports whether all boxes know that the server leaves.
+// knownToLeave returns a check of whether all boxes know that the server is leaving.
 func knownToLeave(f *Fleet, s *Server) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
@@ -88,8 +84,9 @@
 	}
 }
 
-// TestLeavingIsKnownWhereNobodyWasTold: at boxes that have sent the server nothing, and at one that starts
-// later, with the store's list saying that it is ready all the while; its next life is used.
+// TestLeavingIsKnownWhereNobodyWasTold checks that boxes that sent the server no request, and a box
+// that starts later, know that it is leaving although the store lists it as ready throughout, and
+// that the server's next incarnation is used.
 func TestLeavingIsKnownWhereNobodyWasTold(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
@@ -97,7 +94,7 @@
 	s := busiest(f)
 	s.SetHeader(LeavingHeader, "1")
 	requestUntilAnswered(t, f, 0, s)
-	eventually(t, "all boxes know that it leaves", knownToLeave(f, s))
+	eventually(t, "all boxes know that it is leaving", knownToLeave(f, s))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", knownToLeave(f, s))
@@ -107,11 +104,12 @@
 	for box := range f.Boxes {
 		send(t, f, box, 3, 0)
 	}
-	is.Equal(s.Arrivals(), before) // an answer or a list without the word does not end it
+	is.Equal(s.Arrivals(), before) // an answer without the header or a list does not revoke it
 	usesNextIncarnation(t, f, s)
 }
 
-// TestAllServersLeave: once all have said so, requests are refused at once, and have not run.
+// TestAllServersLeave checks that requests are refused at once and without being executed when all
+// servers have announced that they leave.
 func TestAllServersLeave(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
@@ -133,7 +131,7 @@
 		return nil
 	}()
 	is.True(refused != nil)
-	is.Equal(answered, len(f.Servers)) // each is asked once
+	is.Equal(answered, len(f.Servers)) // each gets one request
 	is.True(refused.Took < 500*time.Millisecond)
 	is.True(refused.Header.Get("Retry-After") != "")
 }
