--- a/test/machines/limits_test.go
+++ b/test/machines/limits_test.go
@@ -18,20 +18,21 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// loadResult are what came of a customer's requests.
+// loadResult is the outcome of a customer's requests.
 type loadResult struct {
-	// statuses are how many got each status.
+	// statuses counts the answers by status.
 	statuses map[int]int
-	// took is how long each took, the shortest first.
+	// took holds the durations of the requests, sorted.
 	took []time.Duration
-	// retryAfter is that of the last refusal over the limit, in seconds.
+	// retryAfter is the Retry-After of the latest 429, in seconds.
 	retryAfter float64
 }
 
-// p99 is within how long 99 of 100 were answered.
+// p99 returns the 99th percentile of the durations.
 func (s *loadResult) p99() time.Duration { return s.took[len(s.took)*99/100] }
 
-// sendFor lets clients of a customer send requests to boxes in turn for a time.
+// sendFor runs clients of a customer, spread over the boxes, for the time d. Each pauses after
+// each answer for the time every.
 func sendFor(f *Fleet, key string, every time.Duration, clients int, d time.Duration) *loadResult {
 	s := &loadResult{statuses: map[int]int{}}
 	var mu sync.Mutex
@@ -61,7 +62,7 @@
 	return s
 }
 
-// maxInWindow returns the most requests of a customer that began in any window.
+// maxInWindow returns the maximum number of a customer's requests that started within any window.
 func (f *Fleet) maxInWindow(customer string, window time.Duration) int {
 	var times []time.Time
 	for _, r := range f.runs() {
@@ -82,19 +83,19 @@
 	return most
 }
 
-// allowedInFiveSeconds is how many requests a limit may let pass in 5 s.
+// allowedInFiveSeconds returns how many requests a limit may admit in 5 s.
 func allowedInFiveSeconds(rate, burst float64) int { return int((rate*5+burst)*1.1 + 20) }
 
-// TestLimitsHoldOverAllBoxes: one customer sends far more than it may, to all boxes at
-// once, and is refused with when to come back; another one, below its limit, is
-// served in full meanwhile.
+// TestLimitsHoldOverAllBoxes checks that a customer that sends far more than its limit to all boxes
+// at once is limited over all of them and gets 429 with Retry-After, while no request of another
+// customer, which is below its limit, is refused.
 func TestLimitsHoldOverAllBoxes(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 6, []Customer{
 		{Name: "studio", Keys: []string{studioKey}, Rate: 30, Burst: 15},
 		{Name: "label", Keys: []string{labelKey}, Rate: 100, Burst: 100},
 	})
-	// The buckets fill.
+	// Let the token buckets fill.
 	time.Sleep(2 * time.Second)
 	var studio, label *loadResult
 	var all sync.WaitGroup
@@ -119,9 +120,10 @@
 	is.Equal(len(label.statuses), 1)
 }
 
-// TestACustomerFarOverItsLimitCostsOthersNothing: one customer sends thirty times what it may,
-// and more than all servers can do. Another one is served as it was without: in full, and 99 of
-// 100 requests within the work of two more. Without the limit most of these are refused.
+// TestACustomerFarOverItsLimitCostsOthersNothing checks that a customer that sends thirty times its
+// limit, more than the capacity of all servers, does not affect another one: none of its requests
+// is refused, and their 99th percentile grows by at most two service times. Without the limit most
+// of them are refused.
 func TestACustomerFarOverItsLimitCostsOthersNothing(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -144,14 +146,14 @@
 	time.Sleep(500 * time.Millisecond)
 	beside := sendFor(f, labelKey, 200*time.Millisecond, 6, 3*time.Second)
 	studio := <-done
-	t.Logf("99 of 100 within %v alone, %v beside %v", alone.p99(), beside.p99(), studio.statuses)
+	t.Logf("99th percentile %v alone, %v beside %v", alone.p99(), beside.p99(), studio.statuses)
 	is.Equal(beside.statuses[200], len(beside.took))
 	is.True(beside.p99() <= alone.p99()+2*work)
 	is.True(studio.statuses[429] > 10*studio.statuses[200]/2)
 }
 
-// TestABoxThatIsLostLeavesTheLimits: the others go on with their parts, and what the
-// lost one held is not given twice.
+// TestABoxThatIsLostLeavesTheLimits checks that the other boxes keep their shares of a limit when a
+// box is lost, and that the lost box's share is not granted twice.
 func TestABoxThatIsLostLeavesTheLimits(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 6, []Customer{{Name: "studio", Keys: []string{studioKey}, Rate: 40, Burst: 20}})
@@ -167,8 +169,8 @@
 	is.True(statuses[200] >= 80)
 }
 
-// TestALimitThatIsRefusedHasNotRun: a refusal over the limit says the truth, and comes
-// before the body is read.
+// TestALimitThatIsRefusedHasNotRun checks that a request that gets 429 was not executed, and that the
+// 429 is sent before the body is read.
 func TestALimitThatIsRefusedHasNotRun(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 1, []Customer{{Name: "studio", Keys: []string{studioKey}, Rate: 1}})
@@ -188,7 +190,7 @@
 		}
 	}
 	is.True(refused > 20)
-	// The rest of this body never comes.
+	// The body of this request is never sent.
 	slow := &Client{Address: f.Boxes[0].Clients}
 	defer slow.Close()
 	is.NoErr(slow.Send("PUT", "/buy/1", "slow", "", bearer(studioKey)+"Content-Length: 100\r\n"))
@@ -197,9 +199,9 @@
 	is.Equal(a.Status, 429)
 }
 
-// TestAFleetThatStartsServesLimitedCustomersSoon: boxes that all start at once, the
-// one that all others ask first as the last of them, know each other and hold their
-// parts of limits within a moment of being ready.
+// TestAFleetThatStartsServesLimitedCustomersSoon checks that boxes that start together, with the
+// seed box as the last, know each other and hold shares of limits within 500 ms of the last
+// box's start.
 func TestAFleetThatStartsServesLimitedCustomersSoon(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 0, []Customer{{Name: "studio", Keys: []string{studioKey}, Rate: 40, Burst: 20}})
@@ -219,8 +221,8 @@
 	is.True(took < 500*time.Millisecond)
 }
 
-// TestOperatorsSeeWhoIsRefused: by customer and region, from the boxes' admin
-// addresses, with nothing of a key but the beginning of its digest.
+// TestOperatorsSeeWhoIsRefused checks that stoneworksctl shows refused requests by customer and
+// region from the boxes' admin addresses, and of an API key only the beginning of its digest.
 func TestOperatorsSeeWhoIsRefused(t *testing.T) {
 	is := is.New(t)
 	f := newCustomerFleet(t, io.Discard, 3, []Customer{
