--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -20,7 +20,7 @@
 	"github.com/stoneworks/stoneworks/test/addresses"
 )
 
-// networkOf gives a test loopback addresses of its own.
+// networkOf reserves a loopback network for the test.
 func networkOf(t testing.TB) string {
 	t.Helper()
 	n, err := addresses.Reserve("127.91")
@@ -37,12 +37,14 @@
 	upload = Route{Prefix: "/up/", Kind: "upload", Service: "shop", TimeoutMS: 3000}
 )
 
+// newFleet starts a fleet with the servers, whose ids begin with their zones, and with boxes spread
+// over the zones.
 func newFleet(t *testing.T, boxes int, servers ...string) *Fleet {
 	t.Helper()
 	return newFleetIn(t, func(i int) string { return Zones[i%len(Zones)].Zone }, boxes, servers...)
 }
 
-// newFleetIn starts a fleet whose boxes are in the given zones.
+// newFleetIn is newFleet with the zone of each box given.
 func newFleetIn(t *testing.T, zone func(i int) string, boxes int, servers ...string) *Fleet {
 	t.Helper()
 	f, err := NewFleet(networkOf(t), io.Discard)
@@ -75,6 +77,7 @@
 	return f
 }
 
+// eventually fails the test if the check does not succeed within 8 s.
 func eventually(t *testing.T, what string, check func() bool) {
 	t.Helper()
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -82,7 +85,7 @@
 			return
 		}
 	}
-	t.Fatalf("in vain: %s", what)
+	t.Fatalf("not within 8 s: %s", what)
 }
 
 func TestRequestsReachServersUnaltered(t *testing.T) {
@@ -113,11 +116,11 @@
 		is.Equal(run.ID, id)
 		is.True(run.Timeout != "")
 	}
-	is.Equal(f.Servers["east-a.1"].Connections(), 1) // kept connections are used again
+	is.Equal(f.Servers["east-a.1"].Connections(), 1) // idle connections are reused
 }
 
-// TestRefusedWithRoomIsAskedBackAtOnce: where nothing has to drain first, the
-// client need not wait.
+// TestRefusedWithRoomIsAskedBackAtOnce checks that a client is told to retry almost at once when a
+// server with free slots refuses its request, since no queue has to drain first.
 func TestRefusedWithRoomIsAskedBackAtOnce(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1")
@@ -129,9 +132,9 @@
 	is.Equal(a.Header.Get("Retry-After"), "0.010")
 }
 
-// TestSpoiledAnswers: whatever a server does with an answer, the client gets
-// the whole right one or learns that it did not; what may not be repeated runs
-// once, and 503 is only said of what did not run.
+// TestSpoiledAnswers checks that, however a server mishandles an answer, the client gets the complete
+// right one or an error, that a request that must not be retried is executed once, and that only
+// requests that were not executed get 503.
 func TestSpoiledAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -155,7 +158,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, 1, "east-a.1", "east-a.2")
-			// Requests give the right to repeats.
+			// These requests earn the budget for a retry.
 			client := &Client{Address: f.Boxes[0].Clients}
 			defer client.Close()
 			for i := range 20 {
@@ -195,7 +198,7 @@
 				is.Equal(ran, 0)
 				is.True(a.Header.Get("Retry-After") != "")
 			}
-			// The connection to the server is not poisoned for those that follow.
+			// The fault does not affect later requests over the same connections.
 			for i := range 5 {
 				id := fmt.Sprint("after-", i)
 				is.Equal(client.Do("GET", "/read/1", id, "", "").Body, AnswerBody(id))
@@ -311,8 +314,8 @@
 	}
 }
 
-// TestBoxThatTheStoreTurnsAwayLearnsFromOthers: drains, evacuations and
-// configurations reach it all the same.
+// TestBoxThatTheStoreTurnsAwayLearnsFromOthers checks that a box that the store refuses learns of
+// drains, evacuations and configurations from other boxes.
 func TestBoxThatTheStoreTurnsAwayLearnsFromOthers(t *testing.T) {
 	for _, mode := range []Mode{Busy, TooMany, Silent, Resetting} {
 		t.Run(fmt.Sprint("mode ", int(mode)), func(t *testing.T) {
@@ -343,8 +346,8 @@
 	}
 }
 
-// TestStoreThatForgetsIsListedAnew: what changed while the history was lost is
-// known soon after.
+// TestStoreThatForgetsIsListedAnew checks that a box lists the store again after the store lost its
+// history, and so learns what changed meanwhile.
 func TestStoreThatForgetsIsListedAnew(t *testing.T) {
 	f := newFleet(t, 1, "east-a.1")
 	f.Store.SetMode(func(string, string) Mode { return Silent })
@@ -369,8 +372,8 @@
 	is.Equal(len(old.Runs()), 1)
 }
 
-// TestBoxesTellEachOtherOfGoneServers: what one box finds by a request of a
-// client, another one that serves clients knows without one.
+// TestBoxesTellEachOtherOfGoneServers checks that a box reports a server whose address has been
+// reused, found by a client's request, to another box that serves clients.
 func TestBoxesTellEachOtherOfGoneServers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, "east-a.1")
@@ -423,11 +426,11 @@
 		return true
 	})
 	f.Boxes[2].Stop()
-	eventually(t, "a box that ended is not named", func() bool { return len(ask(0, "west", "west-a")) == 1 })
+	eventually(t, "a stopped box is not named", func() bool { return len(ask(0, "west", "west-a")) == 1 })
 }
 
-// TestLeavingBoxAnswersAllItHolds: a planned stop cuts no request, and the box
-// is neither ready nor named from its beginning.
+// TestLeavingBoxAnswersAllItHolds checks that a planned stop cuts off no request, and that the box is
+// not ready from the beginning of the stop.
 func TestLeavingBoxAnswersAllItHolds(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, "east-a.1")
@@ -438,7 +441,7 @@
 		clients[i] = &Client{Address: b.Clients}
 		is.NoErr(clients[i].Send("GET", fmt.Sprint("/read/", i), fmt.Sprint("held-", i), "", ""))
 	}
-	eventually(t, "they run", func() bool { return len(f.Servers["east-a.1"].Runs()) == 4 })
+	eventually(t, "the requests run", func() bool { return len(f.Servers["east-a.1"].Runs()) == 4 })
 	left := make(chan struct{})
 	go func() { b.Leave(context.Background()); close(left) }()
 	eventually(t, "not ready", func() bool { return status(t, "http://"+b.Ready+"/-/ready") == 503 })
@@ -455,12 +458,12 @@
 	select {
 	case <-left:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the box did not end within its grace")
+		t.Fatal("the box did not stop within 2 s")
 	}
 }
 
-// TestColdServerIsSpared: a server that starts cold gets nothing while others
-// can do the work.
+// TestColdServerIsSpared checks that a server gets no requests during its cold start while others
+// have capacity.
 func TestColdServerIsSpared(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1")
@@ -468,7 +471,7 @@
 	is.NoErr(err)
 	f.Servers["east-a.2"] = cold
 	f.PutServer(cold, "shop", "east-a", "ready", time.Second)
-	eventually(t, "it is listed", func() bool { return len(f.Boxes[0].Set.List()) == 2 })
+	eventually(t, "the server is listed", func() bool { return len(f.Boxes[0].Set.List()) == 2 })
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
 	for i := range 20 {
@@ -476,17 +479,16 @@
 	}
 	is.Equal(cold.Arrivals(), 0)
 	i := 0
-	eventually(t, "it gets its keys when it is warm", func() bool {
+	eventually(t, "the server gets its keys when it is warm", func() bool {
 		i++
 		c.Do("GET", "/read/1", "id", "", fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", i))
 		return cold.Arrivals() > 0
 	})
 }
 
-// TestServerGoneIsBelievedOfOthers: a box that had trouble with the store of
-// its own leaves a server that is gone as soon as a box without trouble tells
-// it. (On a day of our own it kept the server for 1.75 s more, 470 ms too
-// long.)
+// TestServerGoneIsBelievedOfOthers checks that a box that the store refuses stops using a deleted
+// server as soon as a box that reaches the store reports it. Otherwise it keeps the server for up
+// to 1.75 s more, 470 ms longer than allowed.
 func TestServerGoneIsBelievedOfOthers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, "east-a.1", "east-a.2")
@@ -501,7 +503,7 @@
 	time.Sleep(500 * time.Millisecond)
 	f.Store.Delete("servers", "east-a.1")
 	start := time.Now()
-	eventually(t, "it is not listed", func() bool { return len(cutOff.Set.List()) == 1 })
+	eventually(t, "the server is not listed", func() bool { return len(cutOff.Set.List()) == 1 })
 	is.True(time.Since(start) < 1500*time.Millisecond)
 	c := &Client{Address: cutOff.Clients}
 	defer c.Close()
@@ -512,11 +514,9 @@
 	is.Equal(f.Servers["east-a.1"].Arrivals(), before)
 }
 
-// TestFewBoxesOfAZoneAskTheStore: the others hear of news from them, soon; and
-// when those end, others take over in time.
-// TestNewsComeFromTheOwnZone is the failure in which each box took each change
-// from whichever zone told it first, across regions: on the day at 300 machines
-// that was most of all bytes between regions.
+// TestNewsComeFromTheOwnZone guards against boxes that pull each change from whichever zone reports
+// it first, also from another region. With 300 machines these pulls were most of the bytes sent
+// between regions.
 func TestNewsComeFromTheOwnZone(t *testing.T) {
 	is := is.New(t)
 	f := newFleetIn(t, func(i int) string { return Zones[i/4].Zone }, 12, "east-a.1", "east-b.1", "west-a.1")
@@ -543,19 +543,18 @@
 	}
 	near, far = pulls("zone")-near, pulls("far")-far
 	is.True(near >= changes)
-	is.True(far <= changes/2) // of 6 boxes that do not ask the store
+	is.True(far <= changes/2) // summed over the 6 boxes that are no store pollers
 }
 
-// TestPartShortOfRoomKeepsItsWeight: where a route is split, a service without
-// room still gets its part, which is refused with when to come back; none of it
-// moves to the other service.
+// TestPartShortOfRoomKeepsItsWeight checks that on a split route a service without free slots keeps
+// its share of the requests, which get 503 with Retry-After and are not moved to the other service.
 func TestPartShortOfRoomKeepsItsWeight(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1", "east-a.2")
 	f.Configure(5, read, Route{Prefix: "/split/", Kind: "safe", TimeoutMS: 1500, Split: []string{"shop", "desk"}})
 	client := &Client{Address: f.Boxes[0].Clients}
 	defer client.Close()
-	eventually(t, "the route is in force", func() bool { return client.Do("GET", "/split/1", "first", "", "").Status != 404 })
+	eventually(t, "the route is active", func() bool { return client.Do("GET", "/split/1", "first", "", "").Status != 404 })
 	const requests = 60
 	served, refused := 0, 0
 	for i := range requests {
@@ -572,7 +571,7 @@
 	is.True(served >= requests/2-1 && served <= requests/2+1)
 }
 
-// allServe returns whether all boxes serve a route.
+// allServe returns a check of whether all boxes serve a route.
 func allServe(prefix string, boxes []*Box) func() bool {
 	return func() bool {
 		for _, b := range boxes {
@@ -587,9 +586,9 @@
 	}
 }
 
-// TestFewBoxesTryWhileTheStoreIsDown: each box that tries makes calls for
-// nothing, and all of them come back at once. Found where a store that was down
-// for all boxes of a large deployment got five in six of its calls in that time.
+// TestFewBoxesTryWhileTheStoreIsDown checks that few boxes call a store that is down for all. Each
+// call is in vain, and all of these boxes call at once when it is back. A store that was down for
+// all boxes of a large deployment got five in six of its calls during that time.
 func TestFewBoxesTryWhileTheStoreIsDown(t *testing.T) {
 	is := is.New(t)
 	const boxes = 12
@@ -609,7 +608,7 @@
 		}
 	}
 	is.True(trying >= 1)
-	is.True(trying <= 4) // after four times of contact without the store
+	is.True(trying <= 4) // after four contact times without the store
 	f.Store.SetMode(nil)
 	f.Configure(30, read, Route{Prefix: "/back/", Kind: "safe", Service: "shop"})
 	start := time.Now()
@@ -617,8 +616,8 @@
 	is.True(time.Since(start) < 2500*time.Millisecond)
 }
 
-// TestZoneWhoseFirstBoxesAreTurnedAwayIsTold: the store turns away the two
-// boxes of a zone that try first; the zone has the change in time all the same.
+// TestZoneWhoseFirstBoxesAreTurnedAwayIsTold checks that a zone learns of a change in time although
+// the store refuses the two boxes of the zone that call it first.
 func TestZoneWhoseFirstBoxesAreTurnedAwayIsTold(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -642,8 +641,8 @@
 				}
 				return Serving
 			})
-			// One more box of a zone tries only after the time of contact
-			// without any box that the store answers.
+			// One more box of a zone calls the store only when no box has had an answer
+			// for the contact time.
 			time.Sleep(f.Boxes[0].Settings.Bounds.Contact + 3*time.Second)
 			f.Configure(30, read, Route{Prefix: "/late/", Kind: "safe", Service: "shop"})
 			start := time.Now()
@@ -653,6 +652,8 @@
 	}
 }
 
+// TestFewBoxesOfAZoneAskTheStore checks that only a zone's store pollers call the store, that the
+// other boxes soon learn of changes from them, and that others take over when the pollers stop.
 func TestFewBoxesOfAZoneAskTheStore(t *testing.T) {
 	is := is.New(t)
 	f := newFleetIn(t, func(int) string { return "east-a" }, 6, "east-a.1", "east-a.2")
@@ -673,7 +674,7 @@
 		prefix := fmt.Sprintf("/new%d/", i)
 		f.Configure(10+i, read, Route{Prefix: prefix, Kind: "safe", Service: "shop"})
 		start := time.Now()
-		eventually(t, "all boxes have the news", allServe(prefix, f.Boxes))
+		eventually(t, "all boxes have the change", allServe(prefix, f.Boxes))
 		is.True(time.Since(start) < 700*time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
 	}
@@ -692,8 +693,8 @@
 	is.True(time.Since(start) < 2500*time.Millisecond)
 }
 
-// TestServersRememberABoundedNumberOfKeys: the stand-in is quicker for keys
-// that it knows, and forgets the one that was not used for longest.
+// TestServersRememberABoundedNumberOfKeys checks that the stand-in serves cached keys faster, and
+// evicts the least recently used key.
 func TestServersRememberABoundedNumberOfKeys(t *testing.T) {
 	is := is.New(t)
 	s := &Server{Work: 100 * time.Millisecond, Performance: Performance{Memory: 2, Gain: 0.5, Speed: 2}}
