--- a/test/machines/operators_test.go
+++ b/test/machines/operators_test.go
@@ -9,11 +9,12 @@
 	"github.com/stoneworks/stoneworks/pkg/ctl"
 )
 
-// TestOperatorsSeeTheFleet: one box tells of all, by zone, and of one that has ended.
+// TestOperatorsSeeTheFleet checks that one box reports all boxes by zone, and also one that has
+// stopped.
 func TestOperatorsSeeTheFleet(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 6, "east-a.1")
-	eventually(t, "they know each other", func() bool { return f.Boxes[0].Members.Count() == 6 })
+	eventually(t, "the boxes know each other", func() bool { return f.Boxes[0].Members.Count() == 6 })
 	show := func() string {
 		var out, problems strings.Builder
 		is.Equal(ctl.Main([]string{"fleet", f.Boxes[0].Settings.Listen.Admin}, nil, &out, &problems), ctl.ExitOK)
@@ -24,5 +25,5 @@
 		is.True(strings.Contains(show(), z.Zone))
 	}
 	f.Boxes[5].Stop()
-	eventually(t, "a box that ended is told as silent", func() bool { return strings.Contains(show(), "box-6") })
+	eventually(t, "a stopped box is shown as silent", func() bool { return strings.Contains(show(), "box-6") })
 }
