--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -13,26 +13,25 @@
 	"github.com/stoneworks/stoneworks/pkg/ctl"
 )
 
-// The story. Seven of 24 backend servers turned all requests away for nine seconds, with 503, and asked each
-// box that sent them some for three seconds of rest. Within these, boxes sent them 4 and 5 requests and
-// more; two are allowed. The seven turned 150 requests a second away, and each second some 30 clients were
-// refused whose second server was one of the seven too.
-//
-// The cause: nothing read what a server asks for. A refusal made the server count as full, by a load that is
-// soon old and that the next answer corrects, since such a server is idle; its keys came back within 5 ms to
-// 1.4 s. The evidence: at the users' boxes these pauses have nothing to do with the time that was asked for;
-// here up to 173 requests of one box reached a server in three seconds of rest.
+// These tests guard against requests to a server during the time that its Retry-After header asks for.
+// Seven of 24 servers refused all requests for nine seconds with 503 and Retry-After: 3; boxes still
+// sent them 4, 5 and more requests in these three seconds, of which two are allowed. The seven refused
+// 150 requests per second, and some 30 clients per second got an error since their second server was
+// one of the seven too. Boxes ignored the header: a refusal marked the server as full, but that load
+// soon expired or was corrected by the next answer, since such a server is idle, so that its keys
+// returned within 5 ms to 1.4 s. Without the header being read, up to 173 requests of one box reach a
+// server of these tests in three seconds.
 
 const (
-	// retryAfterDelay is how long after a server has asked for rest requests may still be on their way.
+	// retryAfterDelay is how long after a server's Retry-After requests may still be in flight to it.
 	retryAfterDelay = 500 * time.Millisecond
-	// maxRequestsInRetryAfter is how many requests may reach a server from a box that it has asked for rest,
-	// between restTold and the end of that time.
+	// maxRequestsInRetryAfter is how many requests from a box may reach a server between
+	// retryAfterDelay and the end of the time for which its Retry-After asked that box.
 	maxRequestsInRetryAfter = 2
 )
 
-// maxDuringRetryAfter is how many requests a server got from a box in a time of rest that it had
-// asked that box for.
+// maxDuringRetryAfter returns the maximum number of requests that a server got from one box, later
+// than retryAfterDelay, during the time for which it had asked that box with Retry-After.
 func maxDuringRetryAfter(s *Server, rest time.Duration) (most int) {
 	arrivals := s.ArrivalLog()
 	for _, asked := range s.SentHeaders(RetryAfterHeader) {
@@ -48,8 +47,9 @@
 	return most
 }
 
-// TestServerThatAsksForRest: it gets no more than is allowed of the boxes that it has asked, its keys are
-// served elsewhere, and it is used again when it no longer asks for rest.
+// TestServerThatAsksForRest checks that a server that sends Retry-After gets no more requests than
+// allowed from the boxes that received it, that other servers take over, and that the server is
+// used again once it no longer sends the header.
 func TestServerThatAsksForRest(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
@@ -65,7 +65,7 @@
 	time.Sleep(time.Second)
 	back := arrivedSince(s, rested)
 	counts := clients.end()
-	t.Logf("at most %d requests in a time of rest, %d in the fourth second after the last; answers %v", most, back, counts)
+	t.Logf("at most %d requests during a Retry-After time, %d in the fourth second after the last; answers %v", most, back, counts)
 	is.True(len(s.SentHeaders(RetryAfterHeader)) > 0)
 	is.True(most <= maxRequestsInRetryAfter)
 	is.True(back > 20) // it is used as before
@@ -76,8 +76,9 @@
 	is.True(counts["200 answer"] >= total*98/100)
 }
 
-// TestServersThatAllAskForRest: requests are refused at once, have not run, and are told when the first
-// server takes requests again, which then is used.
+// TestServersThatAllAskForRest checks that requests are refused at once and without being executed
+// when all servers have sent Retry-After, that the refusal's Retry-After is the time until the first
+// server accepts requests again, and that this server is used then.
 func TestServersThatAllAskForRest(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
@@ -102,7 +103,7 @@
 		}
 		s.RejectWithRetryAfter("")
 	}
-	is.Equal(asked, len(f.Servers)) // each is asked once
+	is.Equal(asked, len(f.Servers)) // each gets one request
 	ready := first.Add(2 * time.Second)
 	a := do(100)
 	now := time.Now()
@@ -111,14 +112,14 @@
 	retry, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	back := now.Add(time.Duration(retry * float64(time.Second)))
-	t.Log("refused with Retry-After", retry, ",", back.Sub(ready), "after the first server takes requests again")
+	t.Log("refused with Retry-After", retry, ",", back.Sub(ready), "after the first server accepts requests again")
 	is.True(back.After(ready))
 	is.True(back.Sub(ready) < time.Second)
 	time.Sleep(time.Until(back))
 	is.Equal(do(101).Status, 200)
 }
 
-// printedStatuses is what operators are told of what servers say, by one box.
+// printedStatuses returns the server statuses that stoneworksctl prints from one box.
 func printedStatuses(t *testing.T, f *Fleet, box int) string {
 	t.Helper()
 	var out, problems strings.Builder
@@ -126,7 +127,8 @@
 	return out.String()
 }
 
-// TestRestIsOfOneBox: others go on, and so does another life of the server.
+// TestRestIsOfOneBox checks that only the box that received a Retry-After stops using the server, and
+// that the server's next incarnation is used.
 func TestRestIsOfOneBox(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
@@ -147,7 +149,8 @@
 	usesNextIncarnation(t, f, s)
 }
 
-// TestRestThatCannotBeRead asks for nothing, is counted, and hides no other word.
+// TestRestThatCannotBeRead checks that a malformed Retry-After has no effect, is counted, and does not
+// hide other headers of the answer.
 func TestRestThatCannotBeRead(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 1)
@@ -159,11 +162,11 @@
 	is.True(metrics.GetOrRegisterCounter("words.unread", f.Boxes[0].Metrics).Count() > 0)
 	is.True(allKnowLimit(f, s, "9")())
 	s.RejectWithRetryAfter("")
-	requestUntilAnswered(t, f, 0, s) // it is used on
+	requestUntilAnswered(t, f, 0, s) // the server is still used
 }
 
-// TestRestBesideOtherTrouble: one server asks for rest and names a limit, another one says that it leaves,
-// the store is silent, and the two others of the region end.
+// TestRestBesideOtherTrouble combines faults: one server sends Retry-After and a limit, another one
+// announces that it leaves, a third one stops, and the store is silent.
 func TestRestBesideOtherTrouble(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
@@ -186,11 +189,11 @@
 	told, any := lateAfterLeaving(leaves)
 	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), maxInLimitWindow(rests)
 	counts := clients.end()
-	t.Logf("%d in a time of rest, %d in %s by the limit, %d of %d too late, %d run after; %v",
+	t.Logf("%d requests during a Retry-After time, %d in %s under the limit, late %d from told boxes and %d from any, %d runs afterwards; %v",
 		most, limited, limitWindow, told, any, len(rests.Runs())-ran, counts)
 	is.True(most <= maxRequestsInRetryAfter)
 	is.True(limited <= allowedBy("5"))
 	is.Equal(told, 0)
 	is.Equal(any, 0)
-	is.True(len(rests.Runs())-ran >= 5) // half of what it takes
+	is.True(len(rests.Runs())-ran >= 5) // half of the limit
 }
