--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -13,20 +13,21 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// rolloutTime is how long the orders of these tests last.
+// rolloutTime is the duration of the rollouts in these tests.
 const rolloutTime = 10 * time.Second
 
-// The shares of requests that a version may get until its deadline if it turns out to be bad, with a slack
-// in requests, and how long it may get any after maxBadAnswers bad answers.
+// A bad version may get the share maxExposure of the requests plus exposureSlack requests until its
+// rollout's deadline, and none later than rollbackTime after maxBadAnswers bad answers.
 const (
 	maxExposure   = 0.1
 	exposureSlack = 20
-	maxBadAnswers       = 50
+	maxBadAnswers = 50
 	rollbackTime  = 5 * time.Second
 )
 
-// runRollout has a service of ten servers move to a version whose servers fail as told, while clients send
-// requests, and returns the fleet, when it was ordered, and the states noted, each a second.
+// runRollout moves a service of ten servers to a version whose servers fail according to fault and
+// need slower times the service time, while clients send requests. It returns the fleet, the start
+// of the rollout, and the rollout's state at each second.
 func runRollout(t *testing.T, fault func(r *Run, since time.Duration) Fault, slower float64) (f *Fleet, ordered time.Time, states []string) {
 	t.Helper()
 	f, err := NewFleet(networkOf(t), io.Discard)
@@ -77,6 +78,7 @@
 	return f, ordered, states
 }
 
+// stateOf returns the state of the rollout, or its whole status if there is no known state for v2.
 func stateOf(f *Fleet) string {
 	status := f.Store.StatusOf("rollouts", "shop")
 	for _, state := range []string{"running", "complete", "rolled_back"} {
@@ -87,7 +89,7 @@
 	return status
 }
 
-// runsByVersion returns the runs of the old and of the new servers from a time on.
+// runsByVersion returns the runs at the old and at the new servers that started at a time or later.
 func runsByVersion(f *Fleet, from time.Time) (old, fresh []Run) {
 	for id, s := range f.Servers {
 		for _, r := range s.Runs() {
@@ -103,8 +105,8 @@
 	return old, fresh
 }
 
-// TestGoodVersionTakesOver: the service moves little by little and is there before its time is over, after which
-// its old servers get nothing.
+// TestGoodVersionTakesOver checks that the service moves gradually to a good version, that the rollout
+// completes within its duration, and that the old servers get no requests afterwards.
 func TestGoodVersionTakesOver(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -118,8 +120,8 @@
 	is.True(len(fresh) > len(old)/10)
 }
 
-// TestBadVersionIsRolledBack: whatever it fails at, and whenever that begins, it gets no more than a tenth of
-// the requests, and nothing some time after it has failed.
+// TestBadVersionIsRolledBack checks that a bad version, however it fails and whenever that begins, gets
+// at most a tenth of the requests, and none later than rollbackTime after it has failed.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -159,7 +161,8 @@
 	}
 }
 
-// underLoad fails what comes while the version as a whole has more requests a second than so many.
+// underLoad returns a fault function that fails requests while the version has got more than most
+// requests within the last second.
 func underLoad(most int) func(r *Run, since time.Duration) Fault {
 	var mu sync.Mutex
 	var recent []time.Duration
@@ -181,7 +184,7 @@
 	return NoFault
 }
 
-// badAnswers are when a version gave bad answers.
+// badAnswers records the times of a version's bad answers.
 type badAnswers struct {
 	mu sync.Mutex
 	at []time.Time
@@ -193,7 +196,7 @@
 	b.at = append(b.at, at)
 }
 
-// nth returns when the nth one was given, if there were so many.
+// nth returns the time of the nth bad answer, and false if there were fewer.
 func (b *badAnswers) nth(n int) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,7 +206,7 @@
 	return b.at[n-1], true
 }
 
-// newShoppers starts clients that read and buy many things.
+// newShoppers starts clients that read, and buy with every third request, under many affinity keys.
 func newShoppers(f *Fleet, clients int) *traffic {
 	return newTrafficOf(f, clients, 5*time.Millisecond, func(c *Client, i, n int) *Answer {
 		id, key := fmt.Sprintf("shopper-%d-%d", i, n), fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\n", (i+n)%150)
