--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -14,12 +14,12 @@
 	"github.com/stoneworks/stoneworks/pkg/ctl"
 )
 
-// incarnationOf names the life of a server as boxes do.
+// incarnationOf returns the name that boxes give the server's incarnation.
 func incarnationOf(s *Server) string {
 	return (&backend.Server{ID: s.ID, StartedAtMs: s.StartedAtMs}).Incarnation()
 }
 
-// allKnowLimit reports whether all boxes know that the server names this limit, or with "" none.
+// allKnowLimit returns a check of whether all boxes know the server's limit; "" means none.
 func allKnowLimit(f *Fleet, s *Server, limit string) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
@@ -32,7 +32,7 @@
 	}
 }
 
-// send sends requests for a key to one box.
+// send sends count requests with one affinity key to one box, and counts the answers by status.
 func send(t *testing.T, f *Fleet, box, count int, pause time.Duration) (statuses map[int]int) {
 	t.Helper()
 	c := &Client{Address: f.Boxes[box].Clients}
@@ -46,7 +46,8 @@
 	return statuses
 }
 
-// requestUntilAnswered has a box get an answer of the server, whose limit may let none pass for a while.
+// requestUntilAnswered sends requests to a box until one reaches the server, whose limit may admit
+// none for a while.
 func requestUntilAnswered(t *testing.T, f *Fleet, box int, s *Server) {
 	t.Helper()
 	before := s.Arrivals()
@@ -56,8 +57,8 @@
 	})
 }
 
-// TestLimitIsKnownWhereNobodyWasTold: boxes that have sent the server nothing know its limit, also
-// one that starts later; and all know when it ends, changes, or cannot be read.
+// TestLimitIsKnownWhereNobodyWasTold checks that boxes that sent the server no request, and a box that
+// starts later, know its limit and learn when it changes or ends; a malformed limit changes nothing.
 func TestLimitIsKnownWhereNobodyWasTold(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
@@ -72,7 +73,7 @@
 	s.SetHeader(LimitHeader, "many")
 	requestUntilAnswered(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("limits.unread", f.Boxes[0].Metrics).Count() > 0)
-	is.True(allKnowLimit(f, s, "9")()) // what cannot be read says nothing
+	is.True(allKnowLimit(f, s, "9")()) // a malformed limit is ignored
 	s.SetHeader(LimitHeader, "7.5")
 	requestUntilAnswered(t, f, 0, s)
 	eventually(t, "all boxes know that it has changed", allKnowLimit(f, s, "7.5"))
@@ -85,7 +86,8 @@
 	eventually(t, "all boxes know that it has ended", allKnowLimit(f, s, ""))
 }
 
-// TestServerThatTakesNothing gets a request now and then, by which boxes hear when it takes more.
+// TestServerThatTakesNothing checks that a server with the limit 0 still gets a few requests, from
+// whose answers boxes learn that the limit has ended.
 func TestServerThatTakesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
@@ -99,16 +101,16 @@
 	is.True(maxInLimitWindow(s) <= allowedBy("0"))
 	is.True(arrivedSince(s, settled) > 0)
 	s.SetHeader(LimitHeader, "")
-	eventually(t, "all boxes hear that it takes all", allKnowLimit(f, s, ""))
+	eventually(t, "all boxes know that the limit has ended", allKnowLimit(f, s, ""))
 	lifted := time.Now()
 	time.Sleep(time.Second)
 	counts := clients.end()
-	t.Log(arrivedSince(s, lifted), "requests in the second after it takes all again", counts)
+	t.Log(arrivedSince(s, lifted), "requests in the second after the limit has ended", counts)
 	is.True(arrivedSince(s, lifted) > 20) // it is used as before
 }
 
-// TestServersThatAllNameLimits: each gets most of what it takes and no more than is allowed, and what
-// is beyond is refused soon, with when to come back, and has not run.
+// TestServersThatAllNameLimits checks that, when all servers name limits, each gets most of its limit
+// and no more than is allowed, and that other requests soon get 503 with Retry-After.
 func TestServersThatAllNameLimits(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
@@ -145,12 +147,12 @@
 	}
 	t.Log("refused", refused, "the slowest after", slowest, "others' answers", counts)
 	is.True(refused > 0)
-	is.True(slowest < 500*time.Millisecond)                                  // a refusal is not held back
-	is.True(float64(total) >= 0.6*10*float64(len(f.Servers))*span.Seconds()) // servers get most of what they take
+	is.True(slowest < 500*time.Millisecond)                                  // refused without waiting
+	is.True(float64(total) >= 0.6*10*float64(len(f.Servers))*span.Seconds()) // servers get most of their limits
 }
 
-// TestLimitEndsWithItsLife: a server that starts again under its id takes what it takes, until it
-// names a limit itself.
+// TestLimitEndsWithItsLife checks that a limit does not apply to the next incarnation of a server,
+// which starts under the same id.
 func TestLimitEndsWithItsLife(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
@@ -163,7 +165,7 @@
 	usesNextIncarnation(t, f, s)
 }
 
-// usesNextIncarnation has a server end and start again under its id, and sees to it that the first box uses it.
+// usesNextIncarnation restarts a server under its id, and checks that the first box uses it.
 func usesNextIncarnation(t *testing.T, f *Fleet, s *Server) {
 	t.Helper()
 	is := is.New(t)
@@ -173,14 +175,15 @@
 	again.StartedAtMs = s.StartedAtMs + 1000
 	f.Servers[s.ID] = again
 	f.PutServer(again, "shop", "east-a", "ready", 0)
-	eventually(t, "boxes use the next life", func() bool {
+	eventually(t, "the first box uses the next incarnation", func() bool {
 		send(t, f, 0, 5, 0)
 		return again.Arrivals() > 5
 	})
 }
 
-// TestLimitInALargeFleet: above largeFleet boxes tell those that serve clients and those that grant;
-// the sum of 72 boxes stays within the limit, and the server gets most of what it takes.
+// TestLimitInALargeFleet checks a limit in a fleet of more than largeFleet boxes, where boxes report
+// limits only to boxes that serve clients or grant tokens: the requests of all 72 boxes together stay
+// within the limit, and the server gets most of it.
 func TestLimitInALargeFleet(t *testing.T) {
 	is := is.New(t)
 	const limit = "2.7"
