--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -10,27 +10,26 @@
 	"github.com/matryer/is"
 )
 
-// The story. Two servers of 24 named the requests a second that they take from all boxes
-// together: 2.7 and 2.8. In the four seconds after that they got 45 and 51, from boxes that had
-// all passed such answers on to clients; 21 and 22 would have been within the bound. No request
-// failed, so nobody noticed but the servers.
-//
-// The cause: nothing read what a server names. The evidence: here a server that names 2.7 a
-// second got 997 requests in four seconds of six boxes, where six that kept the limit each by
-// itself would have sent 65, and at the users' 12 boxes the rate was the same before and after.
+// These tests guard against exceeding the limit, in requests per second from all boxes together, that
+// a server names in its answers. Two servers of 24 named 2.7 and 2.8, and got 45 and 51 requests in
+// the next four seconds, all from boxes that had received the limit; 21 and 22 are allowed. Boxes
+// ignored the header, and no request failed, so only the servers noticed. Without the header being
+// read, a server of these tests that names 2.7 gets 997 requests in four seconds from six boxes; six
+// that apply the limit each by itself would send 65.
 
-// The bound on a server that names a limit, from the users' rule: in any time of limitWindow it
-// gets at most the limit's requests x limitOverage + limitSlack, counted from boxes that had
-// been told for limitDelay, once it has named one for the time of contact.
+// A server that names a limit may get at most limit x limitOverage + limitSlack requests in any
+// limitWindow, where the limit stands for the requests that it allows in that time. Requests count
+// from boxes that received the limit at least limitDelay before, and only once the server has named
+// it for limitContact.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
-	limitDelay    = 500 * time.Millisecond
+	limitDelay   = 500 * time.Millisecond
 	limitContact = 1500 * time.Millisecond
 )
 
-// allowedBy is how many requests a limit allows in a window.
+// allowedBy returns how many requests a limit allows in a window.
 func allowedBy(limit string) int {
 	perSecond, err := strconv.ParseFloat(limit, 64)
 	if err != nil {
@@ -39,8 +38,8 @@
 	return int(limitOverage*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// maxInLimitWindow is how many requests a server got in a window from boxes that it had told of
-// its limit. It must have named one limit only, from some moment on.
+// maxInLimitWindow returns the maximum number of requests that a server got in a window from boxes
+// that had received its limit. The server must have named a single limit, from some time on.
 func maxInLimitWindow(s *Server) int {
 	told := map[string]time.Time{}
 	var first time.Time
@@ -71,7 +70,7 @@
 	return most
 }
 
-// arrivedSince counts the requests that a server got since a moment.
+// arrivedSince counts the requests that a server got after a time.
 func arrivedSince(s *Server, since time.Time) int {
 	n := 0
 	for _, a := range s.ArrivalLog() {
@@ -101,7 +100,7 @@
 	return f
 }
 
-// busiest is the server that got most requests.
+// busiest returns the server that got the most requests.
 func busiest(f *Fleet) *Server {
 	var best *Server
 	for _, s := range f.Servers {
@@ -112,8 +111,9 @@
 	return best
 }
 
-// TestServerThatNamesItsLimit: summed over all boxes that were told, it gets no more than its
-// limit allows; it gets most of what it takes; and what it does not take is served elsewhere.
+// TestServerThatNamesItsLimit checks that a server gets no more requests than its limit allows from all
+// boxes that received the limit together, that it gets most of its limit, and that other servers
+// serve the rest.
 func TestServerThatNamesItsLimit(t *testing.T) {
 	for _, limit := range []string{"2.7", "20"} {
 		t.Run(limit, func(t *testing.T) {
@@ -134,12 +134,12 @@
 				before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), counts)
 			is.True(got <= allowedBy(limit)) // the sum over all boxes stays within the limit
 			perSecond, _ := strconv.ParseFloat(limit, 64)
-			is.True(float64(taken) >= perSecond*span.Seconds()/2) // the server gets most of what it takes
+			is.True(float64(taken) >= perSecond*span.Seconds()/2) // the server gets most of its limit
 			total := 0
 			for _, n := range counts {
 				total += n
 			}
-			is.True(counts["200 answer"] >= total*98/100) // the rest is served elsewhere
+			is.True(counts["200 answer"] >= total*98/100) // other servers serve the rest
 		})
 	}
 }
