--- a/test/machines/starting_test.go
+++ b/test/machines/starting_test.go
@@ -10,10 +10,11 @@
 	"github.com/matryer/is"
 )
 
-// TestBoxThatStartsTellsWhenToComeBack. The story: for three seconds after all boxes had started again they had no
-// list of servers, and asked clients back after some tenths of a second, to be refused again, mostly for good. The
-// cause: a box that has no servers yet answered as one whose servers are busy. How long a start takes follows the
-// fleet and the list: the longer it has lasted, the longer it is expected to.
+// TestBoxThatStartsTellsWhenToComeBack guards against a starting box that sends the short Retry-After
+// of busy servers while it has no list of servers yet. After a restart of all boxes this lasted three
+// seconds, in which clients were told to retry after some tenths of a second, were refused again, and
+// mostly gave up. The duration of a start depends on the fleet and the list, so the expected rest of
+// it grows with the time that it has taken.
 func TestBoxThatStartsTellsWhenToComeBack(t *testing.T) {
 	is := is.New(t)
 	f, err := NewFleet(networkOf(t), io.Discard)
@@ -37,7 +38,7 @@
 		defer c.Close()
 		a := c.Do("GET", "/read/1", "id", "", "")
 		is.Equal(a.Status, 503)
-		is.True(a.Took < 500*time.Millisecond) // it is not held back
+		is.True(a.Took < 500*time.Millisecond) // it is refused at once
 		seconds, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 		is.NoErr(err)
 		return time.Duration(seconds * float64(time.Second))
@@ -47,7 +48,7 @@
 		least := time.Since(started) - 10*time.Millisecond
 		told := ask()
 		most := max(300*time.Millisecond, time.Since(before)+10*time.Millisecond)
-		t.Logf("after %v it is told to come back in %v", least, told)
+		t.Logf("after %v the box answers Retry-After: %v", least, told)
 		is.True(told >= least && told <= most)
 	}
 	f.Store.SetMode(nil)
