--- a/test/machines/suspended_test.go
+++ b/test/machines/suspended_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSuspendedBoxKnowsHowOldItsCopiesAre: a box whose machine was suspended does not take
-// its configuration for fresh, and so does not say of a path that it does not exist.
+// TestSuspendedBoxKnowsHowOldItsCopiesAre checks that a box whose machine was suspended does not take
+// its configuration for current, and so answers 503, not 404, for an unknown path.
 func TestSuspendedBoxKnowsHowOldItsCopiesAre(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1")
@@ -22,10 +22,11 @@
 	f.Store.SetMode(func(string, string) Mode { return Silent })
 	b.Suspend(10 * time.Second)
 	is.Equal(client.Do("GET", "/unknown/1", "after", "", "").Status, 503)
-	is.Equal(client.Do("GET", "/read/1", "served", "", "").Status, 200) // with what it has
+	is.Equal(client.Do("GET", "/read/1", "served", "", "").Status, 200) // with its last list of servers
 }
 
-// TestRequestWhoseTimeASuspensionTookIsNotSentOn: its client has given it up.
+// TestRequestWhoseTimeASuspensionTookIsNotSentOn checks that a box does not retry a request whose
+// deadline passed during a suspension, since the client no longer waits for it.
 func TestRequestWhoseTimeASuspensionTookIsNotSentOn(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1", "east-a.2")
@@ -44,7 +45,7 @@
 	}
 	client := &Client{Address: b.Clients}
 	defer client.Close()
-	for i := range 30 { // which earn a repeat
+	for i := range 30 { // these earn the budget for a retry
 		is.Equal(client.Do("GET", "/read/earn", fmt.Sprint("earn-", i), "", "").Status, 200)
 	}
 	arrivals := func() int { return f.Servers["east-a.1"].Arrivals() + f.Servers["east-a.2"].Arrivals() }
@@ -54,7 +55,7 @@
 	is.Equal(arrivals()-before, 1)
 }
 
-// TestSuspensionIsNoted in the log, with how long it was.
+// TestSuspensionIsNoted checks that a box logs a suspension and its duration.
 func TestSuspensionIsNoted(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 0, "east-a.1")
@@ -64,13 +65,13 @@
 	is.NoErr(err)
 	eventually(t, "the box is ready", b.Node.Ready)
 	b.Suspend(3 * time.Second)
-	eventually(t, "the suspension is noted", func() bool {
+	eventually(t, "the suspension is logged", func() bool {
 		return strings.Contains(log.String(), "the machine was suspended") && strings.Contains(log.String(), `"away_ms":`)
 	})
 }
 
-// TestBoxThatWasAwayForLongIsNotAlone: one that has heard nobody for as long as it remembers
-// others, since its machine was suspended, does not take all that boxes share for its own part.
+// TestBoxThatWasAwayForLongIsNotAlone checks that a box whose suspension was longer than it remembers
+// other boxes does not count itself as the only box, and so does not claim the shares of all.
 func TestBoxThatWasAwayForLongIsNotAlone(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3, "east-a.1", "east-b.1", "west-a.1")
@@ -85,8 +86,8 @@
 	eventually(t, "the box counts all again", func() bool { return b.Set.Boxes() == 3 })
 }
 
-// TestRestEndsInASuspension: what a server asked for is over when the machine has been away for as long; and
-// that it leaves is known still.
+// TestRestEndsInASuspension checks that the time of a Retry-After goes on during a suspension, and that
+// a server that announced that it leaves is still known to leave after one.
 func TestRestEndsInASuspension(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, "east-a.1", "east-a.2")
