--- a/test/machines/walks_test.go
+++ b/test/machines/walks_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// logBuffer takes the log lines of a fleet.
+// logBuffer collects the log lines of a fleet.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,16 +31,16 @@
 	return b.text.String()
 }
 
-// TestFailedRequestsAreExplained plays the three walks of docs/OPERATIONS.md:
-// from a failed request's id to its cause, by the logs alone.
+// TestFailedRequestsAreExplained reproduces the three walks of docs/OPERATIONS.md, each of which
+// leads from a failed request's id to its cause by the logs alone.
 func TestFailedRequestsAreExplained(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// spoil brings the failure about; target is then asked.
+		// spoil causes the failure; then a request for target is sent.
 		spoil  func(f *Fleet, s *Server)
 		target string
 		status int
-		// causes are what the walk must show.
+		// causes are texts that the walk must show.
 		causes []string
 	}{
 		{
@@ -82,7 +82,7 @@
 			client := &Client{Address: b.Clients}
 			defer client.Close()
 			is.Equal(client.Do("POST", c.target, "complaint", "", "").Status, c.status)
-			eventually(t, "the log tells of it", func() bool { return strings.Contains(log.String(), "complaint") })
+			eventually(t, "the log contains the request", func() bool { return strings.Contains(log.String(), "complaint") })
 			lines, err := trace.Read("box-1", strings.NewReader(log.String()))
 			is.NoErr(err)
 			way, err := trace.Find(lines, "complaint", 5*time.Second)
@@ -98,6 +98,7 @@
 	}
 }
 
+// waitFor waits until the check succeeds, for 5 s at most.
 func waitFor(check func() bool) {
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && !check(); {
 		time.Sleep(5 * time.Millisecond)
