--- a/test/machines/words_test.go
+++ b/test/machines/words_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestWordsThatNothingReadsAreTold: of answers that are passed on, of refusals, and of the store's objects;
-// each once, and without what was said.
+// TestWordsThatNothingReadsAreTold checks that a box logs each unknown header of forwarded answers
+// and of refusals, and each unknown field of the store's objects, once and without its value.
 func TestWordsThatNothingReadsAreTold(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "log")
@@ -43,7 +43,7 @@
 		"cold-remaining-ms": 0, "version": "v1", "call-seq": 1, "born": 7,
 	})
 	for _, word := range []string{"Server-Colour", "Server-Pace", "servers.wants"} {
-		eventually(t, word+" is told", func() bool { return lines(word) == 1 })
+		eventually(t, word+" is logged", func() bool { return lines(word) == 1 })
 	}
 	is.Equal(lines("secret"), 0)
 }
