--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -85,9 +85,9 @@
 
 // TestBoxAsksItselfWhereAllThatAskAreTurnedAway guards against requests to a draining server for
 // longer than the allowed 2.5 s when the store stops answering all store pollers but still
-// answers other boxes. The pollers noticed the silence only after 2.8 to 3.6 s; the others relied
-// on the pollers' reports and did not call the store themselves as these reports grew old. Once a
-// poller noticed, the boxes beside it took over within 0.1 s.
+// answers other boxes. These relied on the pollers' reports and made no calls of their own as the
+// reports grew old, so that they noticed only after 2.8 to 3.6 s: the pollers noted the silence after
+// 2.8 s, and the boxes beside them took over within 0.1 s of that.
 func TestBoxAsksItselfWhereAllThatAskAreTurnedAway(t *testing.T) {
 	f := newContactFleet(t)
 	away := storePollers(t, f)
--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -17,8 +17,8 @@
 )
 
 // These tests guard against a request that crashes each server that executes it. Such a request
-// crashed 30 servers of a service with 24 within ten seconds, each with up to 20 other requests in
-// flight, and half of the service was down for as long as its client kept coming back. No box
+// crashed 30 servers of a service with 24 places within ten seconds, each with up to 20 other requests
+// in flight, and half of the service was down for as long as its client kept retrying. No box
 // remembered a request after its own attempt or reported it to other boxes, so each attempt
 // crashed as many servers as the route allows tries. Nearly all of these attempts were first
 // ones; only an eighth of the retry budget was used.
--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -22,7 +22,7 @@
 	NoFault Fault = iota
 	// CutBody closes the connection in the middle of the answer's body.
 	CutBody
-	// CutAnswer runs the request and resets the connection without an answer.
+	// CutAnswer executes the request and resets the connection without an answer.
 	CutAnswer
 	// Unframed answers without a length and closes the connection.
 	Unframed
@@ -32,7 +32,7 @@
 	AnotherAnswerFirst
 	// Early refuses a request before its body is read.
 	Early
-	// Refuse answers 503 and that the request was not run, although slots are free.
+	// Refuse answers 503 and that the request was not executed, although slots are free.
 	Refuse
 	// Garbage sends bytes that are not an answer.
 	Garbage
@@ -84,7 +84,7 @@
 	Version string
 	Slots   int
 	Queue   int
-	// StartedAtMs is when it started, in milliseconds since 1970.
+	// StartedAtMs is when the server started, in milliseconds since 1970.
 	StartedAtMs int64
 	// Work is the service time of a request.
 	Work time.Duration
@@ -426,7 +426,8 @@
 	largePause = 20 * time.Millisecond
 )
 
-// writeLarge gives a writeLarge answer, and reports whether all of it went out. The run notes when its client has left.
+// writeLarge writes a large answer, and reports whether all of it was written. If a write fails since
+// the client has left, it sets the run's CanceledAt.
 func (s *Server) writeLarge(c net.Conn, run *Run) bool {
 	body := AnswerBody(run.ID)
 	s.writeHead(c, run.ID, http.StatusOK, len(body)+s.ExtraBytes, true, "")
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -110,7 +110,7 @@
 }
 
 // TestServersThatAllNameLimits checks that, when all servers name limits, each gets most of its limit
-// and no more than is allowed, and that other requests soon get 503 with Retry-After.
+// and no more than is allowed, and that other requests soon get 503 with Retry-After, unexecuted.
 func TestServersThatAllNameLimits(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -17,10 +17,10 @@
 // read, a server of these tests that names 2.7 gets 997 requests in four seconds from six boxes; six
 // that apply the limit each by itself would send 65.
 
-// A server that names a limit may get at most limit x limitOverage + limitSlack requests in any
-// limitWindow, where the limit stands for the requests that it allows in that time. Requests count
-// from boxes that received the limit at least limitDelay before, and only once the server has named
-// it for limitContact.
+// The users' bound for a server that names a limit: in any limitWindow it gets at most limitOverage x
+// the requests that the limit allows in that time, plus limitSlack. Requests count from boxes that
+// received the limit at least limitDelay before, and only once the server has named it for
+// limitContact.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverage = 1.5
--- a/test/machines/store.go
+++ b/test/machines/store.go
@@ -35,8 +35,8 @@
 // Store is a stand-in for the platform's store.
 type Store struct {
 	Address string
-	// treat returns the mode of a call by the caller's IP address and the path; nil means
-	// Serving. It is set by SetMode and guarded by mu.
+	// mode returns the mode of a call by the caller's IP address and the path; nil means
+	// Serving. It is guarded by mu.
 	mode func(ip, path string) Mode
 
 	mu             sync.Mutex
