--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -160,10 +160,10 @@
 // SetCrashOn sets which requests crash the server while it executes them: all its connections
 // close without an answer, and its port refuses new ones. The function ended is called once,
 // before the connections close.
-func (s *Server) SetCrashOn(crashOn func(target string) bool, ended func()) {
+func (s *Server) SetCrashOn(crashOn func(target string) bool, onCrash func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crashOn, s.onCrash = crashOn, ended
+	s.crashOn, s.onCrash = crashOn, onCrash
 }
 
 func (s *Server) crashesOn(target string) bool {
