--- a/test/machines/walks_test.go
+++ b/test/machines/walks_test.go
@@ -36,8 +36,8 @@
 func TestFailedRequestsAreExplained(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// spoil causes the failure; then a request for target is sent.
-		spoil  func(f *Fleet, s *Server)
+		// causeFailure causes the failure; then a request for target is sent.
+		causeFailure  func(f *Fleet, s *Server)
 		target string
 		status int
 		// causes are texts that the walk must show.
@@ -45,7 +45,7 @@
 	}{
 		{
 			name: "refused", target: "/buy/1", status: 503,
-			spoil: func(f *Fleet, s *Server) {
+			causeFailure: func(f *Fleet, s *Server) {
 				f.PutServer(s, "shop", "east-a", "draining", 0)
 				waitFor(func() bool { return !f.Boxes[0].Set.HasServers() })
 			},
@@ -53,14 +53,14 @@
 		},
 		{
 			name: "unknown", target: "/buy/1", status: 502,
-			spoil: func(_ *Fleet, s *Server) {
+			causeFailure: func(_ *Fleet, s *Server) {
 				s.SetFault(func(*Run) Fault { return CutAnswer })
 			},
 			causes: []string{"reason=connection_lost", "try1=east-a.1 broken", "sent=true"},
 		},
 		{
 			name: "late", target: "/buy/1", status: 504,
-			spoil: func(_ *Fleet, s *Server) {
+			causeFailure: func(_ *Fleet, s *Server) {
 				s.Work = 4 * time.Second
 			},
 			causes: []string{"reason=timed_out", "try1=east-a.1 late", "timeout_ms=1500"},
@@ -78,7 +78,7 @@
 			b, err := f.AddBox("east-a")
 			is.NoErr(err)
 			eventually(t, "ready", b.Node.Ready)
-			c.spoil(f, s)
+			c.causeFailure(f, s)
 			client := &Client{Address: b.Clients}
 			defer client.Close()
 			is.Equal(client.Do("POST", c.target, "complaint", "", "").Status, c.status)
