--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -196,14 +196,14 @@
 				default:
 				}
 				time.Sleep(pause)
-				tr.note(request(c, i, n))
+				tr.count(request(c, i, n))
 			}
 		}()
 	}
 	return tr
 }
 
-func (tr *traffic) note(a *Answer) {
+func (tr *traffic) count(a *Answer) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.answers[fmt.Sprint(a.Status, " ", strings.TrimSpace(firstLine(a.Body)))]++
