--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -217,8 +217,8 @@
 	return line
 }
 
-// end stops the clients and returns the number of answers of each kind.
-func (tr *traffic) end() map[string]int {
+// stopAndCount stops the clients and returns the number of answers of each kind.
+func (tr *traffic) stopAndCount() map[string]int {
 	close(tr.stop)
 	tr.running.Wait()
 	return tr.answers
@@ -254,7 +254,7 @@
 	ordinary := newTraffic(f, 9)
 	time.Sleep(300 * time.Millisecond)
 	got := sendRepeatedly(f, "GET", "/read/deadly", "", "X-Stoneworks-Affinity-Key: 3\r\n", 50*time.Millisecond, 4*time.Second)
-	counts := ordinary.end()
+	counts := ordinary.stopAndCount()
 	at := c.runs("/read/deadly")
 	t.Log("the deadly request's answers", got, "runs", len(at), "ordinary requests' answers", counts)
 	is.True(len(at) >= 3)                              // three crashes identify it
@@ -401,7 +401,7 @@
 		}
 	}
 	clients.Wait()
-	counts := ordinary.end()
+	counts := ordinary.stopAndCount()
 	for _, target := range targets {
 		at := c.runs(target)
 		t.Log(target, "runs", len(at))
--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -60,7 +60,7 @@
 	s.SetHeader(LeavingHeader, "1")
 	time.Sleep(drainTime + 2*time.Second)
 	told, any := lateAfterLeaving(s)
-	counts := clients.end()
+	counts := clients.stopAndCount()
 	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", told, any, counts)
 	is.True(len(s.SentHeaders(LeavingHeader)) > 0)
 	is.Equal(told, 0)
--- a/test/machines/rest_test.go
+++ b/test/machines/rest_test.go
@@ -64,7 +64,7 @@
 	rested := time.Now()
 	time.Sleep(time.Second)
 	back := arrivedSince(s, rested)
-	counts := clients.end()
+	counts := clients.stopAndCount()
 	t.Logf("at most %d requests during a Retry-After time, %d in the fourth second after the last; answers %v", most, back, counts)
 	is.True(len(s.SentHeaders(RetryAfterHeader)) > 0)
 	is.True(most <= maxRequestsInRetryAfter)
@@ -188,7 +188,7 @@
 	time.Sleep(2 * time.Second)
 	told, any := lateAfterLeaving(leaves)
 	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), maxInLimitWindow(rests)
-	counts := clients.end()
+	counts := clients.stopAndCount()
 	t.Logf("%d requests during a Retry-After time, %d in %s under the limit, late %d from told boxes and %d from any, %d runs afterwards; %v",
 		most, limited, limitWindow, told, any, len(rests.Runs())-ran, counts)
 	is.True(most <= maxRequestsInRetryAfter)
--- a/test/machines/rollouts_test.go
+++ b/test/machines/rollouts_test.go
@@ -73,7 +73,7 @@
 		time.Sleep(time.Second)
 		states = append(states, stateOf(f))
 	}
-	counts := clients.end()
+	counts := clients.stopAndCount()
 	t.Logf("states %v, answers %v", states, counts)
 	return f, ordered, states
 }
--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_news_test.go
@@ -104,7 +104,7 @@
 	eventually(t, "all boxes know that the limit has ended", allKnowLimit(f, s, ""))
 	lifted := time.Now()
 	time.Sleep(time.Second)
-	counts := clients.end()
+	counts := clients.stopAndCount()
 	t.Log(arrivedSince(s, lifted), "requests in the second after the limit has ended", counts)
 	is.True(arrivedSince(s, lifted) > 20) // it is used as before
 }
@@ -137,7 +137,7 @@
 		time.Sleep(ordinaryPause)
 	}
 	span := time.Since(settled)
-	counts := began.end()
+	counts := began.stopAndCount()
 	total := 0
 	for id, s := range f.Servers {
 		got := arrivedSince(s, settled)
@@ -200,7 +200,7 @@
 	got, taken := maxInLimitWindow(s), arrivedSince(s, settled)
 	span := time.Since(settled)
 	t.Logf("%d in two seconds before, then at most %d in %s where %d are allowed, %d in %s; answers %v",
-		before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), clients.end())
+		before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), clients.stopAndCount())
 	is.True(got <= allowedBy(limit))
 	is.True(float64(taken) >= 2.7*span.Seconds()/2)
 }
--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -129,7 +129,7 @@
 			time.Sleep(limitWindow + 2*time.Second)
 			got, taken := maxInLimitWindow(s), arrivedSince(s, settled)
 			span := time.Since(settled)
-			counts := clients.end()
+			counts := clients.stopAndCount()
 			t.Logf("%d requests in a second before, then at most %d in %s where %d are allowed, %d in %s; answers %v",
 				before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), counts)
 			is.True(got <= allowedBy(limit)) // the sum over all boxes stays within the limit
