--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -459,7 +459,7 @@
 func (s *Server) writeHead(c net.Conn, id string, status, length int, signed bool, extra string) {
 	s.mu.Lock()
 	load := fmt.Sprintf("%d,%d,%d", s.busy, s.waiting, s.Slots)
-	extra += s.headers.lines(sourceOf(c), id, status)
+	extra += s.headers.nextLines(sourceOf(c), id, status)
 	s.mu.Unlock()
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
--- a/test/machines/server_headers.go
+++ b/test/machines/server_headers.go
@@ -37,8 +37,8 @@
 	sent    map[StatusHeader][]SentHeader
 }
 
-// lines returns the header lines of an answer with the status, and records them as sent.
-func (w *statusHeaders) lines(to, id string, status int) string {
+// nextLines returns the header nextLines of an answer with the status, and records them as sent.
+func (w *statusHeaders) nextLines(to, id string, status int) string {
 	text := ""
 	for word, value := range w.current {
 		if value == "" || word == RetryAfterHeader && status != http.StatusServiceUnavailable {
