--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -21,7 +21,7 @@
 // lateAfterLeaving counts a server's late requests: fromTold those that came later than drainTime
 // after it had announced to the same box that it leaves, fromAny those that came from any box later
 // than drainTime after its first announcement.
-func lateAfterLeaving(s *Server) (fromTold, fromAny int) {
+func lateAfterLeaving(s *Server) (fromInformed, fromAny int) {
 	told := map[string]time.Time{}
 	var first time.Time
 	for _, said := range s.SentHeaders(LeavingHeader) {
@@ -34,13 +34,13 @@
 	}
 	for _, a := range s.ArrivalLog() {
 		if at, known := told[a.From]; known && a.At.Sub(at) > drainTime {
-			fromTold++
+			fromInformed++
 		}
 		if !first.IsZero() && a.At.Sub(first) > drainTime {
 			fromAny++
 		}
 	}
-	return fromTold, fromAny
+	return fromInformed, fromAny
 }
 
 // silenceStore makes the store answer no box.
