--- a/test/machines/server_headers.go
+++ b/test/machines/server_headers.go
@@ -52,13 +52,13 @@
 }
 
 // SetHeader sets the value of the header in all further answers; "" omits it.
-func (s *Server) SetHeader(word StatusHeader, value string) {
+func (s *Server) SetHeader(header StatusHeader, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.headers.current == nil {
 		s.headers.current, s.headers.sent = map[StatusHeader]string{}, map[StatusHeader][]SentHeader{}
 	}
-	s.headers.current[word] = value
+	s.headers.current[header] = value
 }
 
 // SentHeaders returns the answers that carried the header.
