--- a/test/machines/server_headers.go
+++ b/test/machines/server_headers.go
@@ -62,10 +62,10 @@
 }
 
 // SentHeaders returns the answers that carried the header.
-func (s *Server) SentHeaders(word StatusHeader) []SentHeader {
+func (s *Server) SentHeaders(header StatusHeader) []SentHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]SentHeader(nil), s.headers.sent[word]...)
+	return append([]SentHeader(nil), s.headers.sent[header]...)
 }
 
 // RejectWithRetryAfter makes the server refuse all requests with 503 and a Retry-After header of
