--- a/test/machines/server_headers.go
+++ b/test/machines/server_headers.go
@@ -41,12 +41,12 @@
 // sent.
 func (w *statusHeaders) nextLines(to, id string, status int) string {
 	text := ""
-	for word, value := range w.current {
-		if value == "" || word == RetryAfterHeader && status != http.StatusServiceUnavailable {
+	for header, value := range w.current {
+		if value == "" || header == RetryAfterHeader && status != http.StatusServiceUnavailable {
 			continue
 		}
-		text += string(word) + ": " + value + "\r\n"
-		w.sent[word] = append(w.sent[word], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
+		text += string(header) + ": " + value + "\r\n"
+		w.sent[header] = append(w.sent[header], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
 	}
 	return text
 }
