--- a/test/machines/server_headers.go
+++ b/test/machines/server_headers.go
@@ -39,14 +39,14 @@
 
 // nextLines returns the header lines for the next answer, which has the status, and records them as
 // sent.
-func (w *statusHeaders) nextLines(to, id string, status int) string {
+func (h *statusHeaders) nextLines(to, id string, status int) string {
 	text := ""
-	for header, value := range w.current {
+	for header, value := range h.current {
 		if value == "" || header == RetryAfterHeader && status != http.StatusServiceUnavailable {
 			continue
 		}
 		text += string(header) + ": " + value + "\r\n"
-		w.sent[header] = append(w.sent[header], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
+		h.sent[header] = append(h.sent[header], SentHeader{To: to, ID: id, At: time.Now(), Value: value})
 	}
 	return text
 }
