--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -168,9 +168,9 @@
 
 func (s *Server) crashesOn(target string) bool {
 	s.mu.Lock()
-	deadly := s.crashOn
+	crashOn := s.crashOn
 	s.mu.Unlock()
-	return deadly != nil && deadly(target)
+	return crashOn != nil && crashOn(target)
 }
 
 // crash calls onCrash, the first time only, and closes the server.
