--- a/test/machines/server.go
+++ b/test/machines/server.go
@@ -176,12 +176,12 @@
 // crash calls onCrash, the first time only, and closes the server.
 func (s *Server) crash() {
 	s.mu.Lock()
-	ended := s.onCrash
+	onCrash := s.onCrash
 	s.onCrash = nil
 	s.mu.Unlock()
-	if ended != nil {
+	if onCrash != nil {
 		// A proxy in front of the server goes down with it.
-		ended()
+		onCrash()
 	}
 	s.Close()
 }
