--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -22,18 +22,18 @@
 // after it had announced to the same box that it leaves, fromAny those that came from any box later
 // than drainTime after its first announcement.
 func lateAfterLeaving(s *Server) (fromInformed, fromAny int) {
-	told := map[string]time.Time{}
+	announcedAt := map[string]time.Time{}
 	var first time.Time
 	for _, said := range s.SentHeaders(LeavingHeader) {
 		if first.IsZero() {
 			first = said.At
 		}
-		if _, known := told[said.To]; !known {
-			told[said.To] = said.At
+		if _, known := announcedAt[said.To]; !known {
+			announcedAt[said.To] = said.At
 		}
 	}
 	for _, a := range s.ArrivalLog() {
-		if at, known := told[a.From]; known && a.At.Sub(at) > drainTime {
+		if at, known := announcedAt[a.From]; known && a.At.Sub(at) > drainTime {
 			fromInformed++
 		}
 		if !first.IsZero() && a.At.Sub(first) > drainTime {
