--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -59,11 +59,11 @@
 	s := busiest(f)
 	s.SetHeader(LeavingHeader, "1")
 	time.Sleep(drainTime + 2*time.Second)
-	told, any := lateAfterLeaving(s)
+	fromInformed, any := lateAfterLeaving(s)
 	counts := clients.stopAndCount()
-	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", told, any, counts)
+	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", fromInformed, any, counts)
 	is.True(len(s.SentHeaders(LeavingHeader)) > 0)
-	is.Equal(told, 0)
+	is.Equal(fromInformed, 0)
 	is.Equal(any, 0)
 	total := 0
 	for _, n := range counts {
