--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -59,12 +59,12 @@
 	s := busiest(f)
 	s.SetHeader(LeavingHeader, "1")
 	time.Sleep(drainTime + 2*time.Second)
-	fromInformed, any := lateAfterLeaving(s)
+	fromInformed, fromAny := lateAfterLeaving(s)
 	counts := clients.stopAndCount()
-	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", fromInformed, any, counts)
+	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", fromInformed, fromAny, counts)
 	is.True(len(s.SentHeaders(LeavingHeader)) > 0)
 	is.Equal(fromInformed, 0)
-	is.Equal(any, 0)
+	is.Equal(fromAny, 0)
 	total := 0
 	for _, n := range counts {
 		total += n
