--- a/test/machines/retry_after_test.go
+++ b/test/machines/retry_after_test.go
@@ -186,14 +186,14 @@
 	time.Sleep(3 * time.Second)
 	ran := len(rests.Runs())
 	time.Sleep(2 * time.Second)
-	fromInformed, any := lateAfterLeaving(leaves)
+	fromInformed, fromAny := lateAfterLeaving(leaves)
 	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), maxInLimitWindow(rests)
 	counts := clients.stopAndCount()
 	t.Logf("%d requests during a Retry-After time, %d in %s under the limit, late %d from told boxes and %d from any, %d runs afterwards; %v",
-		most, limited, limitWindow, fromInformed, any, len(rests.Runs())-ran, counts)
+		most, limited, limitWindow, fromInformed, fromAny, len(rests.Runs())-ran, counts)
 	is.True(most <= maxRequestsInRetryAfter)
 	is.True(limited <= allowedBy("5"))
 	is.Equal(fromInformed, 0)
-	is.Equal(any, 0)
+	is.Equal(fromAny, 0)
 	is.True(len(rests.Runs())-ran >= 5) // half of the limit
 }
