--- a/test/machines/server_limit_test.go
+++ b/test/machines/server_limit_test.go
@@ -41,19 +41,19 @@
 // maxInLimitWindow returns the maximum number of requests that a server got in a window from boxes
 // that had received its limit. The server must have named a single limit, from some time on.
 func maxInLimitWindow(s *Server) int {
-	told := map[string]time.Time{}
+	namedAt := map[string]time.Time{}
 	var first time.Time
 	for _, n := range s.SentHeaders(LimitHeader) {
 		if first.IsZero() {
 			first = n.At
 		}
-		if _, known := told[n.To]; !known {
-			told[n.To] = n.At
+		if _, known := namedAt[n.To]; !known {
+			namedAt[n.To] = n.At
 		}
 	}
 	var counted []time.Time
 	for _, a := range s.ArrivalLog() {
-		at, known := told[a.From]
+		at, known := namedAt[a.From]
 		if known && a.At.Sub(at) >= limitDelay {
 			counted = append(counted, a.At)
 		}
