--- a/test/machines/customers_test.go
+++ b/test/machines/customers_test.go
@@ -245,10 +245,10 @@
 	f := newCustomerFleet(t, log, 2, customers())
 	client := &Client{Address: f.Boxes[0].Clients}
 	defer client.Close()
-	var told strings.Builder
+	var disclosed strings.Builder
 	for i, header := range []string{bearer(studioKey), bearer(keysPart + "-odd"), bearer(studioKey) + bearer(labelKey), "Authorization: " + studioKey + "\r\n"} {
 		a := client.Do("GET", "/read/1", fmt.Sprint("id-", i), "", header)
-		told.WriteString(fmt.Sprint(a.Header, strings.ReplaceAll(a.Body, "the answer", "")))
+		disclosed.WriteString(fmt.Sprint(a.Header, strings.ReplaceAll(a.Body, "the answer", "")))
 	}
 	f.Store.Put("config", "main", "kk-secret-not-an-object")
 	f.Store.Put("config", "main", map[string]any{"version": "00000002", "tenants": []any{map[string]any{"name": "a", "api-keys": "kk-secret-no-list"}}})
@@ -270,9 +270,9 @@
 		text, err := io.ReadAll(answer.Body)
 		is.NoErr(err)
 		_ = answer.Body.Close()
-		told.Write(text)
+		disclosed.Write(text)
 	}
-	for _, text := range []string{told.String(), log.String()} {
+	for _, text := range []string{disclosed.String(), log.String()} {
 		if at := strings.Index(text, keysPart); at >= 0 {
 			t.Errorf("an API key is disclosed: ...%s...", text[max(0, at-200):at+30])
 		}
