--- a/test/machines/retry_after_test.go
+++ b/test/machines/retry_after_test.go
@@ -189,7 +189,7 @@
 	fromInformed, fromAny := lateAfterLeaving(leaves)
 	most, limited := maxDuringRetryAfter(rests, 1500*time.Millisecond), maxInLimitWindow(rests)
 	counts := clients.stopAndCount()
-	t.Logf("%d requests during a Retry-After time, %d in %s under the limit, late %d from told boxes and %d from any, %d runs afterwards; %v",
+	t.Logf("%d requests during a Retry-After time, %d in %s under the limit, late %d from informed boxes and %d from any, %d runs afterwards; %v",
 		most, limited, limitWindow, fromInformed, fromAny, len(rests.Runs())-ran, counts)
 	is.True(most <= maxRequestsInRetryAfter)
 	is.True(limited <= allowedBy("5"))
