--- a/test/machines/server_limit_news_test.go
+++ b/test/machines/server_limit_reports_test.go
@@ -14,16 +14,16 @@
 	"github.com/stoneworks/stoneworks/pkg/ctl"
 )
 
-// lifeOf names the life of a server as boxes do.
-func lifeOf(s *Server) string {
-	return (&backend.Server{ID: s.ID, StartedAtMs: s.Born}).Incarnation()
+// incarnationOf returns the name that boxes give the server's incarnation.
+func incarnationOf(s *Server) string {
+	return (&backend.Server{ID: s.ID, StartedAtMs: s.StartedAtMs}).Incarnation()
 }
 
-// allHold reports whether all boxes know that the server names this limit, or with "" none.
-func allHold(f *Fleet, s *Server, limit string) func() bool {
+// allKnowLimit returns a check of whether all boxes know the server's limit; "" means none.
+func allKnowLimit(f *Fleet, s *Server, limit string) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
-			perSecond, named := b.Statuses.LimitOf(lifeOf(s))
+			perSecond, named := b.Statuses.LimitOf(incarnationOf(s))
 			if named != (limit != "") || named && strconv.FormatFloat(perSecond, 'g', -1, 64) != limit {
 				return false
 			}
@@ -32,7 +32,7 @@
 	}
 }
 
-// send sends requests for a key to one box.
+// send sends count requests with one affinity key to one box, and counts the answers by status.
 func send(t *testing.T, f *Fleet, box, count int, pause time.Duration) (statuses map[int]int) {
 	t.Helper()
 	c := &Client{Address: f.Boxes[box].Clients}
@@ -46,8 +46,9 @@
 	return statuses
 }
 
-// hears has a box get an answer of the server, whose limit may let none pass for a while.
-func hears(t *testing.T, f *Fleet, box int, s *Server) {
+// requestUntilAnswered sends requests to a box until one reaches the server, whose limit may admit
+// none for a while.
+func requestUntilAnswered(t *testing.T, f *Fleet, box int, s *Server) {
 	t.Helper()
 	before := s.Arrivals()
 	eventually(t, "the server answers", func() bool {
@@ -56,65 +57,66 @@
 	})
 }
 
-// TestLimitIsKnownWhereNobodyWasTold: boxes that have sent the server nothing know its limit, also
-// one that starts later; and all know when it ends, changes, or cannot be read.
+// TestLimitIsKnownWhereNobodyWasTold checks that boxes that sent the server no request, and a box that
+// starts later, know its limit and learn when it changes or ends; a malformed limit changes nothing.
 func TestLimitIsKnownWhereNobodyWasTold(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.Say(SaysLimit, "9")
-	hears(t, f, 0, s)
-	eventually(t, "all boxes know the limit", allHold(f, s, "9"))
+	s.SetHeader(LimitHeader, "9")
+	requestUntilAnswered(t, f, 0, s)
+	eventually(t, "all boxes know the limit", allKnowLimit(f, s, "9"))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
-	eventually(t, "a box that starts later knows it", allHold(f, s, "9"))
-	s.Say(SaysLimit, "many")
-	hears(t, f, 0, s)
+	eventually(t, "a box that starts later knows it", allKnowLimit(f, s, "9"))
+	s.SetHeader(LimitHeader, "many")
+	requestUntilAnswered(t, f, 0, s)
 	is.True(metrics.GetOrRegisterCounter("limits.unread", f.Boxes[0].Metrics).Count() > 0)
-	is.True(allHold(f, s, "9")()) // what cannot be read says nothing
-	s.Say(SaysLimit, "7.5")
-	hears(t, f, 0, s)
-	eventually(t, "all boxes know that it has changed", allHold(f, s, "7.5"))
+	is.True(allKnowLimit(f, s, "9")()) // a malformed limit is ignored
+	s.SetHeader(LimitHeader, "7.5")
+	requestUntilAnswered(t, f, 0, s)
+	eventually(t, "all boxes know that it has changed", allKnowLimit(f, s, "7.5"))
 	admin := f.Boxes[2].Settings.Listen.Admin
 	var out, problems strings.Builder
 	is.Equal(ctl.Main([]string{"limits", admin}, nil, &out, &problems), 0)
-	is.True(strings.Contains(out.String(), lifeOf(s)) && strings.Contains(out.String(), "7.5"))
-	s.Say(SaysLimit, "")
-	hears(t, f, 0, s)
-	eventually(t, "all boxes know that it has ended", allHold(f, s, ""))
+	is.True(strings.Contains(out.String(), incarnationOf(s)) && strings.Contains(out.String(), "7.5"))
+	s.SetHeader(LimitHeader, "")
+	requestUntilAnswered(t, f, 0, s)
+	eventually(t, "all boxes know that it has ended", allKnowLimit(f, s, ""))
 }
 
-// TestServerThatTakesNothing gets a request now and then, by which boxes hear when it takes more.
+// TestServerThatTakesNothing checks that a server with the limit 0 still gets a few requests, from
+// whose answers boxes learn that the limit has ended.
 func TestServerThatTakesNothing(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.Say(SaysLimit, "0")
+	s.SetHeader(LimitHeader, "0")
 	clients := newTraffic(f, 12)
 	time.Sleep(limitContact)
 	settled := time.Now()
 	time.Sleep(limitWindow + 2*time.Second)
-	is.True(mostWhileLimited(s) <= allowedBy("0"))
+	is.True(maxInLimitWindow(s) <= allowedBy("0"))
 	is.True(arrivedSince(s, settled) > 0)
-	s.Say(SaysLimit, "")
-	eventually(t, "all boxes hear that it takes all", allHold(f, s, ""))
+	s.SetHeader(LimitHeader, "")
+	eventually(t, "all boxes know that the limit has ended", allKnowLimit(f, s, ""))
 	lifted := time.Now()
 	time.Sleep(time.Second)
-	counts := clients.end()
-	t.Log(arrivedSince(s, lifted), "requests in the second after it takes all again", counts)
+	counts := clients.stopAndCount()
+	t.Log(arrivedSince(s, lifted), "requests in the second after the limit has ended", counts)
 	is.True(arrivedSince(s, lifted) > 20) // it is used as before
 }
 
-// TestServersThatAllNameLimits: each gets most of what it takes and no more than is allowed, and what
-// is beyond is refused soon, with when to come back, and has not run.
+// TestServersThatAllNameLimits checks that, when all servers name limits, each gets most of its limit
+// and no more than is allowed, and that other requests soon get 503 with Retry-After, unexecuted.
 func TestServersThatAllNameLimits(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
 	const limit = "10"
 	for _, s := range f.Servers {
-		s.Say(SaysLimit, limit)
+		s.SetHeader(LimitHeader, limit)
 	}
 	began := newTraffic(f, 12)
 	time.Sleep(limitContact)
@@ -135,52 +137,53 @@
 		time.Sleep(ordinaryPause)
 	}
 	span := time.Since(settled)
-	counts := began.end()
+	counts := began.stopAndCount()
 	total := 0
 	for id, s := range f.Servers {
 		got := arrivedSince(s, settled)
-		t.Log(id, "got", got, "in", span.Round(time.Millisecond), "at most", mostWhileLimited(s), "of", allowedBy(limit))
-		is.True(mostWhileLimited(s) <= allowedBy(limit))
+		t.Log(id, "got", got, "in", span.Round(time.Millisecond), "at most", maxInLimitWindow(s), "of", allowedBy(limit))
+		is.True(maxInLimitWindow(s) <= allowedBy(limit))
 		total += got
 	}
 	t.Log("refused", refused, "the slowest after", slowest, "others' answers", counts)
 	is.True(refused > 0)
-	is.True(slowest < 500*time.Millisecond)                                  // a refusal is not held back
-	is.True(float64(total) >= 0.6*10*float64(len(f.Servers))*span.Seconds()) // servers get most of what they take
+	is.True(slowest < 500*time.Millisecond)                                  // refused without waiting
+	is.True(float64(total) >= 0.6*10*float64(len(f.Servers))*span.Seconds()) // servers get most of their limits
 }
 
-// TestLimitEndsWithItsLife: a server that starts again under its id takes what it takes, until it
-// names a limit itself.
+// TestLimitEndsWithItsLife checks that a limit does not apply to the next incarnation of a server,
+// which starts under the same id.
 func TestLimitEndsWithItsLife(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.Say(SaysLimit, "0")
-	hears(t, f, 0, s)
-	eventually(t, "all boxes know the limit", allHold(f, s, "0"))
+	s.SetHeader(LimitHeader, "0")
+	requestUntilAnswered(t, f, 0, s)
+	eventually(t, "all boxes know the limit", allKnowLimit(f, s, "0"))
 	is.Equal(f.Boxes[1].Statuses.Empty(), false)
-	usesNextLife(t, f, s)
+	usesNextIncarnation(t, f, s)
 }
 
-// usesNextLife has a server end and start again under its id, and sees to it that the first box uses it.
-func usesNextLife(t *testing.T, f *Fleet, s *Server) {
+// usesNextIncarnation restarts a server under its id, and checks that the first box uses it.
+func usesNextIncarnation(t *testing.T, f *Fleet, s *Server) {
 	t.Helper()
 	is := is.New(t)
 	again, err := NewServer(f.network+".100", s.ID, 4, 10*time.Millisecond)
 	is.NoErr(err)
 	s.Close()
-	again.Born = s.Born + 1000
+	again.StartedAtMs = s.StartedAtMs + 1000
 	f.Servers[s.ID] = again
-	f.List(again, "shop", "east-a", "ready", 0)
-	eventually(t, "boxes use the next life", func() bool {
+	f.PutServer(again, "shop", "east-a", "ready", 0)
+	eventually(t, "the first box uses the next incarnation", func() bool {
 		send(t, f, 0, 5, 0)
 		return again.Arrivals() > 5
 	})
 }
 
-// TestLimitInALargeFleet: above largeFleet boxes tell those that serve clients and those that grant;
-// the sum of 72 boxes stays within the limit, and the server gets most of what it takes.
+// TestLimitInALargeFleet checks a limit in a fleet of more than largeFleet boxes, where boxes report
+// limits only to boxes that serve clients or grant tokens: the requests of all 72 boxes together stay
+// within the limit, and the server gets most of it.
 func TestLimitInALargeFleet(t *testing.T) {
 	is := is.New(t)
 	const limit = "2.7"
@@ -189,15 +192,15 @@
 	time.Sleep(2 * time.Second)
 	s := busiest(f)
 	before := s.Arrivals()
-	s.Say(SaysLimit, limit)
-	eventually(t, "all boxes know the limit", allHold(f, s, limit))
+	s.SetHeader(LimitHeader, limit)
+	eventually(t, "all boxes know the limit", allKnowLimit(f, s, limit))
 	time.Sleep(limitContact)
 	settled := time.Now()
 	time.Sleep(limitWindow + 2*time.Second)
-	got, taken := mostWhileLimited(s), arrivedSince(s, settled)
+	got, taken := maxInLimitWindow(s), arrivedSince(s, settled)
 	span := time.Since(settled)
 	t.Logf("%d in two seconds before, then at most %d in %s where %d are allowed, %d in %s; answers %v",
-		before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), clients.end())
+		before, got, limitWindow, allowedBy(limit), taken, span.Round(time.Millisecond), clients.stopAndCount())
 	is.True(got <= allowedBy(limit))
 	is.True(float64(taken) >= 2.7*span.Seconds()/2)
 }
--- a/test/machines/walks_test.go
+++ b/test/machines/walks_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/pkg/trace"
 )
 
-// logBuffer takes the log lines of a fleet.
+// logBuffer collects the log lines of a fleet.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,36 +31,36 @@
 	return b.text.String()
 }
 
-// TestFailedRequestsAreExplained plays the three walks of docs/OPERATIONS.md:
-// from a failed request's id to its cause, by the logs alone.
+// TestFailedRequestsAreExplained reproduces the three walks of docs/OPERATIONS.md, each of which
+// leads from a failed request's id to its cause by the logs alone.
 func TestFailedRequestsAreExplained(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// spoil brings the failure about; target is then asked.
-		spoil  func(f *Fleet, s *Server)
-		target string
-		status int
-		// causes are what the walk must show.
+		// causeFailure causes the failure; then a request for target is sent.
+		causeFailure func(f *Fleet, s *Server)
+		target       string
+		status       int
+		// causes are texts that the walk must show.
 		causes []string
 	}{
 		{
 			name: "refused", target: "/buy/1", status: 503,
-			spoil: func(f *Fleet, s *Server) {
-				f.List(s, "shop", "east-a", "draining", 0)
+			causeFailure: func(f *Fleet, s *Server) {
+				f.PutServer(s, "shop", "east-a", "draining", 0)
 				waitFor(func() bool { return !f.Boxes[0].Set.HasServers() })
 			},
 			causes: []string{"backend: server draining", "request: not answered", "reason=no_backend_server"},
 		},
 		{
 			name: "unknown", target: "/buy/1", status: 502,
-			spoil: func(_ *Fleet, s *Server) {
+			causeFailure: func(_ *Fleet, s *Server) {
 				s.SetFault(func(*Run) Fault { return CutAnswer })
 			},
 			causes: []string{"reason=connection_lost", "try1=east-a.1 broken", "sent=true"},
 		},
 		{
 			name: "late", target: "/buy/1", status: 504,
-			spoil: func(_ *Fleet, s *Server) {
+			causeFailure: func(_ *Fleet, s *Server) {
 				s.Work = 4 * time.Second
 			},
 			causes: []string{"reason=timed_out", "try1=east-a.1 late", "timeout_ms=1500"},
@@ -78,11 +78,11 @@
 			b, err := f.AddBox("east-a")
 			is.NoErr(err)
 			eventually(t, "ready", b.Node.Ready)
-			c.spoil(f, s)
+			c.causeFailure(f, s)
 			client := &Client{Address: b.Clients}
 			defer client.Close()
 			is.Equal(client.Do("POST", c.target, "complaint", "", "").Status, c.status)
-			eventually(t, "the log tells of it", func() bool { return strings.Contains(log.String(), "complaint") })
+			eventually(t, "the log contains the request", func() bool { return strings.Contains(log.String(), "complaint") })
 			lines, err := trace.Read("box-1", strings.NewReader(log.String()))
 			is.NoErr(err)
 			way, err := trace.Find(lines, "complaint", 5*time.Second)
@@ -98,6 +98,7 @@
 	}
 }
 
+// waitFor waits until the check succeeds, for 5 s at most.
 func waitFor(check func() bool) {
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && !check(); {
 		time.Sleep(5 * time.Millisecond)
