--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// machine is a machine that tests suspend.
+// machine simulates a machine that can be suspended.
 type machine struct {
-	mu      sync.Mutex
-	started time.Time
-	away    time.Duration
-	err     error
+	mu        sync.Mutex
+	started   time.Time
+	suspended time.Duration
+	err       error
 }
 
 func newMachine() *machine { return &machine{started: time.Now()} }
@@ -22,28 +22,28 @@
 func (m *machine) boottime() (time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Since(m.started) + m.away, m.err
+	return time.Since(m.started) + m.suspended, m.err
 }
 
 func (m *machine) suspend(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away += d
+	m.suspended += d
 }
 
-// TestSuspensionsCount: a time that is told after a suspension is later by it, spans that
-// began before are longer by it, and nothing else moves the clock.
+// TestSuspensionsCount: a suspension advances the clock by its duration and so lengthens spans
+// that began before it. Nothing else moves the clock.
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
 	c := NewWithBoottime(m.boottime)
-	var woke []time.Duration
-	c.OnResume = func(away time.Duration) { woke = append(woke, away) }
+	var suspensions []time.Duration
+	c.OnResume = func(away time.Duration) { suspensions = append(suspensions, away) }
 	before := c.Now()
 	for range 100 {
 		c.Sync()
 	}
-	is.Equal(len(woke), 0)
+	is.Equal(len(suspensions), 0)
 	is.True(c.Since(before) < time.Second)
 	m.suspend(5 * time.Second)
 	is.True(c.Since(before) < time.Second)
@@ -54,20 +54,22 @@
 	for range 100 {
 		c.Sync()
 	}
-	is.True(len(woke) >= 2)
+	is.True(len(suspensions) >= 2)
 	sum := time.Duration(0)
-	for _, away := range woke {
+	for _, away := range suspensions {
 		sum += away
 	}
-	is.True(sum <= 7*time.Second) // never more than there was
+	is.True(sum <= 7*time.Second) // never more than the actual suspensions
 	is.True(sum > 7*time.Second-maxSchedulingDelay)
 }
 
-// maxSchedulingDelay is for how long this machine may stop a test between two readings of its clocks: by as
-// much less a suspension is found to be, and what one look misses the next one finds.
+// maxSchedulingDelay is how long this machine may stop a test between two readings of its
+// clocks. A suspension is found to be shorter by up to that much, and the next Sync finds the
+// rest.
 const maxSchedulingDelay = 200 * time.Millisecond
 
-// TestClockWithoutBoottime: it is then the runtime's.
+// TestClockWithoutBoottime: on a system without a clock that counts suspensions, the clock is
+// the runtime's.
 func TestClockWithoutBoottime(t *testing.T) {
 	is := is.New(t)
 	m := newMachine()
@@ -80,7 +82,8 @@
 	is.True(time.Since(c.Now()) < time.Second)
 }
 
-// TestSystemHasBoottimeClock, which this machine's kernel moves on.
+// TestSystemHasBoottimeClock: this machine's kernel has a clock that counts suspensions, and
+// it advances.
 func TestSystemHasBoottimeClock(t *testing.T) {
 	is := is.New(t)
 	c := New()
@@ -93,7 +96,8 @@
 	is.True(second-first >= 2*time.Millisecond)
 }
 
-// TestClockNeverGoesBack, whoever looks at the same time.
+// TestClockNeverGoesBack: the clock does not go back while several goroutines call Sync at the
+// same time.
 func TestClockNeverGoesBack(t *testing.T) {
 	m := newMachine()
 	c := NewWithBoottime(m.boottime)
@@ -117,7 +121,7 @@
 	wg.Wait()
 }
 
-// BenchmarkSync: 0.1 us, once a request.
+// BenchmarkSync measures what the clock costs each request: 0.1 us.
 func BenchmarkSync(b *testing.B) {
 	c := New()
 	for b.Loop() {
--- a/pkg/exchange/exchange_do.go
+++ b/pkg/exchange/exchange_do.go
@@ -13,8 +13,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// past is a deadline that makes all reads and writes return at once.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that makes all reads and writes return at once.
+var pastDeadline = time.Unix(1, 0)
 
 // noDeadline removes a deadline.
 var noDeadline time.Time
@@ -75,7 +75,7 @@
 
 // interrupt makes all reads and writes of the exchange return.
 func (x *roundTrip) interrupt() {
-	_ = x.conn.SetDeadline(past)
+	_ = x.conn.SetDeadline(pastDeadline)
 	x.abort()
 }
 
@@ -88,11 +88,11 @@
 		return nil, &Error{Stage: StageSend, Sent: x.conn.written > 0, Cause: x.cause(err)}
 	}
 	answer := &Answer{Reused: x.conn.reused}
-	if err := x.readOwnHeader(req, &answer.Header); err != nil {
+	if err := x.readMatchingHeader(req, &answer.Header); err != nil {
 		return nil, &Error{Stage: StageHeader, Sent: true, Cause: x.cause(err)}
 	}
 	x.closeAsked = answer.Header.ConnectionClose()
-	x.conn.keepAlive = keepAliveOf(&answer.Header)
+	x.conn.keepAlive = parseKeepAlive(&answer.Header)
 	x.openBody(req, answer)
 	return answer, nil
 }
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// keepAliveOf returns the idle time that the peer announces, 0 if it announces none.
-func keepAliveOf(h *fasthttp.ResponseHeader) time.Duration {
+// parseKeepAlive returns the idle time that the peer announces, 0 if it announces none.
+func parseKeepAlive(h *fasthttp.ResponseHeader) time.Duration {
 	_, rest, found := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
 	if !found {
 		return 0
@@ -167,7 +167,7 @@
 func (x *roundTrip) sendStream(req *Request) {
 	if err := x.copyStream(req); err != nil {
 		// Part of the request is already sent; only closing the connection informs the peer.
-		_ = x.conn.SetDeadline(past)
+		_ = x.conn.SetDeadline(pastDeadline)
 		return
 	}
 	x.sentWhole.Store(true)
@@ -221,9 +221,9 @@
 // Error implements error.
 func (e *MismatchError) Error() string { return "received only answers to other requests" }
 
-// readOwnHeader reads up to the header of the answer to this request. A late answer to the
+// readMatchingHeader reads up to the header of the answer to this request. A late answer to the
 // previous request may precede it.
-func (x *roundTrip) readOwnHeader(req *Request, h *fasthttp.ResponseHeader) error {
+func (x *roundTrip) readMatchingHeader(req *Request, h *fasthttp.ResponseHeader) error {
 	for range maxMismatches {
 		if err := x.readHeader(h); err != nil {
 			return err
--- a/pkg/pipeline/framing_test.go
+++ b/pkg/pipeline/framing_test.go
@@ -23,7 +23,7 @@
 		n := f.advance([]byte(piece))
 		request += piece[:n]
 		rest = rest[n:]
-		if f.isBetween() {
+		if f.betweenRequests() {
 			requests = append(requests, request)
 			request = ""
 		}
@@ -34,9 +34,9 @@
 	return requests
 }
 
-// TestRequestsAreToldApart checks that a request ends where the next one begins, wherever
+// TestRequestsAreSplitAtTheirEnds checks that a request ends where the next one begins, wherever
 // packets end.
-func TestRequestsAreToldApart(t *testing.T) {
+func TestRequestsAreSplitAtTheirEnds(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	sent := []string{get, post, get, get, post}
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestDoubtfulFramingIsLeftAlone checks that nothing after a request with ambiguous framing is
+// TestAmbiguousFramingIsNotParsed checks that nothing after a request with ambiguous framing is
 // taken for another request.
-func TestDoubtfulFramingIsLeftAlone(t *testing.T) {
-	for _, doubtful := range []string{
+func TestAmbiguousFramingIsNotParsed(t *testing.T) {
+	for _, ambiguous := range []string{
 		"POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"POST /b HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		"POST /b HTTP/1.1\r\nContent-Length: +1\r\n\r\n",
@@ -62,8 +62,8 @@
 		strings.Repeat("x", maxHeader+1),
 	} {
 		f := &framing{}
-		data := []byte(doubtful + get + get)
+		data := []byte(ambiguous + get + get)
 		is.New(t).Equal(f.advance(data), len(data))
-		is.New(t).Equal(f.isBetween(), false)
+		is.New(t).Equal(f.betweenRequests(), false)
 	}
 }
--- a/pkg/topology/block_table.go
+++ b/pkg/topology/block_table.go
@@ -11,18 +11,19 @@
 	Zone   string `json:"zone" yaml:"zone"`
 }
 
-// noZone marks a range of addresses that no block covers.
+// noZone marks a range of addresses that no block contains.
 const noZone = ^uint16(0)
 
-// BlockTable maps addresses to sites by longest prefix. The prefixes are
-// flattened once into ranges that do not overlap, so a look-up is one index
-// into a table of the upper 16 bits and a short binary search.
+// BlockTable maps addresses to indexes of zones by longest prefix. The prefixes are
+// converted once into ranges that do not overlap. A look-up of an IPv4 address reads an
+// index by its upper 16 bits and does a short binary search; one of an IPv6 address is a
+// binary search.
 //
-// Cost: 6 bytes a range for IPv4 and 18 for IPv6, plus 256 KiB for the index.
+// It uses 6 bytes a range for IPv4, 18 bytes a range for IPv6, and 256 KiB for the index.
 type BlockTable struct {
 	starts4 []uint32
 	zones4  []uint16
-	// index4[h] is the number of ranges that start below h<<16.
+	// index4[h] is the number of IPv4 ranges that start below h<<16.
 	index4  []uint32
 	starts6 [][16]byte
 	zones6  []uint16
@@ -31,21 +32,21 @@
 type span struct {
 	first, last netip.Addr
 	bits        int
-	site        uint16
+	zone        uint16
 }
 
-// NewBlockTable flattens the blocks. Blocks that cannot be parsed, or whose
-// zone siteOf does not know, are left out: settings are checked before.
+// NewBlockTable makes a table of the blocks. It skips blocks that cannot be parsed or
+// whose zone has no index, since the settings are checked before.
 func NewBlockTable(blocks []Block, zoneIndex func(string) (uint16, bool)) *BlockTable {
 	var v4, v6 []span
 	for _, b := range blocks {
 		p, err := netip.ParsePrefix(b.Prefix)
-		site, ok := zoneIndex(b.Zone)
+		zone, ok := zoneIndex(b.Zone)
 		if err != nil || !ok {
 			continue
 		}
 		p = p.Masked()
-		s := span{first: p.Addr(), last: lastAddr(p), bits: p.Bits(), site: site}
+		s := span{first: p.Addr(), last: lastAddr(p), bits: p.Bits(), zone: zone}
 		if p.Addr().Is4() {
 			v4 = append(v4, s)
 		} else {
@@ -53,14 +54,14 @@
 		}
 	}
 	t := &BlockTable{}
-	flatten(v4, func(start netip.Addr, site uint16) {
+	flatten(v4, func(start netip.Addr, zone uint16) {
 		b := start.As4()
 		t.starts4 = append(t.starts4, uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]))
-		t.zones4 = append(t.zones4, site)
+		t.zones4 = append(t.zones4, zone)
 	})
-	flatten(v6, func(start netip.Addr, site uint16) {
+	flatten(v6, func(start netip.Addr, zone uint16) {
 		t.starts6 = append(t.starts6, start.As16())
-		t.zones6 = append(t.zones6, site)
+		t.zones6 = append(t.zones6, zone)
 	})
 	t.buildIndex()
 	return t
@@ -77,8 +78,9 @@
 	}
 }
 
-// Find returns the site of the address.
-func (t *BlockTable) Find(a netip.Addr) (site int, ok bool) {
+// Find returns the index of the zone of the address. ok is false if no block contains
+// the address.
+func (t *BlockTable) Find(a netip.Addr) (zone int, ok bool) {
 	a = a.Unmap()
 	if a.Is4() {
 		return t.find4(a)
@@ -91,7 +93,7 @@
 	return int(t.zones6[i]), true
 }
 
-func (t *BlockTable) find4(a netip.Addr) (site int, ok bool) {
+func (t *BlockTable) find4(a netip.Addr) (zone int, ok bool) {
 	b := a.As4()
 	k := uint32(b[0])<<24 | uint32(b[1])<<16 | uint32(b[2])<<8 | uint32(b[3])
 	lo, hi := t.index4[k>>16], t.index4[k>>16+1]
@@ -109,8 +111,8 @@
 	return int(t.zones4[lo-1]), true
 }
 
-// flatten turns nested prefixes into consecutive ranges, calling emit with
-// each range's first address and site.
+// flatten converts nested prefixes into consecutive ranges, and calls emit with the first
+// address and the zone of each range.
 func flatten(spans []span, emit func(netip.Addr, uint16)) {
 	sort.Slice(spans, func(i, j int) bool {
 		if c := spans[i].first.Compare(spans[j].first); c != 0 {
@@ -132,43 +134,43 @@
 			if !next.IsValid() {
 				return
 			}
-			site := noZone
+			zone := noZone
 			if len(open) > 0 {
-				site = open[len(open)-1].site
+				zone = open[len(open)-1].zone
 			}
-			put(next, site)
+			put(next, zone)
 		}
 	}
 	for _, s := range spans {
 		closeBefore(s.first, false)
-		put(s.first, s.site)
+		put(s.first, s.zone)
 		open = append(open, s)
 	}
 	closeBefore(netip.Addr{}, true)
 	out.flush()
 }
 
-// rangeWriter emits ranges in their order, but none that is empty and none
-// that continues the one before.
+// rangeWriter emits ranges in order. It omits empty ranges and merges adjacent ranges of
+// the same zone.
 type rangeWriter struct {
 	emit    func(netip.Addr, uint16)
 	last    uint16
 	pending bool
 	start   netip.Addr
-	site    uint16
+	zone    uint16
 }
 
-func (w *rangeWriter) put(start netip.Addr, site uint16) {
+func (w *rangeWriter) put(start netip.Addr, zone uint16) {
 	if w.pending && start != w.start {
 		w.flush()
 	}
-	w.pending, w.start, w.site = true, start, site
+	w.pending, w.start, w.zone = true, start, zone
 }
 
 func (w *rangeWriter) flush() {
-	if w.pending && w.site != w.last {
-		w.emit(w.start, w.site)
-		w.last = w.site
+	if w.pending && w.zone != w.last {
+		w.emit(w.start, w.zone)
+		w.last = w.zone
 	}
 	w.pending = false
 }
--- a/pkg/topology/topology_test.go
+++ b/pkg/topology/topology_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
@@ -31,24 +31,24 @@
 	}
 }
 
-// TestTableAgreesWithScan compares look-ups with a scan of the prefixes.
+// TestTableAgreesWithScan compares look-ups with a linear scan of the prefixes.
 func TestTableAgreesWithScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sites := map[string]uint16{}
+		zones := map[string]uint16{}
 		var blocks []Block
 		for range rapid.IntRange(0, 12).Draw(t, "n") {
 			address := netip.AddrFrom4([4]byte{10, byte(rapid.IntRange(0, 3).Draw(t, "b")), byte(rapid.IntRange(0, 255).Draw(t, "c")), 0})
 			prefix := netip.PrefixFrom(address, rapid.IntRange(6, 28).Draw(t, "bits")).Masked().String()
-			if _, ok := sites[prefix]; !ok {
-				sites[prefix] = uint16(len(sites))
+			if _, ok := zones[prefix]; !ok {
+				zones[prefix] = uint16(len(zones))
 				blocks = append(blocks, Block{prefix, prefix})
 			}
 		}
-		table := NewBlockTable(blocks, func(z string) (uint16, bool) { return sites[z], true })
+		table := NewBlockTable(blocks, func(z string) (uint16, bool) { return zones[z], true })
 		for range 20 {
 			a := netip.AddrFrom4([4]byte{10, byte(rapid.IntRange(0, 4).Draw(t, "x")), byte(rapid.IntRange(0, 255).Draw(t, "y")), byte(rapid.IntRange(0, 255).Draw(t, "z"))})
 			best, bits := -1, -1
-			for p, s := range sites {
+			for p, s := range zones {
 				if q := netip.MustParsePrefix(p); q.Contains(a) && q.Bits() > bits {
 					best, bits = int(s), q.Bits()
 				}
@@ -64,7 +64,7 @@
 	})
 }
 
-// blocksOfSize makes n blocks of /24 over 460 sites.
+// blocksOfSize returns n blocks of size /24 in 460 zones.
 func blocksOfSize(n int) []Block {
 	dice := rand.New(rand.NewPCG(1, 2))
 	blocks := make([]Block, 0, n)
@@ -78,9 +78,9 @@
 
 func BenchmarkFindIn3300000Blocks(b *testing.B) {
 	table := NewBlockTable(blocksOfSize(3_300_000), func(z string) (uint16, bool) {
-		var site uint16
-		_, err := fmt.Sscan(z, &site)
-		return site, err == nil
+		var zone uint16
+		_, err := fmt.Sscan(z, &zone)
+		return zone, err == nil
 	})
 	dice := rand.New(rand.NewPCG(3, 4))
 	addresses := make([]netip.Addr, 1<<16)
--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -32,7 +32,7 @@
 	Skew float64
 	// Performance is that of all servers. With MixedSpeeds the speed of every third server is
 	// 1/1.5 and that of every third 1.5.
-	Performance machines.Nature
+	Performance machines.Performance
 	MixedSpeeds bool
 	// RefuseShare is the share of requests that servers refuse in the last third of a play
 	// although they have free slots.
@@ -144,7 +144,7 @@
 	if p.MixedSpeeds {
 		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
-	_, err := f.AddServerOf(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, serviceTime)
+	_, err := f.AddServerWithPerformance(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, serviceTime)
 	return err
 }
 
@@ -158,7 +158,7 @@
 	if err := p.addServer(f, zone, serversPerZone); err != nil {
 		return err
 	}
-	f.List(old, "shop", zone, "draining", 0)
+	f.PutServer(old, "shop", zone, "draining", 0)
 	time.Sleep(third)
 	var mu sync.Mutex
 	for _, s := range f.Servers {
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -131,7 +131,7 @@
 		if isOpen {
 			answer := c.Read()
 			recordAnswer(c, q, answer)
-			isOpen = answer.Problem == nil && !answer.Last
+			isOpen = answer.Problem == nil && !answer.CloseAnnounced
 		} else {
 			q.Ended = time.Now()
 		}
--- a/test/soak/faults.go
+++ b/test/soak/faults.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	server.Advertised = s.link.Address()
-	server.SetDeadly(r.isCrashing, func() { r.replaceCrashed(s, server) })
+	server.SetCrashOn(r.isCrashing, func() { r.replaceCrashed(s, server) })
 	s.link.SetTarget(server.Address)
 	r.update(func(*History) {
 		s.server, s.departed, s.historyKey = server, false, id
@@ -70,7 +70,7 @@
 		}
 		r.fleet.Servers[s.historyKey] = server
 	})
-	r.fleet.List(server, s.service, s.zone, "ready", 0)
+	r.fleet.PutServer(server, s.service, s.zone, "ready", 0)
 	return nil
 }
 
@@ -187,7 +187,7 @@
 // or all boxes.
 func (r *run) disruptStore(e Event) {
 	mode := map[Kind]machines.Mode{
-		StoreBusy: machines.Busy, StoreMany: machines.Many, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
+		StoreBusy: machines.Busy, StoreMany: machines.TooMany, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
 	}[e.Kind]
 	// Events with an even target affect all boxes, the others every second box.
 	all := e.Target%2 == 0
@@ -196,14 +196,14 @@
 		affected[b.IP] = all || i%2 == e.Target/2%2
 	}
 	end := r.beginFault(e.Kind, "")
-	r.fleet.Store.SetTreat(func(ip, _ string) machines.Mode {
+	r.fleet.Store.SetMode(func(ip, _ string) machines.Mode {
 		if affected[ip] {
 			return mode
 		}
 		return machines.Serving
 	})
 	r.later(e.Duration, func() {
-		r.fleet.Store.SetTreat(nil)
+		r.fleet.Store.SetMode(nil)
 		end()
 	})
 }
@@ -211,9 +211,9 @@
 // silenceStore makes the store not answer any box for a short time.
 func (r *run) silenceStore(e Event) {
 	end := r.beginFault(StoreBlink, "")
-	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
+	r.fleet.Store.SetMode(func(string, string) machines.Mode { return machines.Silent })
 	r.later(e.Duration/blinkDivisor, func() {
-		r.fleet.Store.SetTreat(nil)
+		r.fleet.Store.SetMode(nil)
 		end()
 	})
 }
@@ -242,7 +242,7 @@
 	wait := replaceAfter
 	switch e.Kind {
 	case ServerDrain:
-		r.fleet.List(old, s.service, s.zone, "draining", 0)
+		r.fleet.PutServer(old, s.service, s.zone, "draining", 0)
 		wait += boundDrain
 	case ServerCrash:
 		old.Close()
@@ -269,7 +269,7 @@
 
 // corruptions are the ways in which servers corrupt answers.
 var corruptions = []machines.Fault{
-	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.Foreign, machines.Garbage, machines.Mute,
+	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.AnotherAnswerFirst, machines.Garbage, machines.NoAnswer,
 }
 
 // corruptOneIn is the interval of corrupted answers: one in so many.
--- a/test/soak/history.go
+++ b/test/soak/history.go
@@ -85,8 +85,8 @@
 	Moves []Move
 	// LeavingHeaders and RetryAfterHeaders are, by server, the headers of answers that
 	// announced that it leaves, and those that asked for a backoff.
-	LeavingHeaders    map[string][]machines.Saying
-	RetryAfterHeaders map[string][]machines.Saying
+	LeavingHeaders    map[string][]machines.SentHeader
+	RetryAfterHeaders map[string][]machines.SentHeader
 	// KeysLogged are the log lines that contain a key.
 	KeysLogged     []string
 	Runs           map[string][]machines.Run
--- a/test/soak/limited.go
+++ b/test/soak/limited.go
@@ -27,7 +27,7 @@
 	// To is zero if the limit is announced until the end.
 	To time.Time
 	// Announcements are the headers of the answers that announce it.
-	Announcements []machines.Saying
+	Announcements []machines.SentHeader
 }
 
 // announceLimits makes a server announce a limit; for one event in four, all servers of its
@@ -56,9 +56,9 @@
 	if server == nil {
 		return
 	}
-	server.Say(machines.SaysLimit, strconv.FormatFloat(perSecond, 'g', -1, 64))
+	server.SetHeader(machines.LimitHeader, strconv.FormatFloat(perSecond, 'g', -1, 64))
 	r.later(d, func() {
-		server.Say(machines.SaysLimit, "")
+		server.SetHeader(machines.LimitHeader, "")
 		r.update(func(h *History) { h.AnnouncedLimits[index].To = time.Now() })
 	})
 }
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -197,16 +197,16 @@
 	h := &r.history
 	h.Runs = map[string][]machines.Run{}
 	h.Arrivals = map[string][]machines.Arrival{}
-	h.LeavingHeaders = map[string][]machines.Saying{}
-	h.RetryAfterHeaders = map[string][]machines.Saying{}
+	h.LeavingHeaders = map[string][]machines.SentHeader{}
+	h.RetryAfterHeaders = map[string][]machines.SentHeader{}
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
-		h.LeavingHeaders[id] = s.Said(machines.SaysLeaving)
-		h.RetryAfterHeaders[id] = s.Said(machines.SaysRest)
+		h.LeavingHeaders[id] = s.SentHeaders(machines.LeavingHeader)
+		h.RetryAfterHeaders[id] = s.SentHeaders(machines.RetryAfterHeader)
 	}
 	for i := range h.AnnouncedLimits {
-		h.AnnouncedLimits[i].Announcements = r.fleet.Servers[h.AnnouncedLimits[i].Server].Said(machines.SaysLimit)
+		h.AnnouncedLimits[i].Announcements = r.fleet.Servers[h.AnnouncedLimits[i].Server].SentHeaders(machines.LimitHeader)
 	}
 	h.KeysLogged = r.keysLogged()
 	return h
--- a/test/soak/statusheaders.go
+++ b/test/soak/statusheaders.go
@@ -33,9 +33,9 @@
 		return
 	}
 	old := s.server
-	old.Say(machines.SaysLeaving, "1")
+	old.SetHeader(machines.LeavingHeader, "1")
 	r.later(min(e.Duration, maxUnlisted)+boundDrain, func() {
-		r.fleet.List(old, s.service, s.zone, "draining", 0)
+		r.fleet.PutServer(old, s.service, s.zone, "draining", 0)
 		r.update(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.historyKey, At: time.Now()}) })
 		time.Sleep(replaceAfter)
 		if err := r.serve(s, fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())); err != nil {
@@ -56,8 +56,8 @@
 		}
 		var server *machines.Server
 		r.update(func(*History) { server = other.server })
-		server.AskForRest(seconds)
-		r.later(min(backoffFactor*e.Duration, r.Plan.Length-e.At), func() { server.AskForRest("") })
+		server.RejectWithRetryAfter(seconds)
+		r.later(min(backoffFactor*e.Duration, r.Plan.Length-e.At), func() { server.RejectWithRetryAfter("") })
 	}
 }
 
