--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -140,11 +140,11 @@
 
 // addServer starts a server with the performance of the plan and lists it.
 func (p *Plan) addServer(f *machines.Fleet, zone string, i int) error {
-	nature := p.Performance
+	performance := p.Performance
 	if p.MixedSpeeds {
-		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
+		performance.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
-	_, err := f.AddServerWithPerformance(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, serviceTime)
+	_, err := f.AddServerWithPerformance(performance, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, serviceTime)
 	return err
 }
 
