--- a/test/processes/processes.go
+++ b/test/processes/processes.go
@@ -117,7 +117,7 @@
 // Start starts the process, which ends with this one. Its log is appended to that of
 // earlier lives. The error of a first start may be an *addresses.HeldError.
 func (b *Box) Start() error {
-	if b.Life() == 0 {
+	if b.Incarnation() == 0 {
 		if err := b.checkAddresses(); err != nil {
 			return err
 		}
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// Life tells the lives of a box apart, from 1.
-func (b *Box) Life() int {
+// Incarnation tells the lives of a box apart, from 1.
+func (b *Box) Incarnation() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.life
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -99,7 +99,7 @@
 func newRequest(b *processes.Box, route *machines.Route, random *rand.Rand) Request {
 	q := Request{
 		ID: newID(), Kind: route.Kind, Method: "GET", Target: route.Prefix + fmt.Sprint(random.Intn(1000)),
-		Box: b.IP, Life: b.Life(), Timeout: time.Duration(route.TimeoutMS) * time.Millisecond, Sent: time.Now(),
+		Box: b.IP, Life: b.Incarnation(), Timeout: time.Duration(route.TimeoutMS) * time.Millisecond, Sent: time.Now(),
 	}
 	if route.Kind != "safe" {
 		q.Method, q.Body = "POST", "body of "+q.ID
@@ -176,7 +176,7 @@
 		newest := 0
 		r.note(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
 		version := max(1, newest-n%2)
-		life, at := b.Life(), time.Now()
+		life, at := b.Incarnation(), time.Now()
 		q := Request{
 			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Life: life,
 			Timeout: time.Second + 200*time.Millisecond, Sent: at,
@@ -197,7 +197,7 @@
 			} else {
 				h.Left = append(h.Left, q)
 			}
-			if life == b.Life() {
+			if life == b.Incarnation() {
 				h.Probes = append(h.Probes, Probe{Box: b.IP, Life: life, Version: version, At: at, Status: q.Status})
 			}
 		})
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -80,7 +80,7 @@
 // aside sends a request that is no part of what is asked of the recovery.
 func (r *run) aside(c *machines.Client, b *processes.Box, key string) Request {
 	q := Request{
-		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Life: b.Life(),
+		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Life: b.Incarnation(),
 		Timeout: time.Second + 200*time.Millisecond, Sent: time.Now(),
 	}
 	answer := c.Do(q.Method, q.Target, q.ID, "", claims(key)+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
--- a/test/soak/deadly.go
+++ b/test/soak/deadly.go
@@ -55,7 +55,7 @@
 			b := r.boxes[i%len(r.boxes)]
 			c := &machines.Client{Address: b.Clients()}
 			q := Request{
-				ID: newID(), Kind: "safe", Method: "GET", Target: target, Box: b.IP, Life: b.Life(),
+				ID: newID(), Kind: "safe", Method: "GET", Target: target, Box: b.IP, Life: b.Incarnation(),
 				Timeout: time.Duration(routes[0].TimeoutMS) * time.Millisecond, Sent: time.Now(),
 			}
 			r.note(func(h *History) { h.Left = append(h.Left, q) })
