--- a/test/load/load.go
+++ b/test/load/load.go
@@ -95,7 +95,7 @@
 
 func (p *player) close() {
 	for _, b := range p.boxes {
-		b.End()
+		b.Kill()
 	}
 	if p.fleet != nil {
 		p.fleet.Close()
--- a/test/processes/processes.go
+++ b/test/processes/processes.go
@@ -168,8 +168,8 @@
 	return b.exited
 }
 
-// End kills the process if it still runs, and waits for its end.
-func (b *Box) End() {
+// Kill kills the process if it still runs, and waits for its end.
+func (b *Box) Kill() {
 	if b.Exited() == nil {
 		return
 	}
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -99,7 +99,7 @@
 
 func (r *run) close() {
 	for _, b := range r.boxes {
-		b.End()
+		b.Kill()
 	}
 	for _, s := range r.servers {
 		s.link.Clear()
