--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	d.printTable(samples)
-	last := time.UnixMilli(records[d.drained].LastNew)
+	last := time.UnixMilli(records[d.drained].LastRequestMs)
 	fmt.Fprintf(d.stdout, "drain of %s: last new request %d ms after acceptance\n", d.drained, max(last.Sub(d.accepted).Milliseconds(), 0))
 	wrong := harness.CheckRuns(samples, records)
 	t := harness.Count(samples)
--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -47,7 +47,7 @@
 	began := time.Now()
 	err := harness.WaitFor(5*time.Second, func() bool {
 		records, err := p.d.Records()
-		return err == nil && records[p.serverName(n)].LastNew > began.UnixMilli()
+		return err == nil && records[p.serverName(n)].LastRequestMs > began.UnixMilli()
 	})
 	if err != nil {
 		p.t.Errorf("%s gets no work, so it proves nothing that it gets none later", p.serverName(n))
@@ -80,7 +80,7 @@
 	time.Sleep(time.Until(since.Add(drainBound + 1500*time.Millisecond)))
 	records, err := p.d.Records()
 	p.must(err)
-	last := time.UnixMilli(records[p.serverName(n)].LastNew).Sub(since)
+	last := time.UnixMilli(records[p.serverName(n)].LastRequestMs).Sub(since)
 	p.figure("%q=%dms", what, max(last.Milliseconds(), 0))
 	if last > drainBound {
 		p.violated("%s: %s got new work %s after it", what, p.serverName(n), last)
--- a/test/standin/backend.go
+++ b/test/standin/backend.go
@@ -36,8 +36,8 @@
 	InUse       int `json:"in_use"`
 	Peak        int `json:"peak"`
 	Connections int `json:"connections"`
-	// LastNew is when it last got new work, in Unix milliseconds.
-	LastNew   int64 `json:"last_new"`
+	// LastRequestMs is when it last got new work, in Unix milliseconds.
+	LastRequestMs   int64 `json:"last_new"`
 	Cancelled int   `json:"cancelled"`
 }
 
@@ -163,7 +163,7 @@
 	defer b.mu.Unlock()
 	b.record.InUse++
 	b.record.Peak = max(b.record.Peak, b.record.InUse)
-	b.record.LastNew = time.Now().UnixMilli()
+	b.record.LastRequestMs = time.Now().UnixMilli()
 }
 
 func (b *Backend) end() {
