--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -23,7 +23,7 @@
 	Service string
 	Key     string
 	ID      string
-	Once    bool
+	AtMostOnce    bool
 	Result  *caller.Result
 	Err     error
 	Took    time.Duration
@@ -92,7 +92,7 @@
 	r.ID = NewID()
 	started := time.Now()
 	result, err := c.Do(ctx, r)
-	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, Once: r.AtMostOnce, Result: result, Err: err, Took: time.Since(started)}
+	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, AtMostOnce: r.AtMostOnce, Result: result, Err: err, Took: time.Since(started)}
 	if result != nil {
 		s.Key = result.Key
 		s.Wrong = CheckAnswer(r, result)
@@ -129,7 +129,7 @@
 			wrong = append(wrong, s.Service+": "+s.Wrong)
 		}
 		runs := runsByID[s.ID]
-		if s.Once && runs > 1 {
+		if s.AtMostOnce && runs > 1 {
 			wrong = append(wrong, fmt.Sprintf("%s ran %d times", s.ID, runs))
 		}
 		if s.Result != nil && s.Result.Outcome == outcome.NotRun && runs > 0 {
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -164,7 +164,7 @@
 		r.ID = harness.NewID()
 		result, err := c.Do(p.ctx(2*time.Second), r)
 		p.sent(1)
-		s := harness.Sample{Service: service, ID: r.ID, Once: r.AtMostOnce, Result: result, Err: err}
+		s := harness.Sample{Service: service, ID: r.ID, AtMostOnce: r.AtMostOnce, Result: result, Err: err}
 		if result != nil {
 			s.Key = result.Key
 			s.Wrong = harness.CheckAnswer(r, result)
