--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -27,7 +27,7 @@
 	Result  *caller.Result
 	Err     error
 	Took    time.Duration
-	Wrong   string
+	Problem   string
 }
 
 // Load sends requests from clients in every zone and checks each answer.
@@ -95,7 +95,7 @@
 	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, AtMostOnce: r.AtMostOnce, Result: result, Err: err, Took: time.Since(started)}
 	if result != nil {
 		s.Key = result.Key
-		s.Wrong = CheckAnswer(r, result)
+		s.Problem = CheckAnswer(r, result)
 	}
 	return s
 }
@@ -125,8 +125,8 @@
 	var wrong []string
 	runsByID := RunsByID(records)
 	for _, s := range samples {
-		if s.Wrong != "" {
-			wrong = append(wrong, s.Service+": "+s.Wrong)
+		if s.Problem != "" {
+			wrong = append(wrong, s.Service+": "+s.Problem)
 		}
 		runs := runsByID[s.ID]
 		if s.AtMostOnce && runs > 1 {
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -167,7 +167,7 @@
 		s := harness.Sample{Service: service, ID: r.ID, AtMostOnce: r.AtMostOnce, Result: result, Err: err}
 		if result != nil {
 			s.Key = result.Key
-			s.Wrong = harness.CheckAnswer(r, result)
+			s.Problem = harness.CheckAnswer(r, result)
 		}
 		l.mu.Lock()
 		l.all = append(l.all, s)
