--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -397,8 +397,8 @@
 	return records, nil
 }
 
-// RunsOf sums the runs of a key over all backend servers.
-func RunsOf(records map[string]standin.Record, key string) int {
+// RunsWithKey sums the runs of a key over all backend servers.
+func RunsWithKey(records map[string]standin.Record, key string) int {
 	n := 0
 	for _, r := range records {
 		n += r.Runs[key]
--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -82,7 +82,7 @@
 	records, err := w.p.d.Records()
 	w.p.must(err)
 	for _, x := range w.told {
-		if x.outcome == outcome.NotRun && harness.RunsOf(records, x.name) > 0 {
+		if x.outcome == outcome.NotRun && harness.RunsWithKey(records, x.name) > 0 {
 			w.p.violated("%s: told %s (%s), but %s ran", x.what, x.outcome, x.reason, x.name)
 		}
 	}
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -394,7 +394,7 @@
 func (p *proof) runs(key string) int {
 	records, err := p.d.Records()
 	p.must(err)
-	return harness.RunsOf(records, key)
+	return harness.RunsWithKey(records, key)
 }
 
 // awaitRun waits until a backend server has begun the key.
