--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -275,8 +275,8 @@
 	})
 }
 
-// ErrWaited is returned when something awaited did not come about.
-var ErrWaited = errors.New("waited in vain")
+// ErrTimeout is returned when something awaited did not come about.
+var ErrTimeout = errors.New("waited in vain")
 
 // WaitFor polls until the condition holds.
 func WaitFor(limit time.Duration, condition func() bool) error {
@@ -285,7 +285,7 @@
 			return nil
 		}
 	}
-	return ErrWaited
+	return ErrTimeout
 }
 
 // ================================================================
