--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -97,7 +97,7 @@
 	}
 	load := &harness.Load{
 		Deployment: d.deployment, Clients: clientsPerZone, Requests: requestsEach,
-		Pause: pauseBetween, Timeout: requestTimeout, Make: harness.MixedRequests,
+		Pause: pauseBetween, Timeout: requestTimeout, NewRequest: harness.MixedRequests,
 	}
 	var failures error
 	wg := conc.NewWaitGroup()
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -39,8 +39,8 @@
 	Requests int
 	Pause    time.Duration
 	Timeout  time.Duration
-	// Make returns the n-th request of a client.
-	Make func(service string, n int) caller.Request
+	// NewRequest returns the n-th request of a client.
+	NewRequest func(service string, n int) caller.Request
 
 	mu      sync.Mutex
 	samples []Sample
@@ -81,7 +81,7 @@
 			return
 		}
 		service := d.Shape.Services[(i+n)%len(d.Shape.Services)].Name
-		l.add(l.one(ctx, c, zone, l.Make(service, i)))
+		l.add(l.one(ctx, c, zone, l.NewRequest(service, i)))
 		time.Sleep(l.Pause)
 	}
 }
