--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -363,8 +363,8 @@
 	return post(fmt.Sprintf("http://%s/admin/restore?back=%d", d.PlatformDirect(), writes), nil)
 }
 
-// Stored returns the platform's own copy of a service.
-func (d *Deployment) Stored(service string) (*config.Object, error) {
+// StoredService returns the platform's own copy of a service.
+func (d *Deployment) StoredService(service string) (*config.Object, error) {
 	var p platform.Object
 	if err := get("http://"+d.PlatformDirect()+"/objects/"+config.Kind+"/"+service, &p); err != nil {
 		return nil, err
--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -191,7 +191,7 @@
 	p.must(p.d.RestorePlatform(1))
 	p.fault()
 	err = harness.WaitFor(10*time.Second, func() bool {
-		stored, err := p.d.Stored(service)
+		stored, err := p.d.StoredService(service)
 		return err == nil && stored.Revision >= revision
 	})
 	if err != nil {
