--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -112,7 +112,7 @@
 		return ""
 	}
 	sum := sha256.Sum256(r.Body)
-	want := standin.Expected(r.ID, hex.EncodeToString(sum[:]), int64(len(r.Body)))
+	want := standin.ExpectedAnswer(r.ID, hex.EncodeToString(sum[:]), int64(len(r.Body)))
 	if string(result.Body) != want {
 		return fmt.Sprintf("answer %q, want %q", result.Body, want)
 	}
--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	if want := standin.Expected(id, digestOf(body), int64(len(body))); string(answer) != want {
+	if want := standin.ExpectedAnswer(id, digestOf(body), int64(len(body))); string(answer) != want {
 		return fmt.Errorf("status %d: %q, want %q", resp.StatusCode, answer, want)
 	}
 	return nil
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	if want := standin.Expected(id, digestOf(bytes.Repeat(part, 10)), 400_000); string(answer) != want {
+	if want := standin.ExpectedAnswer(id, digestOf(bytes.Repeat(part, 10)), 400_000); string(answer) != want {
 		return fmt.Errorf("status %d: %s", resp.StatusCode, answer)
 	}
 	return nil
--- a/test/standin/backend.go
+++ b/test/standin/backend.go
@@ -147,13 +147,13 @@
 	if !b.work(r, control, fault) {
 		return
 	}
-	body := Expected(r.Header.Get(entry.HeaderRequestID), hex.EncodeToString(digest.Sum(nil)), size)
+	body := ExpectedAnswer(r.Header.Get(entry.HeaderRequestID), hex.EncodeToString(digest.Sum(nil)), size)
 	b.answer(w, r, fault, body, end)
 }
 
-// Expected is the answer to a request: it names the request's id and digest,
+// ExpectedAnswer is the answer to a request: it names the request's id and digest,
 // so that a caller can tell its own answer from any other.
-func Expected(id, bodyDigest string, size int64) string {
+func ExpectedAnswer(id, bodyDigest string, size int64) string {
 	sum := sha256.Sum256([]byte(id + "/" + bodyDigest))
 	return fmt.Sprintf("%s %d %s\n", id, size, hex.EncodeToString(sum[:]))
 }
