--- a/test/addresses/addresses.go
+++ b/test/addresses/addresses.go
@@ -55,15 +55,15 @@
 // Release gives the network back.
 func (n *Network) Release() { _ = n.lock.Close() }
 
-// HeldError says that an address is taken.
-type HeldError struct {
+// InUseError says that an address is taken.
+type InUseError struct {
 	Address string
 	// Holder is the process that listens there, empty if it cannot be told.
 	Holder string
 }
 
 // Error implements error.
-func (e *HeldError) Error() string {
+func (e *InUseError) Error() string {
 	holder := e.Holder
 	if holder == "" {
 		holder = "a process that cannot be told"
@@ -79,7 +79,7 @@
 		return l.Close()
 	}
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return &HeldError{Address: address, Holder: holderOf(address)}
+		return &InUseError{Address: address, Holder: holderOf(address)}
 	}
 	return err
 }
--- a/test/addresses/addresses_test.go
+++ b/test/addresses/addresses_test.go
@@ -33,7 +33,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	address := l.Addr().String()
-	var held *HeldError
+	var held *InUseError
 	is.True(errors.As(CheckFree(address), &held))
 	is.Equal(held.Address, address)
 	is.True(held.Holder != "")
--- a/test/processes/processes_test.go
+++ b/test/processes/processes_test.go
@@ -28,7 +28,7 @@
 	defer func() { _ = l.Close() }()
 	b, err := NewBox(Options{Bin: t.TempDir(), Dir: t.TempDir(), Network: network.Prefix}, machines.Zones[0].Zone, 1)
 	is.NoErr(err)
-	var held *addresses.HeldError
+	var held *addresses.InUseError
 	is.True(errors.As(b.Start(), &held))
 	is.Equal(held.Address, network.Prefix+".1:8104")
 }
