--- a/test/addresses/addresses.go
+++ b/test/addresses/addresses.go
@@ -31,11 +31,11 @@
 	lock   net.Listener
 }
 
-// NoneFreeError says that all networks of a prefix are in use.
-type NoneFreeError struct{ Prefix string }
+// NoFreeNetworkError says that all networks of a prefix are in use.
+type NoFreeNetworkError struct{ Prefix string }
 
 // Error implements error.
-func (e *NoneFreeError) Error() string {
+func (e *NoFreeNetworkError) Error() string {
 	return fmt.Sprintf("addresses: all %d networks of %s are in use", mostNetworks, e.Prefix)
 }
 
@@ -49,7 +49,7 @@
 			return &Network{Prefix: network, lock: lock}, nil
 		}
 	}
-	return nil, &NoneFreeError{Prefix: prefix}
+	return nil, &NoFreeNetworkError{Prefix: prefix}
 }
 
 // Release gives the network back.
