--- a/test/processes/processes.go
+++ b/test/processes/processes.go
@@ -49,7 +49,7 @@
 	mu      sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	life    int
+	incarnation    int
 }
 
 const settingsText = `box: %[1]s
@@ -141,7 +141,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.command, b.exited = command, exited
-	b.life++
+	b.incarnation++
 	return nil
 }
 
@@ -149,7 +149,7 @@
 func (b *Box) Incarnation() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.life
+	return b.incarnation
 }
 
 // Signal sends the process a signal, by its own id.
