--- a/test/processes/processes.go
+++ b/test/processes/processes.go
@@ -91,8 +91,8 @@
 	return calls
 })
 
-// startWithParent starts a process that is killed when this one ends, however it does.
-func startWithParent(c *exec.Cmd) (err error) {
+// startWithDeathSignal starts a process that is killed when this one ends, however it does.
+func startWithDeathSignal(c *exec.Cmd) (err error) {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan struct{})
 	starter() <- func() {
@@ -128,7 +128,7 @@
 	}
 	command := exec.Command(filepath.Join(b.Bin, "stoneworksd"), "--config", b.settingsPath())
 	command.Stdout, command.Stderr = log, log
-	if err := startWithParent(command); err != nil {
+	if err := startWithDeathSignal(command); err != nil {
 		_ = log.Close()
 		return err
 	}
--- a/test/processes/processes_test.go
+++ b/test/processes/processes_test.go
@@ -42,7 +42,7 @@
 	is := is.New(t)
 	if os.Getenv(parentOfChild) != "" {
 		child := exec.Command("sleep", "60")
-		is.NoErr(startWithParent(child))
+		is.NoErr(startWithDeathSignal(child))
 		_, _ = os.Stdout.WriteString(strconv.Itoa(child.Process.Pid) + "\n")
 		time.Sleep(time.Minute)
 	}
