--- a/test/processes/processes.go
+++ b/test/processes/processes.go
@@ -1,6 +1,6 @@
-// Package processes runs boxes in the shape of the users' machines as separate
-// processes, for tests that strike them from outside. It ends only processes
-// that it started, by their ids.
+// Package processes runs boxes as separate processes, with settings like those on the users'
+// machines, for tests that inject faults from outside. It kills only processes that it
+// started, by their process ids.
 package processes
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/stoneworks/stoneworks/test/machines"
 )
 
-// Ports of every box.
+// Ports that every box listens on, and the timing of readiness checks.
 const (
 	portClients   = 8101
 	portReady     = 8104
@@ -27,19 +27,19 @@
 	readyCallTime = 500 * time.Millisecond
 )
 
-// Options say where and how boxes run.
+// Options are the settings that all boxes of a run share.
 type Options struct {
-	// Bin holds the programs, Dir takes settings and logs.
+	// Bin is the directory of the programs, Dir that of the settings and logs.
 	Bin, Dir string
-	// Network is the first three numbers of the boxes' addresses.
+	// Network is the first three octets of the boxes' addresses, such as "127.94.7".
 	Network string
 	// Store is the address of the platform's store.
 	Store string
-	// Drain, Contact and Grace are the bounds of the settings.
+	// Drain, Contact and Grace are the durations under bounds in the settings.
 	Drain, Contact, Grace time.Duration
 }
 
-// Box is a box as a process. It may be started again after its end.
+// Box is a box that runs as a process. It can be started again after the process has exited.
 type Box struct {
 	Options
 	Name string
@@ -63,7 +63,7 @@
 zones:
 `
 
-// NewBox writes the settings of a box, which does not run yet.
+// NewBox writes the settings file of a box. It does not start the box.
 func NewBox(o Options, zone string, number int) (*Box, error) {
 	b := &Box{Options: o, Name: fmt.Sprintf("box-%d", number), IP: fmt.Sprintf("%s.%d", o.Network, number), Zone: zone}
 	text := fmt.Sprintf(settingsText, b.Name, zone, b.IP, o.Network, o.Store, o.Contact, o.Drain, o.Grace)
@@ -75,11 +75,12 @@
 
 func (b *Box) settingsPath() string { return filepath.Join(b.Dir, b.Name+".yaml") }
 
-// Clients returns the address that serves clients.
+// Clients returns the address at which the box serves clients.
 func (b *Box) Clients() string { return fmt.Sprintf("%s:%d", b.IP, portClients) }
 
-// starter starts processes from one thread that does not end: a process that is to end
-// with this one ends with the thread that started it (see prctl(2), PR_SET_PDEATHSIG).
+// starter returns a channel whose functions run on one OS thread that does not exit. The
+// kernel sends the death signal when the thread that started the process exits, not only when
+// the whole parent process does (see prctl(2), PR_SET_PDEATHSIG).
 var starter = sync.OnceValue(func() chan<- func() {
 	calls := make(chan func())
 	go func() {
@@ -91,7 +92,8 @@
 	return calls
 })
 
-// startWithDeathSignal starts a process that is killed when this one ends, however it does.
+// startWithDeathSignal starts a process that is killed when this one exits for any reason,
+// including SIGKILL.
 func startWithDeathSignal(c *exec.Cmd) (err error) {
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan struct{})
@@ -103,8 +105,8 @@
 	return err
 }
 
-// checkAddresses reports an address of the box that is taken. The error is an
-// *addresses.HeldError.
+// checkAddresses returns an *addresses.InUseError if another process listens at an address of
+// the box.
 func (b *Box) checkAddresses() error {
 	for port := portClients; port <= portDirectory; port++ {
 		if err := addresses.CheckFree(fmt.Sprintf("%s:%d", b.IP, port)); err != nil {
@@ -114,8 +116,9 @@
 	return nil
 }
 
-// Start starts the process, which ends with this one. Its log is appended to that of
-// earlier lives. The error of a first start may be an *addresses.HeldError.
+// Start starts the process, which is killed when this process exits. Its log is appended to
+// that of earlier incarnations. The first start returns an *addresses.InUseError if an address
+// of the box is in use.
 func (b *Box) Start() error {
 	if b.Incarnation() == 0 {
 		if err := b.checkAddresses(); err != nil {
@@ -145,14 +148,14 @@
 	return nil
 }
 
-// Incarnation tells the lives of a box apart, from 1.
+// Incarnation returns how often the box has been started: 0 before the first start, 1 after.
 func (b *Box) Incarnation() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.incarnation
 }
 
-// Signal sends the process a signal, by its own id.
+// Signal sends the process a signal; it does nothing before the first start.
 func (b *Box) Signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -161,14 +164,15 @@
 	}
 }
 
-// Exited is closed when the present life ends.
+// Exited returns a channel that is closed when the current incarnation has exited, or nil
+// before the first start.
 func (b *Box) Exited() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.exited
 }
 
-// Kill kills the process if it still runs, and waits for its end.
+// Kill kills the process if it still runs, and waits until it has exited.
 func (b *Box) Kill() {
 	if b.Exited() == nil {
 		return
@@ -177,7 +181,7 @@
 	<-b.Exited()
 }
 
-// Ready reports whether the box says that it is ready.
+// Ready reports whether the box's readiness endpoint answers with status 200.
 func (b *Box) Ready() bool {
 	client := http.Client{Timeout: readyCallTime}
 	answer, err := client.Get(fmt.Sprintf("http://%s:%d/-/ready", b.IP, portReady))
@@ -188,13 +192,14 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// NotReadyError says that a box did not become ready.
+// NotReadyError is returned when a box does not become ready in time.
 type NotReadyError struct{ Box string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Box + " did not become ready" }
 
-// WaitReady waits until the box is ready. The error is a *NotReadyError.
+// WaitReady waits until the box is ready. It returns a *NotReadyError if that takes longer
+// than within.
 func (b *Box) WaitReady(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyPoll) {
 		if b.Ready() {
--- a/test/processes/processes_test.go
+++ b/test/processes/processes_test.go
@@ -17,7 +17,8 @@
 	"github.com/stoneworks/stoneworks/test/machines"
 )
 
-// TestTakenAddressIsToldAtTheStart, and not as a box that does not become ready.
+// TestTakenAddressIsToldAtTheStart checks that Start reports an address that is in use, rather
+// than that the box fails later because it does not become ready.
 func TestTakenAddressIsToldAtTheStart(t *testing.T) {
 	is := is.New(t)
 	network, err := addresses.Reserve("127.98")
@@ -33,11 +34,13 @@
 	is.Equal(held.Address, network.Prefix+".1:8104")
 }
 
-// parentOfChild makes this test program start a child, tell its id, and wait.
+// parentOfChild is the environment variable that makes this test program start a child, print
+// its process id and wait.
 const parentOfChild = "STONEWORKS_TEST_PARENT"
 
-// TestProcessesEndWithTheOneThatStartedThem, also if that is killed. A run that was broken off
-// left boxes at its addresses, and the next one failed.
+// TestProcessesEndWithTheOneThatStartedThem checks that a child process is killed when its
+// parent is killed. Otherwise an interrupted run leaves boxes at its addresses and the next run
+// fails.
 func TestProcessesEndWithTheOneThatStartedThem(t *testing.T) {
 	is := is.New(t)
 	if os.Getenv(parentOfChild) != "" {
@@ -56,7 +59,7 @@
 	is.NoErr(err)
 	child, err := strconv.Atoi(strings.TrimSpace(string(buffer[:n])))
 	is.NoErr(err)
-	is.NoErr(syscall.Kill(child, 0)) // it runs
+	is.NoErr(syscall.Kill(child, 0)) // the child runs
 	is.NoErr(parent.Process.Kill())
 	_ = parent.Wait()
 	for end := time.Now().Add(5 * time.Second); !ended(child); time.Sleep(10 * time.Millisecond) {
@@ -64,8 +67,8 @@
 	}
 }
 
-// ended reports whether a process runs no more: it is gone, or dead and not yet taken
-// note of by the process that inherited it.
+// ended reports whether a process has exited: it is gone, or a zombie that its new parent has
+// not reaped yet.
 func ended(process int) bool {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(process) + "/stat")
 	if err != nil {
