--- a/test/processes/processes.go
+++ b/test/processes/processes.go
@@ -46,10 +46,10 @@
 	IP   string
 	Zone string
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	exited  chan struct{}
-	incarnation    int
+	mu          sync.Mutex
+	command     *exec.Cmd
+	exited      chan struct{}
+	incarnation int
 }
 
 const settingsText = `box: %[1]s
