--- a/test/faultproxy/faultproxy.go
+++ b/test/faultproxy/faultproxy.go
@@ -57,8 +57,8 @@
 	once            sync.Once
 }
 
-// breakOff resets both connections.
-func (c *pair) breakOff() {
+// abort resets both connections.
+func (c *pair) abort() {
 	c.once.Do(func() { close(c.ended) })
 	reset(c.from)
 	reset(c.to)
@@ -149,7 +149,7 @@
 		}
 		close(c.silenced)
 		p.Hits.Add(1)
-		time.AfterFunc(breakAfter, c.breakOff)
+		time.AfterFunc(breakAfter, c.abort)
 	}
 }
 
@@ -207,7 +207,7 @@
 		default:
 		}
 		if !p.pass(to, buffer[:n], source, answers, &passed) {
-			two.breakOff()
+			two.abort()
 			return
 		}
 		if err != nil {
