--- a/test/faultproxy/faultproxy.go
+++ b/test/faultproxy/faultproxy.go
@@ -195,19 +195,19 @@
 }
 
 // pump copies one direction, and passes an end of it on.
-func (p *Proxy) pump(two *pair, from, to *net.TCPConn, source string, answers bool) {
+func (p *Proxy) pump(conns *pair, from, to *net.TCPConn, source string, answers bool) {
 	buffer := make([]byte, 32<<10)
 	passed := 0
 	for {
 		n, err := from.Read(buffer)
 		select {
-		case <-two.silenced:
-			<-two.ended
+		case <-conns.silenced:
+			<-conns.ended
 			return
 		default:
 		}
 		if !p.pass(to, buffer[:n], source, answers, &passed) {
-			two.abort()
+			conns.abort()
 			return
 		}
 		if err != nil {
