--- a/test/faultproxy/faultproxy.go
+++ b/test/faultproxy/faultproxy.go
@@ -181,17 +181,17 @@
 		reset(c)
 		return
 	}
-	two := &pair{from: c, to: t.(*net.TCPConn), silenced: make(chan struct{}), ended: make(chan struct{})}
+	conns := &pair{from: c, to: t.(*net.TCPConn), silenced: make(chan struct{}), ended: make(chan struct{})}
 	p.mu.Lock()
-	p.pairs[two] = true
+	p.pairs[conns] = true
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.pairs, two)
+		delete(p.pairs, conns)
 	}()
-	go p.pump(two, two.from, two.to, source, false)
-	p.pump(two, two.to, two.from, source, true)
+	go p.pump(conns, conns.from, conns.to, source, false)
+	p.pump(conns, conns.to, conns.from, source, true)
 }
 
 // pump copies one direction, and passes an end of it on.
