--- a/test/faultproxy/faultproxy.go
+++ b/test/faultproxy/faultproxy.go
@@ -1,4 +1,4 @@
-// Package faultproxy is a TCP proxy that does harm on purpose.
+// Package faultproxy is a TCP proxy that injects faults into the connections that it forwards.
 package faultproxy
 
 import (
@@ -8,22 +8,24 @@
 	"time"
 )
 
-// Fault is what happens to a connection; the zero value is nothing.
+// Fault is what the proxy does to a connection. The zero value forwards it unchanged.
 type Fault struct {
-	// Delay of every piece of data, one way.
+	// Delay is added to each chunk of data that is forwarded, in each direction.
 	Delay time.Duration
-	// HoldRequests and HoldAnswers keep data back, as a cut link does, until
-	// the fault is lifted.
+	// HoldRequests and HoldAnswers hold back the data of one direction until the fault is
+	// cleared, as a broken link does.
 	HoldRequests bool
 	HoldAnswers  bool
-	// Reset breaks connections.
+	// Reset closes connections with a TCP reset.
 	Reset bool
-	// TruncateAnswers breaks connections after so many bytes of answers.
+	// TruncateAnswers is the number of bytes of answers after which connections are reset; 0
+	// means no limit.
 	TruncateAnswers int
-	// TruncateRequests does the same to requests.
+	// TruncateRequests is the same for requests.
 	TruncateRequests int
 }
 
+// limit returns the number of bytes after which one direction is truncated, or 0.
 func (f Fault) limit(answers bool) int {
 	if answers {
 		return f.TruncateAnswers
@@ -31,14 +33,14 @@
 	return f.TruncateRequests
 }
 
-// Proxy passes connections from its own address on to a target.
+// Proxy forwards connections to a target.
 type Proxy struct {
-	// Target is where connections go; see SetTarget.
+	// Target is the address that new connections are forwarded to; see SetTarget.
 	Target string
-	// KeepSource makes connections leave from the IP number of whoever opened
-	// them, which has to be one of this machine. Set it before the first one.
+	// KeepSource makes the proxy dial from the IP address of the client, which has to be an
+	// address of this machine. It has to be set before the first connection.
 	KeepSource bool
-	// Hits counts the pieces of data and connections that met a fault.
+	// Hits counts the chunks of data and the connections that a fault was applied to.
 	Hits atomic.Int64
 
 	address  string
@@ -49,22 +51,22 @@
 	pairs    map[*pair]bool
 }
 
-// pair is a connection with the one that it is passed on to.
+// pair is a client's connection and the connection to the target that it is forwarded over.
 type pair struct {
 	from, to *net.TCPConn
-	// silenced is closed when nothing passes any more, ended when the pair is broken.
+	// silenced is closed when no more data is forwarded, ended when the pair is reset.
 	silenced, ended chan struct{}
 	once            sync.Once
 }
 
-// abort resets both connections.
+// abort closes both connections with a reset.
 func (c *pair) abort() {
 	c.once.Do(func() { close(c.ended) })
 	reset(c.from)
 	reset(c.to)
 }
 
-// New starts a proxy.
+// New starts a proxy that listens at listen and forwards to target.
 func New(listen, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -75,21 +77,21 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens at.
 func (p *Proxy) Address() string { return p.address }
 
-// Close stops taking connections.
+// Close stops accepting connections. Open connections continue.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.listener.Close()
 }
 
-// Down has the address refuse connections, as that of a process that has ended does; those
-// that are open go on. Up takes connections again.
+// Down makes the address refuse new connections, as that of an exited process does. Open
+// connections continue. Up accepts connections again.
 func (p *Proxy) Down() { p.Close() }
 
-// Up ends Down.
+// Up listens again after Down.
 func (p *Proxy) Up() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,14 +104,14 @@
 	return nil
 }
 
-// SetTarget sends connections that are opened from now on elsewhere.
+// SetTarget changes the target of connections that are opened from now on.
 func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.Target = target
 }
 
-// dial opens the connection to the target.
+// dial opens a connection to the target, from the source address if KeepSource is set.
 func (p *Proxy) dial(source string) (net.Conn, error) {
 	p.mu.Lock()
 	target := p.Target
@@ -121,7 +123,7 @@
 	return dialer.Dial("tcp", target)
 }
 
-// Set replaces the rule, which gives the fault of connections from a source.
+// Set replaces the rule, which returns the fault of connections from a source address.
 func (p *Proxy) Set(rule func(source string) Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,14 +132,14 @@
 	p.changed = make(chan struct{})
 }
 
-// SetAll gives all connections one fault; Clear lifts every fault.
+// SetAll applies one fault to all connections.
 func (p *Proxy) SetAll(f Fault) { p.Set(func(string) Fault { return f }) }
 
-// Clear lifts every fault.
+// Clear removes all faults.
 func (p *Proxy) Clear() { p.SetAll(Fault{}) }
 
-// Silence makes the connections that are open now say nothing any more, while new ones
-// work. They break after a while, as when a kernel's keep-alive probes have found out.
+// Silence stops forwarding data on the connections that are open now; new ones work. The
+// silenced ones are reset after breakAfter, as when the kernel's keep-alive probes fail.
 func (p *Proxy) Silence(breakAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,6 +155,7 @@
 	}
 }
 
+// fault returns the fault of a source, and a channel that is closed when the rule changes.
 func (p *Proxy) fault(source string) (Fault, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +197,8 @@
 	p.pump(conns, conns.to, conns.from, source, true)
 }
 
-// pump copies one direction, and passes an end of it on.
+// pump copies the data of one direction. At its end it closes the write side of the other
+// connection, and for answers the whole connection.
 func (p *Proxy) pump(conns *pair, from, to *net.TCPConn, source string, answers bool) {
 	buffer := make([]byte, 32<<10)
 	passed := 0
@@ -220,7 +224,8 @@
 	}
 }
 
-// pass waits for whatever holds the data back; false breaks the connection.
+// pass applies the current fault to the data and writes it. It waits while the fault holds the
+// direction back, and returns false if the connection is to be reset.
 func (p *Proxy) pass(to *net.TCPConn, data []byte, source string, answers bool, passed *int) bool {
 	hit := false
 	for {
@@ -248,6 +253,7 @@
 	}
 }
 
+// reset closes the connection with a TCP reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
