--- a/test/standin/backend.go
+++ b/test/standin/backend.go
@@ -17,43 +17,44 @@
 	"github.com/stoneworks/stoneworks/pkg/entry"
 )
 
-// FaultHeader asks a backend server for a fault:
+// FaultHeader is the request header that asks a backend server for a fault:
 //
-//	shed          refuse, saying that it did not run
-//	reset-before  reset the connection without running
-//	reset-after   run, then reset the connection
-//	truncate      run, then send half of the answer
-//	close         run, answer, then close without a word
-//	hang          run, then wait until the other side hangs up
+//	shed          refuse the request with outcome not-run
+//	reset-before  reset the connection without running the request
+//	reset-after   run the request, then reset the connection
+//	truncate      run the request, then send half of the answer
+//	close         run the request, answer, then close without announcing it
+//	hang          run the request, then wait until the client closes the connection
 const FaultHeader = "X-Fault"
 
-// Record is what a backend server remembers of what it ran.
+// Record is a backend server's record of the requests that it ran.
 type Record struct {
 	Name string `json:"name"`
-	// Runs counts by idempotency key, or by request id where there is none.
+	// Runs counts runs by idempotency key, or by request id for requests without a key.
 	Runs map[string]int `json:"runs"`
-	// InUse and Peak count requests at work; Connections open connections.
+	// InUse is the number of requests in progress and Peak its maximum; Connections is the
+	// number of open connections.
 	InUse       int `json:"in_use"`
 	Peak        int `json:"peak"`
 	Connections int `json:"connections"`
-	// LastRequestMs is when it last got new work, in Unix milliseconds.
+	// LastRequestMs is when the last request began, in Unix milliseconds.
 	LastRequestMs   int64 `json:"last_new"`
 	Cancelled int   `json:"cancelled"`
 }
 
-// BackendControl changes a backend server while it runs.
+// BackendControl is the behaviour of a backend server, which can be changed while it runs.
 type BackendControl struct {
 	Leaving bool `json:"leaving"`
-	// MisleadingHealth makes its health endpoint fail.
+	// MisleadingHealth makes the health endpoint fail while the server still answers requests.
 	MisleadingHealth bool `json:"misleading_health"`
-	// ServiceMS is how long each request takes.
+	// ServiceMS is how long each request takes, in milliseconds.
 	ServiceMS int `json:"service_ms"`
 }
 
-// Backend is a backend server that answers with digests of what it was asked.
+// Backend is a backend server that answers with a digest of the request.
 type Backend struct {
 	Name string
-	// Connections it accepts.
+	// MaxConnections is how many connections it accepts at a time.
 	MaxConnections int
 
 	mu      sync.Mutex
@@ -61,7 +62,7 @@
 	control BackendControl
 }
 
-// NewBackend makes a backend server.
+// NewBackend returns a backend server; see Serve.
 func NewBackend(name string, serviceTime time.Duration, maxConnections int) *Backend {
 	return &Backend{
 		Name: name, MaxConnections: maxConnections,
@@ -70,12 +71,13 @@
 	}
 }
 
-// Serve answers on the listener until it is closed.
+// Serve serves requests on the listener until the listener is closed.
 func (b *Backend) Serve(l net.Listener) {
 	server := &http.Server{Handler: b, ConnState: b.connState}
 	_ = server.Serve(l)
 }
 
+// connState counts open connections and closes those above MaxConnections.
 func (b *Backend) connState(c net.Conn, s http.ConnState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +104,7 @@
 	return r
 }
 
-// Control sets what the server does from now on.
+// Control changes the behaviour of the server for later requests.
 func (b *Backend) Control(c BackendControl) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,8 +136,8 @@
 		return
 	}
 	b.begin()
-	// A caller may have the last byte before this handler returns, so the slot
-	// counts as free from just before the last write.
+	// A caller may receive the last byte before this handler returns and send its next request,
+	// so the slot counts as free from just before the last write.
 	end := sync.OnceFunc(b.end)
 	defer end()
 	digest := sha256.New()
@@ -151,13 +153,14 @@
 	b.answer(w, r, fault, body, end)
 }
 
-// ExpectedAnswer is the answer to a request: it names the request's id and digest,
-// so that a caller can tell its own answer from any other.
+// ExpectedAnswer returns the body of the answer to a request. It holds the request's id and
+// digest, so that a caller can detect another request's answer.
 func ExpectedAnswer(id, bodyDigest string, size int64) string {
 	sum := sha256.Sum256([]byte(id + "/" + bodyDigest))
 	return fmt.Sprintf("%s %d %s\n", id, size, hex.EncodeToString(sum[:]))
 }
 
+// begin records a request in progress.
 func (b *Backend) begin() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,6 +169,7 @@
 	b.record.LastRequestMs = time.Now().UnixMilli()
 }
 
+// end records that a request has finished.
 func (b *Backend) end() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -182,7 +186,8 @@
 	b.record.Runs[key]++
 }
 
-// work takes the time of the request; false if the other side hung up.
+// work waits for the service time of the request. It returns false if the client closed the
+// connection meanwhile.
 func (b *Backend) work(r *http.Request, control BackendControl, fault string) bool {
 	ms := control.ServiceMS
 	if asked, err := strconv.Atoi(r.URL.Query().Get("ms")); err == nil {
@@ -203,6 +208,7 @@
 	}
 }
 
+// answer writes the answer, with the fault asked for, and calls end before the last write.
 func (b *Backend) answer(w http.ResponseWriter, r *http.Request, fault, body string, end func()) {
 	if n, err := strconv.ParseInt(r.URL.Query().Get("bytes"), 10, 64); err == nil {
 		b.stream(w, r, n, end)
@@ -227,7 +233,8 @@
 	}
 }
 
-// stream sends n bytes that depend on the request's id, slowly if asked.
+// stream sends n bytes of a pattern made from the request's id. It pauses for pause_ms before
+// each write.
 func (b *Backend) stream(w http.ResponseWriter, r *http.Request, n int64, end func()) {
 	pattern := []byte(strings.Repeat(r.Header.Get(entry.HeaderRequestID)+"\n", 1024))
 	if r.URL.Query().Get("chunked") == "" {
@@ -250,7 +257,7 @@
 	}
 }
 
-// reset closes the connection so that the other side sees a reset.
+// reset closes the connection with a TCP reset.
 func reset(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/test/standin/platform.go
+++ b/test/standin/platform.go
@@ -1,5 +1,5 @@
-// Package standin has small stand-ins of what surrounds stoneworks: the
-// platform and backend servers. They exist for tests and the demo.
+// Package standin has simple implementations of the platform and of backend servers, for tests
+// and the demo.
 package standin
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// watchTime is how long a watch without news is held.
+// watchTime is how long a watch waits for a change before it is answered without one.
 const watchTime = 10 * time.Second
 
-// PlatformFault is what the platform does wrong; the zero value is nothing.
+// PlatformFault is the fault that the platform injects; the zero value is none.
 type PlatformFault struct {
-	// Down refuses every call.
+	// Down drops the connection of every call.
 	Down bool `json:"down"`
-	// DelayMS holds every call.
+	// DelayMS delays every call, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LoseAnswers takes writes into effect and drops the connection.
+	// LoseAnswers applies writes, then drops the connection instead of answering.
 	LoseAnswers bool `json:"lose_answers"`
-	// StaleBy answers reads with the state of that many writes ago.
+	// StaleBy answers reads with the state of so many writes ago.
 	StaleBy int `json:"stale_by"`
 }
 
-// Platform keeps versioned objects.
+// Platform is a store of versioned objects with a list of boxes.
 type Platform struct {
 	mu      sync.Mutex
 	version uint64
@@ -40,12 +40,12 @@
 	calls   map[string]int
 }
 
-// NewPlatform makes a platform whose list names the boxes.
+// NewPlatform returns a platform with the given list of boxes and no objects.
 func NewPlatform(boxes []platform.Box) *Platform {
 	return &Platform{objects: map[string]platform.Object{}, boxes: boxes, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-// ServeHTTP implements the platform's protocol, and /admin for tests.
+// ServeHTTP serves the platform's protocol, and the paths under /admin/ for tests.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/admin/") {
 		p.admin(w, r)
@@ -93,7 +93,7 @@
 	p.calls[verb]++
 }
 
-// view returns the objects that reads see.
+// view returns the objects that reads see: the current ones, or older ones with StaleBy.
 func (p *Platform) view() map[string]platform.Object {
 	if back := p.fault.StaleBy; back > 0 && len(p.history) > 0 {
 		return p.history[max(0, len(p.history)-back)]
@@ -101,6 +101,7 @@
 	return p.objects
 }
 
+// page returns the objects of a kind that are newer than version since.
 func (p *Platform) page(kind string, since uint64) platform.Page {
 	page := platform.Page{Version: p.version, Objects: []platform.Object{}}
 	for _, o := range p.view() {
@@ -111,6 +112,8 @@
 	return page
 }
 
+// watch waits for objects newer than version since. It returns an empty page after watchTime, or
+// at once if the store's version is below since, as after a restore.
 func (p *Platform) watch(r *http.Request, kind string, since uint64) platform.Page {
 	timeout := time.After(watchTime)
 	for {
@@ -141,6 +144,8 @@
 	reply(w, http.StatusOK, o)
 }
 
+// put writes an object if its current version equals the If-Match header, and fails with status
+// 412 otherwise.
 func (p *Platform) put(w http.ResponseWriter, r *http.Request, kind, name string) {
 	expected, err := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
 	var value json.RawMessage
@@ -172,8 +177,8 @@
 	reply(w, http.StatusOK, o)
 }
 
-// admin lets a test set faults, replace the list of boxes, put the store back
-// by some writes, and read the count of calls.
+// admin lets a test set the fault, replace the list of boxes and undo the last writes. Every
+// call answers with the counts of calls by verb.
 func (p *Platform) admin(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +187,7 @@
 		p.fault = PlatformFault{}
 		_ = json.NewDecoder(r.Body).Decode(&p.fault)
 		if p.fault.Down {
-			// Waiting watches end too.
+			// Wake the watches that wait for a change.
 			close(p.changed)
 			p.changed = make(chan struct{})
 		}
--- a/test/standin/process.go
+++ b/test/standin/process.go
@@ -14,7 +14,7 @@
 	"github.com/stoneworks/stoneworks/pkg/platform"
 )
 
-// BackendConfig is one backend server of a process.
+// BackendConfig is the configuration of one backend server.
 type BackendConfig struct {
 	Name        string `json:"name"`
 	Listen      string `json:"listen"`
@@ -22,17 +22,18 @@
 	Connections int    `json:"connections"`
 }
 
-// ProcessConfig says what one stand-in process runs.
+// ProcessConfig is the configuration of one process, read from a JSON file.
 type ProcessConfig struct {
-	// Platform is where it serves the platform; empty for none.
+	// Platform is the address that serves the platform; empty if the process runs none.
 	Platform string         `json:"platform,omitempty"`
 	Boxes    []platform.Box `json:"boxes,omitempty"`
-	// Admin is where the backend servers' records are read.
+	// Admin is the address that serves the backend servers' records and takes their control.
 	Admin    string          `json:"admin,omitempty"`
 	Backends []BackendConfig `json:"backends,omitempty"`
 }
 
-// Main runs the stand-ins of a configuration file until it is ended.
+// Main runs the platform and the backend servers of a configuration file until the process is
+// killed. It returns the exit code if that fails.
 func Main(args []string, stdout, stderr io.Writer) int {
 	if len(args) != 1 {
 		fmt.Fprintln(stderr, "usage: stoneworks-standin CONFIG.json")
@@ -54,6 +55,7 @@
 	return 0
 }
 
+// run starts everything configured, prints "ready" and serves until the listeners fail.
 func (c *ProcessConfig) run(stdout io.Writer) error {
 	wg := conc.NewWaitGroup()
 	serve := func(address string, handle func(net.Listener)) error {
@@ -87,7 +89,8 @@
 	return nil
 }
 
-// backendsAdmin serves GET /records and POST /control?name=N.
+// backendsAdmin serves GET /records, the records of all backend servers, and POST
+// /control?name=NAME, which changes the behaviour of one.
 func backendsAdmin(backends map[string]*Backend) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /records", func(w http.ResponseWriter, _ *http.Request) {
