--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -19,15 +19,15 @@
 
 // Sample is the end of one request of a load.
 type Sample struct {
-	Zone    string
-	Service string
-	Key     string
-	ID      string
-	AtMostOnce    bool
-	Result  *caller.Result
-	Err     error
-	Took    time.Duration
-	Problem   string
+	Zone       string
+	Service    string
+	Key        string
+	ID         string
+	AtMostOnce bool
+	Result     *caller.Result
+	Err        error
+	Took       time.Duration
+	Problem    string
 }
 
 // Load sends requests from clients in every zone and checks each answer.
--- a/test/standin/backend.go
+++ b/test/standin/backend.go
@@ -38,8 +38,8 @@
 	Peak        int `json:"peak"`
 	Connections int `json:"connections"`
 	// LastRequestMs is when the last request began, in Unix milliseconds.
-	LastRequestMs   int64 `json:"last_new"`
-	Cancelled int   `json:"cancelled"`
+	LastRequestMs int64 `json:"last_new"`
+	Cancelled     int   `json:"cancelled"`
 }
 
 // BackendControl is the behaviour of a backend server, which can be changed while it runs.
