--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -59,7 +59,7 @@
 
 // New prepares a deployment in a directory; nothing runs yet.
 func New(shape Shape, dir, binDir string) (*Deployment, error) {
-	network, err := freeNet()
+	network, err := freeNetwork()
 	if err != nil {
 		return nil, err
 	}
@@ -73,9 +73,9 @@
 	}, nil
 }
 
-// freeNet finds a part of the loopback range that nobody uses: each process
+// freeNetwork finds a part of the loopback range that nobody uses: each process
 // gets an address of its own there, with fixed ports.
-func freeNet() (string, error) {
+func freeNetwork() (string, error) {
 	var last error
 	for i := range 200 {
 		n := (os.Getpid() + i*7919) % (100 * 250)
