--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -45,7 +45,7 @@
 	// proxy's address to put one in between.
 	PlatformAddress func(direct string) string
 
-	net      string
+	network      string
 	platform *process
 	backends *process
 	boxes    []*process
@@ -68,7 +68,7 @@
 		Advertise:       func(_ int, peers string) string { return peers },
 		ServerAddress:   func(_, _ int, direct string) string { return direct },
 		PlatformAddress: func(direct string) string { return direct },
-		net:             network,
+		network:             network,
 		boxes:           make([]*process, shape.Boxes),
 	}, nil
 }
@@ -91,9 +91,9 @@
 }
 
 // Addr returns an address of the deployment's network, for proxies.
-func (d *Deployment) Addr(host, port int) string { return fmt.Sprintf("%s.%d:%d", d.net, host, port) }
+func (d *Deployment) Addr(host, port int) string { return fmt.Sprintf("%s.%d:%d", d.network, host, port) }
 
-func (d *Deployment) boxIP(i int) string { return fmt.Sprintf("%s.%d", d.net, 10+i) }
+func (d *Deployment) boxIP(i int) string { return fmt.Sprintf("%s.%d", d.network, 10+i) }
 
 // Callers returns box i's address for callers; Peers, Operators and Admin its
 // other ports.
--- a/test/harness/shape.go
+++ b/test/harness/shape.go
@@ -107,5 +107,5 @@
 }
 
 func (d *Deployment) serverAddress(service, n int) string {
-	return fmt.Sprintf("%s.%d:%d", d.net, 100+n, 8000+service)
+	return fmt.Sprintf("%s.%d:%d", d.network, 100+n, 8000+service)
 }
