--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -333,8 +333,8 @@
 // Thaw lets a frozen box go on.
 func (d *Deployment) Thaw(i int) { _ = d.Signal(i, syscall.SIGCONT) }
 
-// leaveLimit bounds a planned stop in tests.
-const leaveLimit = 30 * time.Second
+// terminateTimeout bounds a planned stop in tests.
+const terminateTimeout = 30 * time.Second
 
 // Terminate asks box i to leave and returns its exit code when it has, or -1
 // if it did not in time.
@@ -342,7 +342,7 @@
 	_ = d.Signal(i, syscall.SIGTERM)
 	select {
 	case <-d.boxes[i].exited:
-	case <-time.After(leaveLimit):
+	case <-time.After(terminateTimeout):
 		return -1
 	}
 	return d.boxes[i].cmd.ProcessState.ExitCode()
