--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -81,12 +81,12 @@
 			return
 		}
 		service := d.Shape.Services[(i+n)%len(d.Shape.Services)].Name
-		l.add(l.one(ctx, c, zone, l.NewRequest(service, i)))
+		l.add(l.send(ctx, c, zone, l.NewRequest(service, i)))
 		time.Sleep(l.Pause)
 	}
 }
 
-func (l *Load) one(ctx context.Context, c *caller.Client, zone string, r caller.Request) Sample {
+func (l *Load) send(ctx context.Context, c *caller.Client, zone string, r caller.Request) Sample {
 	ctx, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
 	r.ID = NewID()
