--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -22,42 +22,44 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// Deployment is a running deployment.
+// Deployment is a deployment whose processes this program runs; see New and Start.
 type Deployment struct {
 	Shape Shape
 	Dir   string
-	// BinDir has the built programs; BoxProgram is the daemon's name there.
+	// BinDir is the directory of the built programs; BoxProgram is the daemon's name there.
 	BinDir     string
 	BoxProgram string
-	// Env is added to the environment of the boxes.
+	// Env is added to the environment of the processes.
 	Env []string
-	// ShiftWindow of the services.
+	// ShiftWindow is the shift window of the services.
 	ShiftWindow time.Duration
-	// LookupTTL of the boxes, as in the settings.
+	// LookupTTL is the value of lookup_ttl in the boxes' settings.
 	LookupTTL string
-	// Advertise may replace the peers' address that box i tells others, to
-	// put a proxy in between.
+	// Advertise returns the address that box i advertises to its peers. A test can return a
+	// proxy's address.
 	Advertise func(i int, peers string) string
-	// ServerAddress may replace the address under which operators name a
-	// backend server, to put a proxy in between.
+	// ServerAddress returns the address of a backend server in its service's object. A test can
+	// return a proxy's address.
 	ServerAddress func(service, n int, direct string) string
-	// PlatformAddress is where the boxes reach the platform; set it to a
-	// proxy's address to put one in between.
+	// PlatformAddress returns the address at which the boxes reach the platform. A test can
+	// return a proxy's address.
 	PlatformAddress func(direct string) string
 
-	network      string
+	network  string
 	platform *process
 	backends *process
 	boxes    []*process
 }
 
+// process is a child process with its log.
+// process is a child process with its log.
 type process struct {
 	cmd    *exec.Cmd
 	log    *os.File
 	exited chan struct{}
 }
 
-// New prepares a deployment in a directory; nothing runs yet.
+// New prepares a deployment that keeps its files in dir. It starts no process.
 func New(shape Shape, dir, binDir string) (*Deployment, error) {
 	network, err := freeNetwork()
 	if err != nil {
@@ -68,13 +70,13 @@
 		Advertise:       func(_ int, peers string) string { return peers },
 		ServerAddress:   func(_, _ int, direct string) string { return direct },
 		PlatformAddress: func(direct string) string { return direct },
-		network:             network,
+		network:         network,
 		boxes:           make([]*process, shape.Boxes),
 	}, nil
 }
 
-// freeNetwork finds a part of the loopback range that nobody uses: each process
-// gets an address of its own there, with fixed ports.
+// freeNetwork returns the first three octets of a loopback network that no other process uses.
+// Each process of the deployment gets its own address there, with fixed ports.
 func freeNetwork() (string, error) {
 	var last error
 	for i := range 200 {
@@ -91,29 +93,31 @@
 }
 
 // Addr returns an address of the deployment's network, for proxies.
-func (d *Deployment) Addr(host, port int) string { return fmt.Sprintf("%s.%d:%d", d.network, host, port) }
+func (d *Deployment) Addr(host, port int) string {
+	return fmt.Sprintf("%s.%d:%d", d.network, host, port)
+}
 
 func (d *Deployment) boxIP(i int) string { return fmt.Sprintf("%s.%d", d.network, 10+i) }
 
-// Callers returns box i's address for callers; Peers, Operators and Admin its
-// other ports.
+// Callers returns box i's address for callers. Peers, Operators and Admin return its other
+// addresses.
 func (d *Deployment) Callers(i int) string { return d.boxIP(i) + ":7001" }
 
-// Peers returns the address for other boxes.
+// Peers returns box i's address for other boxes.
 func (d *Deployment) Peers(i int) string { return d.boxIP(i) + ":7002" }
 
-// Operators returns the address for operators.
+// Operators returns box i's address for operators.
 func (d *Deployment) Operators(i int) string { return d.boxIP(i) + ":7003" }
 
-// Admin returns the address for metrics and health.
+// Admin returns box i's address for metrics and health.
 func (d *Deployment) Admin(i int) string { return d.boxIP(i) + ":7004" }
 
-// PlatformDirect returns the platform's own address.
+// PlatformDirect returns the platform's own address, without a proxy.
 func (d *Deployment) PlatformDirect() string { return d.Addr(1, 6000) }
 
 func (d *Deployment) backendsAdmin() string { return d.Addr(2, 6001) }
 
-// AllCallers lists the callers' addresses of all boxes.
+// AllCallers returns the addresses for callers of all boxes.
 func (d *Deployment) AllCallers() []string {
 	var list []string
 	for i := range d.Shape.Boxes {
@@ -126,7 +130,7 @@
 // Starting
 // ================================================================
 
-// Start starts the stand-ins and every box, and waits until all are ready.
+// Start starts the platform, the backend servers and every box, and waits until all are ready.
 func (d *Deployment) Start() error {
 	if err := d.startStandins(); err != nil {
 		return err
@@ -144,6 +148,8 @@
 	return nil
 }
 
+// startStandins starts the platform and the backend servers.
+// startStandins starts the platform and the backend servers.
 func (d *Deployment) startStandins() error {
 	var err error
 	d.platform, err = d.standin("platform", standin.ProcessConfig{Platform: d.PlatformDirect(), Boxes: d.BoxList()})
@@ -163,7 +169,7 @@
 	return err
 }
 
-// BoxList is the platform's list of all boxes.
+// BoxList returns all boxes, as the platform lists them.
 func (d *Deployment) BoxList() []platform.Box {
 	var boxes []platform.Box
 	for i := range d.Shape.Boxes {
@@ -175,6 +181,8 @@
 	return boxes
 }
 
+// standin starts a stand-in process with the given configuration.
+// standin starts a stand-in process with the given configuration.
 func (d *Deployment) standin(name string, c standin.ProcessConfig) (*process, error) {
 	path := filepath.Join(d.Dir, name+".json")
 	text, err := json.Marshal(c)
@@ -187,7 +195,7 @@
 	return d.start(name, "stoneworks-standin", true, path)
 }
 
-// StartBox starts box i, with a new log.
+// StartBox writes the settings of box i and starts it. Its output is appended to its log.
 func (d *Deployment) StartBox(i int) error {
 	name := d.Shape.BoxName(i)
 	path := filepath.Join(d.Dir, name+".yaml")
@@ -202,6 +210,8 @@
 	return err
 }
 
+// boxSettings returns the settings of box i.
+// boxSettings returns the settings of box i.
 func (d *Deployment) boxSettings(i int) map[string]any {
 	zones, blocks := []map[string]string{}, []map[string]string{}
 	for n, z := range d.Shape.Zones() {
@@ -226,8 +236,8 @@
 	}
 }
 
-// start runs a program with its output in a log; if wait is set it returns
-// when the program has written its first line.
+// start starts a program with its output in a log. If wait is set, it returns when the program
+// has written its first line to the standard output, which then is not logged.
 func (d *Deployment) start(name, program string, wait bool, args ...string) (*process, error) {
 	path := filepath.Join(d.Dir, name+".log")
 	log, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -253,7 +263,7 @@
 	if wait {
 		if _, err := bufio.NewReader(first).ReadString('\n'); err != nil {
 			_ = cmd.Wait()
-			return nil, fmt.Errorf("%s ended at once, see %s", name, path)
+			return nil, fmt.Errorf("%s exited before it was ready; its log is %s", name, path)
 		}
 	}
 	go func() {
@@ -263,7 +273,7 @@
 	return p, nil
 }
 
-// WaitReady waits until box i is ready.
+// WaitReady waits up to 20 s until box i is ready. It returns ErrTimeout if that takes longer.
 func (d *Deployment) WaitReady(i int) error {
 	return WaitFor(20*time.Second, func() bool {
 		resp, err := http.Get("http://" + d.Admin(i) + "/readyz")
@@ -275,10 +285,10 @@
 	})
 }
 
-// ErrTimeout is returned when something awaited did not come about.
-var ErrTimeout = errors.New("waited in vain")
+// ErrTimeout is returned when a condition does not hold within the time allowed.
+var ErrTimeout = errors.New("timed out waiting for a condition")
 
-// WaitFor polls until the condition holds.
+// WaitFor polls until the condition holds. It returns ErrTimeout if that takes longer than limit.
 func WaitFor(limit time.Duration, condition func() bool) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if condition() {
@@ -289,10 +299,10 @@
 }
 
 // ================================================================
-// Failing
+// Faults and measurements
 // ================================================================
 
-// PeakMemory returns the most memory that box i had in use, in bytes.
+// PeakMemory returns the peak resident memory of box i, in bytes.
 func (d *Deployment) PeakMemory(i int) int64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.boxes[i].cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), "VmHWM:")
@@ -301,10 +311,10 @@
 	return kilobytes << 10
 }
 
-// clockTicks is the unit of processor time in /proc, per second.
+// clockTicks is the number of clock ticks per second, the unit of processor time in /proc.
 const clockTicks = 100
 
-// CPU returns the processor time that box i has used.
+// CPU returns the user and system time that box i has used.
 func (d *Deployment) CPU(i int) time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.boxes[i].cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -321,23 +331,23 @@
 // Signal sends a signal to box i.
 func (d *Deployment) Signal(i int, s syscall.Signal) error { return d.boxes[i].cmd.Process.Signal(s) }
 
-// Kill kills box i and waits for its end.
+// Kill kills box i and waits until it has exited.
 func (d *Deployment) Kill(i int) {
 	_ = d.boxes[i].cmd.Process.Kill()
 	<-d.boxes[i].exited
 }
 
-// Freeze stops box i without its knowing; Thaw lets it go on.
+// Freeze stops box i with SIGSTOP, which it cannot notice; Thaw continues it.
 func (d *Deployment) Freeze(i int) { _ = d.Signal(i, syscall.SIGSTOP) }
 
-// Thaw lets a frozen box go on.
+// Thaw continues a box stopped by Freeze.
 func (d *Deployment) Thaw(i int) { _ = d.Signal(i, syscall.SIGCONT) }
 
-// terminateTimeout bounds a planned stop in tests.
+// terminateTimeout is how long a box may take to exit after SIGTERM.
 const terminateTimeout = 30 * time.Second
 
-// Terminate asks box i to leave and returns its exit code when it has, or -1
-// if it did not in time.
+// Terminate sends SIGTERM to box i, waits until it has exited and returns its exit code, or -1
+// after terminateTimeout.
 func (d *Deployment) Terminate(i int) int {
 	_ = d.Signal(i, syscall.SIGTERM)
 	select {
@@ -348,7 +358,7 @@
 	return d.boxes[i].cmd.ProcessState.ExitCode()
 }
 
-// SetPlatformFault changes what the platform does wrong.
+// SetPlatformFault replaces the fault that the platform injects.
 func (d *Deployment) SetPlatformFault(f standin.PlatformFault) error {
 	return post("http://"+d.PlatformDirect()+"/admin/fault", f)
 }
@@ -358,12 +368,12 @@
 	return post("http://"+d.PlatformDirect()+"/admin/boxes", list)
 }
 
-// RestorePlatform puts the platform's store back by some writes.
+// RestorePlatform undoes the last writes to the platform's store.
 func (d *Deployment) RestorePlatform(writes int) error {
 	return post(fmt.Sprintf("http://%s/admin/restore?back=%d", d.PlatformDirect(), writes), nil)
 }
 
-// StoredService returns the platform's own copy of a service.
+// StoredService returns a service's object as the platform stores it.
 func (d *Deployment) StoredService(service string) (*config.Object, error) {
 	var p platform.Object
 	if err := get("http://"+d.PlatformDirect()+"/objects/"+config.Kind+"/"+service, &p); err != nil {
@@ -372,19 +382,19 @@
 	return config.Decode(p)
 }
 
-// PlatformCalls returns the platform's count of calls by verb.
+// PlatformCalls returns the number of calls that the platform received, by verb.
 func (d *Deployment) PlatformCalls() map[string]int {
 	var calls map[string]int
 	_ = get("http://"+d.PlatformDirect()+"/admin/calls", &calls)
 	return calls
 }
 
-// Control changes a backend server.
+// Control changes the behaviour of a backend server.
 func (d *Deployment) Control(server string, c standin.BackendControl) error {
 	return post("http://"+d.backendsAdmin()+"/control?name="+server, c)
 }
 
-// Records returns what the backend servers ran, by name.
+// Records returns the backend servers' records of the requests they ran, by server name.
 func (d *Deployment) Records() (map[string]standin.Record, error) {
 	var list []standin.Record
 	if err := get("http://"+d.backendsAdmin()+"/records", &list); err != nil {
@@ -397,7 +407,7 @@
 	return records, nil
 }
 
-// RunsWithKey sums the runs of a key over all backend servers.
+// RunsWithKey returns how often requests with a key ran, over all backend servers.
 func RunsWithKey(records map[string]standin.Record, key string) int {
 	n := 0
 	for _, r := range records {
@@ -406,7 +416,7 @@
 	return n
 }
 
-// Stop ends every process that Start or StartBox started.
+// Stop kills every process that Start or StartBox started.
 func (d *Deployment) Stop() {
 	for _, p := range append([]*process{d.platform, d.backends}, d.boxes...) {
 		if p == nil {
@@ -418,6 +428,8 @@
 	}
 }
 
+// post sends a value as JSON; it does not check the status of the answer.
+// post sends a value as JSON; it does not check the status of the answer.
 func post(url string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -430,6 +442,8 @@
 	return resp.Body.Close()
 }
 
+// get decodes the JSON answer of a URL into a value.
+// get decodes the JSON answer of a URL into a value.
 func get(url string, into any) error {
 	resp, err := http.Get(url)
 	if err != nil {
--- a/test/harness/id.go
+++ b/test/harness/id.go
@@ -8,5 +8,5 @@
 
 var nextID atomic.Int64
 
-// NewID returns an id that no other request of this run has.
+// NewID returns a request id that is unique within this machine's running processes.
 func NewID() string { return fmt.Sprintf("r%d-%d", os.Getpid(), nextID.Add(1)) }
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -17,7 +17,7 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// Sample is the end of one request of a load.
+// Sample is the result of one request of a load.
 type Sample struct {
 	Zone       string
 	Service    string
@@ -33,9 +33,9 @@
 // Load sends requests from clients in every zone and checks each answer.
 type Load struct {
 	Deployment *Deployment
-	// Clients in each zone, each sending one request after the other.
+	// Clients is the number of clients in each zone. A client sends one request at a time.
 	Clients int
-	// Requests that each client sends; Pause between them.
+	// Requests is the number of requests that each client sends, with Pause between them.
 	Requests int
 	Pause    time.Duration
 	Timeout  time.Duration
@@ -46,8 +46,8 @@
 	samples []Sample
 }
 
-// MixedRequests sends three requests that may be repeated for each one that
-// may not.
+// MixedRequests returns the n-th request of a mix: three requests that may be repeated, then one
+// that runs at most once.
 func MixedRequests(service string, n int) caller.Request {
 	r := caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item/%d", n%50), MayRepeat: true}
 	r.Header = [][2]string{{"X-Track", fmt.Sprint(n % 50)}}
@@ -69,10 +69,11 @@
 	return l.samples
 }
 
+// client sends the requests of one client.
 func (l *Load) client(ctx context.Context, zone string, n int) {
 	d := l.Deployment
 	boxes := d.AllCallers()
-	// Each client starts at another box.
+	// Clients start at different boxes.
 	start := n % len(boxes)
 	c := caller.New(d.Shape.ClientOf(zone, n), append(boxes[start:len(boxes):len(boxes)], boxes[:start]...)...)
 	defer c.Close()
@@ -86,6 +87,7 @@
 	}
 }
 
+// send sends one request with a new id.
 func (l *Load) send(ctx context.Context, c *caller.Client, zone string, r caller.Request) Sample {
 	ctx, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
@@ -106,7 +108,7 @@
 	l.samples = append(l.samples, s)
 }
 
-// CheckAnswer says what is wrong with an answer; "" if nothing is.
+// CheckAnswer returns what is wrong with an answer, or "" if it is the expected one.
 func CheckAnswer(r caller.Request, result *caller.Result) string {
 	if result.Outcome != outcome.Answered {
 		return ""
@@ -119,8 +121,8 @@
 	return ""
 }
 
-// CheckRuns says what the backend servers' own records show to be wrong: a
-// request run twice that may not be, or one run that was said not to be.
+// CheckRuns returns the errors in the answers and in the backend servers' records: a request
+// that runs at most once but ran twice, or one that ran although its caller was told not-run.
 func CheckRuns(samples []Sample, records map[string]standin.Record) []string {
 	var wrong []string
 	runsByID := RunsByID(records)
@@ -133,14 +135,14 @@
 			wrong = append(wrong, fmt.Sprintf("%s ran %d times", s.ID, runs))
 		}
 		if s.Result != nil && s.Result.Outcome == outcome.NotRun && runs > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s ran, but its caller was told it was not run", s.ID))
+			wrong = append(wrong, fmt.Sprintf("%s ran, but the outcome its caller got is not-run", s.ID))
 		}
 	}
 	return wrong
 }
 
-// RunsByID counts runs by the caller's own id, which ends every key that the
-// request was sent with: a caller may have gone through several keys.
+// RunsByID counts runs by the caller's own id. A caller may send a request with several keys;
+// each of them ends with its id.
 func RunsByID(records map[string]standin.Record) map[string]int {
 	counts := map[string]int{}
 	for _, r := range records {
@@ -151,13 +153,14 @@
 	return counts
 }
 
-// Totals counts samples.
+// Totals is a summary of samples.
 type Totals struct {
 	Requests, Answered, NotRun, Unknown int
 	P50, P99                            time.Duration
 }
 
-// Count sums samples up.
+// Count counts samples by outcome. A request without a result counts as not run. P50 and P99
+// are of the answered ones.
 func Count(samples []Sample) Totals {
 	t := Totals{Requests: len(samples)}
 	var times []time.Duration
@@ -182,7 +185,7 @@
 	return t
 }
 
-// Reasons lists how often each reason ended a request.
+// Reasons returns how often requests failed by outcome and reason, as "OUTCOME.REASON=COUNT".
 func Reasons(samples []Sample) string {
 	counts := map[string]int{}
 	for _, s := range samples {
--- a/test/harness/shape.go
+++ b/test/harness/shape.go
@@ -1,5 +1,5 @@
-// Package harness runs a whole deployment of stoneworks as real processes on
-// loopback addresses: the platform's stand-in, backend servers, and boxes.
+// Package harness runs a whole deployment of stoneworks as separate processes on loopback
+// addresses: a stand-in of the platform, backend servers and boxes.
 package harness
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// Shape is a deployment to run.
+// Shape is the size and structure of a deployment.
 type Shape struct {
 	Name     string
 	Regions  []string
@@ -25,7 +25,7 @@
 	CacheKey  string
 }
 
-// Shapes are the deployments of today.
+// Shapes are the deployments by name: those of the users and a small one.
 var Shapes = map[string]Shape{
 	"sonotheque": {
 		Name: "sonotheque", Regions: []string{"dakar", "thies", "saint-louis"}, Boxes: 11, Slots: 6,
@@ -43,17 +43,18 @@
 			{Name: "kiosks", Servers: 10, ServiceMS: 5},
 		},
 	},
-	// small has what most proofs need: two regions of one and two zones.
+	// small is enough for most tests: two regions of two zones each.
 	"small": {
 		Name: "small", Regions: []string{"north", "south"}, Boxes: 6, Slots: 4,
 		Services: []ServiceShape{{Name: "shop", Servers: 8, ServiceMS: 5}},
 	},
 }
 
-// connectionsPerServer is what the backend servers of today accept.
+// connectionsPerServer is how many connections each backend server accepts, as on the users'
+// deployments.
 const connectionsPerServer = 130
 
-// Zones lists the shape's zones, two in each region.
+// Zones returns the shape's zones, two in each region.
 func (s Shape) Zones() []string {
 	var zones []string
 	for _, r := range s.Regions {
@@ -62,18 +63,18 @@
 	return zones
 }
 
-// ZoneOfBox spreads the boxes over the zones.
+// ZoneOfBox returns the zone of box i; boxes are spread evenly over the zones.
 func (s Shape) ZoneOfBox(i int) string {
 	zones := s.Zones()
 	return zones[i%len(zones)]
 }
 
-// BoxName names box i after its zone.
+// BoxName returns the name of box i: its zone and its number there.
 func (s Shape) BoxName(i int) string {
 	return fmt.Sprintf("%s-%d", s.ZoneOfBox(i), i/len(s.Zones())+1)
 }
 
-// ClientOf returns an address of a client of the zone.
+// ClientOf returns the address of client n of the zone.
 func (s Shape) ClientOf(zone string, n int) string {
 	for i, z := range s.Zones() {
 		if z == zone {
@@ -83,7 +84,7 @@
 	return "10.250.0.1"
 }
 
-// Service returns the operators' object of a service.
+// Service returns the model of service i, as an operator would create it.
 func (d *Deployment) Service(i int) *model.Service {
 	shape := d.Shape.Services[i]
 	s := &model.Service{
