--- a/test/load/load.go
+++ b/test/load/load.go
@@ -52,8 +52,8 @@
 	took   time.Duration
 }
 
-// player is one run.
-type player struct {
+// run is one run.
+type run struct {
 	bin, dir string
 	network  *addresses.Network
 	store    *machines.Store
@@ -82,7 +82,7 @@
 		fmt.Fprintln(stderr, err)
 		return 1
 	}
-	p := &player{bin: *bin, dir: dir, random: rand.New(rand.NewSource(*seed)), stdout: stdout}
+	p := &run{bin: *bin, dir: dir, random: rand.New(rand.NewSource(*seed)), stdout: stdout}
 	defer p.close()
 	fmt.Fprintf(stdout, "seed %d, logs in %s\n", *seed, dir)
 	if err := p.prepare(); err != nil {
@@ -93,7 +93,7 @@
 	return p.judge()
 }
 
-func (p *player) close() {
+func (p *run) close() {
 	for _, b := range p.boxes {
 		b.Kill()
 	}
@@ -106,7 +106,7 @@
 }
 
 // prepare starts the store, the servers and the boxes.
-func (p *player) prepare() error {
+func (p *run) prepare() error {
 	var err error
 	if p.network, err = addresses.Reserve(networks); err != nil {
 		return err
@@ -152,7 +152,7 @@
 // Playing
 // ----------------------------------------------------------------
 
-func (p *player) play(length time.Duration, calm bool) {
+func (p *run) play(length time.Duration, calm bool) {
 	end := time.Now().Add(length)
 	var clients conc.WaitGroup
 	for i := range clientsEach * boxCount {
@@ -166,7 +166,7 @@
 }
 
 // client sends requests until the end, to the boxes in turn when one fails.
-func (p *player) client(number int, random *rand.Rand, end time.Time) {
+func (p *run) client(number int, random *rand.Rand, end time.Time) {
 	box := number % boxCount
 	c := &machines.Client{Address: p.boxes[box].Clients()}
 	defer func() { c.Close() }()
@@ -183,7 +183,7 @@
 	}
 }
 
-func (p *player) attempt(c *machines.Client, r machines.Route, id string, random *rand.Rand) *machines.Answer {
+func (p *run) attempt(c *machines.Client, r machines.Route, id string, random *rand.Rand) *machines.Answer {
 	method, body := "GET", ""
 	if r.Kind != "safe" {
 		method, body = "POST", "body of "+id
@@ -198,7 +198,7 @@
 }
 
 // trouble brings about the failures of an ordinary day, one after the other.
-func (p *player) trouble(end time.Time) {
+func (p *run) trouble(end time.Time) {
 	server := p.fleet.Servers["shop-east-a-0"]
 	turnedAway, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
 	for _, t := range []struct {
@@ -236,7 +236,7 @@
 // ----------------------------------------------------------------
 
 // judge prints the table and returns the exit code.
-func (p *player) judge() int {
+func (p *run) judge() int {
 	ran := map[string]int{}
 	for _, s := range p.fleet.Servers {
 		for _, r := range s.Runs() {
@@ -282,7 +282,7 @@
 
 // wrong counts what must not be: an answer that is not the whole one, an
 // unsafe request that ran twice, one that ran though it was refused.
-func (p *player) wrong(r result, runs int) int {
+func (p *run) wrong(r result, runs int) int {
 	problem := ""
 	switch {
 	case r.status == http.StatusOK && !r.whole:
