--- a/test/load/load.go
+++ b/test/load/load.go
@@ -27,7 +27,7 @@
 	boxCount     = 6
 	networks     = "127.93"
 	keys         = 40
-	work         = 15 * time.Millisecond
+	serviceTime         = 15 * time.Millisecond
 	slots        = 4
 	pause        = 30 * time.Millisecond
 	clientsEach  = 4
@@ -120,7 +120,7 @@
 	for _, z := range machines.Zones {
 		for _, service := range []string{"shop", "desk"} {
 			for i := range serversEach {
-				if _, err := fleet.AddServer(fmt.Sprintf("%s-%s-%d", service, z.Zone, i), service, z.Zone, slots, work); err != nil {
+				if _, err := fleet.AddServer(fmt.Sprintf("%s-%s-%d", service, z.Zone, i), service, z.Zone, slots, serviceTime); err != nil {
 					return err
 				}
 			}
