--- a/test/load/load.go
+++ b/test/load/load.go
@@ -25,7 +25,7 @@
 // The load.
 const (
 	boxCount     = 6
-	networks     = "127.93"
+	networkPrefix     = "127.93"
 	keys         = 40
 	serviceTime         = 15 * time.Millisecond
 	slots        = 4
@@ -108,7 +108,7 @@
 // prepare starts the store, the servers and the boxes.
 func (p *run) prepare() error {
 	var err error
-	if p.network, err = addresses.Reserve(networks); err != nil {
+	if p.network, err = addresses.Reserve(networkPrefix); err != nil {
 		return err
 	}
 	fleet, err := machines.NewFleet(p.network.Prefix, io.Discard)
