--- a/test/load/load.go
+++ b/test/load/load.go
@@ -30,7 +30,7 @@
 	serviceTime         = 15 * time.Millisecond
 	slots        = 4
 	pause        = 30 * time.Millisecond
-	clientsEach  = 4
+	clientsPerBox  = 4
 	startTime    = 10 * time.Second
 	leastShare   = 0.97
 	serversEach  = 2
@@ -155,7 +155,7 @@
 func (p *run) play(length time.Duration, calm bool) {
 	end := time.Now().Add(length)
 	var clients conc.WaitGroup
-	for i := range clientsEach * boxCount {
+	for i := range clientsPerBox * boxCount {
 		random := rand.New(rand.NewSource(p.random.Int63()))
 		clients.Go(func() { p.client(i, random, end) })
 	}
