--- a/test/load/load.go
+++ b/test/load/load.go
@@ -33,7 +33,7 @@
 	clientsPerBox  = 4
 	startTime    = 10 * time.Second
 	leastShare   = 0.97
-	serversEach  = 2
+	serversPerZone  = 2
 	troublePause = 900 * time.Millisecond
 )
 
@@ -119,7 +119,7 @@
 	fleet.Configure(1, routes...)
 	for _, z := range machines.Zones {
 		for _, service := range []string{"shop", "desk"} {
-			for i := range serversEach {
+			for i := range serversPerZone {
 				if _, err := fleet.AddServer(fmt.Sprintf("%s-%s-%d", service, z.Zone, i), service, z.Zone, slots, serviceTime); err != nil {
 					return err
 				}
