--- a/test/load/load.go
+++ b/test/load/load.go
@@ -31,7 +31,7 @@
 	slots        = 4
 	pause        = 30 * time.Millisecond
 	clientsPerBox  = 4
-	startTime    = 10 * time.Second
+	startTimeout    = 10 * time.Second
 	leastShare   = 0.97
 	serversPerZone  = 2
 	troublePause = 900 * time.Millisecond
@@ -141,7 +141,7 @@
 		p.boxes = append(p.boxes, b)
 	}
 	for _, b := range p.boxes {
-		if err := b.WaitReady(startTime); err != nil {
+		if err := b.WaitReady(startTimeout); err != nil {
 			return err
 		}
 	}
