--- a/test/load/load.go
+++ b/test/load/load.go
@@ -32,7 +32,7 @@
 	pause        = 30 * time.Millisecond
 	clientsPerBox  = 4
 	startTimeout    = 10 * time.Second
-	leastShare   = 0.97
+	minAnsweredShare   = 0.97
 	serversPerZone  = 2
 	troublePause = 900 * time.Millisecond
 )
@@ -274,7 +274,7 @@
 	}
 	_ = table.Flush()
 	fmt.Fprintf(p.stdout, "machines: %d requests, %d answered, %d wrong\n", total, served, wrong)
-	if wrong > 0 || float64(served) < leastShare*float64(total) {
+	if wrong > 0 || float64(served) < minAnsweredShare*float64(total) {
 		return 1
 	}
 	return 0
