--- a/test/load/load.go
+++ b/test/load/load.go
@@ -34,7 +34,7 @@
 	startTimeout    = 10 * time.Second
 	minAnsweredShare   = 0.97
 	serversPerZone  = 2
-	troublePause = 900 * time.Millisecond
+	faultInterval = 900 * time.Millisecond
 )
 
 var routes = []machines.Route{
@@ -222,7 +222,7 @@
 		{"taking east-b back", func() { p.store.Delete("evacuations", "east-b") }},
 		{"stopping " + stopped.Name, func() { stopped.Signal(syscall.SIGTERM) }},
 	} {
-		time.Sleep(troublePause)
+		time.Sleep(faultInterval)
 		if time.Now().After(end) {
 			return
 		}
