--- a/test/load/load.go
+++ b/test/load/load.go
@@ -160,7 +160,7 @@
 		clients.Go(func() { p.client(i, random, end) })
 	}
 	if !calm {
-		p.trouble(end)
+		p.injectFaults(end)
 	}
 	clients.Wait()
 }
@@ -197,8 +197,8 @@
 	return answer
 }
 
-// trouble brings about the failures of an ordinary day, one after the other.
-func (p *run) trouble(end time.Time) {
+// injectFaults brings about the failures of an ordinary day, one after the other.
+func (p *run) injectFaults(end time.Time) {
 	server := p.fleet.Servers["shop-east-a-0"]
 	turnedAway, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
 	for _, t := range []struct {
