--- a/test/load/load.go
+++ b/test/load/load.go
@@ -90,7 +90,7 @@
 		return 1
 	}
 	p.play(*length, *calm)
-	return p.judge()
+	return p.report()
 }
 
 func (p *run) close() {
@@ -235,8 +235,8 @@
 // Judging
 // ----------------------------------------------------------------
 
-// judge prints the table and returns the exit code.
-func (p *run) judge() int {
+// report prints the table and returns the exit code.
+func (p *run) report() int {
 	ran := map[string]int{}
 	for _, s := range p.fleet.Servers {
 		for _, r := range s.Runs() {
