--- a/test/load/load.go
+++ b/test/load/load.go
@@ -264,7 +264,7 @@
 			default:
 				unknown++
 			}
-			wrong += p.wrong(got, ran[got.id])
+			wrong += p.checkResult(got, ran[got.id])
 		}
 		sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\n", r.Kind, len(times), answered, refused, unknown, none,
@@ -280,9 +280,9 @@
 	return 0
 }
 
-// wrong counts what must not be: an answer that is not the whole one, an
+// checkResult counts what must not be: an answer that is not the whole one, an
 // unsafe request that ran twice, one that ran though it was refused.
-func (p *run) wrong(r result, runs int) int {
+func (p *run) checkResult(r result, runs int) int {
 	problem := ""
 	switch {
 	case r.status == http.StatusOK && !r.whole:
