--- a/test/load/load.go
+++ b/test/load/load.go
@@ -48,7 +48,7 @@
 	id     string
 	kind   string
 	status int
-	whole  bool
+	complete  bool
 	took   time.Duration
 }
 
@@ -193,7 +193,7 @@
 	whole := answer.Problem == nil && answer.Body == machines.AnswerBody(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.results = append(p.results, result{id: id, kind: r.Kind, status: answer.Status, whole: whole, took: answer.Took})
+	p.results = append(p.results, result{id: id, kind: r.Kind, status: answer.Status, complete: whole, took: answer.Took})
 	return answer
 }
 
@@ -255,7 +255,7 @@
 			}
 			times = append(times, got.took)
 			switch {
-			case got.status == http.StatusOK && got.whole:
+			case got.status == http.StatusOK && got.complete:
 				answered++
 			case got.status == http.StatusServiceUnavailable:
 				refused++
@@ -285,7 +285,7 @@
 func (p *run) checkResult(r result, runs int) int {
 	problem := ""
 	switch {
-	case r.status == http.StatusOK && !r.whole:
+	case r.status == http.StatusOK && !r.complete:
 		problem = "a success that is not the whole answer"
 	case r.kind != "safe" && runs > 1:
 		problem = "ran more than once"
