--- a/test/load/load.go
+++ b/test/load/load.go
@@ -190,10 +190,10 @@
 	}
 	extra := fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: 3000\r\n", random.Intn(keys))
 	answer := c.Do(method, r.Prefix+"1", id, body, extra)
-	whole := answer.Problem == nil && answer.Body == machines.AnswerBody(id)
+	complete := answer.Problem == nil && answer.Body == machines.AnswerBody(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.results = append(p.results, result{id: id, kind: r.Kind, status: answer.Status, complete: whole, took: answer.Took})
+	p.results = append(p.results, result{id: id, kind: r.Kind, status: answer.Status, complete: complete, took: answer.Took})
 	return answer
 }
 
