--- a/test/load/load.go
+++ b/test/load/load.go
@@ -200,15 +200,15 @@
 // injectFaults brings about the failures of an ordinary day, one after the other.
 func (p *run) injectFaults(end time.Time) {
 	server := p.fleet.Servers["shop-east-a-0"]
-	turnedAway, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
+	rejected, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
 	for _, t := range []struct {
 		what string
 		do   func()
 	}{
 		{"draining " + server.ID, func() { p.fleet.List(server, "shop", "east-a", "draining", 0) }},
-		{"the store turns " + turnedAway.Name + " away", func() {
+		{"the store turns " + rejected.Name + " away", func() {
 			p.store.SetTreat(func(ip, _ string) machines.Mode {
-				if ip == turnedAway.IP {
+				if ip == rejected.IP {
 					return machines.Busy
 				}
 				return machines.Serving
