--- a/test/load/load.go
+++ b/test/load/load.go
@@ -1,5 +1,5 @@
-// Package load runs a deployment in the shape of the users' machines as
-// separate processes and plays a seeded load against it.
+// Package load runs a deployment like that of the users' machines as separate processes and
+// sends it a seeded load while it injects faults.
 package load
 
 import (
@@ -22,37 +22,38 @@
 	"github.com/stoneworks/stoneworks/test/processes"
 )
 
-// The load.
+// Size of the deployment and of the load.
 const (
-	boxCount     = 6
-	networkPrefix     = "127.93"
-	keys         = 40
-	serviceTime         = 15 * time.Millisecond
-	slots        = 4
-	pause        = 30 * time.Millisecond
-	clientsPerBox  = 4
-	startTimeout    = 10 * time.Second
-	minAnsweredShare   = 0.97
-	serversPerZone  = 2
-	faultInterval = 900 * time.Millisecond
+	boxCount         = 6
+	networkPrefix    = "127.93"
+	keys             = 40
+	serviceTime      = 15 * time.Millisecond
+	slots            = 4
+	pause            = 30 * time.Millisecond
+	clientsPerBox    = 4
+	startTimeout     = 10 * time.Second
+	minAnsweredShare = 0.97
+	serversPerZone   = 2
+	faultInterval    = 900 * time.Millisecond
 )
 
+// routes are the routes of the configuration, one of each kind of request.
 var routes = []machines.Route{
 	{Prefix: "/read/", Kind: "safe", Service: "shop", TimeoutMS: 1500},
 	{Prefix: "/buy/", Kind: "unsafe", Service: "shop", TimeoutMS: 1500},
 	{Prefix: "/up/", Kind: "upload", Service: "desk", TimeoutMS: 3000},
 }
 
-// result is what a client got.
+// result is the result of one request at its client.
 type result struct {
-	id     string
-	kind   string
-	status int
-	complete  bool
-	took   time.Duration
+	id       string
+	kind     string
+	status   int
+	complete bool
+	took     time.Duration
 }
 
-// run is one run.
+// run is one run of the program.
 type run struct {
 	bin, dir string
 	network  *addresses.Network
@@ -70,10 +71,10 @@
 func Main(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("stoneworks-machines", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	bin := flags.String("bin", "bin", "where the programs are")
-	seed := flags.Int64("seed", 1, "what the load and the troubles are drawn from")
+	bin := flags.String("bin", "bin", "directory of the programs")
+	seed := flags.Int64("seed", 1, "seed of the load")
 	length := flags.Duration("for", 12*time.Second, "how long the load lasts")
-	calm := flags.Bool("calm", false, "no troubles")
+	calm := flags.Bool("calm", false, "inject no faults")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
@@ -93,6 +94,7 @@
 	return p.report()
 }
 
+// close kills the boxes and stops the stand-ins.
 func (p *run) close() {
 	for _, b := range p.boxes {
 		b.Kill()
@@ -105,7 +107,7 @@
 	}
 }
 
-// prepare starts the store, the servers and the boxes.
+// prepare starts the store, the servers and the boxes, and waits until the boxes are ready.
 func (p *run) prepare() error {
 	var err error
 	if p.network, err = addresses.Reserve(networkPrefix); err != nil {
@@ -149,9 +151,10 @@
 }
 
 // ----------------------------------------------------------------
-// Playing
+// Load and faults
 // ----------------------------------------------------------------
 
+// play runs the clients for a while and, unless calm is set, injects the faults.
 func (p *run) play(length time.Duration, calm bool) {
 	end := time.Now().Add(length)
 	var clients conc.WaitGroup
@@ -165,7 +168,7 @@
 	clients.Wait()
 }
 
-// client sends requests until the end, to the boxes in turn when one fails.
+// client sends requests until the end. When one fails, it goes on to the next box.
 func (p *run) client(number int, random *rand.Rand, end time.Time) {
 	box := number % boxCount
 	c := &machines.Client{Address: p.boxes[box].Clients()}
@@ -183,6 +186,7 @@
 	}
 }
 
+// attempt sends one request and records its result.
 func (p *run) attempt(c *machines.Client, r machines.Route, id string, random *rand.Rand) *machines.Answer {
 	method, body := "GET", ""
 	if r.Kind != "safe" {
@@ -197,7 +201,7 @@
 	return answer
 }
 
-// injectFaults brings about the failures of an ordinary day, one after the other.
+// injectFaults injects the faults one after the other, until they are done or the load ends.
 func (p *run) injectFaults(end time.Time) {
 	server := p.fleet.Servers["shop-east-a-0"]
 	rejected, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
@@ -206,7 +210,7 @@
 		do   func()
 	}{
 		{"draining " + server.ID, func() { p.fleet.List(server, "shop", "east-a", "draining", 0) }},
-		{"the store turns " + rejected.Name + " away", func() {
+		{"the store answers 503 to " + rejected.Name, func() {
 			p.store.SetTreat(func(ip, _ string) machines.Mode {
 				if ip == rejected.IP {
 					return machines.Busy
@@ -217,9 +221,9 @@
 		{"evacuating east-b", func() { p.store.Put("evacuations", "east-b", map[string]any{}) }},
 		{"freezing " + frozen.Name, func() { frozen.Signal(syscall.SIGSTOP) }},
 		{"a new configuration", func() { p.fleet.Configure(2, routes...) }},
-		{"waking " + frozen.Name, func() { frozen.Signal(syscall.SIGCONT) }},
+		{"continuing " + frozen.Name, func() { frozen.Signal(syscall.SIGCONT) }},
 		{"killing " + killed.Name, func() { killed.Signal(syscall.SIGKILL) }},
-		{"taking east-b back", func() { p.store.Delete("evacuations", "east-b") }},
+		{"ending the evacuation of east-b", func() { p.store.Delete("evacuations", "east-b") }},
 		{"stopping " + stopped.Name, func() { stopped.Signal(syscall.SIGTERM) }},
 	} {
 		time.Sleep(faultInterval)
@@ -232,10 +236,11 @@
 }
 
 // ----------------------------------------------------------------
-// Judging
+// Results
 // ----------------------------------------------------------------
 
-// report prints the table and returns the exit code.
+// report prints the results by kind of request. It returns exit code 1 if a result is wrong or
+// less than minAnsweredShare of the requests are answered.
 func (p *run) report() int {
 	ran := map[string]int{}
 	for _, s := range p.fleet.Servers {
@@ -280,17 +285,18 @@
 	return 0
 }
 
-// checkResult counts what must not be: an answer that is not the whole one, an
-// unsafe request that ran twice, one that ran though it was refused.
+// checkResult prints a result that violates a promise and returns 1 for it: a success with an
+// incomplete or wrong answer, or a request other than a safe one that ran more than once or ran
+// although it was refused.
 func (p *run) checkResult(r result, runs int) int {
 	problem := ""
 	switch {
 	case r.status == http.StatusOK && !r.complete:
-		problem = "a success that is not the whole answer"
+		problem = "status 200 with an incomplete or wrong answer"
 	case r.kind != "safe" && runs > 1:
 		problem = "ran more than once"
 	case r.kind != "safe" && runs > 0 && r.status == http.StatusServiceUnavailable:
-		problem = "refused, and ran"
+		problem = "refused with status 503, but ran"
 	}
 	if problem == "" {
 		return 0
@@ -299,6 +305,7 @@
 	return 1
 }
 
+// quantile returns a quantile of sorted durations, in milliseconds.
 func quantile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
