--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -101,7 +101,7 @@
 	}
 	var failures error
 	wg := conc.NewWaitGroup()
-	wg.Go(func() { failures = d.failThings() })
+	wg.Go(func() { failures = d.injectFaults() })
 	samples := load.Run(context.Background())
 	wg.Wait()
 	if failures != nil {
@@ -145,8 +145,8 @@
 	return cmd.Run()
 }
 
-// failThings drains a backend server, freezes one box and kills another.
-func (d *demo) failThings() error {
+// injectFaults drains a backend server, freezes one box and kills another.
+func (d *demo) injectFaults() error {
 	shape := d.deployment.Shape
 	last := shape.Boxes - 1
 	time.Sleep(drainAfter)
