--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -24,7 +24,7 @@
 // The load of the demo.
 const (
 	clientsPerZone = 6
-	requestsEach   = 150
+	requestsPerClient   = 150
 	pauseBetween   = 40 * time.Millisecond
 	requestTimeout = 8 * time.Second
 	drainAfter     = 1500 * time.Millisecond
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	load := &harness.Load{
-		Deployment: d.deployment, Clients: clientsPerZone, Requests: requestsEach,
+		Deployment: d.deployment, Clients: clientsPerZone, Requests: requestsPerClient,
 		Pause: pauseBetween, Timeout: requestTimeout, NewRequest: harness.MixedRequests,
 	}
 	var failures error
