--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -25,7 +25,7 @@
 const (
 	clientsPerZone = 6
 	requestsPerClient   = 150
-	pauseBetween   = 40 * time.Millisecond
+	requestInterval   = 40 * time.Millisecond
 	requestTimeout = 8 * time.Second
 	drainAfter     = 1500 * time.Millisecond
 	freezeAfter    = 3 * time.Second
@@ -97,7 +97,7 @@
 	}
 	load := &harness.Load{
 		Deployment: d.deployment, Clients: clientsPerZone, Requests: requestsPerClient,
-		Pause: pauseBetween, Timeout: requestTimeout, NewRequest: harness.MixedRequests,
+		Pause: requestInterval, Timeout: requestTimeout, NewRequest: harness.MixedRequests,
 	}
 	var failures error
 	wg := conc.NewWaitGroup()
