--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo is the program behind `make demo`: a whole deployment as
-// separate processes, a load, and the failures of an ordinary day.
+// Package demo is the program behind `make demo`. It runs a whole deployment as separate
+// processes, sends it a load and injects faults meanwhile.
 package demo
 
 import (
@@ -21,18 +21,20 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// The load of the demo.
+// The load of the demo, and how long after its start each fault begins.
 const (
-	clientsPerZone = 6
-	requestsPerClient   = 150
+	clientsPerZone    = 6
+	requestsPerClient = 150
 	requestInterval   = 40 * time.Millisecond
-	requestTimeout = 8 * time.Second
-	drainAfter     = 1500 * time.Millisecond
-	freezeAfter    = 3 * time.Second
-	freezeFor      = 2500 * time.Millisecond
-	killAfter      = 6 * time.Second
+	requestTimeout    = 8 * time.Second
+	drainAfter        = 1500 * time.Millisecond
+	freezeAfter       = 3 * time.Second
+	freezeFor         = 2500 * time.Millisecond
+	killAfter         = 6 * time.Second
 )
 
+// demo is one run of the program. drained is the backend server that it drains, accepted the
+// time from which that drain is measured.
 type demo struct {
 	deployment *harness.Deployment
 	stdout     io.Writer
@@ -40,19 +42,20 @@
 	accepted   time.Time
 }
 
-// Main runs the demo and returns its exit code.
+// Main runs the demo and returns its exit code: 1 if the run fails or an answer is wrong, 2 for
+// wrong flags.
 func Main(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("stoneworks-demo", flag.ContinueOnError)
 	flags.SetOutput(stderr)
 	shapeName := flags.String("shape", "sonotheque", "sonotheque or sabarmati")
-	bin := flags.String("bin", "bin", "where the programs are")
+	bin := flags.String("bin", "bin", "directory of the programs")
 	keep := flags.Bool("keep", false, "keep the logs")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
 	shape, ok := harness.Shapes[*shapeName]
 	if !ok {
-		fmt.Fprintf(stderr, "no shape %q\n", *shapeName)
+		fmt.Fprintf(stderr, "unknown shape %q\n", *shapeName)
 		return 2
 	}
 	dir, err := os.MkdirTemp("", "stoneworks-demo-")
@@ -86,6 +89,7 @@
 	return 0
 }
 
+// run plays the demo and returns what was wrong.
 func (d *demo) run() ([]string, error) {
 	shape := d.deployment.Shape
 	fmt.Fprintf(d.stdout, "starting %s: %d boxes in %d zones, %d services\n", shape.Name, shape.Boxes, len(shape.Zones()), len(shape.Services))
@@ -120,6 +124,7 @@
 	return wrong, nil
 }
 
+// createServices creates the shape's services and waits for each with stoneworksctl.
 func (d *demo) createServices() error {
 	for i, s := range d.deployment.Shape.Services {
 		path := filepath.Join(d.deployment.Dir, s.Name+".json")
@@ -137,7 +142,7 @@
 	return nil
 }
 
-// ctl runs stoneworksctl against the first box.
+// ctl runs a stoneworksctl command against the first box.
 func (d *demo) ctl(verb string, args ...string) error {
 	args = append([]string{verb, "-box", d.deployment.Operators(0)}, args...)
 	cmd := exec.Command(filepath.Join(d.deployment.BinDir, "stoneworksctl"), args...)
@@ -151,8 +156,8 @@
 	last := shape.Boxes - 1
 	time.Sleep(drainAfter)
 	d.drained = shape.Services[0].Name + "-1"
-	// Acceptance lies within the command, so counting from its start errs to
-	// the system's disadvantage.
+	// The drain is accepted during the command, so counting from its start can only make the
+	// measured delay longer.
 	d.accepted = time.Now()
 	if err := d.ctl("drain", "-wait", shape.Services[0].Name, d.drained); err != nil {
 		return err
@@ -168,6 +173,7 @@
 	return nil
 }
 
+// printTable prints the totals of the samples by client zone.
 func (d *demo) printTable(samples []harness.Sample) {
 	byZone := map[string][]harness.Sample{}
 	for _, s := range samples {
@@ -188,4 +194,5 @@
 	_ = w.Flush()
 }
 
+// ms converts a duration to milliseconds.
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
