--- a/test/addresses/addresses.go
+++ b/test/addresses/addresses.go
@@ -79,14 +79,14 @@
 		return l.Close()
 	}
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return &InUseError{Address: address, Holder: holderOf(address)}
+		return &InUseError{Address: address, Holder: listenerOf(address)}
 	}
 	return err
 }
 
-// holderOf returns the process that listens at an address, from what Linux tells in
+// listenerOf returns the process that listens at an address, from what Linux tells in
 // /proc (see proc(5)); empty if it does not tell.
-func holderOf(address string) string {
+func listenerOf(address string) string {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return ""
