--- a/test/addresses/addresses.go
+++ b/test/addresses/addresses.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// mostNetworks is how many networks there are of one prefix.
-	mostNetworks = 256
+	// maxNetworks is how many networks there are of one prefix.
+	maxNetworks = 256
 	// lockHost and lockPort are the address that a run holds for as long as it uses a
 	// network.
 	lockHost = 254
@@ -36,13 +36,13 @@
 
 // Error implements error.
 func (e *NoFreeNetworkError) Error() string {
-	return fmt.Sprintf("addresses: all %d networks of %s are in use", mostNetworks, e.Prefix)
+	return fmt.Sprintf("addresses: all %d networks of %s are in use", maxNetworks, e.Prefix)
 }
 
 // Reserve takes a network that no other run uses; prefix is its first two numbers. It is
 // free again after Release, or when this process ends. The error is a *NoneFreeError.
 func Reserve(prefix string) (*Network, error) {
-	for i := range mostNetworks {
+	for i := range maxNetworks {
 		network := fmt.Sprintf("%s.%d", prefix, i)
 		lock, err := net.Listen("tcp4", fmt.Sprintf("%s.%d:%d", network, lockHost, lockPort))
 		if err == nil {
