--- a/test/addresses/addresses.go
+++ b/test/addresses/addresses.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return ""
 	}
-	inode := listenerAt(a)
+	inode := listeningInode(a)
 	if inode == "" {
 		return ""
 	}
@@ -118,8 +118,8 @@
 // listening is the state of a listening socket in /proc/net/tcp.
 const listening = "0A"
 
-// listenerAt returns the inode of the socket that listens at an address, or "".
-func listenerAt(a netip.AddrPort) string {
+// listeningInode returns the inode of the socket that listens at an address, or "".
+func listeningInode(a netip.AddrPort) string {
 	file, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return ""
