--- a/test/addresses/addresses.go
+++ b/test/addresses/addresses.go
@@ -1,5 +1,5 @@
-// Package addresses gives each run of a test loopback addresses of its own, and tells
-// who holds an address that is taken.
+// Package addresses reserves a loopback network for each test run, and finds the process that
+// listens at an address that is in use.
 package addresses
 
 import (
@@ -16,22 +16,22 @@
 )
 
 const (
-	// maxNetworks is how many networks there are of one prefix.
+	// maxNetworks is the number of networks with the same first two octets.
 	maxNetworks = 256
-	// lockHost and lockPort are the address that a run holds for as long as it uses a
-	// network.
+	// lockHost and lockPort are the last octet and the port of the address that a run listens
+	// at while it uses a network, to reserve it.
 	lockHost = 254
 	lockPort = 7999
 )
 
-// Network is a loopback network of one run.
+// Network is a loopback network reserved for one run.
 type Network struct {
-	// Prefix is the first three numbers of its addresses, such as "127.94.7".
+	// Prefix is the first three octets of its addresses, such as "127.94.7".
 	Prefix string
 	lock   net.Listener
 }
 
-// NoFreeNetworkError says that all networks of a prefix are in use.
+// NoFreeNetworkError is returned when all networks of a prefix are in use.
 type NoFreeNetworkError struct{ Prefix string }
 
 // Error implements error.
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("addresses: all %d networks of %s are in use", maxNetworks, e.Prefix)
 }
 
-// Reserve takes a network that no other run uses; prefix is its first two numbers. It is
-// free again after Release, or when this process ends. The error is a *NoneFreeError.
+// Reserve reserves a network that no other run uses; prefix is its first two octets. The network
+// is free again after Release or when this process exits. The error is a *NoFreeNetworkError.
 func Reserve(prefix string) (*Network, error) {
 	for i := range maxNetworks {
 		network := fmt.Sprintf("%s.%d", prefix, i)
@@ -52,13 +52,13 @@
 	return nil, &NoFreeNetworkError{Prefix: prefix}
 }
 
-// Release gives the network back.
+// Release ends the reservation.
 func (n *Network) Release() { _ = n.lock.Close() }
 
-// InUseError says that an address is taken.
+// InUseError is returned when a process listens at an address.
 type InUseError struct {
 	Address string
-	// Holder is the process that listens there, empty if it cannot be told.
+	// Holder is the process that listens there, empty if it cannot be found out.
 	Holder string
 }
 
@@ -66,13 +66,13 @@
 func (e *InUseError) Error() string {
 	holder := e.Holder
 	if holder == "" {
-		holder = "a process that cannot be told"
+		holder = "an unknown process"
 	}
-	return fmt.Sprintf("addresses: %s is held by %s", e.Address, holder)
+	return fmt.Sprintf("addresses: %s is in use by %s", e.Address, holder)
 }
 
-// CheckFree reports a TCP address, an IPv4 number and a port, at which somebody listens.
-// The error is a *HeldError or that of the address.
+// CheckFree returns an *InUseError if a process listens at a TCP address, given as
+// "IPV4:PORT", and another error if the address cannot be listened at.
 func CheckFree(address string) error {
 	l, err := net.Listen("tcp4", address)
 	if err == nil {
@@ -84,8 +84,8 @@
 	return err
 }
 
-// listenerOf returns the process that listens at an address, from what Linux tells in
-// /proc (see proc(5)); empty if it does not tell.
+// listenerOf returns the id and name of the process that listens at an address, from Linux's
+// /proc (see proc(5)), or "" if it is not found there.
 func listenerOf(address string) string {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -100,7 +100,7 @@
 		return ""
 	}
 	for _, d := range descriptors {
-		// A process may have ended meanwhile, or be another user's.
+		// Reading fails if the process has exited meanwhile or belongs to another user.
 		link, err := os.Readlink(d)
 		if err != nil || link != "socket:["+inode+"]" {
 			continue
@@ -115,10 +115,11 @@
 	return ""
 }
 
-// listening is the state of a listening socket in /proc/net/tcp.
+// listening is the state TCP_LISTEN in /proc/net/tcp.
 const listening = "0A"
 
-// listeningInode returns the inode of the socket that listens at an address, or "".
+// listeningInode returns the inode of the socket that listens at an address, or "" if there is
+// none.
 func listeningInode(a netip.AddrPort) string {
 	file, err := os.Open("/proc/net/tcp")
 	if err != nil {
--- a/test/addresses/addresses_test.go
+++ b/test/addresses/addresses_test.go
@@ -26,8 +26,9 @@
 	c.Release()
 }
 
-// TestHolderOfAnAddressIsTold is the failure in which a run told that a box did not become
-// ready, where an earlier run had left one at its address.
+// TestHolderOfAnAddressIsTold checks that the process at an address that is in use is reported.
+// Otherwise a run that meets a box left by an earlier run only reports that its own box does not
+// become ready.
 func TestHolderOfAnAddressIsTold(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
