--- a/test/sites/sites_test.go
+++ b/test/sites/sites_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// siteFile has what the variants change, in the form of a site file.
+// siteFile is a site file with just the keys that the variants change.
 const siteFile = `machines = [
   { class = "front", cpu_share = 0.32, link_mbps = 1000.0, zone = "brum-digbeth", count = 3, spare = 1 },
 ]
