--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -55,8 +55,8 @@
 	fmt.Fprintf(b.stdout, "MEASURE %s %.4g %s\n", name, value, unit)
 }
 
-// with runs f against a deployment of the shape with its services created.
-func (b *bench) with(shape harness.Shape, f func(*harness.Deployment) error) error {
+// withDeployment runs f against a deployment of the shape withDeployment its services created.
+func (b *bench) withDeployment(shape harness.Shape, f func(*harness.Deployment) error) error {
 	dir, err := os.MkdirTemp("", "stoneworks-bench-")
 	if err != nil {
 		return err
--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -27,7 +27,7 @@
 			Name: "rest", Regions: []string{"one", "two", "three"}, Boxes: boxes, Slots: 4,
 			Services: []harness.ServiceShape{{Name: "shop", Servers: 12, ServiceMS: 1}},
 		}
-		if err := b.with(shape, func(d *harness.Deployment) error { return b.rest(d, fmt.Sprintf("control.boxes.%d", boxes)) }); err != nil {
+		if err := b.withDeployment(shape, func(d *harness.Deployment) error { return b.rest(d, fmt.Sprintf("control.boxes.%d", boxes)) }); err != nil {
 			return err
 		}
 	}
@@ -43,7 +43,7 @@
 			shape.Services = append(shape.Services, harness.ServiceShape{Name: fmt.Sprintf("s%d", i), Servers: 1, ServiceMS: 1})
 		}
 		name := fmt.Sprintf("control.services.%d", services)
-		if err := b.with(shape, func(d *harness.Deployment) error {
+		if err := b.withDeployment(shape, func(d *harness.Deployment) error {
 			if err := b.rest(d, name); err != nil {
 				return err
 			}
--- a/test/bench/bench_latency.go
+++ b/test/bench/bench_latency.go
@@ -26,7 +26,7 @@
 // fixed time and its latency counts from then.
 func (b *bench) latency() error {
 	shape := harness.Shapes["small"]
-	return b.with(shape, func(d *harness.Deployment) error {
+	return b.withDeployment(shape, func(d *harness.Deployment) error {
 		time.Sleep(2 * time.Second)
 		slots := 2 * shape.Slots // two backend servers in the zone
 		for _, use := range []int{50, 90} {
