--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -64,7 +64,7 @@
 
 func (b *bench) rest(d *harness.Deployment, name string) error {
 	time.Sleep(3 * time.Second)
-	return b.over(d, name, func() error {
+	return b.measureDuring(d, name, func() error {
 		time.Sleep(restTime)
 		return nil
 	})
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	service := d.Shape.Services[0].Name
-	return b.over(d, name, func() error {
+	return b.measureDuring(d, name, func() error {
 		for end := time.Now().Add(restTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			current, err := client.GetService(ctx, &pb.GetServiceRequest{Name: service})
 			if err != nil {
@@ -94,8 +94,8 @@
 	})
 }
 
-// over prints the mean use of a box while f runs.
-func (b *bench) over(d *harness.Deployment, name string, f func() error) error {
+// measureDuring prints the mean use of a box while f runs.
+func (b *bench) measureDuring(d *harness.Deployment, name string, f func() error) error {
 	before, began, calls := b.use(d), time.Now(), d.PlatformCalls()
 	if err := f(); err != nil {
 		return err
