--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -96,11 +96,11 @@
 
 // measureDuring prints the mean use of a box while f runs.
 func (b *bench) measureDuring(d *harness.Deployment, name string, f func() error) error {
-	before, began, calls := b.use(d), time.Now(), d.PlatformCalls()
+	before, began, calls := b.totalUsage(d), time.Now(), d.PlatformCalls()
 	if err := f(); err != nil {
 		return err
 	}
-	after, took := b.use(d), time.Since(began).Seconds()
+	after, took := b.totalUsage(d), time.Since(began).Seconds()
 	n := float64(d.Shape.Boxes)
 	memory := int64(0)
 	for i := range d.Shape.Boxes {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// use sums the use of all boxes.
-func (b *bench) use(d *harness.Deployment) usage {
+// totalUsage sums the totalUsage of all boxes.
+func (b *bench) totalUsage(d *harness.Deployment) usage {
 	var sum usage
 	for i := range d.Shape.Boxes {
 		sum.cpu += d.CPU(i)
