--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -27,7 +27,7 @@
 			Name: "rest", Regions: []string{"one", "two", "three"}, Boxes: boxes, Slots: 4,
 			Services: []harness.ServiceShape{{Name: "shop", Servers: 12, ServiceMS: 1}},
 		}
-		if err := b.withDeployment(shape, func(d *harness.Deployment) error { return b.rest(d, fmt.Sprintf("control.boxes.%d", boxes)) }); err != nil {
+		if err := b.withDeployment(shape, func(d *harness.Deployment) error { return b.measureIdle(d, fmt.Sprintf("control.boxes.%d", boxes)) }); err != nil {
 			return err
 		}
 	}
@@ -44,7 +44,7 @@
 		}
 		name := fmt.Sprintf("control.services.%d", services)
 		if err := b.withDeployment(shape, func(d *harness.Deployment) error {
-			if err := b.rest(d, name); err != nil {
+			if err := b.measureIdle(d, name); err != nil {
 				return err
 			}
 			return b.changes(d, name+".changes")
@@ -62,7 +62,7 @@
 	calls float64
 }
 
-func (b *bench) rest(d *harness.Deployment, name string) error {
+func (b *bench) measureIdle(d *harness.Deployment, name string) error {
 	time.Sleep(3 * time.Second)
 	return b.measureDuring(d, name, func() error {
 		time.Sleep(restTime)
