--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -47,7 +47,7 @@
 			if err := b.measureIdle(d, name); err != nil {
 				return err
 			}
-			return b.changes(d, name+".changes")
+			return b.measureChanges(d, name+".changes")
 		}); err != nil {
 			return err
 		}
@@ -70,8 +70,8 @@
 	})
 }
 
-// changes changes one service 20 times a second for the resting time.
-func (b *bench) changes(d *harness.Deployment, name string) error {
+// measureChanges measureChanges one service 20 times a second for the resting time.
+func (b *bench) measureChanges(d *harness.Deployment, name string) error {
 	client, done, err := operator(d)
 	if err != nil {
 		return err
