--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -12,8 +12,8 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// restTime is how long a deployment is watched.
-const restTime = 10 * time.Second
+// measureTime is how long a deployment is watched.
+const measureTime = 10 * time.Second
 
 // controlByBoxes measures what control costs a box at rest, by the number of
 // boxes; the regions stay three.
@@ -65,7 +65,7 @@
 func (b *bench) measureIdle(d *harness.Deployment, name string) error {
 	time.Sleep(3 * time.Second)
 	return b.measureDuring(d, name, func() error {
-		time.Sleep(restTime)
+		time.Sleep(measureTime)
 		return nil
 	})
 }
@@ -81,7 +81,7 @@
 	defer cancel()
 	service := d.Shape.Services[0].Name
 	return b.measureDuring(d, name, func() error {
-		for end := time.Now().Add(restTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		for end := time.Now().Add(measureTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			current, err := client.GetService(ctx, &pb.GetServiceRequest{Name: service})
 			if err != nil {
 				return err
