--- a/test/bench/bench_latency.go
+++ b/test/bench/bench_latency.go
@@ -18,7 +18,7 @@
 const (
 	loadTime = 4 * time.Second
 	pairs    = 3
-	serviceT = 5 * time.Millisecond
+	serviceTime = 5 * time.Millisecond
 )
 
 // latency compares requests through a box with the same requests sent straight
@@ -30,7 +30,7 @@
 		time.Sleep(2 * time.Second)
 		slots := 2 * shape.Slots // two backend servers in the zone
 		for _, use := range []int{50, 90} {
-			rate := float64(slots) * float64(use) / 100 / serviceT.Seconds()
+			rate := float64(slots) * float64(use) / 100 / serviceTime.Seconds()
 			for pair := range pairs {
 				direct := b.load(rate, func(i int) bool { return directCall(d, i) })
 				through := b.load(rate, func(i int) bool { return boxCall(d, 0, "north-a", i) })
@@ -39,7 +39,7 @@
 				b.measure(fmt.Sprintf("same_zone.%d.%d.p99_ratio", use, pair), ratio(through, direct, 99), "x")
 			}
 		}
-		rate := float64(slots) / 2 / serviceT.Seconds()
+		rate := float64(slots) / 2 / serviceTime.Seconds()
 		handoff := b.load(rate, func(i int) bool { return boxCall(d, 0, "south-b", i) })
 		b.report("other_region_no_link_delay.50", handoff)
 		return nil
