--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -78,7 +78,7 @@
 	return f(d)
 }
 
-func operator(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
+func operatorsClient(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
 	conn, err := grpc.NewClient("passthrough:///"+d.Operators(0), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return nil, nil, err
@@ -87,7 +87,7 @@
 }
 
 func createService(d *harness.Deployment, i int) (*pb.ServiceReply, error) {
-	client, done, err := operator(d)
+	client, done, err := operatorsClient(d)
 	if err != nil {
 		return nil, err
 	}
--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -72,7 +72,7 @@
 
 // measureChanges measureChanges one service 20 times a second for the resting time.
 func (b *bench) measureChanges(d *harness.Deployment, name string) error {
-	client, done, err := operator(d)
+	client, done, err := operatorsClient(d)
 	if err != nil {
 		return err
 	}
