--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -1,5 +1,5 @@
-// Package bench is the program behind `make bench`: it measures real
-// processes and prints lines "MEASURE name value unit".
+// Package bench is the program behind `make bench`. It runs deployments as separate processes,
+// measures them and prints lines "MEASURE name value unit".
 package bench
 
 import (
@@ -19,19 +19,20 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
+// bench is one run of the program.
 type bench struct {
 	bin    string
 	sizes  []string
 	stdout io.Writer
 }
 
-// Main runs the measurements and returns the exit code.
+// Main runs the measurements and returns the exit code: 1 if one fails, 2 for wrong flags.
 func Main(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("stoneworks-bench", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	bin := flags.String("bin", "bin", "where the programs are")
-	sizes := flags.String("boxes", "6 12 24 48 72", "the numbers of boxes whose control is measured")
-	what := flags.String("what", "all", "latency, boxes, services or all")
+	bin := flags.String("bin", "bin", "directory of the programs")
+	sizes := flags.String("boxes", "6 12 24 48 72", "numbers of boxes of the deployments measured without requests")
+	what := flags.String("what", "all", "what to measure: latency, boxes, services or all")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
@@ -51,6 +52,7 @@
 	return 0
 }
 
+// measure prints one measurement.
 func (b *bench) measure(name string, value float64, unit string) {
 	fmt.Fprintf(b.stdout, "MEASURE %s %.4g %s\n", name, value, unit)
 }
@@ -78,6 +80,8 @@
 	return f(d)
 }
 
+// operatorsClient returns a client of the first box's operator interface, and a function that
+// closes it.
 func operatorsClient(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
 	conn, err := grpc.NewClient("passthrough:///"+d.Operators(0), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -86,6 +90,7 @@
 	return pb.NewOperatorsClient(conn), func() { _ = conn.Close() }, nil
 }
 
+// createService creates service i of the deployment's shape.
 func createService(d *harness.Deployment, i int) (*pb.ServiceReply, error) {
 	client, done, err := operatorsClient(d)
 	if err != nil {
--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -12,11 +12,11 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// measureTime is how long a deployment is watched.
+// measureTime is the length of each measurement.
 const measureTime = 10 * time.Second
 
-// controlByBoxes measures what control costs a box at rest, by the number of
-// boxes; the regions stay three.
+// controlByBoxes measures the control traffic and resources of a box without requests, for
+// different numbers of boxes in three regions.
 func (b *bench) controlByBoxes() error {
 	for _, size := range b.sizes {
 		boxes, err := strconv.Atoi(size)
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// controlByServices measures the same by the number of services, and what a
-// burst of changes costs.
+// controlByServices measures the same for different numbers of services, first without changes
+// and then while a service is changed.
 func (b *bench) controlByServices() error {
 	for _, services := range []int{1, 10, 40} {
 		shape := harness.Shape{Name: "services", Regions: []string{"one", "two", "three"}, Boxes: 12, Slots: 4}
@@ -55,13 +55,15 @@
 	return nil
 }
 
-// usage is what a box has used since its start.
+// usage is the processor time, peer traffic in bytes and peer calls since the start of the boxes.
 type usage struct {
 	cpu   time.Duration
 	bytes float64
 	calls float64
 }
 
+// measureIdle measures a deployment without requests or changes, 3 s after its services were
+// created.
 func (b *bench) measureIdle(d *harness.Deployment, name string) error {
 	time.Sleep(3 * time.Second)
 	return b.measureDuring(d, name, func() error {
@@ -94,7 +96,8 @@
 	})
 }
 
-// measureDuring prints the mean use of a box while f runs.
+// measureDuring prints the mean usage of a box while f runs, the highest peak memory of any box,
+// and the rate of calls to the platform.
 func (b *bench) measureDuring(d *harness.Deployment, name string, f func() error) error {
 	before, began, calls := b.totalUsage(d), time.Now(), d.PlatformCalls()
 	if err := f(); err != nil {
@@ -129,7 +132,7 @@
 	return sum
 }
 
-// metric reads a counter of a box.
+// metric returns the count of a box's metric, or 0 if it cannot be read.
 func metric(admin, name string) float64 {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
--- a/test/bench/bench_latency.go
+++ b/test/bench/bench_latency.go
@@ -14,16 +14,16 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// How long each load lasts, and how often the pairs are repeated.
+// Length of each load, number of pairs of loads, and service time of the backend servers.
 const (
-	loadTime = 4 * time.Second
-	pairs    = 3
+	loadTime    = 4 * time.Second
+	pairs       = 3
 	serviceTime = 5 * time.Millisecond
 )
 
-// latency compares requests through a box with the same requests sent straight
-// to the backend servers, in pairs, as an open load: each request is due at a
-// fixed time and its latency counts from then.
+// latency compares requests through a box with the same requests sent directly to the backend
+// servers, in pairs of loads. The load is open-loop: each request is due at a fixed time, and its
+// latency counts from that time.
 func (b *bench) latency() error {
 	shape := harness.Shapes["small"]
 	return b.withDeployment(shape, func(d *harness.Deployment) error {
@@ -46,15 +46,18 @@
 	})
 }
 
+// ratio returns the ratio of a percentile of a to that of b.
 func ratio(a, b *result, percentile float64) float64 {
 	return float64(a.times.ValueAtPercentile(percentile)) / float64(b.times.ValueAtPercentile(percentile))
 }
 
+// result is the result of a load. Its times are latencies in microseconds.
 type result struct {
 	times   *hdrhistogram.Histogram
 	refused int
 }
 
+// report prints the percentiles of a result in milliseconds, and the number of refused requests.
 func (b *bench) report(name string, r *result) {
 	for _, p := range []float64{50, 99, 99.9} {
 		b.measure(fmt.Sprintf("%s.p%g", name, p), float64(r.times.ValueAtPercentile(p))/1000, "ms")
@@ -62,7 +65,7 @@
 	b.measure(name+".refused", float64(r.refused), "requests")
 }
 
-// load sends at a rate and waits for all.
+// load sends requests at a rate per second for loadTime, and waits for their answers.
 func (b *bench) load(rate float64, send func(i int) bool) *result {
 	r := &result{times: hdrhistogram.New(1, 60_000_000, 3)}
 	var mu sync.Mutex
@@ -89,13 +92,14 @@
 
 var directClients, boxClients sync.Map
 
-// clientTo returns one caller for each address, which keeps its connections.
+// clientTo returns the caller for an address and client, which keeps its connections open.
 func clientTo(clients *sync.Map, address, client string) *caller.Client {
 	c, _ := clients.LoadOrStore(address+client, caller.New(client, address))
 	return c.(*caller.Client)
 }
 
-// directCall sends to one of the two backend servers of the first zone.
+// directCall sends a request directly to one of the two backend servers of the first zone. It
+// reports whether the status is 200.
 func directCall(d *harness.Deployment, i int) bool {
 	servers := d.Service(0).BackendServers
 	address := servers[i%2*len(d.Shape.Zones())].Address
@@ -106,6 +110,8 @@
 	return result.Status == 200
 }
 
+// boxCall sends a request of a client of the zone to a box. It reports whether the outcome is
+// answered.
 func boxCall(d *harness.Deployment, box int, zone string, _ int) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
