--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -19,6 +19,7 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
+// bench is one run of the program.
 // bench is one run of the program.
 type bench struct {
 	bin    string
@@ -52,6 +53,7 @@
 	return 0
 }
 
+// measure prints one measurement.
 // measure prints one measurement.
 func (b *bench) measure(name string, value float64, unit string) {
 	fmt.Fprintf(b.stdout, "MEASURE %s %.4g %s\n", name, value, unit)
@@ -80,6 +82,8 @@
 	return f(d)
 }
 
+// operatorsClient returns a client of the first box's operator interface, and a function that
+// closes it.
 // operatorsClient returns a client of the first box's operator interface, and a function that
 // closes it.
 func operatorsClient(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
@@ -90,6 +94,7 @@
 	return pb.NewOperatorsClient(conn), func() { _ = conn.Close() }, nil
 }
 
+// createService creates service i of the deployment's shape.
 // createService creates service i of the deployment's shape.
 func createService(d *harness.Deployment, i int) (*pb.ServiceReply, error) {
 	client, done, err := operatorsClient(d)
