--- a/test/cmd/stoneworks-experiment/main.go
+++ b/test/cmd/stoneworks-experiment/main.go
@@ -12,8 +12,8 @@
 	"github.com/stoneworks/stoneworks/test/machines"
 )
 
-// networks is the loopback network that plays take their addresses from.
-const networks = "127.96"
+// networkPrefix is the loopback network that plays take their addresses from.
+const networkPrefix = "127.96"
 
 func main() {
 	a := flag.String("a", "", "figures of side A, such as full_fill=3,hot_share=1; defaults for the others")
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	pairs, err := plan.Run(networks, left, right)
+	pairs, err := plan.Run(networkPrefix, left, right)
 	if err != nil {
 		return err
 	}
