--- a/test/cases/cases_test.go
+++ b/test/cases/cases_test.go
@@ -1,5 +1,6 @@
-// Package cases runs the commands beside this file and compares what they
-// print with the file expout. UPDATE_CASES=1 writes the files anew.
+// Package cases runs the command in the file cmd of each folder beside this file and compares
+// its output and exit code with the file expout there. With UPDATE_CASES=1 it writes expout
+// instead.
 package cases
 
 import (
@@ -24,6 +25,7 @@
 	}
 }
 
+// runCase runs the command of one folder.
 func runCase(t *testing.T, dir string) {
 	is := is.New(t)
 	command, err := os.ReadFile(filepath.Join(dir, "cmd"))
--- a/test/cmd/stoneworks-bench/main.go
+++ b/test/cmd/stoneworks-bench/main.go
@@ -1,4 +1,4 @@
-// Command stoneworks-bench measures a deployment and prints MEASURE lines.
+// Command stoneworks-bench measures deployments and prints MEASURE lines; see package bench.
 package main
 
 import (
--- a/test/cmd/stoneworks-demo/main.go
+++ b/test/cmd/stoneworks-demo/main.go
@@ -1,5 +1,5 @@
-// Command stoneworks-demo runs a whole deployment for a short while and checks
-// every answer.
+// Command stoneworks-demo runs a whole deployment under load, injects faults and checks every
+// answer; see package demo.
 package main
 
 import (
--- a/test/cmd/stoneworks-experiment/main.go
+++ b/test/cmd/stoneworks-experiment/main.go
@@ -1,5 +1,5 @@
-// Command stoneworks-experiment compares two sets of figures of policy on the
-// same seeded load; see package experiment.
+// Command stoneworks-experiment compares two sets of policy parameters on the same seeded load;
+// see package experiment.
 package main
 
 import (
@@ -16,18 +16,18 @@
 const networkPrefix = "127.96"
 
 func main() {
-	a := flag.String("a", "", "figures of side A, such as full_fill=3,hot_share=1; defaults for the others")
-	b := flag.String("b", "", "figures of side B")
+	a := flag.String("a", "", "policy parameters of side A, such as full_fill=3,hot_share=1; the others have their defaults")
+	b := flag.String("b", "", "policy parameters of side B")
 	seed := flag.Uint64("seed", 1, "the first seed")
-	seeds := flag.Int("seeds", 3, "how many seeds")
-	length := flag.Duration("for", 9*time.Second, "how long each play lasts")
-	keys := flag.Int("keys", 60, "how many keys there are")
-	skew := flag.Float64("skew", 0.2, "how unlike the keys' shares are; 0 for equal")
-	memory := flag.Int("memory", 40, "how many keys a server remembers")
-	gain := flag.Float64("gain", 0.7, "which part of its work a server is spared for a key it remembers")
-	refuse := flag.Float64("refuse", 0, "which part of the requests is refused in the last third")
-	unlike := flag.Bool("unlike", false, "servers of unlike speed")
-	target := flag.Duration("target", 80*time.Millisecond, "the time within which an answer is in time")
+	seeds := flag.Int("seeds", 3, "number of seeds")
+	length := flag.Duration("for", 9*time.Second, "length of each run")
+	keys := flag.Int("keys", 60, "number of affinity keys")
+	skew := flag.Float64("skew", 0.2, "exponent of the keys' Zipf distribution; 0 for equal shares")
+	memory := flag.Int("memory", 40, "number of keys that a server keeps warm")
+	gain := flag.Float64("gain", 0.7, "share of its work that a server saves for a warm key")
+	refuse := flag.Float64("refuse", 0, "share of the requests that servers refuse in the last third")
+	unlike := flag.Bool("unlike", false, "servers differ in speed")
+	target := flag.Duration("target", 80*time.Millisecond, "time within which an answer counts as in time")
 	flag.Parse()
 	plan := &experiment.Plan{
 		Length: *length, Keys: *keys, Skew: *skew, Refuse: *refuse, Unlike: *unlike, Target: *target,
@@ -42,6 +42,7 @@
 	}
 }
 
+// run parses the parameters of both sides, runs the plan and prints the comparison.
 func run(plan *experiment.Plan, a, b string) error {
 	left, err := experiment.ParsePolicy(a)
 	if err != nil {
--- a/test/cmd/stoneworks-machines/main.go
+++ b/test/cmd/stoneworks-machines/main.go
@@ -1,5 +1,5 @@
-// Command stoneworks-machines runs a deployment in the shape of the users'
-// machines as separate processes, plays a seeded load, and prints a table.
+// Command stoneworks-machines runs a deployment like that of the users' machines as separate
+// processes, sends it a seeded load and prints a table of the results; see package load.
 package main
 
 import (
--- a/test/cmd/stoneworks-sites/main.go
+++ b/test/cmd/stoneworks-sites/main.go
@@ -1,5 +1,4 @@
-// Command stoneworks-sites writes changed deployments of a site file; see
-// package sites.
+// Command stoneworks-sites writes variants of a site file; see package sites.
 package main
 
 import (
@@ -11,8 +10,8 @@
 )
 
 func main() {
-	site := flag.String("from", "", "the site file")
-	directory := flag.String("to", "", "where the changed deployments go; outside of the project")
+	site := flag.String("from", "", "site file")
+	directory := flag.String("to", "", "directory of the variants, outside of the project")
 	flag.Parse()
 	if *site == "" || *directory == "" {
 		flag.Usage()
--- a/test/cmd/stoneworks-soak/main.go
+++ b/test/cmd/stoneworks-soak/main.go
@@ -1,4 +1,5 @@
-// Command stoneworks-soak plays seeded faults against real processes.
+// Command stoneworks-soak injects seeded faults into boxes that run as separate processes; see
+// package soak.
 package main
 
 import (
--- a/test/cmd/stoneworks-standin/main.go
+++ b/test/cmd/stoneworks-standin/main.go
@@ -1,5 +1,5 @@
-// Command stoneworks-standin runs stand-ins of the platform and of backend
-// servers, for tests and the demo.
+// Command stoneworks-standin runs simple implementations of the platform and of backend servers,
+// for tests and the demo; see package standin.
 package main
 
 import (
--- a/test/cmd/stoneworksd-control/main.go
+++ b/test/cmd/stoneworksd-control/main.go
@@ -1,5 +1,6 @@
-// Command stoneworksd-control is the daemon with one mechanism switched off,
-// named by STONEWORKS_CONTROL. It exists to show that a proof can fail.
+// Command stoneworksd-control is the daemon with one mechanism switched off, which the
+// environment variable STONEWORKS_CONTROL names. It serves to check that the tests of the
+// promises fail without the mechanism; see package control.
 package main
 
 import (
