--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -59,7 +59,8 @@
 	fmt.Fprintf(b.stdout, "MEASURE %s %.4g %s\n", name, value, unit)
 }
 
-// withDeployment runs f against a deployment of the shape withDeployment its services created.
+// withDeployment starts a deployment of the shape, creates its services, runs f and stops the
+// deployment.
 func (b *bench) withDeployment(shape harness.Shape, f func(*harness.Deployment) error) error {
 	dir, err := os.MkdirTemp("", "stoneworks-bench-")
 	if err != nil {
--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -74,7 +74,7 @@
 	})
 }
 
-// measureChanges measureChanges one service 20 times a second for the resting time.
+// measureChanges measures while it updates one service up to 20 times a second.
 func (b *bench) measureChanges(d *harness.Deployment, name string) error {
 	client, done, err := operatorsClient(d)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// totalUsage sums the totalUsage of all boxes.
+// totalUsage returns the sum of the usage of all boxes.
 func (b *bench) totalUsage(d *harness.Deployment) usage {
 	var sum usage
 	for i := range d.Shape.Boxes {
--- a/test/cmd/stoneworks-experiment/main.go
+++ b/test/cmd/stoneworks-experiment/main.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/test/machines"
 )
 
-// networkPrefix is the loopback network that plays take their addresses from.
+// networkPrefix is the first two octets of the loopback networks that the runs reserve.
 const networkPrefix = "127.96"
 
 func main() {
--- a/test/load/load.go
+++ b/test/load/load.go
@@ -210,7 +210,7 @@
 		do   func()
 	}{
 		{"draining " + server.ID, func() { p.fleet.List(server, "shop", "east-a", "draining", 0) }},
-		{"the store answers 503 to " + rejected.Name, func() {
+		{"the store rejects calls of " + rejected.Name + " with 503", func() {
 			p.store.SetTreat(func(ip, _ string) machines.Mode {
 				if ip == rejected.IP {
 					return machines.Busy
