--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -19,7 +19,6 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// bench is one run of the program.
 // bench is one run of the program.
 type bench struct {
 	bin    string
@@ -53,7 +52,6 @@
 	return 0
 }
 
-// measure prints one measurement.
 // measure prints one measurement.
 func (b *bench) measure(name string, value float64, unit string) {
 	fmt.Fprintf(b.stdout, "MEASURE %s %.4g %s\n", name, value, unit)
@@ -83,8 +81,6 @@
 	return f(d)
 }
 
-// operatorsClient returns a client of the first box's operator interface, and a function that
-// closes it.
 // operatorsClient returns a client of the first box's operator interface, and a function that
 // closes it.
 func operatorsClient(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
@@ -95,7 +91,6 @@
 	return pb.NewOperatorsClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// createService creates service i of the deployment's shape.
 // createService creates service i of the deployment's shape.
 func createService(d *harness.Deployment, i int) (*pb.ServiceReply, error) {
 	client, done, err := operatorsClient(d)
--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -62,8 +62,6 @@
 	calls float64
 }
 
-// measureIdle measures a deployment without requests or changes, 3 s after its services were
-// created.
 // measureIdle measures a deployment without requests or changes, 3 s after its services were
 // created.
 func (b *bench) measureIdle(d *harness.Deployment, name string) error {
--- a/test/bench/bench_latency.go
+++ b/test/bench/bench_latency.go
@@ -46,20 +46,17 @@
 	})
 }
 
-// ratio returns the ratio of a percentile of a to that of b.
 // ratio returns the ratio of a percentile of a to that of b.
 func ratio(a, b *result, percentile float64) float64 {
 	return float64(a.times.ValueAtPercentile(percentile)) / float64(b.times.ValueAtPercentile(percentile))
 }
 
-// result is the result of a load. Its times are latencies in microseconds.
 // result is the result of a load. Its times are latencies in microseconds.
 type result struct {
 	times   *hdrhistogram.Histogram
 	refused int
 }
 
-// report prints the percentiles of a result in milliseconds, and the number of refused requests.
 // report prints the percentiles of a result in milliseconds, and the number of refused requests.
 func (b *bench) report(name string, r *result) {
 	for _, p := range []float64{50, 99, 99.9} {
@@ -113,8 +110,6 @@
 	return result.Status == 200
 }
 
-// boxCall sends a request of a client of the zone to a box. It reports whether the outcome is
-// answered.
 // boxCall sends a request of a client of the zone to a box. It reports whether the outcome is
 // answered.
 func boxCall(d *harness.Deployment, box int, zone string, _ int) bool {
--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -51,7 +51,6 @@
 	boxes    []*process
 }
 
-// process is a child process with its log.
 // process is a child process with its log.
 type process struct {
 	cmd    *exec.Cmd
@@ -148,7 +147,6 @@
 	return nil
 }
 
-// startStandins starts the platform and the backend servers.
 // startStandins starts the platform and the backend servers.
 func (d *Deployment) startStandins() error {
 	var err error
@@ -181,7 +179,6 @@
 	return boxes
 }
 
-// standin starts a stand-in process with the given configuration.
 // standin starts a stand-in process with the given configuration.
 func (d *Deployment) standin(name string, c standin.ProcessConfig) (*process, error) {
 	path := filepath.Join(d.Dir, name+".json")
@@ -210,7 +207,6 @@
 	return err
 }
 
-// boxSettings returns the settings of box i.
 // boxSettings returns the settings of box i.
 func (d *Deployment) boxSettings(i int) map[string]any {
 	zones, blocks := []map[string]string{}, []map[string]string{}
@@ -428,7 +424,6 @@
 	}
 }
 
-// post sends a value as JSON; it does not check the status of the answer.
 // post sends a value as JSON; it does not check the status of the answer.
 func post(url string, value any) error {
 	text, err := json.Marshal(value)
@@ -442,7 +437,6 @@
 	return resp.Body.Close()
 }
 
-// get decodes the JSON answer of a URL into a value.
 // get decodes the JSON answer of a URL into a value.
 func get(url string, into any) error {
 	resp, err := http.Get(url)
