--- a/test/load/load.go
+++ b/test/load/load.go
@@ -90,7 +90,7 @@
 		fmt.Fprintln(stderr, err)
 		return 1
 	}
-	p.play(*length, *calm)
+	p.runLoad(*length, *calm)
 	return p.report()
 }
 
@@ -154,8 +154,8 @@
 // Load and faults
 // ----------------------------------------------------------------
 
-// play runs the clients for a while and, unless calm is set, injects the faults.
-func (p *run) play(length time.Duration, calm bool) {
+// runLoad runs the clients for a while and, unless calm is set, injects the faults.
+func (p *run) runLoad(length time.Duration, calm bool) {
 	end := time.Now().Add(length)
 	var clients conc.WaitGroup
 	for i := range clientsPerBox * boxCount {
