--- a/test/addresses/addresses_test.go
+++ b/test/addresses/addresses_test.go
@@ -34,12 +34,12 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	address := l.Addr().String()
-	var held *InUseError
-	is.True(errors.As(CheckFree(address), &held))
-	is.Equal(held.Address, address)
-	is.True(held.Holder != "")
+	var inUse *InUseError
+	is.True(errors.As(CheckFree(address), &inUse))
+	is.Equal(inUse.Address, address)
+	is.True(inUse.Holder != "")
 	var process int
-	_, err = fmt.Sscanf(held.Holder, "process %d", &process)
+	_, err = fmt.Sscanf(inUse.Holder, "process %d", &process)
 	is.NoErr(err)
 	is.Equal(process, os.Getpid())
 	is.NoErr(l.Close())
