--- a/test/processes/processes_test.go
+++ b/test/processes/processes_test.go
@@ -29,9 +29,9 @@
 	defer func() { _ = l.Close() }()
 	b, err := NewBox(Options{Bin: t.TempDir(), Dir: t.TempDir(), Network: network.Prefix}, machines.Zones[0].Zone, 1)
 	is.NoErr(err)
-	var held *addresses.InUseError
-	is.True(errors.As(b.Start(), &held))
-	is.Equal(held.Address, network.Prefix+".1:8104")
+	var inUse *addresses.InUseError
+	is.True(errors.As(b.Start(), &inUse))
+	is.Equal(inUse.Address, network.Prefix+".1:8104")
 }
 
 // parentOfChild is the environment variable that makes this test program start a child, print
