--- a/test/demo/demo.go
+++ b/test/demo/demo.go
@@ -89,7 +89,7 @@
 	return 0
 }
 
-// run plays the demo and returns what was wrong.
+// run runs the demo and returns the errors found in answers and records.
 func (d *demo) run() ([]string, error) {
 	shape := d.deployment.Shape
 	fmt.Fprintf(d.stdout, "starting %s: %d boxes in %d zones, %d services\n", shape.Name, shape.Boxes, len(shape.Zones()), len(shape.Services))
--- a/test/load/load.go
+++ b/test/load/load.go
@@ -168,7 +168,8 @@
 	clients.Wait()
 }
 
-// client sends requests until the end. When one fails, it goes on to the next box.
+// client sends requests until the end. After a failed request or a status of 500 or more, it
+// continues with the next box.
 func (p *run) client(number int, random *rand.Rand, end time.Time) {
 	box := number % boxCount
 	c := &machines.Client{Address: p.boxes[box].Clients()}
