--- a/pkg/box/box_operators.go
+++ b/pkg/box/box_operators.go
@@ -66,7 +66,7 @@
 // assignment that the box applies.
 func (b *Box) planStatus(service string, s *pb.ServiceStatus) {
 	o := b.Store.Get(config.PlanPrefix + service)
-	inForce := b.migrator(service).InForce()
+	inForce := b.migrator(service).Active()
 	if o == nil || o.Plan == nil || inForce == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 func (b *Box) explain(r *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	client, err := netip.ParseAddr(r.GetClient())
 	if err != nil {
-		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP address"}}}
+		return nil, &model.InvalidError{Faults: []model.Fault{{Field: "client", Problem: r.GetClient(), Allowed: "an IP number"}}}
 	}
 	s := b.snapshot.Load()
 	view := s.Services[r.GetService()]
--- a/pkg/ingress/ingress_crash.go
+++ b/pkg/ingress/ingress_crash.go
@@ -10,7 +10,7 @@
 )
 
 // fingerprint returns the fingerprint of the request, which is the same for every attempt at
-// it. It is computed only when needed, because it covers the whole body.
+// it. It is computed only when needed, because it covers the buffered body.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.cachedFingerprint != nil {
 		return *c.cachedFingerprint
@@ -83,8 +83,8 @@
 }
 
 // noteSurvival records that a backend server answered the request without crashing.
-func (c *call) noteSurvival(verdict AnswerMeta) {
-	if !verdict.Signed || c.server.Quarantine.Empty() {
+func (c *call) noteSurvival(meta AnswerMeta) {
+	if !meta.Signed || c.server.Quarantine.Empty() {
 		return
 	}
 	if c.server.Quarantine.ObserveAnswer(c.fingerprint()) {
--- a/pkg/ingress/ingress_forward.go
+++ b/pkg/ingress/ingress_forward.go
@@ -121,24 +121,24 @@
 
 // roomRetryAfter returns when a server is expected to have a free slot, randomized by half of
 // that time either way, so that clients that were refused together do not return together.
-func (c *call) roomRetryAfter(room time.Duration) time.Duration {
-	if room <= 0 {
+func (c *call) roomRetryAfter(untilFree time.Duration) time.Duration {
+	if untilFree <= 0 {
 		return c.spreadRetryAfter()
 	}
 	p := c.server.Policy()
 	chance := float64(c.server.Random()%1024) / 1024
-	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(room))))
+	return max(p.ReturnSoon, min(p.ReturnMost, time.Duration((0.5+chance)*float64(untilFree))))
 }
 
 // backoffRetryAfter returns when requests are sent again to a server that has asked for a
 // backoff or has failed, plus a random part of up to a quarter of that time. A client that
 // returns sooner is not served.
-func (c *call) backoffRetryAfter(rest time.Duration) time.Duration {
-	if rest <= 0 {
+func (c *call) backoffRetryAfter(backoff time.Duration) time.Duration {
+	if backoff <= 0 {
 		return c.spreadRetryAfter()
 	}
 	chance := float64(c.server.Random()%1024) / 1024
-	return rest + time.Duration(chance*float64(min(rest/4, c.server.Policy().ReturnMost)))
+	return backoff + time.Duration(chance*float64(min(backoff/4, c.server.Policy().ReturnMost)))
 }
 
 // spreadRetryAfter returns a random time, so that refused clients do not all return at once.
@@ -202,7 +202,7 @@
 
 // rejected handles an answer that states that the backend server did not run the request.
 func (c *call) rejected(lease *backend.Lease, start time.Time, answer *exchange.Answer, meta AnswerMeta) *outcome.Failure {
-	c.noteRefusal(answer)
+	c.noteUnknownHeaders(answer)
 	// The body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 4<<10))
 	_ = answer.Body.Close()
@@ -221,13 +221,13 @@
 // failed records a failed exchange and returns what the client is told.
 func (c *call) failed(lease *backend.Lease, start time.Time, err error) *outcome.Failure {
 	sent := wasSent(err)
-	late := errors.Is(err, context.DeadlineExceeded)
-	gone := c.r.Context().Err() != nil
-	if sent && !gone {
-		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !late, TimedOut: late, Took: c.server.Now().Sub(start)})
+	timedOut := errors.Is(err, context.DeadlineExceeded)
+	clientLeft := c.r.Context().Err() != nil
+	if sent && !clientLeft {
+		c.server.ObserveAttempt(c.route.Name, lease, Attempt{Failed: !timedOut, TimedOut: timedOut, Took: c.server.Now().Sub(start)})
 	}
 	switch {
-	case gone:
+	case clientLeft:
 		c.finish(lease, backend.Abandoned, nil, start, err)
 	case isWithdrawn(err):
 		c.finish(lease, backend.Withdrawn, nil, start, err)
@@ -235,12 +235,12 @@
 		c.finish(lease, backend.Refused, nil, start, err)
 	case !sent:
 		c.finish(lease, backend.Unreachable, nil, start, err)
-	case late:
+	case timedOut:
 		c.finish(lease, backend.TimedOut, nil, start, err)
 	default:
 		c.finish(lease, c.classifyLoss(lease, err), nil, start, err)
 	}
-	return classify(sent, late, gone, err)
+	return classify(sent, timedOut, clientLeft, err)
 }
 
 // wasSent reports whether any byte of the request may have reached the backend server.
@@ -254,17 +254,17 @@
 	return errors.As(err, &withdrawn)
 }
 
-func classify(sent, late, gone bool, err error) *outcome.Failure {
+func classify(sent, timedOut, clientLeft bool, err error) *outcome.Failure {
 	switch {
-	case gone && !sent:
+	case clientLeft && !sent:
 		return outcome.NewNotRun(outcome.ReasonCancelled, "the client left")
-	case gone:
+	case clientLeft:
 		return outcome.NewUnknown(outcome.ReasonCancelled, "the client left")
-	case !sent && late:
+	case !sent && timedOut:
 		return outcome.NewNotRun(outcome.ReasonDeadline, err.Error()).WithRetryAfter(notReadyRetry)
 	case !sent:
 		return outcome.NewNotRun(outcome.ReasonConnect, err.Error()).WithRetryAfter(notReadyRetry)
-	case late:
+	case timedOut:
 		return outcome.NewUnknown(outcome.ReasonTimeout, err.Error())
 	}
 	return outcome.NewUnknown(outcome.ReasonConnectionLost, err.Error())
@@ -277,9 +277,9 @@
 	h.SetRequestURI(c.r.RequestURI)
 	h.SetNoDefaultContentType(true)
 	h.SetHost(c.r.Host)
-	listed := connectionListed(c.r.Header["Connection"])
+	connectionHeaders := connectionListed(c.r.Header["Connection"])
 	for name, values := range c.r.Header {
-		if isHopByHop(name, listed) || c.server.Dialect.Internal(name) || c.hasCustomers && c.server.Dialect.CarriesKey(name) {
+		if isHopByHop(name, connectionHeaders) || c.server.Dialect.Internal(name) || c.hasCustomers && c.server.Dialect.CarriesKey(name) {
 			continue
 		}
 		for _, v := range values {
@@ -314,13 +314,13 @@
 	return listed
 }
 
-func isHopByHop(name string, listed []string) bool {
+func isHopByHop(name string, connectionHeaders []string) bool {
 	for _, h := range hopByHop {
 		if name == h {
 			return true
 		}
 	}
-	for _, h := range listed {
+	for _, h := range connectionHeaders {
 		if strings.EqualFold(name, h) {
 			return true
 		}
--- a/test/experiment/experiment.go
+++ b/test/experiment/experiment.go
@@ -32,7 +32,7 @@
 	Skew float64
 	// Nature is that of all servers; with Unlike every third is slower by half
 	// and every third quicker.
-	Nature machines.Nature
+	Nature machines.Performance
 	Unlike bool
 	// Refuse is which part of all requests servers refuse in the last third,
 	// though slots are free.
@@ -144,7 +144,7 @@
 	if p.Unlike {
 		nature.Speed = []float64{1 / 1.5, 1, 1.5}[i%3]
 	}
-	_, err := f.AddServerOf(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, work)
+	_, err := f.AddServerWithPerformance(nature, fmt.Sprintf("%s.%d", zone, i), "shop", zone, serverSlots, work)
 	return err
 }
 
@@ -158,7 +158,7 @@
 	if err := p.addServer(f, zone, serversEach); err != nil {
 		return err
 	}
-	f.List(old, "shop", zone, "draining", 0)
+	f.PutServer(old, "shop", zone, "draining", 0)
 	time.Sleep(third)
 	var mu sync.Mutex
 	for _, s := range f.Servers {
--- a/test/load/load.go
+++ b/test/load/load.go
@@ -210,9 +210,9 @@
 		what string
 		do   func()
 	}{
-		{"draining " + server.ID, func() { p.fleet.List(server, "shop", "east-a", "draining", 0) }},
+		{"draining " + server.ID, func() { p.fleet.PutServer(server, "shop", "east-a", "draining", 0) }},
 		{"the store rejects calls of " + rejected.Name + " with 503", func() {
-			p.store.SetTreat(func(ip, _ string) machines.Mode {
+			p.store.SetMode(func(ip, _ string) machines.Mode {
 				if ip == rejected.IP {
 					return machines.Busy
 				}
--- a/test/machines/contact_test.go
+++ b/test/machines/contact_test.go
@@ -10,7 +10,8 @@
 	"github.com/stoneworks/stoneworks/pkg/settings"
 )
 
-// newContactFleet starts two boxes in each zone, with the bounds of the users' machines.
+// newContactFleet starts two boxes in each zone, with the contact and drain bounds of the users'
+// machines.
 func newContactFleet(t *testing.T) *Fleet {
 	t.Helper()
 	f, err := NewFleet(networkOf(t), io.Discard)
@@ -18,7 +19,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	f.Change = func(s *settings.Settings) {
+	f.ChangeSettings = func(s *settings.Settings) {
 		s.Bounds.Contact = 4 * time.Second
 		s.Bounds.Drain = 2500 * time.Millisecond
 	}
@@ -44,8 +45,8 @@
 	return f
 }
 
-// knowsLeaver reports whether the box sends a server nothing any more.
-func knowsLeaver(b *Box, id string) bool {
+// knowsDraining reports whether the box has the server as draining or no longer lists it.
+func knowsDraining(b *Box, id string) bool {
 	for _, v := range b.Set.List() {
 		if v.ID == id {
 			return v.Draining
@@ -54,21 +55,20 @@
 	return true
 }
 
-// watching returns the boxes that ask the store for their zones, one of each, once they
-// have settled that.
-func watching(t *testing.T, f *Fleet) map[string]bool {
+// storePollers waits until there is one store poller in each zone, and returns their IP addresses.
+func storePollers(t *testing.T, f *Fleet) map[string]bool {
 	t.Helper()
 	for range 4 {
-		if found := asking(f); len(found) == len(Zones) {
+		if found := callersOfStore(f); len(found) == len(Zones) {
 			return found
 		}
 	}
-	t.Fatal("the boxes did not settle who asks the store")
+	t.Fatal("there is not one store poller in each zone")
 	return nil
 }
 
-// asking returns the boxes that ask the store, by their calls within a while.
-func asking(f *Fleet) map[string]bool {
+// callersOfStore returns the IP addresses of the boxes that call the store within three seconds.
+func callersOfStore(f *Fleet) map[string]bool {
 	before := map[string]int{}
 	for _, b := range f.Boxes {
 		before[b.IP] = f.Store.Calls(b.IP)
@@ -83,54 +83,47 @@
 	return found
 }
 
-// The story. The store turned away most boxes without a word, among them those that ask it
-// for their zones. Others could reach it, and asked nothing: their zones' boxes had seemed
-// well a moment ago, and were found out only after 2.8 to 3.6 s. Until then requests went to
-// a server that had said it was leaving, for longer than the 2.5 s that are allowed.
-//
-// The cause: a box knew how new its copy of the list was only by the word of another one
-// that asks in its place, and did nothing as that word grew old. The evidence: with all logs,
-// the boxes that asked noted the store's silence 2.8 s after it had begun, and those beside
-// them took over within 0.1 s of that and heard of the server at once.
-
-// TestBoxAsksItselfWhereAllThatAskAreTurnedAway: a box that the store serves knows of a
-// leaving server in time, whoever else the store turns away.
+// TestBoxAsksItselfWhereAllThatAskAreTurnedAway guards against requests to a draining server for
+// longer than the allowed 2.5 s when the store stops answering all store pollers but still
+// answers other boxes. These relied on the pollers' reports and made no calls of their own as the
+// reports grew old, so that they noticed only after 2.8 to 3.6 s: the pollers noted the silence after
+// 2.8 s, and the boxes beside them took over within 0.1 s of that.
 func TestBoxAsksItselfWhereAllThatAskAreTurnedAway(t *testing.T) {
 	f := newContactFleet(t)
-	away := watching(t, f)
-	f.Store.SetTreat(func(ip, _ string) Mode {
+	away := storePollers(t, f)
+	f.Store.SetMode(func(ip, _ string) Mode {
 		if away[ip] {
 			return Silent
 		}
 		return Serving
 	})
-	f.List(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
+	f.PutServer(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
 	f.Configure(2, read, Route{Prefix: "/new/", Kind: "safe", Service: "shop"})
 	time.Sleep(2400 * time.Millisecond)
 	var served []*Box
 	for _, b := range f.Boxes {
 		if !away[b.IP] {
-			is.New(t).True(knowsLeaver(b, "east-a.2"))
+			is.New(t).True(knowsDraining(b, "east-a.2"))
 			served = append(served, b)
 		}
 	}
-	is.New(t).True(allServe("/new/", served)()) // configurations have the same bound
+	is.New(t).True(allServe("/new/", served)()) // the bound holds for configurations too
 }
 
-// TestShortSilenceOfTheStoreLeavesNoBoxDeaf: what is asked of a store that says nothing
-// for a moment is never answered; servers that leave later are known in time all the same.
+// TestShortSilenceOfTheStoreLeavesNoBoxDeaf checks that a box learns of draining servers in time
+// after a short silence of the store, although calls made during the silence are never answered.
 func TestShortSilenceOfTheStoreLeavesNoBoxDeaf(t *testing.T) {
 	f := newContactFleet(t)
-	// The watches of the servers return, and are asked for anew within the silence.
-	f.List(f.Servers["east-a.1"], "shop", "east-a", "ready", time.Millisecond)
+	// The watches of servers return, and are renewed during the silence.
+	f.PutServer(f.Servers["east-a.1"], "shop", "east-a", "ready", time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
-	f.Store.SetTreat(func(string, string) Mode { return Silent })
+	f.Store.SetMode(func(string, string) Mode { return Silent })
 	time.Sleep(time.Second)
-	f.Store.SetTreat(nil)
+	f.Store.SetMode(nil)
 	time.Sleep(4 * time.Second)
-	f.List(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
+	f.PutServer(f.Servers["east-a.2"], "shop", "east-a", "draining", 0)
 	time.Sleep(2 * time.Second)
 	for _, b := range f.Boxes {
-		is.New(t).True(knowsLeaver(b, "east-a.2"))
+		is.New(t).True(knowsDraining(b, "east-a.2"))
 	}
 }
--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -9,51 +9,47 @@
 	"github.com/matryer/is"
 )
 
-// The story. The platform's store was silent when a backend server began to leave: it said so in all
-// its answers, and could not write it to the store. Boxes that had passed such answers on to clients
-// went on sending it requests, 3 to 9 a second, until the store had its word 13 s later; no more than
-// 2.5 s are allowed. Nobody noticed but the server.
-//
-// The cause: nothing read the word in answers; the state in the store's list was all that boxes knew of
-// leaving. The evidence: at the users' boxes the rate at the server was the same before and after, and each
-// box logged once that it does not read a header of that name. Here, with the store silent, such a server got
-// 456 requests too late in two seconds, as many as before it said so.
+// These tests guard against requests to a server that announces in its answers that it is leaving
+// while the store is silent, so that its entry still has it as ready. Boxes read only the state in
+// the store's list and ignored the header, and so sent the server 3 to 9 requests per second until
+// the store had the state 13 s later; 2.5 s are allowed. Without the header being read, a server
+// in these tests gets 456 late requests in two seconds, as many as before its announcement.
 
-// drainTime is within what time a server that leaves gets nothing new any more.
+// drainTime is how long after its announcement a leaving server may still get new requests.
 const drainTime = 2500 * time.Millisecond
 
-// lateAfterLeaving counts the requests that a server got from boxes later than the time of
-// draining after it had told the box that it leaves, and those that it got from any box later than
-// that after it had told the first one.
-func lateAfterLeaving(s *Server) (fromTold, fromAny int) {
-	told := map[string]time.Time{}
+// lateAfterLeaving counts a server's late requests: fromTold those that came later than drainTime
+// after it had announced to the same box that it leaves, fromAny those that came from any box later
+// than drainTime after its first announcement.
+func lateAfterLeaving(s *Server) (fromInformed, fromAny int) {
+	announcedAt := map[string]time.Time{}
 	var first time.Time
-	for _, said := range s.Said(SaysLeaving) {
+	for _, said := range s.SentHeaders(LeavingHeader) {
 		if first.IsZero() {
 			first = said.At
 		}
-		if _, known := told[said.To]; !known {
-			told[said.To] = said.At
+		if _, known := announcedAt[said.To]; !known {
+			announcedAt[said.To] = said.At
 		}
 	}
 	for _, a := range s.ArrivalLog() {
-		if at, known := told[a.From]; known && a.At.Sub(at) > drainTime {
-			fromTold++
+		if at, known := announcedAt[a.From]; known && a.At.Sub(at) > drainTime {
+			fromInformed++
 		}
 		if !first.IsZero() && a.At.Sub(first) > drainTime {
 			fromAny++
 		}
 	}
-	return fromTold, fromAny
+	return fromInformed, fromAny
 }
 
-// silenceStore has the store say nothing to any box.
+// silenceStore makes the store answer no box.
 func silenceStore(f *Fleet) {
-	f.Store.SetTreat(func(string, string) Mode { return Silent })
+	f.Store.SetMode(func(string, string) Mode { return Silent })
 }
 
-// TestServerThatSaysItLeaves: with the store silent, it gets nothing new of any box some time after it has
-// first said so, and its keys are served elsewhere.
+// TestServerThatSaysItLeaves checks that, with the store silent, a leaving server gets no new request
+// from any box later than drainTime after its first announcement, and that other servers take over.
 func TestServerThatSaysItLeaves(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 6)
@@ -61,14 +57,14 @@
 	time.Sleep(time.Second)
 	silenceStore(f)
 	s := busiest(f)
-	s.Say(SaysLeaving, "1")
+	s.SetHeader(LeavingHeader, "1")
 	time.Sleep(drainTime + 2*time.Second)
-	told, any := lateAfterLeaving(s)
-	counts := clients.end()
-	t.Logf("%d requests too late of boxes that were told, %d of all; answers %v", told, any, counts)
-	is.True(len(s.Said(SaysLeaving)) > 0)
-	is.Equal(told, 0)
-	is.Equal(any, 0)
+	fromInformed, fromAny := lateAfterLeaving(s)
+	counts := clients.stopAndCount()
+	t.Logf("%d late requests from boxes that got the announcement, %d from all; answers %v", fromInformed, fromAny, counts)
+	is.True(len(s.SentHeaders(LeavingHeader)) > 0)
+	is.Equal(fromInformed, 0)
+	is.Equal(fromAny, 0)
 	total := 0
 	for _, n := range counts {
 		total += n
@@ -76,11 +72,11 @@
 	is.True(counts["200 answer"] >= total*98/100)
 }
 
-// knownToLeave reports whether all boxes know that the server leaves.
+// knownToLeave returns a check of whether all boxes know that the server is leaving.
 func knownToLeave(f *Fleet, s *Server) func() bool {
 	return func() bool {
 		for _, b := range f.Boxes {
-			if !b.Statuses.IsLeaving(lifeOf(s)) {
+			if !b.Statuses.IsLeaving(incarnationOf(s)) {
 				return false
 			}
 		}
@@ -88,36 +84,38 @@
 	}
 }
 
-// TestLeavingIsKnownWhereNobodyWasTold: at boxes that have sent the server nothing, and at one that starts
-// later, with the store's list saying that it is ready all the while; its next life is used.
+// TestLeavingIsKnownWhereNobodyWasTold checks that boxes that sent the server no request, and a box
+// that starts later, know that it is leaving although the store lists it as ready throughout, and
+// that the server's next incarnation is used.
 func TestLeavingIsKnownWhereNobodyWasTold(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
 	send(t, f, 0, 3, 0)
 	s := busiest(f)
-	s.Say(SaysLeaving, "1")
-	hears(t, f, 0, s)
-	eventually(t, "all boxes know that it leaves", knownToLeave(f, s))
+	s.SetHeader(LeavingHeader, "1")
+	requestUntilAnswered(t, f, 0, s)
+	eventually(t, "all boxes know that it is leaving", knownToLeave(f, s))
 	_, err := f.AddBox(Zones[1].Zone)
 	is.NoErr(err)
 	eventually(t, "a box that starts later knows it", knownToLeave(f, s))
-	is.True(strings.Contains(operatorsSee(t, f, 2), lifeOf(s)))
-	s.Say(SaysLeaving, "")
+	is.True(strings.Contains(printedStatuses(t, f, 2), incarnationOf(s)))
+	s.SetHeader(LeavingHeader, "")
 	before := s.Arrivals()
 	for box := range f.Boxes {
 		send(t, f, box, 3, 0)
 	}
-	is.Equal(s.Arrivals(), before) // an answer or a list without the word does not end it
-	usesNextLife(t, f, s)
+	is.Equal(s.Arrivals(), before) // an answer without the header or a list does not revoke it
+	usesNextIncarnation(t, f, s)
 }
 
-// TestAllServersLeave: once all have said so, requests are refused at once, and have not run.
+// TestAllServersLeave checks that requests are refused at once and without being executed when all
+// servers have announced that they leave.
 func TestAllServersLeave(t *testing.T) {
 	is := is.New(t)
 	f := newLimitFleet(t, 3)
 	silenceStore(f)
 	for _, s := range f.Servers {
-		s.Say(SaysLeaving, "1")
+		s.SetHeader(LeavingHeader, "1")
 	}
 	c := &Client{Address: f.Boxes[0].Clients}
 	defer c.Close()
@@ -133,7 +131,7 @@
 		return nil
 	}()
 	is.True(refused != nil)
-	is.Equal(answered, len(f.Servers)) // each is asked once
+	is.Equal(answered, len(f.Servers)) // each gets one request
 	is.True(refused.Took < 500*time.Millisecond)
 	is.True(refused.Header.Get("Retry-After") != "")
 }
--- a/test/soak/soak.go
+++ b/test/soak/soak.go
@@ -197,16 +197,16 @@
 	h := &r.history
 	h.Runs = map[string][]machines.Run{}
 	h.Arrivals = map[string][]machines.Arrival{}
-	h.Leavings = map[string][]machines.Saying{}
-	h.Rests = map[string][]machines.Saying{}
+	h.Leavings = map[string][]machines.SentHeader{}
+	h.Rests = map[string][]machines.SentHeader{}
 	for id, s := range r.fleet.Servers {
 		h.Runs[id] = s.Runs()
 		h.Arrivals[id] = s.ArrivalLog()
-		h.Leavings[id] = s.Said(machines.SaysLeaving)
-		h.Rests[id] = s.Said(machines.SaysRest)
+		h.Leavings[id] = s.SentHeaders(machines.LeavingHeader)
+		h.Rests[id] = s.SentHeaders(machines.RetryAfterHeader)
 	}
 	for i := range h.Limited {
-		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].Said(machines.SaysLimit)
+		h.Limited[i].Namings = r.fleet.Servers[h.Limited[i].Server].SentHeaders(machines.LimitHeader)
 	}
 	h.KeysLogged = r.keysLogged()
 	return h
--- a/test/soak/strikes.go
+++ b/test/soak/strikes.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	server.Advertised = s.link.Address()
-	server.SetDeadly(r.isDeadly, func() { r.serverEnded(s, server) })
+	server.SetCrashOn(r.isDeadly, func() { r.serverEnded(s, server) })
 	s.link.SetTarget(server.Address)
 	r.note(func(*History) {
 		s.server, s.left, s.key = server, false, id
@@ -68,7 +68,7 @@
 		}
 		r.fleet.Servers[s.key] = server
 	})
-	r.fleet.List(server, s.service, s.zone, "ready", 0)
+	r.fleet.PutServer(server, s.service, s.zone, "ready", 0)
 	return nil
 }
 
@@ -182,7 +182,7 @@
 // troubleStore has the store turn some or all boxes away.
 func (r *run) troubleStore(e Event) {
 	mode := map[Kind]machines.Mode{
-		StoreBusy: machines.Busy, StoreMany: machines.Many, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
+		StoreBusy: machines.Busy, StoreMany: machines.TooMany, StoreSilent: machines.Silent, StoreReset: machines.Resetting,
 	}[e.Kind]
 	// Every other such event strikes all boxes, the others every second one.
 	all := e.Target%2 == 0
@@ -191,14 +191,14 @@
 		struck[b.IP] = all || i%2 == e.Target/2%2
 	}
 	end := r.open(e.Kind, "")
-	r.fleet.Store.SetTreat(func(ip, _ string) machines.Mode {
+	r.fleet.Store.SetMode(func(ip, _ string) machines.Mode {
 		if struck[ip] {
 			return mode
 		}
 		return machines.Serving
 	})
 	r.later(e.For, func() {
-		r.fleet.Store.SetTreat(nil)
+		r.fleet.Store.SetMode(nil)
 		end()
 	})
 }
@@ -206,9 +206,9 @@
 // silenceStore has the store say nothing to any box for a moment.
 func (r *run) silenceStore(e Event) {
 	end := r.open(StoreBlink, "")
-	r.fleet.Store.SetTreat(func(string, string) machines.Mode { return machines.Silent })
+	r.fleet.Store.SetMode(func(string, string) machines.Mode { return machines.Silent })
 	r.later(e.For/blinkShare, func() {
-		r.fleet.Store.SetTreat(nil)
+		r.fleet.Store.SetMode(nil)
 		end()
 	})
 }
@@ -238,7 +238,7 @@
 	wait := replaceAfter
 	switch e.Kind {
 	case ServerDrain:
-		r.fleet.List(old, s.service, s.zone, "draining", 0)
+		r.fleet.PutServer(old, s.service, s.zone, "draining", 0)
 		wait += boundDrain
 	case ServerCrash:
 		old.Close()
@@ -265,7 +265,7 @@
 
 // spoils are the ways in which servers spoil answers.
 var spoils = []machines.Fault{
-	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.Foreign, machines.Garbage, machines.Mute,
+	machines.CutBody, machines.CutAnswer, machines.Unframed, machines.Extra, machines.AnotherAnswerFirst, machines.Garbage, machines.NoAnswer,
 }
 
 // spoilShare of a spoiled server's answers are spoiled, one in so many.
