--- a/test/addresses/addresses_test.go
+++ b/test/addresses/addresses_test.go
@@ -26,19 +26,20 @@
 	c.Release()
 }
 
-// TestHolderOfAnAddressIsTold is the failure in which a run told that a box did not become
-// ready, where an earlier run had left one at its address.
+// TestHolderOfAnAddressIsTold checks that the process at an address that is in use is reported.
+// Otherwise a run that meets a box left by an earlier run only reports that its own box does not
+// become ready.
 func TestHolderOfAnAddressIsTold(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	address := l.Addr().String()
-	var held *HeldError
-	is.True(errors.As(CheckFree(address), &held))
-	is.Equal(held.Address, address)
-	is.True(held.Holder != "")
+	var inUse *InUseError
+	is.True(errors.As(CheckFree(address), &inUse))
+	is.Equal(inUse.Address, address)
+	is.True(inUse.Holder != "")
 	var process int
-	_, err = fmt.Sscanf(held.Holder, "process %d", &process)
+	_, err = fmt.Sscanf(inUse.Holder, "process %d", &process)
 	is.NoErr(err)
 	is.Equal(process, os.Getpid())
 	is.NoErr(l.Close())
--- a/test/bench/bench.go
+++ b/test/bench/bench.go
@@ -1,5 +1,5 @@
-// Package bench is the program behind `make bench`: it measures real
-// processes and prints lines "MEASURE name value unit".
+// Package bench is the program behind `make bench`. It runs deployments as separate processes,
+// measures them and prints lines "MEASURE name value unit".
 package bench
 
 import (
@@ -19,19 +19,20 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
+// bench is one run of the program.
 type bench struct {
 	bin    string
 	sizes  []string
 	stdout io.Writer
 }
 
-// Main runs the measurements and returns the exit code.
+// Main runs the measurements and returns the exit code: 1 if one fails, 2 for wrong flags.
 func Main(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("stoneworks-bench", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	bin := flags.String("bin", "bin", "where the programs are")
-	sizes := flags.String("boxes", "6 12 24 48 72", "the numbers of boxes whose control is measured")
-	what := flags.String("what", "all", "latency, boxes, services or all")
+	bin := flags.String("bin", "bin", "directory of the programs")
+	sizes := flags.String("boxes", "6 12 24 48 72", "numbers of boxes of the deployments measured without requests")
+	what := flags.String("what", "all", "what to measure: latency, boxes, services or all")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
@@ -51,12 +52,14 @@
 	return 0
 }
 
+// measure prints one measurement.
 func (b *bench) measure(name string, value float64, unit string) {
 	fmt.Fprintf(b.stdout, "MEASURE %s %.4g %s\n", name, value, unit)
 }
 
-// with runs f against a deployment of the shape with its services created.
-func (b *bench) with(shape harness.Shape, f func(*harness.Deployment) error) error {
+// withDeployment starts a deployment of the shape, creates its services, runs f and stops the
+// deployment.
+func (b *bench) withDeployment(shape harness.Shape, f func(*harness.Deployment) error) error {
 	dir, err := os.MkdirTemp("", "stoneworks-bench-")
 	if err != nil {
 		return err
@@ -78,7 +81,9 @@
 	return f(d)
 }
 
-func operator(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
+// operatorsClient returns a client of the first box's operator interface, and a function that
+// closes it.
+func operatorsClient(d *harness.Deployment) (pb.OperatorsClient, func(), error) {
 	conn, err := grpc.NewClient("passthrough:///"+d.Operators(0), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return nil, nil, err
@@ -86,8 +91,9 @@
 	return pb.NewOperatorsClient(conn), func() { _ = conn.Close() }, nil
 }
 
+// createService creates service i of the deployment's shape.
 func createService(d *harness.Deployment, i int) (*pb.ServiceReply, error) {
-	client, done, err := operator(d)
+	client, done, err := operatorsClient(d)
 	if err != nil {
 		return nil, err
 	}
--- a/test/bench/bench_control.go
+++ b/test/bench/bench_control.go
@@ -12,11 +12,11 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// restTime is how long a deployment is watched.
-const restTime = 10 * time.Second
+// measureTime is the length of each measurement.
+const measureTime = 10 * time.Second
 
-// controlByBoxes measures what control costs a box at rest, by the number of
-// boxes; the regions stay three.
+// controlByBoxes measures the control traffic and resources of a box without requests, for
+// different numbers of boxes in three regions.
 func (b *bench) controlByBoxes() error {
 	for _, size := range b.sizes {
 		boxes, err := strconv.Atoi(size)
@@ -27,15 +27,15 @@
 			Name: "rest", Regions: []string{"one", "two", "three"}, Boxes: boxes, Slots: 4,
 			Services: []harness.ServiceShape{{Name: "shop", Servers: 12, ServiceMS: 1}},
 		}
-		if err := b.with(shape, func(d *harness.Deployment) error { return b.rest(d, fmt.Sprintf("control.boxes.%d", boxes)) }); err != nil {
+		if err := b.withDeployment(shape, func(d *harness.Deployment) error { return b.measureIdle(d, fmt.Sprintf("control.boxes.%d", boxes)) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// controlByServices measures the same by the number of services, and what a
-// burst of changes costs.
+// controlByServices measures the same for different numbers of services, first without changes
+// and then while a service is changed.
 func (b *bench) controlByServices() error {
 	for _, services := range []int{1, 10, 40} {
 		shape := harness.Shape{Name: "services", Regions: []string{"one", "two", "three"}, Boxes: 12, Slots: 4}
@@ -43,11 +43,11 @@
 			shape.Services = append(shape.Services, harness.ServiceShape{Name: fmt.Sprintf("s%d", i), Servers: 1, ServiceMS: 1})
 		}
 		name := fmt.Sprintf("control.services.%d", services)
-		if err := b.with(shape, func(d *harness.Deployment) error {
-			if err := b.rest(d, name); err != nil {
+		if err := b.withDeployment(shape, func(d *harness.Deployment) error {
+			if err := b.measureIdle(d, name); err != nil {
 				return err
 			}
-			return b.changes(d, name+".changes")
+			return b.measureChanges(d, name+".changes")
 		}); err != nil {
 			return err
 		}
@@ -55,24 +55,26 @@
 	return nil
 }
 
-// usage is what a box has used since its start.
+// usage is the processor time, peer traffic in bytes and peer calls since the start of the boxes.
 type usage struct {
 	cpu   time.Duration
 	bytes float64
 	calls float64
 }
 
-func (b *bench) rest(d *harness.Deployment, name string) error {
+// measureIdle measures a deployment without requests or changes, 3 s after its services were
+// created.
+func (b *bench) measureIdle(d *harness.Deployment, name string) error {
 	time.Sleep(3 * time.Second)
-	return b.over(d, name, func() error {
-		time.Sleep(restTime)
+	return b.measureDuring(d, name, func() error {
+		time.Sleep(measureTime)
 		return nil
 	})
 }
 
-// changes changes one service 20 times a second for the resting time.
-func (b *bench) changes(d *harness.Deployment, name string) error {
-	client, done, err := operator(d)
+// measureChanges measures while it updates one service up to 20 times a second.
+func (b *bench) measureChanges(d *harness.Deployment, name string) error {
+	client, done, err := operatorsClient(d)
 	if err != nil {
 		return err
 	}
@@ -80,8 +82,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	service := d.Shape.Services[0].Name
-	return b.over(d, name, func() error {
-		for end := time.Now().Add(restTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	return b.measureDuring(d, name, func() error {
+		for end := time.Now().Add(measureTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			current, err := client.GetService(ctx, &pb.GetServiceRequest{Name: service})
 			if err != nil {
 				return err
@@ -94,13 +96,14 @@
 	})
 }
 
-// over prints the mean use of a box while f runs.
-func (b *bench) over(d *harness.Deployment, name string, f func() error) error {
-	before, began, calls := b.use(d), time.Now(), d.PlatformCalls()
+// measureDuring prints the mean usage of a box while f runs, the highest peak memory of any box,
+// and the rate of calls to the platform.
+func (b *bench) measureDuring(d *harness.Deployment, name string, f func() error) error {
+	before, began, calls := b.totalUsage(d), time.Now(), d.PlatformCalls()
 	if err := f(); err != nil {
 		return err
 	}
-	after, took := b.use(d), time.Since(began).Seconds()
+	after, took := b.totalUsage(d), time.Since(began).Seconds()
 	n := float64(d.Shape.Boxes)
 	memory := int64(0)
 	for i := range d.Shape.Boxes {
@@ -118,8 +121,8 @@
 	return nil
 }
 
-// use sums the use of all boxes.
-func (b *bench) use(d *harness.Deployment) usage {
+// totalUsage returns the sum of the usage of all boxes.
+func (b *bench) totalUsage(d *harness.Deployment) usage {
 	var sum usage
 	for i := range d.Shape.Boxes {
 		sum.cpu += d.CPU(i)
@@ -129,7 +132,7 @@
 	return sum
 }
 
-// metric reads a counter of a box.
+// metric returns the count of a box's metric, or 0 if it cannot be read.
 func metric(admin, name string) float64 {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
--- a/test/harness/load.go
+++ b/test/harness/load.go
@@ -17,37 +17,37 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// Sample is the end of one request of a load.
+// Sample is the result of one request of a load.
 type Sample struct {
-	Zone    string
-	Service string
-	Key     string
-	ID      string
-	Once    bool
-	Result  *caller.Result
-	Err     error
-	Took    time.Duration
-	Wrong   string
+	Zone       string
+	Service    string
+	Key        string
+	ID         string
+	AtMostOnce bool
+	Result     *caller.Result
+	Err        error
+	Took       time.Duration
+	Problem    string
 }
 
 // Load sends requests from clients in every zone and checks each answer.
 type Load struct {
 	Deployment *Deployment
-	// Clients in each zone, each sending one request after the other.
+	// Clients is the number of clients in each zone. A client sends one request at a time.
 	Clients int
-	// Requests that each client sends; Pause between them.
+	// Requests is the number of requests that each client sends, with Pause between them.
 	Requests int
 	Pause    time.Duration
 	Timeout  time.Duration
-	// Make returns the n-th request of a client.
-	Make func(service string, n int) caller.Request
+	// NewRequest returns the n-th request of a client.
+	NewRequest func(service string, n int) caller.Request
 
 	mu      sync.Mutex
 	samples []Sample
 }
 
-// MixedRequests sends three requests that may be repeated for each one that
-// may not.
+// MixedRequests returns the n-th request of a mix: three requests that may be repeated, then one
+// that runs at most once.
 func MixedRequests(service string, n int) caller.Request {
 	r := caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item/%d", n%50), MayRepeat: true}
 	r.Header = [][2]string{{"X-Track", fmt.Sprint(n % 50)}}
@@ -69,10 +69,11 @@
 	return l.samples
 }
 
+// client sends the requests of one client.
 func (l *Load) client(ctx context.Context, zone string, n int) {
 	d := l.Deployment
 	boxes := d.AllCallers()
-	// Each client starts at another box.
+	// Clients start at different boxes.
 	start := n % len(boxes)
 	c := caller.New(d.Shape.ClientOf(zone, n), append(boxes[start:len(boxes):len(boxes)], boxes[:start]...)...)
 	defer c.Close()
@@ -81,21 +82,22 @@
 			return
 		}
 		service := d.Shape.Services[(i+n)%len(d.Shape.Services)].Name
-		l.add(l.one(ctx, c, zone, l.Make(service, i)))
+		l.add(l.send(ctx, c, zone, l.NewRequest(service, i)))
 		time.Sleep(l.Pause)
 	}
 }
 
-func (l *Load) one(ctx context.Context, c *caller.Client, zone string, r caller.Request) Sample {
+// send sends one request with a new id.
+func (l *Load) send(ctx context.Context, c *caller.Client, zone string, r caller.Request) Sample {
 	ctx, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
 	r.ID = NewID()
 	started := time.Now()
 	result, err := c.Do(ctx, r)
-	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, Once: r.AtMostOnce, Result: result, Err: err, Took: time.Since(started)}
+	s := Sample{Zone: zone, Service: r.Service, ID: r.ID, AtMostOnce: r.AtMostOnce, Result: result, Err: err, Took: time.Since(started)}
 	if result != nil {
 		s.Key = result.Key
-		s.Wrong = CheckAnswer(r, result)
+		s.Problem = CheckAnswer(r, result)
 	}
 	return s
 }
@@ -106,41 +108,41 @@
 	l.samples = append(l.samples, s)
 }
 
-// CheckAnswer says what is wrong with an answer; "" if nothing is.
+// CheckAnswer returns what is wrong with an answer, or "" if it is the expected one.
 func CheckAnswer(r caller.Request, result *caller.Result) string {
 	if result.Outcome != outcome.Answered {
 		return ""
 	}
 	sum := sha256.Sum256(r.Body)
-	want := standin.Expected(r.ID, hex.EncodeToString(sum[:]), int64(len(r.Body)))
+	want := standin.ExpectedAnswer(r.ID, hex.EncodeToString(sum[:]), int64(len(r.Body)))
 	if string(result.Body) != want {
 		return fmt.Sprintf("answer %q, want %q", result.Body, want)
 	}
 	return ""
 }
 
-// CheckRuns says what the backend servers' own records show to be wrong: a
-// request run twice that may not be, or one run that was said not to be.
+// CheckRuns returns the errors in the answers and in the backend servers' records: a request
+// that runs at most once but ran twice, or one that ran although its caller was told not-run.
 func CheckRuns(samples []Sample, records map[string]standin.Record) []string {
 	var wrong []string
 	runsByID := RunsByID(records)
 	for _, s := range samples {
-		if s.Wrong != "" {
-			wrong = append(wrong, s.Service+": "+s.Wrong)
+		if s.Problem != "" {
+			wrong = append(wrong, s.Service+": "+s.Problem)
 		}
 		runs := runsByID[s.ID]
-		if s.Once && runs > 1 {
+		if s.AtMostOnce && runs > 1 {
 			wrong = append(wrong, fmt.Sprintf("%s ran %d times", s.ID, runs))
 		}
 		if s.Result != nil && s.Result.Outcome == outcome.NotRun && runs > 0 {
-			wrong = append(wrong, fmt.Sprintf("%s ran, but its caller was told it was not run", s.ID))
+			wrong = append(wrong, fmt.Sprintf("%s ran, but the outcome its caller got is not-run", s.ID))
 		}
 	}
 	return wrong
 }
 
-// RunsByID counts runs by the caller's own id, which ends every key that the
-// request was sent with: a caller may have gone through several keys.
+// RunsByID counts runs by the caller's own id. A caller may send a request with several keys;
+// each of them ends with its id.
 func RunsByID(records map[string]standin.Record) map[string]int {
 	counts := map[string]int{}
 	for _, r := range records {
@@ -151,13 +153,14 @@
 	return counts
 }
 
-// Totals counts samples.
+// Totals is a summary of samples.
 type Totals struct {
 	Requests, Answered, NotRun, Unknown int
 	P50, P99                            time.Duration
 }
 
-// Count sums samples up.
+// Count counts samples by outcome. A request without a result counts as not run. P50 and P99
+// are of the answered ones.
 func Count(samples []Sample) Totals {
 	t := Totals{Requests: len(samples)}
 	var times []time.Duration
@@ -182,7 +185,7 @@
 	return t
 }
 
-// Reasons lists how often each reason ended a request.
+// Reasons returns how often requests failed by outcome and reason, as "OUTCOME.REASON=COUNT".
 func Reasons(samples []Sample) string {
 	counts := map[string]int{}
 	for _, s := range samples {
--- a/test/load/load.go
+++ b/test/load/load.go
@@ -1,5 +1,5 @@
-// Package load runs a deployment in the shape of the users' machines as
-// separate processes and plays a seeded load against it.
+// Package load runs a deployment like that of the users' machines as separate processes and
+// sends it a seeded load while it injects faults.
 package load
 
 import (
@@ -22,38 +22,39 @@
 	"github.com/stoneworks/stoneworks/test/processes"
 )
 
-// The load.
+// Size of the deployment and of the load.
 const (
-	boxCount     = 6
-	networks     = "127.93"
-	keys         = 40
-	work         = 15 * time.Millisecond
-	slots        = 4
-	pause        = 30 * time.Millisecond
-	clientsEach  = 4
-	startTime    = 10 * time.Second
-	leastShare   = 0.97
-	serversEach  = 2
-	troublePause = 900 * time.Millisecond
+	boxCount         = 6
+	networkPrefix    = "127.93"
+	keys             = 40
+	serviceTime      = 15 * time.Millisecond
+	slots            = 4
+	pause            = 30 * time.Millisecond
+	clientsPerBox    = 4
+	startTimeout     = 10 * time.Second
+	minAnsweredShare = 0.97
+	serversPerZone   = 2
+	faultInterval    = 900 * time.Millisecond
 )
 
+// routes are the routes of the configuration, one of each kind of request.
 var routes = []machines.Route{
 	{Prefix: "/read/", Kind: "safe", Service: "shop", TimeoutMS: 1500},
 	{Prefix: "/buy/", Kind: "unsafe", Service: "shop", TimeoutMS: 1500},
 	{Prefix: "/up/", Kind: "upload", Service: "desk", TimeoutMS: 3000},
 }
 
-// result is what a client got.
+// result is the result of one request at its client.
 type result struct {
-	id     string
-	kind   string
-	status int
-	whole  bool
-	took   time.Duration
+	id       string
+	kind     string
+	status   int
+	complete bool
+	took     time.Duration
 }
 
-// player is one run.
-type player struct {
+// run is one run of the program.
+type run struct {
 	bin, dir string
 	network  *addresses.Network
 	store    *machines.Store
@@ -70,10 +71,10 @@
 func Main(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("stoneworks-machines", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	bin := flags.String("bin", "bin", "where the programs are")
-	seed := flags.Int64("seed", 1, "what the load and the troubles are drawn from")
+	bin := flags.String("bin", "bin", "directory of the programs")
+	seed := flags.Int64("seed", 1, "seed of the load")
 	length := flags.Duration("for", 12*time.Second, "how long the load lasts")
-	calm := flags.Bool("calm", false, "no troubles")
+	calm := flags.Bool("calm", false, "inject no faults")
 	if err := flags.Parse(args); err != nil {
 		return 2
 	}
@@ -82,20 +83,21 @@
 		fmt.Fprintln(stderr, err)
 		return 1
 	}
-	p := &player{bin: *bin, dir: dir, random: rand.New(rand.NewSource(*seed)), stdout: stdout}
+	p := &run{bin: *bin, dir: dir, random: rand.New(rand.NewSource(*seed)), stdout: stdout}
 	defer p.close()
 	fmt.Fprintf(stdout, "seed %d, logs in %s\n", *seed, dir)
 	if err := p.prepare(); err != nil {
 		fmt.Fprintln(stderr, err)
 		return 1
 	}
-	p.play(*length, *calm)
-	return p.judge()
+	p.runLoad(*length, *calm)
+	return p.report()
 }
 
-func (p *player) close() {
+// close kills the boxes and stops the stand-ins.
+func (p *run) close() {
 	for _, b := range p.boxes {
-		b.End()
+		b.Kill()
 	}
 	if p.fleet != nil {
 		p.fleet.Close()
@@ -105,10 +107,10 @@
 	}
 }
 
-// prepare starts the store, the servers and the boxes.
-func (p *player) prepare() error {
+// prepare starts the store, the servers and the boxes, and waits until the boxes are ready.
+func (p *run) prepare() error {
 	var err error
-	if p.network, err = addresses.Reserve(networks); err != nil {
+	if p.network, err = addresses.Reserve(networkPrefix); err != nil {
 		return err
 	}
 	fleet, err := machines.NewFleet(p.network.Prefix, io.Discard)
@@ -119,8 +121,8 @@
 	fleet.Configure(1, routes...)
 	for _, z := range machines.Zones {
 		for _, service := range []string{"shop", "desk"} {
-			for i := range serversEach {
-				if _, err := fleet.AddServer(fmt.Sprintf("%s-%s-%d", service, z.Zone, i), service, z.Zone, slots, work); err != nil {
+			for i := range serversPerZone {
+				if _, err := fleet.AddServer(fmt.Sprintf("%s-%s-%d", service, z.Zone, i), service, z.Zone, slots, serviceTime); err != nil {
 					return err
 				}
 			}
@@ -141,7 +143,7 @@
 		p.boxes = append(p.boxes, b)
 	}
 	for _, b := range p.boxes {
-		if err := b.WaitReady(startTime); err != nil {
+		if err := b.WaitReady(startTimeout); err != nil {
 			return err
 		}
 	}
@@ -149,24 +151,26 @@
 }
 
 // ----------------------------------------------------------------
-// Playing
+// Load and faults
 // ----------------------------------------------------------------
 
-func (p *player) play(length time.Duration, calm bool) {
+// runLoad runs the clients for a while and, unless calm is set, injects the faults.
+func (p *run) runLoad(length time.Duration, calm bool) {
 	end := time.Now().Add(length)
 	var clients conc.WaitGroup
-	for i := range clientsEach * boxCount {
+	for i := range clientsPerBox * boxCount {
 		random := rand.New(rand.NewSource(p.random.Int63()))
 		clients.Go(func() { p.client(i, random, end) })
 	}
 	if !calm {
-		p.trouble(end)
+		p.injectFaults(end)
 	}
 	clients.Wait()
 }
 
-// client sends requests until the end, to the boxes in turn when one fails.
-func (p *player) client(number int, random *rand.Rand, end time.Time) {
+// client sends requests until the end. After a failed request or a status of 500 or more, it
+// continues with the next box.
+func (p *run) client(number int, random *rand.Rand, end time.Time) {
 	box := number % boxCount
 	c := &machines.Client{Address: p.boxes[box].Clients()}
 	defer func() { c.Close() }()
@@ -183,32 +187,33 @@
 	}
 }
 
-func (p *player) attempt(c *machines.Client, r machines.Route, id string, random *rand.Rand) *machines.Answer {
+// attempt sends one request and records its result.
+func (p *run) attempt(c *machines.Client, r machines.Route, id string, random *rand.Rand) *machines.Answer {
 	method, body := "GET", ""
 	if r.Kind != "safe" {
 		method, body = "POST", "body of "+id
 	}
 	extra := fmt.Sprintf("X-Stoneworks-Affinity-Key: %d\r\nX-Stoneworks-Request-Timeout-Ms: 3000\r\n", random.Intn(keys))
 	answer := c.Do(method, r.Prefix+"1", id, body, extra)
-	whole := answer.Problem == nil && answer.Body == machines.AnswerBody(id)
+	complete := answer.Problem == nil && answer.Body == machines.AnswerBody(id)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.results = append(p.results, result{id: id, kind: r.Kind, status: answer.Status, whole: whole, took: answer.Took})
+	p.results = append(p.results, result{id: id, kind: r.Kind, status: answer.Status, complete: complete, took: answer.Took})
 	return answer
 }
 
-// trouble brings about the failures of an ordinary day, one after the other.
-func (p *player) trouble(end time.Time) {
+// injectFaults injects the faults one after the other, until they are done or the load ends.
+func (p *run) injectFaults(end time.Time) {
 	server := p.fleet.Servers["shop-east-a-0"]
-	turnedAway, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
+	rejected, frozen, killed, stopped := p.boxes[2], p.boxes[3], p.boxes[4], p.boxes[5]
 	for _, t := range []struct {
 		what string
 		do   func()
 	}{
 		{"draining " + server.ID, func() { p.fleet.PutServer(server, "shop", "east-a", "draining", 0) }},
-		{"the store turns " + turnedAway.Name + " away", func() {
+		{"the store rejects calls of " + rejected.Name + " with 503", func() {
 			p.store.SetMode(func(ip, _ string) machines.Mode {
-				if ip == turnedAway.IP {
+				if ip == rejected.IP {
 					return machines.Busy
 				}
 				return machines.Serving
@@ -217,12 +222,12 @@
 		{"evacuating east-b", func() { p.store.Put("evacuations", "east-b", map[string]any{}) }},
 		{"freezing " + frozen.Name, func() { frozen.Signal(syscall.SIGSTOP) }},
 		{"a new configuration", func() { p.fleet.Configure(2, routes...) }},
-		{"waking " + frozen.Name, func() { frozen.Signal(syscall.SIGCONT) }},
+		{"continuing " + frozen.Name, func() { frozen.Signal(syscall.SIGCONT) }},
 		{"killing " + killed.Name, func() { killed.Signal(syscall.SIGKILL) }},
-		{"taking east-b back", func() { p.store.Delete("evacuations", "east-b") }},
+		{"ending the evacuation of east-b", func() { p.store.Delete("evacuations", "east-b") }},
 		{"stopping " + stopped.Name, func() { stopped.Signal(syscall.SIGTERM) }},
 	} {
-		time.Sleep(troublePause)
+		time.Sleep(faultInterval)
 		if time.Now().After(end) {
 			return
 		}
@@ -232,11 +237,12 @@
 }
 
 // ----------------------------------------------------------------
-// Judging
+// Results
 // ----------------------------------------------------------------
 
-// judge prints the table and returns the exit code.
-func (p *player) judge() int {
+// report prints the results by kind of request. It returns exit code 1 if a result is wrong or
+// less than minAnsweredShare of the requests are answered.
+func (p *run) report() int {
 	ran := map[string]int{}
 	for _, s := range p.fleet.Servers {
 		for _, r := range s.Runs() {
@@ -255,7 +261,7 @@
 			}
 			times = append(times, got.took)
 			switch {
-			case got.status == http.StatusOK && got.whole:
+			case got.status == http.StatusOK && got.complete:
 				answered++
 			case got.status == http.StatusServiceUnavailable:
 				refused++
@@ -264,7 +270,7 @@
 			default:
 				unknown++
 			}
-			wrong += p.wrong(got, ran[got.id])
+			wrong += p.checkResult(got, ran[got.id])
 		}
 		sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\n", r.Kind, len(times), answered, refused, unknown, none,
@@ -274,23 +280,24 @@
 	}
 	_ = table.Flush()
 	fmt.Fprintf(p.stdout, "machines: %d requests, %d answered, %d wrong\n", total, served, wrong)
-	if wrong > 0 || float64(served) < leastShare*float64(total) {
+	if wrong > 0 || float64(served) < minAnsweredShare*float64(total) {
 		return 1
 	}
 	return 0
 }
 
-// wrong counts what must not be: an answer that is not the whole one, an
-// unsafe request that ran twice, one that ran though it was refused.
-func (p *player) wrong(r result, runs int) int {
+// checkResult prints a result that violates a promise and returns 1 for it: a success with an
+// incomplete or wrong answer, or a request other than a safe one that ran more than once or ran
+// although it was refused.
+func (p *run) checkResult(r result, runs int) int {
 	problem := ""
 	switch {
-	case r.status == http.StatusOK && !r.whole:
-		problem = "a success that is not the whole answer"
+	case r.status == http.StatusOK && !r.complete:
+		problem = "status 200 with an incomplete or wrong answer"
 	case r.kind != "safe" && runs > 1:
 		problem = "ran more than once"
 	case r.kind != "safe" && runs > 0 && r.status == http.StatusServiceUnavailable:
-		problem = "refused, and ran"
+		problem = "refused with status 503, but ran"
 	}
 	if problem == "" {
 		return 0
@@ -299,6 +306,7 @@
 	return 1
 }
 
+// quantile returns a quantile of sorted durations, in milliseconds.
 func quantile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/test/soak/clients.go
+++ b/test/soak/clients.go
@@ -99,7 +99,7 @@
 func newRequest(b *processes.Box, route *machines.Route, random *rand.Rand) Request {
 	q := Request{
 		ID: newID(), Kind: route.Kind, Method: "GET", Target: route.Prefix + fmt.Sprint(random.Intn(1000)),
-		Box: b.IP, Incarnation: b.Life(), Timeout: time.Duration(route.TimeoutMS) * time.Millisecond, Sent: time.Now(),
+		Box: b.IP, Incarnation: b.Incarnation(), Timeout: time.Duration(route.TimeoutMS) * time.Millisecond, Sent: time.Now(),
 	}
 	if route.Kind != "safe" {
 		q.Method, q.Body = "POST", "body of "+q.ID
@@ -177,7 +177,7 @@
 		newest := 0
 		r.update(func(h *History) { newest = h.Configurations[len(h.Configurations)-1].Version })
 		version := max(1, newest-n%2)
-		incarnation, at := b.Life(), time.Now()
+		incarnation, at := b.Incarnation(), time.Now()
 		q := Request{
 			ID: newID(), Kind: "safe", Method: "GET", Target: markerRoute(version).Prefix, Box: b.IP, Incarnation: incarnation,
 			Timeout: time.Second + 200*time.Millisecond, Sent: at,
@@ -198,7 +198,7 @@
 			} else {
 				h.SideRequests = append(h.SideRequests, q)
 			}
-			if incarnation == b.Life() {
+			if incarnation == b.Incarnation() {
 				h.Probes = append(h.Probes, Probe{Box: b.IP, Incarnation: incarnation, Version: version, At: at, Status: q.Status})
 			}
 		})
--- a/test/soak/crashes.go
+++ b/test/soak/crashes.go
@@ -55,7 +55,7 @@
 			b := r.boxes[i%len(r.boxes)]
 			c := &machines.Client{Address: b.Clients()}
 			q := Request{
-				ID: newID(), Kind: "safe", Method: "GET", Target: target, Box: b.IP, Incarnation: b.Life(),
+				ID: newID(), Kind: "safe", Method: "GET", Target: target, Box: b.IP, Incarnation: b.Incarnation(),
 				Timeout: time.Duration(routes[0].TimeoutMS) * time.Millisecond, Sent: time.Now(),
 			}
 			r.update(func(h *History) { h.SideRequests = append(h.SideRequests, q) })
--- a/test/soak/customers.go
+++ b/test/soak/customers.go
@@ -82,7 +82,7 @@
 // sendSideRequest sends a request that does not count in the recovery.
 func (r *run) sendSideRequest(c *machines.Client, b *processes.Box, key string) Request {
 	q := Request{
-		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Incarnation: b.Life(),
+		ID: newID(), Kind: "safe", Method: "GET", Target: "/read/aside", Box: b.IP, Incarnation: b.Incarnation(),
 		Timeout: time.Second + 200*time.Millisecond, Sent: time.Now(),
 	}
 	answer := c.Do(q.Method, q.Target, q.ID, "", customerHeaders(key)+"X-Stoneworks-Request-Timeout-Ms: 1000\r\n")
