--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -31,10 +31,10 @@
 const controlEnv = "STONEWORKS_CONTROL"
 
 // proveEnv is set by make prove; without it only the promises up to
-// lastInEveryRun are proved, whose proofs assert no times.
+// lastUntimedPromise are proved, whose proofs assert no times.
 const (
-	proveEnv       = "STONEWORKS_PROVE"
-	lastInEveryRun = 3
+	proveEnv           = "STONEWORKS_PROVE"
+	lastUntimedPromise = 3
 )
 
 func TestMain(m *testing.M) {
@@ -75,7 +75,7 @@
 	if controlled := os.Getenv(controlEnv); controlled != "" && controlled != control {
 		t.Skip("another mechanism is switched off")
 	}
-	if (n == mixedNumber || n > lastInEveryRun) && os.Getenv(proveEnv) == "" {
+	if (n == mixedNumber || n > lastUntimedPromise) && os.Getenv(proveEnv) == "" {
 		t.Skip("make prove runs it")
 	}
 	p := &proof{t: t, n: n}
