--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -35,7 +35,7 @@
 	prove(t, 3, "reuse-any", func(p *proof) {
 		l := p.start("small")
 		p.lateAndCrossed(l)
-		if len(p.wrong) == 0 {
+		if len(p.violations) == 0 {
 			p.awaitAnswers()
 			p.streams(l)
 		}
--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -28,7 +28,7 @@
 		l := p.start("small")
 		w := p.watchRevisions()
 		p.plainChanges()
-		if len(p.wrong) > 0 {
+		if len(p.violations) > 0 {
 			// Nothing holds without its mechanism; the rest cannot run.
 			w.end()
 			return
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -61,11 +61,11 @@
 	// links are the deployment's proxies.
 	links *links
 
-	mu       sync.Mutex
-	faults   int
-	requests int
-	wrong    []string
-	figures  []string
+	mu         sync.Mutex
+	faults     int
+	requests   int
+	violations []string
+	figures    []string
 	// frozen is one more than the number of the box that stands still.
 	frozen int
 }
@@ -90,7 +90,7 @@
 func (p *proof) verdict(isControl bool) {
 	state := "held"
 	switch {
-	case len(p.wrong) > 0:
+	case len(p.violations) > 0:
 		state = "broken"
 	case p.faults == 0 || p.requests == 0:
 		state = "unproved"
@@ -100,11 +100,11 @@
 			p.t.Errorf("CONTROL %d %s: the proof cannot fail", p.n, state)
 			return
 		}
-		fmt.Printf("CONTROL %s broken as expected: %d violations, such as: %s\n", promiseName(p.n), len(p.wrong), p.wrong[0])
+		fmt.Printf("CONTROL %s broken as expected: %d violations, such as: %s\n", promiseName(p.n), len(p.violations), p.violations[0])
 		return
 	}
 	fmt.Printf("PROMISE %s %s faults=%d requests=%d %s\n", promiseName(p.n), state, p.faults, p.requests, strings.Join(p.figures, " "))
-	for _, w := range p.wrong {
+	for _, w := range p.violations {
 		p.t.Errorf("promise %d: %s", p.n, w)
 	}
 }
@@ -119,7 +119,7 @@
 func (p *proof) violated(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wrong = append(p.wrong, fmt.Sprintf(format, args...))
+	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
 
 func (p *proof) figure(format string, args ...any) {
