--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -54,7 +54,7 @@
 	for range 10 {
 		key, id := p.keyOf(0)
 		a, b := p.both(0, 0, buy(50, ""), key, id)
-		p.fault()
+		p.countFault()
 		p.atMostOnce("twice at once on one box", key)
 		if a.Outcome != outcome.Answered || b.Outcome != outcome.Answered {
 			p.violated("twice at once on one box: %s %s, %s %s", a.Outcome, a.Reason, b.Outcome, b.Reason)
@@ -66,7 +66,7 @@
 	for i := range 10 {
 		key, id := p.keyOf(0)
 		p.both(1+i%4, 2+i%3, buy(50, ""), key, id)
-		p.fault()
+		p.countFault()
 		p.atMostOnce("through two boxes at once", key)
 	}
 }
@@ -76,7 +76,7 @@
 	for i := range 6 {
 		key, id := p.keyOf(0)
 		p.submit(0, buy(200, ""), key, id, 50*time.Millisecond)
-		p.fault()
+		p.countFault()
 		p.submit(i%6, buy(200, ""), key, id, 5*time.Second)
 		p.atMostOnce("answer lost", key)
 	}
@@ -88,7 +88,7 @@
 		for i := range 4 {
 			key, id := p.keyOf(0)
 			p.submit(0, buy(5, fault), key, id, 300*time.Millisecond)
-			p.fault()
+			p.countFault()
 			p.submit(i, buy(5, fault), key, id, 300*time.Millisecond)
 			p.atMostOnce("backend server: "+fault, key)
 		}
@@ -106,7 +106,7 @@
 	}
 	fresh, freshID := p.keyOf(0)
 	l.cutBox(p.d, 0)
-	p.fault()
+	p.countFault()
 	for until := time.Now().Add(8 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
 		for key, id := range keys {
 			p.submit(3, buy(5, ""), key, id, 300*time.Millisecond)
@@ -131,7 +131,7 @@
 // without, which must not run.
 func (p *proof) platformDown(l *links) {
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{Down: true}))
-	p.fault()
+	p.countFault()
 	for i := range 4 {
 		key, id := p.keyOf(0)
 		p.submit(0, buy(5, ""), key, id, 2*time.Second)
@@ -165,7 +165,7 @@
 				wg.Go(func() { p.submit(i, buy(20, ""), key, id, 5*time.Second) })
 			}
 			wg.Wait()
-			p.fault()
+			p.countFault()
 			p.submit(5, buy(20, ""), key, id, 5*time.Second)
 			p.atMostOnce("claims race", key)
 			if !lose && p.runs(key) != 1 {
@@ -188,7 +188,7 @@
 	}
 	p.awaitRun(keys[0])
 	p.d.Freeze(1)
-	p.fault()
+	p.countFault()
 	late, lateID := p.keyOf(1 + 4) // box 5 shares the zone
 	_ = late
 	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
@@ -218,7 +218,7 @@
 	}
 	p.awaitRun(keys[3])
 	p.d.Kill(2)
-	p.fault()
+	p.countFault()
 	wg.Wait()
 	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
 		for n, key := range keys {
@@ -240,7 +240,7 @@
 	p.submit(3, buy(5, ""), key, id, 2*time.Second)
 	p.must(p.d.Signal(3, syscall.SIGKILL))
 	p.d.Kill(3)
-	p.fault()
+	p.countFault()
 	p.must(p.d.StartBox(2))
 	p.must(p.d.StartBox(3))
 	p.must(p.d.WaitReady(2))
--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -56,7 +56,7 @@
 // send submits a request that may be repeated and one that may not.
 func (w *witness) send(what string, box int, path, fault string, body []byte, within time.Duration) {
 	p := w.p
-	p.fault()
+	p.countFault()
 	var header [][2]string
 	if fault != "" {
 		header = [][2]string{{"X-Fault", fault}}
@@ -137,7 +137,7 @@
 		return err
 	}
 	for i := range 6 {
-		w.p.fault()
+		w.p.countFault()
 		id := harness.NewID()
 		r := w.p.submit(i, caller.Request{Service: s.Name, Method: "GET", Path: "/"}, "", id, time.Second)
 		w.add("refused", id, r)
@@ -189,7 +189,7 @@
 		})
 	}
 	wg.Wait()
-	w.p.fault()
+	w.p.countFault()
 }
 
 // handOffCut loses a box while it works on what others handed to it.
@@ -237,7 +237,7 @@
 		wg.Go(func() { w.load(what, box, stop) })
 	}
 	time.Sleep(200 * time.Millisecond)
-	w.p.fault()
+	w.p.countFault()
 	f()
 	time.Sleep(100 * time.Millisecond)
 	close(stop)
--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -107,7 +107,7 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 		proxies[dice.IntN(len(proxies))].SetAll(faults[dice.IntN(len(faults))])
-		p.fault()
+		p.countFault()
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	for _, query := range []string{"", "&chunked=1"} {
 		for _, zone := range []string{"north-a", "south-b"} {
-			p.fault()
+			p.countFault()
 			if n, err := p.download(zone, query); err == nil {
 				p.violated("a stream cut at 7 MB passed for whole with %d bytes", n)
 			}
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -29,7 +29,7 @@
 		slowest := time.Duration(0)
 		for i := range p.d.Shape.Boxes {
 			began := time.Now()
-			p.fault()
+			p.countFault()
 			if code := p.d.Terminate(i); code != 0 {
 				p.violated("box %d exited with %d", i, code)
 			}
--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -103,14 +103,14 @@
 func abs(x float64) float64 { return max(x, -x) }
 
 func (p *proof) plannedShift() {
-	p.fault()
+	p.countFault()
 	p.must(p.shift(0, 0.3))
 	p.awaitShare(0.3, 0, 1, 3)
 }
 
 // twoOperators change the same service at the same moment.
 func (p *proof) twoOperators() {
-	p.fault()
+	p.countFault()
 	current, err := p.operator(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	p.must(err)
 	var errs [2]error
@@ -152,14 +152,14 @@
 	p.must(p.shift((planner+1)%6, 0.0))
 	time.Sleep(3 * time.Second)
 	p.d.Freeze(planner)
-	p.fault()
+	p.countFault()
 	time.Sleep(8 * time.Second)
 	p.d.Thaw(planner)
 	p.awaitShare(0, 0, 1, 3)
 	p.must(p.shift((planner+1)%6, 0.2))
 	time.Sleep(2500 * time.Millisecond)
 	p.d.Kill(planner)
-	p.fault()
+	p.countFault()
 	var others []int
 	for _, i := range []int{0, 1, 3} {
 		if i != planner {
@@ -176,10 +176,10 @@
 func (p *proof) lostPlanAnswers() {
 	p.must(p.shift(0, 0.3))
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{LoseAnswers: true, DelayMS: 30}))
-	p.fault()
+	p.countFault()
 	p.awaitShare(0.3, 0, 1, 3)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{StaleBy: 2}))
-	p.fault()
+	p.countFault()
 	time.Sleep(2 * time.Second)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 }
@@ -189,7 +189,7 @@
 func (p *proof) zoneCutOff(l *links, _ *clientWatch) {
 	l.cutBox(p.d, 1)
 	l.cutPlatform(p.d, 1)
-	p.fault()
+	p.countFault()
 	time.Sleep(3 * time.Second)
 	p.must(p.shift(0, 0.7))
 	p.awaitShare(0.7, 0, 3)
@@ -206,7 +206,7 @@
 func (p *proof) regionLost() {
 	p.d.Kill(2)
 	p.d.Kill(3)
-	p.fault()
+	p.countFault()
 	p.must(p.d.SetBoxList(p.d.BoxList()))
 	p.awaitShare(0, 0, 1)
 	p.must(p.d.StartBox(2))
--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -160,7 +160,7 @@
 	all := p.d.BoxList()
 	without := func(gone int) []platform.Box { return without(all, gone) }
 	for _, i := range []int{0, 3} {
-		p.fault()
+		p.countFault()
 		p.d.Kill(i)
 		p.must(p.d.SetBoxList(without(i)))
 		// Long enough for the others to take its part over.
@@ -169,7 +169,7 @@
 		p.must(p.d.StartBox(i))
 		time.Sleep(2 * time.Second)
 	}
-	p.fault()
+	p.countFault()
 	p.setFrozen(1)
 	p.d.Freeze(1)
 	p.must(p.d.SetBoxList(without(1)))
@@ -179,7 +179,7 @@
 	time.Sleep(2500 * time.Millisecond)
 	p.setFrozen(-1)
 	p.must(p.d.SetBoxList(all))
-	p.fault()
+	p.countFault()
 	p.d.Terminate(2)
 	p.must(p.d.StartBox(2))
 	time.Sleep(2 * time.Second)
@@ -199,7 +199,7 @@
 // callers still reach it.
 func (p *proof) boxIsCutOff(l *links) {
 	all := p.d.BoxList()
-	p.fault()
+	p.countFault()
 	l.cutBox(p.d, 0)
 	p.must(p.d.SetBoxList(without(all, 0)))
 	time.Sleep(9 * time.Second)
@@ -223,7 +223,7 @@
 
 // serversSuffer has backend servers mislead, slow down, and lose connections.
 func (p *proof) serversSuffer(l *links) {
-	p.fault()
+	p.countFault()
 	p.must(p.d.Control(p.serverName(0), standin.BackendControl{MisleadingHealth: true, ServiceMS: serviceMS}))
 	l.servers[1].SetAll(faultproxy.Fault{Delay: 40 * time.Millisecond})
 	l.servers[2].SetAll(faultproxy.Fault{Reset: true})
@@ -233,7 +233,7 @@
 
 // regionFails kills the boxes of the south; the north must not be overrun.
 func (p *proof) regionFails() {
-	p.fault()
+	p.countFault()
 	p.must(p.d.Signal(2, syscall.SIGKILL))
 	p.d.Kill(2)
 	p.d.Kill(3)
--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -88,7 +88,7 @@
 var everyBox = []int{0, 1, 2, 3, 4, 5}
 
 func (p *proof) plainChanges() {
-	p.fault()
+	p.countFault()
 	for i := range 6 {
 		revision, err := p.change(i)
 		if err != nil {
@@ -104,7 +104,7 @@
 	revision, err := p.change(0)
 	p.must(err)
 	l.platform.SetAll(faultproxy.Fault{Reset: true})
-	p.fault()
+	p.countFault()
 	p.inForce("accepted, then outage", revision, time.Now(), everyBox...)
 	_, err = p.change(1)
 	if c := status.Code(err); c != codes.Unavailable && c != codes.Unknown {
@@ -118,7 +118,7 @@
 // accepted must be in force, once, and what is not known must be said so.
 func (p *proof) lostWriteAnswers() {
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{LoseAnswers: true}))
-	p.fault()
+	p.countFault()
 	for i := range 4 {
 		revision, err := p.change(i)
 		if err != nil {
@@ -137,7 +137,7 @@
 	revision, err := p.change(2)
 	p.must(err)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{StaleBy: 3}))
-	p.fault()
+	p.countFault()
 	p.inForce("stale reads", revision, time.Now(), everyBox...)
 	// A box that starts now reads the old state and must not keep it.
 	p.d.Kill(4)
@@ -154,7 +154,7 @@
 	p.must(err)
 	p.inForce("before an outage", revision, time.Now(), everyBox...)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{Down: true}))
-	p.fault()
+	p.countFault()
 	p.d.Kill(2)
 	p.must(p.d.StartBox(2))
 	p.must(p.d.WaitReady(2))
@@ -170,7 +170,7 @@
 	p.must(err)
 	p.inForce("before the store was put back", revision, time.Now(), everyBox...)
 	p.must(p.d.RestorePlatform(3))
-	p.fault()
+	p.countFault()
 	p.d.Kill(5)
 	p.must(p.d.StartBox(5))
 	p.must(p.d.WaitReady(5))
@@ -189,7 +189,7 @@
 	p.must(err)
 	p.inForce("before the store was put back again", revision, time.Now(), everyBox...)
 	p.must(p.d.RestorePlatform(1))
-	p.fault()
+	p.countFault()
 	err = harness.WaitFor(10*time.Second, func() bool {
 		stored, err := p.d.Stored(service)
 		return err == nil && stored.Revision >= revision
@@ -213,7 +213,7 @@
 // operatorsRace has operators change the same revision at the same moment.
 func (p *proof) operatorsRace() {
 	for range 10 {
-		p.fault()
+		p.countFault()
 		current, err := p.operator(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 		p.must(err)
 		var wins, conflicts conflictCount
@@ -242,7 +242,7 @@
 // peersLinkedPlatformCut cuts the south off from the platform only.
 func (p *proof) peersLinkedPlatformCut(l *links) {
 	l.cutPlatform(p.d, 2, 3)
-	p.fault()
+	p.countFault()
 	revision, err := p.change(0)
 	p.must(err)
 	p.inForce("zones cut from the platform", revision, time.Now(), everyBox...)
@@ -253,7 +253,7 @@
 func (p *proof) zoneRejoins(l *links) {
 	l.cutBox(p.d, 3)
 	l.cutPlatform(p.d, 3)
-	p.fault()
+	p.countFault()
 	time.Sleep(8 * time.Second)
 	revision, err := p.change(0)
 	p.must(err)
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -59,7 +59,7 @@
 	for box := range p.d.Shape.Boxes {
 		key, id := p.keyOf(0)
 		p.both(box, box, buy(50, ""), key, id)
-		p.fault()
+		p.countFault()
 		p.atMostOnce("mixed: twice at once", key)
 	}
 }
@@ -79,7 +79,7 @@
 	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.dice.IntN(9)]
 	pause := time.Duration(300+m.dice.IntN(1500)) * time.Millisecond
 	m.schedule = append(m.schedule, fmt.Sprintf("%s:%d", what, box))
-	p.fault()
+	p.countFault()
 	switch what {
 	case "kill":
 		m.restore(box)
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -128,7 +128,7 @@
 	p.figures = append(p.figures, fmt.Sprintf(format, args...))
 }
 
-func (p *proof) fault() {
+func (p *proof) countFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults++
