--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -206,7 +206,7 @@
 // request is handed on.
 func (w *witness) sendFrom(what, zone string, box int, path string) {
 	p := w.p
-	p.sent(1)
+	p.countRequests(1)
 	id := harness.NewID()
 	c := caller.New(p.d.Shape.ClientOf(zone, 1), p.d.Callers(box))
 	defer c.Close()
--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -63,7 +63,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(10+dice.IntN(70))*time.Millisecond)
 				result := c.Submit(ctx, p.d.Callers(box), caller.Submission{Request: r, ID: r.ID})
 				cancel()
-				p.sent(1)
+				p.countRequests(1)
 				if wrong := harness.CheckAnswer(r, result); wrong != "" {
 					p.violated("%s", wrong)
 				}
@@ -148,7 +148,7 @@
 
 // download reads a stream through box 0 and checks every byte.
 func (p *proof) download(zone, query string) (int64, error) {
-	p.sent(1)
+	p.countRequests(1)
 	id := harness.NewID()
 	url := fmt.Sprintf("http://%s%s%s/track?bytes=%d%s", p.d.Callers(0), entry.PathRequests, service, bigBody, query)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
@@ -192,7 +192,7 @@
 
 // upload sends a large body through box 0 and checks the digest in the answer.
 func (p *proof) upload(zone string, chunked bool) error {
-	p.sent(1)
+	p.countRequests(1)
 	id := harness.NewID()
 	body := bytes.Repeat([]byte("receipt "), bigBody/8)
 	url := fmt.Sprintf("http://%s%s%s/upload", p.d.Callers(0), entry.PathRequests, service)
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -93,7 +93,7 @@
 			p.violated("no look-up: %v", err)
 			continue
 		}
-		p.sent(1)
+		p.countRequests(1)
 		if i%2 == 0 {
 			err = s.download(web, entries[0], c.Address)
 		} else {
--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -282,7 +282,7 @@
 			return
 		case <-time.After(sampleEvery):
 		}
-		p.sent(1)
+		p.countRequests(1)
 		askedBefore := asked
 		asked = time.Now()
 		r := caller.Request{Service: service, Method: "GET", Path: "/item?ms=0"}
--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -129,7 +129,7 @@
 	began := time.Now()
 	result := c.Submit(ctx, f.p.d.Callers(i), caller.Submission{Request: r, ID: fmt.Sprintf("f%d-%d-%d", f.began.UnixNano(), i, n)})
 	took := time.Since(began)
-	f.p.sent(1)
+	f.p.countRequests(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -55,7 +55,7 @@
 		return 0, err
 	}
 	current.Spec.DefaultDeadlineMs = int64(10_000 + current.Revision)
-	p.sent(1)
+	p.countRequests(1)
 	reply, err := client.UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
 	return reply.GetRevision(), err
 }
@@ -220,7 +220,7 @@
 		wg := conc.NewWaitGroup()
 		for i := range 4 {
 			wg.Go(func() {
-				p.sent(1)
+				p.countRequests(1)
 				_, err := p.operator(i).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
 				switch status.Code(err) {
 				case codes.OK:
@@ -303,7 +303,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		reply, err := client.GetService(ctx, &pb.GetServiceRequest{Name: service})
 		cancel()
-		p.sent(1)
+		p.countRequests(1)
 		switch {
 		case err != nil:
 		case reply.Revision < highest:
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -163,7 +163,7 @@
 		r := harness.MixedRequests(service, i)
 		r.ID = harness.NewID()
 		result, err := c.Do(p.ctx(2*time.Second), r)
-		p.sent(1)
+		p.countRequests(1)
 		s := harness.Sample{Service: service, ID: r.ID, Once: r.AtMostOnce, Result: result, Err: err}
 		if result != nil {
 			s.Key = result.Key
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -134,7 +134,7 @@
 	p.faults++
 }
 
-func (p *proof) sent(n int) {
+func (p *proof) countRequests(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests += n
@@ -373,7 +373,7 @@
 
 // submit sends a request once through box i and checks any answer.
 func (p *proof) submit(i int, r caller.Request, key, id string, within time.Duration) *caller.Result {
-	p.sent(1)
+	p.countRequests(1)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	c := caller.New(p.d.Shape.ClientOf(p.d.Shape.ZoneOfBox(i), 1), p.d.Callers(i))
--- a/test/prove/traffic_test.go
+++ b/test/prove/traffic_test.go
@@ -55,7 +55,7 @@
 		}
 		ctx := t.p.ctx(5 * time.Second)
 		result, err := c.Do(ctx, r)
-		t.p.sent(1)
+		t.p.countRequests(1)
 		if err != nil {
 			result = &caller.Result{Outcome: outcome.NotRun, Reason: "no_lookup"}
 		}
