--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, o := range []string{"answered", "not-run", "unknown"} {
-		w.p.figure("%s=%d", o, w.outcomes[o])
+		w.p.addFigure("%s=%d", o, w.outcomes[o])
 		if w.outcomes[o] == 0 {
 			w.p.t.Errorf("no request ended as %s", o)
 		}
--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -77,7 +77,7 @@
 	close(stop)
 	harm.Wait()
 	l.heal()
-	p.figure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
+	p.addFigure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
 	if counts[outcome.Answered] == 0 {
 		p.t.Error("nothing was answered")
 	}
@@ -140,7 +140,7 @@
 	for i := range p.d.Shape.Boxes {
 		peak = max(peak, p.d.PeakMemory(i))
 	}
-	p.figure("streams=100MB peak_box_memory=%dMB", peak/megabyte)
+	p.addFigure("streams=100MB peak_box_memory=%dMB", peak/megabyte)
 	if peak > mostUsed {
 		p.violated("a box used %d MB", peak/megabyte)
 	}
--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -35,7 +35,7 @@
 		p.signalInCutZone(l)
 		_, notRun, unknown, reasons := load.end()
 		p.checkPeaks()
-		p.figure("not-run=%d unknown=%d", notRun, unknown)
+		p.addFigure("not-run=%d unknown=%d", notRun, unknown)
 		p.t.Log(reasons)
 	})
 }
@@ -81,7 +81,7 @@
 	records, err := p.d.Records()
 	p.must(err)
 	last := time.UnixMilli(records[p.serverName(n)].LastNew).Sub(since)
-	p.figure("%q=%dms", what, max(last.Milliseconds(), 0))
+	p.addFigure("%q=%dms", what, max(last.Milliseconds(), 0))
 	if last > drainBound {
 		p.violated("%s: %s got new work %s after it", what, p.serverName(n), last)
 	}
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -41,7 +41,7 @@
 		streams := long.end()
 		answered, notRun, unknown, reasons := load.end()
 		p.checkPeaks()
-		p.figure("answered=%d not-run=%d unknown=%d streams=%d slowest_stop=%dms", answered, notRun, unknown, streams, slowest.Milliseconds())
+		p.addFigure("answered=%d not-run=%d unknown=%d streams=%d slowest_stop=%dms", answered, notRun, unknown, streams, slowest.Milliseconds())
 		if notRun+unknown > 0 {
 			p.violated("requests lost by planned stops: %v", reasons)
 		}
--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -199,7 +199,7 @@
 	l.heal()
 	rejoined := time.Now()
 	p.awaitShare(0.7, 1)
-	p.figure("rejoin=%.1fwindows", time.Since(rejoined).Seconds()/shiftWindow.Seconds())
+	p.addFigure("rejoin=%.1fwindows", time.Since(rejoined).Seconds()/shiftWindow.Seconds())
 }
 
 // regionLost kills every box of the south and brings them back.
@@ -349,7 +349,7 @@
 	if share > shiftCap {
 		w.p.violated("%.1f%% of the clients of %s moved within one window, from %s on", 100*share, whose, when)
 	}
-	w.p.figure("%q:moves=%d,most_in_a_window=%.1f%%", whose, len(moves), 100*share)
+	w.p.addFigure("%q:moves=%d,most_in_a_window=%.1f%%", whose, len(moves), 100*share)
 }
 
 // within returns the moves that were over by the end of a window.
--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -33,18 +33,18 @@
 		l := p.start("small")
 		base := p.flood(1, 4*time.Second)
 		over := p.flood(2, 6*time.Second)
-		p.figure("goodput_at_2x=%.0f%%", 100*over.rate()/capacityPerSecond(p))
+		p.addFigure("goodput_at_2x=%.0f%%", 100*over.rate()/capacityPerSecond(p))
 		if over.rate() < 0.9*capacityPerSecond(p) {
 			p.violated("goodput at twice the load is %.0f of %.0f a second", over.rate(), capacityPerSecond(p))
 		}
-		p.figure("answered_at_1x=%.0f/s", base.rate())
+		p.addFigure("answered_at_1x=%.0f/s", base.rate())
 		flood := p.startFlood(2)
 		p.boxesComeAndGo()
 		p.serversSuffer(l)
 		p.regionFails()
 		f := flood.end()
 		p.checkPeaks()
-		p.figure("slowest_refusal=%dms without_retry_after=%d", f.slowestRefusal.Milliseconds(), f.noRetryAfter)
+		p.addFigure("slowest_refusal=%dms without_retry_after=%d", f.slowestRefusal.Milliseconds(), f.noRetryAfter)
 		if f.slowestRefusal > instant || f.noRetryAfter > 0 {
 			p.violated("a refusal took %s (%s); %d named no time to come back", f.slowestRefusal, f.slowest, f.noRetryAfter)
 		}
--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -74,7 +74,7 @@
 	if err != nil || took > forceBound {
 		p.violated("%s: revision %d took %s", what, revision, took)
 	}
-	p.figure("%q=%dms", what, took.Milliseconds())
+	p.addFigure("%q=%dms", what, took.Milliseconds())
 }
 
 func (p *proof) revisionOf(i int) uint64 {
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -48,7 +48,7 @@
 		load.end()
 		revisions.end()
 		p.checkPeaks()
-		p.figure("seed=%d schedule=%v", seed, m.schedule)
+		p.addFigure("seed=%d schedule=%v", seed, m.schedule)
 	})
 }
 
@@ -190,5 +190,5 @@
 			counts[s.Result.Outcome]++
 		}
 	}
-	l.p.figure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
+	l.p.addFigure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
 }
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -122,7 +122,7 @@
 	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
 
-func (p *proof) figure(format string, args ...any) {
+func (p *proof) addFigure(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.figures = append(p.figures, fmt.Sprintf(format, args...))
@@ -432,5 +432,5 @@
 			p.violated("%s worked on %d requests at once and has %d slots", name, r.Peak, p.d.Shape.Slots)
 		}
 	}
-	p.figure("peak_use=%d/%d", most, p.d.Shape.Slots)
+	p.addFigure("peak_use=%d/%d", most, p.d.Shape.Slots)
 }
