--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -189,7 +189,7 @@
 	d.PlatformAddress = func(string) string { return l.platform.Address() }
 	p.t.Cleanup(func() {
 		d.Stop()
-		p.keepLogs()
+		p.copyLogs()
 		l.platform.Close()
 		for _, x := range append(l.peers, l.servers...) {
 			x.Close()
@@ -223,8 +223,8 @@
 	}))
 }
 
-// keepLogs copies the logs to where STONEWORKS_LOGS says.
-func (p *proof) keepLogs() {
+// copyLogs copies the logs to where STONEWORKS_LOGS says.
+func (p *proof) copyLogs() {
 	to := os.Getenv("STONEWORKS_LOGS")
 	if to == "" {
 		return
