--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -36,7 +36,7 @@
 
 // atMostOnce checks the witness at the end of a case.
 func (p *proof) atMostOnce(what, key string) {
-	if n := p.runs(key); n > 1 {
+	if n := p.runsWithKey(key); n > 1 {
 		p.violated("%s: the key ran %d times", what, n)
 	}
 }
@@ -144,7 +144,7 @@
 		if r.Outcome == outcome.Answered || r.Outcome == outcome.NotRun {
 			p.violated("platform down: a key without a ticket got %s %s", r.Outcome, r.Reason)
 		}
-		if p.runs(bare) > 0 {
+		if p.runsWithKey(bare) > 0 {
 			p.violated("platform down: a key without a ticket ran")
 		}
 	}
@@ -168,8 +168,8 @@
 			p.countFault()
 			p.submit(5, buy(20, ""), key, id, 5*time.Second)
 			p.atMostOnce("claims race", key)
-			if !lose && p.runs(key) != 1 {
-				p.violated("claims race: the key ran %d times", p.runs(key))
+			if !lose && p.runsWithKey(key) != 1 {
+				p.violated("claims race: the key ran %d times", p.runsWithKey(key))
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
 		for n, key := range keys {
 			r := p.submit([]int{0, 1, 3, 4, 5}[n], buy(300, ""), key, ids[n], 300*time.Millisecond)
-			if r.Outcome == outcome.NotRun && p.runs(key) > 0 {
+			if r.Outcome == outcome.NotRun && p.runsWithKey(key) > 0 {
 				p.violated("owner killed: told not run, but it ran")
 			}
 		}
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -390,8 +390,8 @@
 	return r
 }
 
-// runs returns how often the backend servers ran the key.
-func (p *proof) runs(key string) int {
+// runsWithKey returns how often the backend servers ran the key.
+func (p *proof) runsWithKey(key string) int {
 	records, err := p.d.Records()
 	p.must(err)
 	return harness.RunsOf(records, key)
@@ -399,7 +399,7 @@
 
 // awaitRun waits until a backend server has begun the key.
 func (p *proof) awaitRun(key string) {
-	p.must(harness.WaitFor(5*time.Second, func() bool { return p.runs(key) > 0 }))
+	p.must(harness.WaitFor(5*time.Second, func() bool { return p.runsWithKey(key) > 0 }))
 }
 
 // createService creates one more service and waits until all boxes have it.
