--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -53,7 +53,7 @@
 func (p *proof) sameBoxAtOnce() {
 	for range 10 {
 		key, id := p.keyOf(0)
-		a, b := p.both(0, 0, buy(50, ""), key, id)
+		a, b := p.both(0, 0, buyRequest(50, ""), key, id)
 		p.countFault()
 		p.atMostOnce("twice at once on one box", key)
 		if a.Outcome != outcome.Answered || b.Outcome != outcome.Answered {
@@ -65,7 +65,7 @@
 func (p *proof) twoBoxesAtOnce() {
 	for i := range 10 {
 		key, id := p.keyOf(0)
-		p.both(1+i%4, 2+i%3, buy(50, ""), key, id)
+		p.both(1+i%4, 2+i%3, buyRequest(50, ""), key, id)
 		p.countFault()
 		p.atMostOnce("through two boxes at once", key)
 	}
@@ -75,9 +75,9 @@
 func (p *proof) answerLost() {
 	for i := range 6 {
 		key, id := p.keyOf(0)
-		p.submit(0, buy(200, ""), key, id, 50*time.Millisecond)
+		p.submit(0, buyRequest(200, ""), key, id, 50*time.Millisecond)
 		p.countFault()
-		p.submit(i%6, buy(200, ""), key, id, 5*time.Second)
+		p.submit(i%6, buyRequest(200, ""), key, id, 5*time.Second)
 		p.atMostOnce("answer lost", key)
 	}
 }
@@ -87,9 +87,9 @@
 	for _, fault := range []string{"reset-before", "reset-after", "truncate", "close", "hang"} {
 		for i := range 4 {
 			key, id := p.keyOf(0)
-			p.submit(0, buy(5, fault), key, id, 300*time.Millisecond)
+			p.submit(0, buyRequest(5, fault), key, id, 300*time.Millisecond)
 			p.countFault()
-			p.submit(i, buy(5, fault), key, id, 300*time.Millisecond)
+			p.submit(i, buyRequest(5, fault), key, id, 300*time.Millisecond)
 			p.atMostOnce("backend server: "+fault, key)
 		}
 	}
@@ -102,27 +102,27 @@
 	for range 3 {
 		key, id := p.keyOf(0)
 		keys[key] = id
-		p.submit(0, buy(5, ""), key, id, 2*time.Second)
+		p.submit(0, buyRequest(5, ""), key, id, 2*time.Second)
 	}
 	fresh, freshID := p.keyOf(0)
 	l.cutBox(p.d, 0)
 	p.countFault()
 	for until := time.Now().Add(8 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
 		for key, id := range keys {
-			p.submit(3, buy(5, ""), key, id, 300*time.Millisecond)
+			p.submit(3, buyRequest(5, ""), key, id, 300*time.Millisecond)
 		}
 		// The cut-off side goes on serving what it owns.
-		if r := p.submit(0, buy(5, ""), fresh, freshID, 2*time.Second); r.Outcome != outcome.Answered {
+		if r := p.submit(0, buyRequest(5, ""), fresh, freshID, 2*time.Second); r.Outcome != outcome.Answered {
 			p.violated("views differ: the owner's own zone got %s %s", r.Outcome, r.Reason)
 		}
-		p.submit(5, buy(5, ""), fresh, freshID, 300*time.Millisecond)
+		p.submit(5, buyRequest(5, ""), fresh, freshID, 300*time.Millisecond)
 	}
 	l.heal()
 	for key, id := range keys {
-		p.submit(3, buy(5, ""), key, id, 2*time.Second)
+		p.submit(3, buyRequest(5, ""), key, id, 2*time.Second)
 		p.atMostOnce("views differ", key)
 	}
-	p.submit(2, buy(5, ""), fresh, freshID, 2*time.Second)
+	p.submit(2, buyRequest(5, ""), fresh, freshID, 2*time.Second)
 	p.atMostOnce("views differ", fresh)
 	p.awaitRevisionEverywhere(1)
 }
@@ -134,13 +134,13 @@
 	p.countFault()
 	for i := range 4 {
 		key, id := p.keyOf(0)
-		p.submit(0, buy(5, ""), key, id, 2*time.Second)
-		if r := p.submit(i, buy(5, ""), key, id, 2*time.Second); r.Outcome != outcome.Answered {
+		p.submit(0, buyRequest(5, ""), key, id, 2*time.Second)
+		if r := p.submit(i, buyRequest(5, ""), key, id, 2*time.Second); r.Outcome != outcome.Answered {
 			p.violated("platform down: a key with a ticket got %s %s", r.Outcome, r.Reason)
 		}
 		p.atMostOnce("platform down", key)
 		bare := "bare-" + id
-		r := p.submit(i, buy(5, ""), bare, id, 3*time.Second)
+		r := p.submit(i, buyRequest(5, ""), bare, id, 3*time.Second)
 		if r.Outcome == outcome.Answered || r.Outcome == outcome.NotRun {
 			p.violated("platform down: a key without a ticket got %s %s", r.Outcome, r.Reason)
 		}
@@ -162,11 +162,11 @@
 			key := "bare-" + id
 			wg := conc.NewWaitGroup()
 			for i := range 4 {
-				wg.Go(func() { p.submit(i, buy(20, ""), key, id, 5*time.Second) })
+				wg.Go(func() { p.submit(i, buyRequest(20, ""), key, id, 5*time.Second) })
 			}
 			wg.Wait()
 			p.countFault()
-			p.submit(5, buy(20, ""), key, id, 5*time.Second)
+			p.submit(5, buyRequest(20, ""), key, id, 5*time.Second)
 			p.atMostOnce("claims race", key)
 			if !lose && p.runsWithKey(key) != 1 {
 				p.violated("claims race: the key ran %d times", p.runsWithKey(key))
@@ -184,7 +184,7 @@
 	for range 4 {
 		key, id := p.keyOf(1)
 		keys, ids = append(keys, key), append(ids, id)
-		wg.Go(func() { p.submit(1, buy(300, ""), key, id, 2*time.Second) })
+		wg.Go(func() { p.submit(1, buyRequest(300, ""), key, id, 2*time.Second) })
 	}
 	p.awaitRun(keys[0])
 	p.d.Freeze(1)
@@ -193,14 +193,14 @@
 	_ = late
 	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
 		for n, key := range keys {
-			p.submit(n%4+2, buy(300, ""), key, ids[n], 300*time.Millisecond)
+			p.submit(n%4+2, buyRequest(300, ""), key, ids[n], 300*time.Millisecond)
 		}
-		p.submit(2, buy(5, ""), late, lateID, 500*time.Millisecond)
+		p.submit(2, buyRequest(5, ""), late, lateID, 500*time.Millisecond)
 	}
 	p.d.Thaw(1)
 	wg.Wait()
 	for n, key := range keys {
-		p.submit(n%4+2, buy(300, ""), key, ids[n], 2*time.Second)
+		p.submit(n%4+2, buyRequest(300, ""), key, ids[n], 2*time.Second)
 		p.atMostOnce("owner frozen", key)
 	}
 	p.atMostOnce("owner frozen", late)
@@ -214,7 +214,7 @@
 	for range 4 {
 		key, id := p.keyOf(2)
 		keys, ids = append(keys, key), append(ids, id)
-		wg.Go(func() { p.submit(2, buy(300, ""), key, id, 2*time.Second) })
+		wg.Go(func() { p.submit(2, buyRequest(300, ""), key, id, 2*time.Second) })
 	}
 	p.awaitRun(keys[3])
 	p.d.Kill(2)
@@ -222,7 +222,7 @@
 	wg.Wait()
 	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
 		for n, key := range keys {
-			r := p.submit([]int{0, 1, 3, 4, 5}[n], buy(300, ""), key, ids[n], 300*time.Millisecond)
+			r := p.submit([]int{0, 1, 3, 4, 5}[n], buyRequest(300, ""), key, ids[n], 300*time.Millisecond)
 			if r.Outcome == outcome.NotRun && p.runsWithKey(key) > 0 {
 				p.violated("owner killed: told not run, but it ran")
 			}
@@ -237,7 +237,7 @@
 // the old one's keys and must not run them.
 func (p *proof) ownerRestarted() {
 	key, id := p.keyOf(3)
-	p.submit(3, buy(5, ""), key, id, 2*time.Second)
+	p.submit(3, buyRequest(5, ""), key, id, 2*time.Second)
 	p.must(p.d.Signal(3, syscall.SIGKILL))
 	p.d.Kill(3)
 	p.countFault()
@@ -247,7 +247,7 @@
 	p.must(p.d.WaitReady(3))
 	p.awaitRevisionEverywhere(1)
 	for i := range 6 {
-		r := p.submit(i, buy(5, ""), key, id, time.Second)
+		r := p.submit(i, buyRequest(5, ""), key, id, time.Second)
 		if r.Outcome != outcome.Unknown {
 			p.violated("owner restarted: got %s %s", r.Outcome, r.Reason)
 		}
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -362,8 +362,8 @@
 	return "", ""
 }
 
-// buy is a request that may not be repeated and takes the given time.
-func buy(ms int, fault string) caller.Request {
+// buyRequest is a request that may not be repeated and takes the given time.
+func buyRequest(ms int, fault string) caller.Request {
 	r := caller.Request{Service: service, Method: "POST", Path: fmt.Sprintf("/buy?ms=%d", ms), Body: []byte("one score"), AtMostOnce: true}
 	if fault != "" {
 		r.Header = [][2]string{{"X-Fault", fault}}
