--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -56,7 +56,7 @@
 
 // undrain gives every server new work again and waits until all boxes know.
 func (p *proof) undrain() {
-	client := p.operator(0)
+	client := p.operatorClient(0)
 	for n := range p.d.Shape.Services[0].Servers {
 		p.must(p.d.Control(p.serverName(n), standin.BackendControl{ServiceMS: 5}))
 	}
@@ -89,7 +89,7 @@
 
 // drain asks an operator's call of box i to drain server n.
 func (p *proof) drain(i, n int) error {
-	client := p.operator(i)
+	client := p.operatorClient(i)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	if err != nil {
 		return err
--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -56,7 +56,7 @@
 }
 
 func (p *proof) planOf(i int) *pb.ServiceStatus {
-	reply, err := p.operator(i).GetStatus(p.ctx(2*time.Second), &pb.GetStatusRequest{})
+	reply, err := p.operatorClient(i).GetStatus(p.ctx(2*time.Second), &pb.GetStatusRequest{})
 	if err != nil || len(reply.Services) == 0 {
 		return nil
 	}
@@ -76,7 +76,7 @@
 
 // shift sets the one planned shift of the service, north to south.
 func (p *proof) shift(box int, share float64) error {
-	client := p.operator(box)
+	client := p.operatorClient(box)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 
 func (p *proof) shiftFrom(box int, current *pb.ServiceReply, share float64) error {
 	current.Spec.Shifts = []*pb.PlannedShift{{FromRegion: "north", ToRegion: "south", Share: share}}
-	_, err := p.operator(box).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
+	_, err := p.operatorClient(box).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
 	return err
 }
 
@@ -111,7 +111,7 @@
 // twoOperators change the same service at the same moment.
 func (p *proof) twoOperators() {
 	p.countFault()
-	current, err := p.operator(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
+	current, err := p.operatorClient(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	p.must(err)
 	var errs [2]error
 	wg := conc.NewWaitGroup()
--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -49,7 +49,7 @@
 // change sets the deadline of the service through box i and returns the
 // accepted revision.
 func (p *proof) change(i int) (uint64, error) {
-	client := p.operator(i)
+	client := p.operatorClient(i)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	if err != nil {
 		return 0, err
@@ -78,7 +78,7 @@
 }
 
 func (p *proof) revisionOf(i int) uint64 {
-	reply, err := p.operator(i).GetService(p.ctx(time.Second), &pb.GetServiceRequest{Name: service})
+	reply, err := p.operatorClient(i).GetService(p.ctx(time.Second), &pb.GetServiceRequest{Name: service})
 	if err != nil {
 		return 0
 	}
@@ -214,14 +214,14 @@
 func (p *proof) operatorsRace() {
 	for range 10 {
 		p.countFault()
-		current, err := p.operator(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
+		current, err := p.operatorClient(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 		p.must(err)
 		var wins, conflicts conflictCount
 		wg := conc.NewWaitGroup()
 		for i := range 4 {
 			wg.Go(func() {
 				p.countRequests(1)
-				_, err := p.operator(i).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
+				_, err := p.operatorClient(i).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
 				switch status.Code(err) {
 				case codes.OK:
 					wins.add()
@@ -286,7 +286,7 @@
 func (p *proof) watchRevisions() *revisionWatch {
 	w := &revisionWatch{stop: make(chan struct{}), wg: conc.NewWaitGroup()}
 	for i := range p.d.Shape.Boxes {
-		client := p.operator(i)
+		client := p.operatorClient(i)
 		w.wg.Go(func() { p.watchBox(i, client, w.stop) })
 	}
 	return w
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -197,7 +197,7 @@
 	})
 	p.must(d.Start())
 	for i := range d.Shape.Services {
-		_, err := p.operator(0).CreateService(p.ctx(10*time.Second), &pb.CreateServiceRequest{Spec: rpc.ToSpec(d.Service(i))})
+		_, err := p.operatorClient(0).CreateService(p.ctx(10*time.Second), &pb.CreateServiceRequest{Spec: rpc.ToSpec(d.Service(i))})
 		p.must(err)
 	}
 	p.awaitRevisionEverywhere(1)
@@ -211,7 +211,7 @@
 	p.must(harness.WaitFor(20*time.Second, func() bool {
 		sum := int32(0)
 		for i := range p.d.Shape.Boxes {
-			status, err := p.operator(i).GetStatus(p.ctx(time.Second), &pb.GetStatusRequest{})
+			status, err := p.operatorClient(i).GetStatus(p.ctx(time.Second), &pb.GetStatusRequest{})
 			if err != nil || len(status.Services) == 0 {
 				return false
 			}
@@ -283,7 +283,7 @@
 	return ctx
 }
 
-func (p *proof) operator(i int) pb.OperatorsClient {
+func (p *proof) operatorClient(i int) pb.OperatorsClient {
 	conn, err := grpc.NewClient("passthrough:///"+p.d.Operators(i), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	p.must(err)
 	p.t.Cleanup(func() { _ = conn.Close() })
@@ -294,7 +294,7 @@
 // at the revision.
 func (p *proof) awaitRevisionEverywhere(revision uint64) {
 	for i := range p.d.Shape.Boxes {
-		client := p.operator(i)
+		client := p.operatorClient(i)
 		p.must(harness.WaitFor(20*time.Second, func() bool {
 			reply, err := client.ListServices(p.ctx(time.Second), &pb.ListServicesRequest{})
 			if err != nil || len(reply.Services) < len(p.d.Shape.Services) {
@@ -315,7 +315,7 @@
 func (p *proof) awaitAllLive() {
 	p.must(harness.WaitFor(20*time.Second, func() bool {
 		for i := range p.d.Shape.Boxes {
-			status, err := p.operator(i).GetStatus(p.ctx(time.Second), &pb.GetStatusRequest{})
+			status, err := p.operatorClient(i).GetStatus(p.ctx(time.Second), &pb.GetStatusRequest{})
 			if err != nil || liveBoxes(status) < p.d.Shape.Boxes {
 				return false
 			}
@@ -404,12 +404,12 @@
 
 // createService creates one more service and waits until all boxes have it.
 func (p *proof) createService(s *model.Service) error {
-	_, err := p.operator(0).CreateService(p.ctx(10*time.Second), &pb.CreateServiceRequest{Spec: rpc.ToSpec(s)})
+	_, err := p.operatorClient(0).CreateService(p.ctx(10*time.Second), &pb.CreateServiceRequest{Spec: rpc.ToSpec(s)})
 	if err != nil {
 		return err
 	}
 	for i := range p.d.Shape.Boxes {
-		client := p.operator(i)
+		client := p.operatorClient(i)
 		err := harness.WaitFor(10*time.Second, func() bool {
 			_, err := client.GetService(p.ctx(time.Second), &pb.GetServiceRequest{Name: s.Name})
 			return err == nil
