--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -26,7 +26,7 @@
 func TestPromise4(t *testing.T) {
 	prove(t, 4, "ignore-leaving", func(p *proof) {
 		l := p.start("small")
-		load := p.drive(4, 30)
+		load := p.startTraffic(4, 30)
 		p.drainedByOperator(0)
 		p.drainedBySignal(1, "under load")
 		p.drainAcceptedThenOutage(l)
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -24,7 +24,7 @@
 func TestPromise5(t *testing.T) {
 	prove(t, 5, "exit-at-once", func(p *proof) {
 		p.start("small")
-		load := p.drive(4, 30)
+		load := p.startTraffic(4, 30)
 		long := p.driveStreams(3)
 		slowest := time.Duration(0)
 		for i := range p.d.Shape.Boxes {
--- a/test/prove/traffic_test.go
+++ b/test/prove/traffic_test.go
@@ -23,9 +23,9 @@
 	reasons map[string]int
 }
 
-// drive starts n callers in each zone that use look-ups as callers do, each
+// startTraffic starts n callers in each zone that use look-ups as callers do, each
 // with requests that take up to ms milliseconds.
-func (p *proof) drive(n, ms int) *traffic {
+func (p *proof) startTraffic(n, ms int) *traffic {
 	return p.driveFrom(p.d.Shape.Zones(), p.d.AllCallers(), n, ms)
 }
 
