--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -172,7 +172,7 @@
 	l.cutBox(p.d, 2)
 	l.cutPlatform(p.d, 2)
 	p.countFault()
-	inside := p.driveFrom([]string{"south-a"}, []string{p.d.Callers(2)}, 3, 10)
+	inside := p.startTrafficFrom([]string{"south-a"}, []string{p.d.Callers(2)}, 3, 10)
 	defer inside.end()
 	time.Sleep(3 * time.Second)
 	p.drainedBySignal(6, "in a cut zone")
--- a/test/prove/traffic_test.go
+++ b/test/prove/traffic_test.go
@@ -26,11 +26,11 @@
 // startTraffic starts n callers in each zone that use look-ups as callers do, each
 // with requests that take up to ms milliseconds.
 func (p *proof) startTraffic(n, ms int) *traffic {
-	return p.driveFrom(p.d.Shape.Zones(), p.d.AllCallers(), n, ms)
+	return p.startTrafficFrom(p.d.Shape.Zones(), p.d.AllCallers(), n, ms)
 }
 
-// driveFrom does the same for callers of some zones that ask some boxes.
-func (p *proof) driveFrom(zones, boxes []string, n, ms int) *traffic {
+// startTrafficFrom does the same for callers of some zones that ask some boxes.
+func (p *proof) startTrafficFrom(zones, boxes []string, n, ms int) *traffic {
 	t := &traffic{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), counts: map[outcome.Outcome]int{}, reasons: map[string]int{}}
 	for _, zone := range zones {
 		for i := range n {
