--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// betweenRepeats keeps callers that repeat from spinning.
-const betweenRepeats = 50 * time.Millisecond
+// repeatInterval keeps callers that repeat from spinning.
+const repeatInterval = 50 * time.Millisecond
 
 // atMostOnce checks the witness at the end of a case.
 func (p *proof) atMostOnce(what, key string) {
@@ -107,7 +107,7 @@
 	fresh, freshID := p.keyOf(0)
 	l.cutBox(p.d, 0)
 	p.countFault()
-	for until := time.Now().Add(8 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
+	for until := time.Now().Add(8 * time.Second); time.Now().Before(until); time.Sleep(repeatInterval) {
 		for key, id := range keys {
 			p.submit(3, buyRequest(5, ""), key, id, 300*time.Millisecond)
 		}
@@ -191,7 +191,7 @@
 	p.countFault()
 	late, lateID := p.keyOf(1 + 4) // box 5 shares the zone
 	_ = late
-	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
+	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(repeatInterval) {
 		for n, key := range keys {
 			p.submit(n%4+2, buyRequest(300, ""), key, ids[n], 300*time.Millisecond)
 		}
@@ -220,7 +220,7 @@
 	p.d.Kill(2)
 	p.countFault()
 	wg.Wait()
-	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(betweenRepeats) {
+	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(repeatInterval) {
 		for n, key := range keys {
 			r := p.submit([]int{0, 1, 3, 4, 5}[n], buyRequest(300, ""), key, ids[n], 300*time.Millisecond)
 			if r.Outcome == outcome.NotRun && p.runsWithKey(key) > 0 {
