--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// both submits one key twice at once, through two boxes.
-func (p *proof) both(first, second int, r caller.Request, key, id string) (a, b *caller.Result) {
+// submitTwice submits one key twice at once, through two boxes.
+func (p *proof) submitTwice(first, second int, r caller.Request, key, id string) (a, b *caller.Result) {
 	wg := conc.NewWaitGroup()
 	wg.Go(func() { a = p.submit(first, r, key, id, 5*time.Second) })
 	wg.Go(func() { b = p.submit(second, r, key, id, 5*time.Second) })
@@ -53,7 +53,7 @@
 func (p *proof) sameBoxAtOnce() {
 	for range 10 {
 		key, id := p.keyOf(0)
-		a, b := p.both(0, 0, buyRequest(50, ""), key, id)
+		a, b := p.submitTwice(0, 0, buyRequest(50, ""), key, id)
 		p.countFault()
 		p.atMostOnce("twice at once on one box", key)
 		if a.Outcome != outcome.Answered || b.Outcome != outcome.Answered {
@@ -65,7 +65,7 @@
 func (p *proof) twoBoxesAtOnce() {
 	for i := range 10 {
 		key, id := p.keyOf(0)
-		p.both(1+i%4, 2+i%3, buyRequest(50, ""), key, id)
+		p.submitTwice(1+i%4, 2+i%3, buyRequest(50, ""), key, id)
 		p.countFault()
 		p.atMostOnce("through two boxes at once", key)
 	}
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -58,7 +58,7 @@
 func (p *proof) repeatsAtOnce() {
 	for box := range p.d.Shape.Boxes {
 		key, id := p.keyOf(0)
-		p.both(box, box, buyRequest(50, ""), key, id)
+		p.submitTwice(box, box, buyRequest(50, ""), key, id)
 		p.countFault()
 		p.atMostOnce("mixed: twice at once", key)
 	}
