--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -34,8 +34,8 @@
 // repeatInterval keeps callers that repeat from spinning.
 const repeatInterval = 50 * time.Millisecond
 
-// atMostOnce checks the witness at the end of a case.
-func (p *proof) atMostOnce(what, key string) {
+// checkAtMostOnce checks the witness at the end of a case.
+func (p *proof) checkAtMostOnce(what, key string) {
 	if n := p.runsWithKey(key); n > 1 {
 		p.violated("%s: the key ran %d times", what, n)
 	}
@@ -55,7 +55,7 @@
 		key, id := p.keyOf(0)
 		a, b := p.submitTwice(0, 0, buyRequest(50, ""), key, id)
 		p.countFault()
-		p.atMostOnce("twice at once on one box", key)
+		p.checkAtMostOnce("twice at once on one box", key)
 		if a.Outcome != outcome.Answered || b.Outcome != outcome.Answered {
 			p.violated("twice at once on one box: %s %s, %s %s", a.Outcome, a.Reason, b.Outcome, b.Reason)
 		}
@@ -67,7 +67,7 @@
 		key, id := p.keyOf(0)
 		p.submitTwice(1+i%4, 2+i%3, buyRequest(50, ""), key, id)
 		p.countFault()
-		p.atMostOnce("through two boxes at once", key)
+		p.checkAtMostOnce("through two boxes at once", key)
 	}
 }
 
@@ -78,7 +78,7 @@
 		p.submit(0, buyRequest(200, ""), key, id, 50*time.Millisecond)
 		p.countFault()
 		p.submit(i%6, buyRequest(200, ""), key, id, 5*time.Second)
-		p.atMostOnce("answer lost", key)
+		p.checkAtMostOnce("answer lost", key)
 	}
 }
 
@@ -90,7 +90,7 @@
 			p.submit(0, buyRequest(5, fault), key, id, 300*time.Millisecond)
 			p.countFault()
 			p.submit(i, buyRequest(5, fault), key, id, 300*time.Millisecond)
-			p.atMostOnce("backend server: "+fault, key)
+			p.checkAtMostOnce("backend server: "+fault, key)
 		}
 	}
 }
@@ -120,10 +120,10 @@
 	l.heal()
 	for key, id := range keys {
 		p.submit(3, buyRequest(5, ""), key, id, 2*time.Second)
-		p.atMostOnce("views differ", key)
+		p.checkAtMostOnce("views differ", key)
 	}
 	p.submit(2, buyRequest(5, ""), fresh, freshID, 2*time.Second)
-	p.atMostOnce("views differ", fresh)
+	p.checkAtMostOnce("views differ", fresh)
 	p.awaitRevisionEverywhere(1)
 }
 
@@ -138,7 +138,7 @@
 		if r := p.submit(i, buyRequest(5, ""), key, id, 2*time.Second); r.Outcome != outcome.Answered {
 			p.violated("platform down: a key with a ticket got %s %s", r.Outcome, r.Reason)
 		}
-		p.atMostOnce("platform down", key)
+		p.checkAtMostOnce("platform down", key)
 		bare := "bare-" + id
 		r := p.submit(i, buyRequest(5, ""), bare, id, 3*time.Second)
 		if r.Outcome == outcome.Answered || r.Outcome == outcome.NotRun {
@@ -167,7 +167,7 @@
 			wg.Wait()
 			p.countFault()
 			p.submit(5, buyRequest(20, ""), key, id, 5*time.Second)
-			p.atMostOnce("claims race", key)
+			p.checkAtMostOnce("claims race", key)
 			if !lose && p.runsWithKey(key) != 1 {
 				p.violated("claims race: the key ran %d times", p.runsWithKey(key))
 			}
@@ -201,9 +201,9 @@
 	wg.Wait()
 	for n, key := range keys {
 		p.submit(n%4+2, buyRequest(300, ""), key, ids[n], 2*time.Second)
-		p.atMostOnce("owner frozen", key)
+		p.checkAtMostOnce("owner frozen", key)
 	}
-	p.atMostOnce("owner frozen", late)
+	p.checkAtMostOnce("owner frozen", late)
 	p.awaitRevisionEverywhere(1)
 }
 
@@ -229,7 +229,7 @@
 		}
 	}
 	for _, key := range keys {
-		p.atMostOnce("owner killed", key)
+		p.checkAtMostOnce("owner killed", key)
 	}
 }
 
@@ -252,5 +252,5 @@
 			p.violated("owner restarted: got %s %s", r.Outcome, r.Reason)
 		}
 	}
-	p.atMostOnce("owner restarted", key)
+	p.checkAtMostOnce("owner restarted", key)
 }
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -60,7 +60,7 @@
 		key, id := p.keyOf(0)
 		p.submitTwice(box, box, buyRequest(50, ""), key, id)
 		p.countFault()
-		p.atMostOnce("mixed: twice at once", key)
+		p.checkAtMostOnce("mixed: twice at once", key)
 	}
 }
 
