--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -19,7 +19,7 @@
 func TestPromise2(t *testing.T) {
 	prove(t, 2, "careless-not-run", func(p *proof) {
 		l := p.start("small")
-		w := &witness{p: p, outcomes: map[string]int{}}
+		w := &outcomeChecker{p: p, outcomes: map[string]int{}}
 		w.serverFaults()
 		w.linkFaults(l)
 		w.deadlines()
@@ -33,8 +33,8 @@
 	})
 }
 
-// witness keeps what callers were told, to compare it with what ran.
-type witness struct {
+// outcomeChecker keeps what callers were told, to compare it with what ran.
+type outcomeChecker struct {
 	p        *proof
 	told     []told
 	outcomes map[string]int
@@ -46,7 +46,7 @@
 	reason     outcome.Reason
 }
 
-func (w *witness) add(what, name string, r *caller.Result) {
+func (w *outcomeChecker) add(what, name string, r *caller.Result) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
 	w.told = append(w.told, told{what, name, r.Outcome, r.Reason})
@@ -54,7 +54,7 @@
 }
 
 // send submits a request that may be repeated and one that may not.
-func (w *witness) send(what string, box int, path, fault string, body []byte, within time.Duration) {
+func (w *outcomeChecker) send(what string, box int, path, fault string, body []byte, within time.Duration) {
 	p := w.p
 	p.countFault()
 	var header [][2]string
@@ -77,7 +77,7 @@
 
 // check compares with the backend servers' records, after whatever was still
 // on its way has arrived.
-func (w *witness) check() {
+func (w *outcomeChecker) check() {
 	time.Sleep(time.Second)
 	records, err := w.p.d.Records()
 	w.p.must(err)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (w *witness) serverFaults() {
+func (w *outcomeChecker) serverFaults() {
 	for _, fault := range []string{"", "shed", "reset-before", "reset-after", "truncate", "close", "hang"} {
 		for i := range 6 {
 			w.send("server "+fault, i, "/item?ms=2", fault, nil, 250*time.Millisecond)
@@ -103,7 +103,7 @@
 }
 
 // linkFaults breaks the links to the backend servers.
-func (w *witness) linkFaults(l *links) {
+func (w *outcomeChecker) linkFaults(l *links) {
 	large := []byte(strings.Repeat("a receipt ", 30_000))
 	for name, f := range map[string]faultproxy.Fault{
 		"reset at once":        {Reset: true},
@@ -127,7 +127,7 @@
 }
 
 // refused sends to a service whose backend servers' ports are closed.
-func (w *witness) refused() error {
+func (w *outcomeChecker) refused() error {
 	s := w.p.d.Service(0)
 	s.Name = "closed"
 	for i := range s.BackendServers {
@@ -148,14 +148,14 @@
 	return nil
 }
 
-func (w *witness) deadlines() {
+func (w *outcomeChecker) deadlines() {
 	for ms := range 12 {
 		w.send("deadline", ms%6, "/item?ms=4", "", nil, time.Duration(ms+1)*time.Millisecond)
 	}
 }
 
 // closedWhileIdle uses connections that the other side may just be closing.
-func (w *witness) closedWhileIdle() {
+func (w *outcomeChecker) closedWhileIdle() {
 	for i := range 40 {
 		w.send("closed while idle", 0, "/item?ms=0", []string{"close", ""}[i%2], nil, time.Second)
 	}
@@ -163,7 +163,7 @@
 
 // unknownThenFull has a request run and fail in its own zone, and then find
 // every other place full: what it is told last must not hide what ran first.
-func (w *witness) unknownThenFull() {
+func (w *outcomeChecker) unknownThenFull() {
 	for range 4 {
 		wg := conc.NewWaitGroup()
 		for _, box := range []int{1, 1, 1, 1, 5, 5, 5, 5} {
@@ -179,7 +179,7 @@
 }
 
 // overload offers far more than all slots can take.
-func (w *witness) overload() {
+func (w *outcomeChecker) overload() {
 	wg := conc.NewWaitGroup()
 	for i := range 120 {
 		wg.Go(func() {
@@ -193,7 +193,7 @@
 }
 
 // handOffCut loses a box while it works on what others handed to it.
-func (w *witness) handOffCut(l *links) {
+func (w *outcomeChecker) handOffCut(l *links) {
 	l.cutBox(w.p.d, 2)
 	for i := range 8 {
 		w.sendFrom("hand-off cut", "south-a", i%2, "/item?ms=5")
@@ -204,7 +204,7 @@
 
 // sendFrom sends as a client of a zone through a box of another, so that the
 // request is handed on.
-func (w *witness) sendFrom(what, zone string, box int, path string) {
+func (w *outcomeChecker) sendFrom(what, zone string, box int, path string) {
 	p := w.p
 	p.countRequests(1)
 	id := harness.NewID()
@@ -217,7 +217,7 @@
 }
 
 // load sends through box i until stop is closed.
-func (w *witness) load(what string, box int, stop chan struct{}) {
+func (w *outcomeChecker) load(what string, box int, stop chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -230,7 +230,7 @@
 }
 
 // during runs a load through the box while f happens to it.
-func (w *witness) during(what string, box int, f func()) {
+func (w *outcomeChecker) during(what string, box int, f func()) {
 	stop := make(chan struct{})
 	wg := conc.NewWaitGroup()
 	for range 6 {
@@ -244,7 +244,7 @@
 	wg.Wait()
 }
 
-func (w *witness) boxStopping() {
+func (w *outcomeChecker) boxStopping() {
 	w.during("box stopping", 4, func() {
 		if code := w.p.d.Terminate(4); code != 0 {
 			w.p.violated("box stopping: exit code %d", code)
@@ -252,6 +252,6 @@
 	})
 }
 
-func (w *witness) boxKilled() {
+func (w *outcomeChecker) boxKilled() {
 	w.during("box killed", 3, func() { w.p.d.Kill(3) })
 }
