--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -36,11 +36,11 @@
 // outcomeChecker keeps what callers were told, to compare it with what ran.
 type outcomeChecker struct {
 	p        *proof
-	told     []told
+	told     []reportedOutcome
 	outcomes map[string]int
 }
 
-type told struct {
+type reportedOutcome struct {
 	what, name string
 	outcome    outcome.Outcome
 	reason     outcome.Reason
@@ -49,7 +49,7 @@
 func (w *outcomeChecker) add(what, name string, r *caller.Result) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
-	w.told = append(w.told, told{what, name, r.Outcome, r.Reason})
+	w.told = append(w.told, reportedOutcome{what, name, r.Outcome, r.Reason})
 	w.outcomes[string(r.Outcome)]++
 }
 
