--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -36,7 +36,7 @@
 // outcomeChecker keeps what callers were told, to compare it with what ran.
 type outcomeChecker struct {
 	p        *proof
-	told     []reportedOutcome
+	reported []reportedOutcome
 	outcomes map[string]int
 }
 
@@ -49,7 +49,7 @@
 func (w *outcomeChecker) add(what, name string, r *caller.Result) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
-	w.told = append(w.told, reportedOutcome{what, name, r.Outcome, r.Reason})
+	w.reported = append(w.reported, reportedOutcome{what, name, r.Outcome, r.Reason})
 	w.outcomes[string(r.Outcome)]++
 }
 
@@ -81,7 +81,7 @@
 	time.Sleep(time.Second)
 	records, err := w.p.d.Records()
 	w.p.must(err)
-	for _, x := range w.told {
+	for _, x := range w.reported {
 		if x.outcome == outcome.NotRun && harness.RunsOf(records, x.name) > 0 {
 			w.p.violated("%s: told %s (%s), but %s ran", x.what, x.outcome, x.reason, x.name)
 		}
