--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -25,7 +25,7 @@
 
 const (
 	megabyte  = 1 << 20
-	bigBody   = 100 * megabyte
+	largeBody = 100 * megabyte
 	mostUsed  = 96 * megabyte
 	seedOfMix = 3
 )
@@ -117,7 +117,7 @@
 		{"north-a", ""}, {"south-b", ""}, {"north-a", "&chunked=1"}, {"south-b", "&chunked=1"},
 	} {
 		n, err := p.download(c.zone, c.query)
-		if err != nil || n != bigBody {
+		if err != nil || n != largeBody {
 			p.violated("stream to %s%s: %d bytes, %v", c.zone, c.query, n, err)
 		}
 		if err := p.upload(c.zone, c.query != ""); err != nil {
@@ -150,7 +150,7 @@
 func (p *proof) download(zone, query string) (int64, error) {
 	p.countRequests(1)
 	id := harness.NewID()
-	url := fmt.Sprintf("http://%s%s%s/track?bytes=%d%s", p.d.Callers(0), entry.PathRequests, service, bigBody, query)
+	url := fmt.Sprintf("http://%s%s%s/track?bytes=%d%s", p.d.Callers(0), entry.PathRequests, service, largeBody, query)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	p.must(err)
 	req.Header.Set(entry.HeaderRequestID, id)
@@ -194,7 +194,7 @@
 func (p *proof) upload(zone string, chunked bool) error {
 	p.countRequests(1)
 	id := harness.NewID()
-	body := bytes.Repeat([]byte("receipt "), bigBody/8)
+	body := bytes.Repeat([]byte("receipt "), largeBody/8)
 	url := fmt.Sprintf("http://%s%s%s/upload", p.d.Callers(0), entry.PathRequests, service)
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
 	p.must(err)
