--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	megabyte  = 1 << 20
-	largeBody = 100 * megabyte
-	mostUsed  = 96 * megabyte
-	seedOfMix = 3
+	megabyte     = 1 << 20
+	largeBody    = 100 * megabyte
+	maxBoxMemory = 96 * megabyte
+	seedOfMix    = 3
 )
 
 // TestPromise3 proves that a caller gets the whole answer to its own request.
@@ -141,7 +141,7 @@
 		peak = max(peak, p.d.PeakMemory(i))
 	}
 	p.addFigure("streams=100MB peak_box_memory=%dMB", peak/megabyte)
-	if peak > mostUsed {
+	if peak > maxBoxMemory {
 		p.violated("a box used %d MB", peak/megabyte)
 	}
 }
