--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -27,7 +27,7 @@
 	megabyte     = 1 << 20
 	largeBody    = 100 * megabyte
 	maxBoxMemory = 96 * megabyte
-	seedOfMix    = 3
+	faultSeed    = 3
 )
 
 // TestPromise3 proves that a caller gets the whole answer to its own request.
@@ -52,7 +52,7 @@
 	callers := conc.NewWaitGroup()
 	for n := range 18 {
 		callers.Go(func() {
-			dice := rand.New(rand.NewPCG(seedOfMix, uint64(n)))
+			dice := rand.New(rand.NewPCG(faultSeed, uint64(n)))
 			box := n % 6
 			c := caller.New(p.d.Shape.ClientOf(p.d.Shape.Zones()[n%4], n), p.d.Callers(box))
 			defer c.Close()
@@ -96,7 +96,7 @@
 
 // harm gives the links another fault every few milliseconds.
 func (p *proof) harm(proxies []*faultproxy.Proxy, stop chan struct{}) {
-	dice := rand.New(rand.NewPCG(seedOfMix, seedOfMix))
+	dice := rand.New(rand.NewPCG(faultSeed, faultSeed))
 	faults := []faultproxy.Fault{
 		{}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {Delay: 30 * time.Millisecond}, {TruncateAnswers: 150}, {Reset: true}, {HoldAnswers: true},
 	}
