--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -34,7 +34,7 @@
 func TestPromise3(t *testing.T) {
 	prove(t, 3, "reuse-any", func(p *proof) {
 		l := p.start("small")
-		p.lateAndCrossed(l)
+		p.delayedAnswers(l)
 		if len(p.violations) == 0 {
 			p.awaitAnswers()
 			p.streams(l)
@@ -42,9 +42,9 @@
 	})
 }
 
-// lateAndCrossed has many callers share the boxes' connections while answers
+// delayedAnswers has many callers share the boxes' connections while answers
 // come late, in pieces, cut, or not at all.
-func (p *proof) lateAndCrossed(l *links) {
+func (p *proof) delayedAnswers(l *links) {
 	counts := map[outcome.Outcome]int{}
 	stop := make(chan struct{})
 	harm := conc.NewWaitGroup()
