--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -48,7 +48,7 @@
 	counts := map[outcome.Outcome]int{}
 	stop := make(chan struct{})
 	harm := conc.NewWaitGroup()
-	harm.Go(func() { p.harm(append(l.servers, l.peers...), stop) })
+	harm.Go(func() { p.injectLinkFaults(append(l.servers, l.peers...), stop) })
 	callers := conc.NewWaitGroup()
 	for n := range 18 {
 		callers.Go(func() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// harm gives the links another fault every few milliseconds.
-func (p *proof) harm(proxies []*faultproxy.Proxy, stop chan struct{}) {
+// injectLinkFaults gives the links another fault every few milliseconds.
+func (p *proof) injectLinkFaults(proxies []*faultproxy.Proxy, stop chan struct{}) {
 	dice := rand.New(rand.NewPCG(faultSeed, faultSeed))
 	faults := []faultproxy.Fault{
 		{}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {Delay: 30 * time.Millisecond}, {TruncateAnswers: 150}, {Reset: true}, {HoldAnswers: true},
