--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -42,8 +42,8 @@
 
 func (p *proof) serverName(n int) string { return fmt.Sprintf("%s-%d", service, n+1) }
 
-// busy makes sure that the server gets work, so that its end means something.
-func (p *proof) busy(n int) {
+// awaitNewRequest makes sure that the server gets work, so that its end means something.
+func (p *proof) awaitNewRequest(n int) {
 	began := time.Now()
 	err := harness.WaitFor(5*time.Second, func() bool {
 		records, err := p.d.Records()
@@ -69,7 +69,7 @@
 	p.must(err)
 	p.awaitRevisionEverywhere(reply.Revision)
 	for n := range p.d.Shape.Services[0].Servers {
-		p.busy(n)
+		p.awaitNewRequest(n)
 	}
 }
 
@@ -117,7 +117,7 @@
 }
 
 func (p *proof) drainedByOperator(n int) {
-	p.busy(n)
+	p.awaitNewRequest(n)
 	check := p.hold("drained by operator")
 	p.must(p.drain(2, n))
 	p.countFault()
@@ -126,7 +126,7 @@
 }
 
 func (p *proof) drainedBySignal(n int, what string) {
-	p.busy(n)
+	p.awaitNewRequest(n)
 	check := p.hold("own signal")
 	p.must(p.d.Control(p.serverName(n), standin.BackendControl{Leaving: true, ServiceMS: 5}))
 	p.countFault()
@@ -136,7 +136,7 @@
 
 // drainAcceptedThenOutage takes the platform away as soon as it has accepted.
 func (p *proof) drainAcceptedThenOutage(l *links) {
-	p.busy(2)
+	p.awaitNewRequest(2)
 	p.must(p.drain(3, 2))
 	l.platform.SetAll(faultproxy.Fault{Reset: true})
 	p.countFault()
@@ -179,7 +179,7 @@
 	// The operators' side of the cut accepts a drain of the cut zone's other
 	// server; it comes into force there soon after the zone joins again.
 	p.must(p.drain(0, 2))
-	p.busy(2)
+	p.awaitNewRequest(2)
 	l.heal()
 	p.noNewWork("rejoined", 2, time.Now())
 }
