--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// noNewWork checks that the server got nothing later than the bound after the
+// checkNoNewRequests checks that the server got nothing later than the bound after the
 // moment, watching it for a while beyond. Zones name what the server's
 // requests go through.
-func (p *proof) noNewWork(what string, n int, since time.Time) {
+func (p *proof) checkNoNewRequests(what string, n int, since time.Time) {
 	time.Sleep(time.Until(since.Add(drainBound + 1500*time.Millisecond)))
 	records, err := p.d.Records()
 	p.must(err)
@@ -121,7 +121,7 @@
 	check := p.hold("drained by operator")
 	p.must(p.drain(2, n))
 	p.countFault()
-	p.noNewWork("drained by operator", n, time.Now())
+	p.checkNoNewRequests("drained by operator", n, time.Now())
 	check()
 }
 
@@ -130,7 +130,7 @@
 	check := p.hold("own signal")
 	p.must(p.d.Control(p.serverName(n), standin.BackendControl{Leaving: true, ServiceMS: 5}))
 	p.countFault()
-	p.noNewWork("own signal "+what, n, time.Now())
+	p.checkNoNewRequests("own signal "+what, n, time.Now())
 	check()
 }
 
@@ -140,7 +140,7 @@
 	p.must(p.drain(3, 2))
 	l.platform.SetAll(faultproxy.Fault{Reset: true})
 	p.countFault()
-	p.noNewWork("accepted, then outage", 2, time.Now())
+	p.checkNoNewRequests("accepted, then outage", 2, time.Now())
 	err := p.drain(0, 3)
 	if c := status.Code(err); c != codes.Unavailable && c != codes.Unknown {
 		p.violated("a drain during an outage was answered %v", err)
@@ -163,7 +163,7 @@
 	accepted := time.Now()
 	time.Sleep(4 * time.Second)
 	p.d.Thaw(1)
-	p.noNewWork("box frozen meanwhile", 5, accepted)
+	p.checkNoNewRequests("box frozen meanwhile", 5, accepted)
 }
 
 // signalInCutZone cuts one zone off from all others and from the platform.
@@ -181,5 +181,5 @@
 	p.must(p.drain(0, 2))
 	p.awaitNewRequest(2)
 	l.heal()
-	p.noNewWork("rejoined", 2, time.Now())
+	p.checkNoNewRequests("rejoined", 2, time.Now())
 }
