--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -99,9 +99,9 @@
 	return err
 }
 
-// hold starts requests of some seconds on the whole service and returns a
+// startLongRequests starts requests of some seconds on the whole service and returns a
 // function that checks that all of them were answered.
-func (p *proof) hold(what string) (check func()) {
+func (p *proof) startLongRequests(what string) (check func()) {
 	wg := conc.NewWaitGroup()
 	for i := range 8 {
 		wg.Go(func() {
@@ -118,7 +118,7 @@
 
 func (p *proof) drainedByOperator(n int) {
 	p.awaitNewRequest(n)
-	check := p.hold("drained by operator")
+	check := p.startLongRequests("drained by operator")
 	p.must(p.drain(2, n))
 	p.countFault()
 	p.checkNoNewRequests("drained by operator", n, time.Now())
@@ -127,7 +127,7 @@
 
 func (p *proof) drainedBySignal(n int, what string) {
 	p.awaitNewRequest(n)
-	check := p.hold("own signal")
+	check := p.startLongRequests("own signal")
 	p.must(p.d.Control(p.serverName(n), standin.BackendControl{Leaving: true, ServiceMS: 5}))
 	p.countFault()
 	p.checkNoNewRequests("own signal "+what, n, time.Now())
