--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// streaming is a load of slow downloads and uploads.
-type streaming struct {
+// streamLoad is a load of slow downloads and uploads.
+type streamLoad struct {
 	p    *proof
 	stop chan struct{}
 	wg   *conc.WaitGroup
@@ -61,8 +61,8 @@
 
 // driveStreams starts n callers in each zone, each with one slow download or
 // upload after the other.
-func (p *proof) driveStreams(n int) *streaming {
-	s := &streaming{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup()}
+func (p *proof) driveStreams(n int) *streamLoad {
+	s := &streamLoad{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup()}
 	for _, zone := range p.d.Shape.Zones() {
 		for i := range n {
 			s.wg.Go(func() { s.caller(zone, i) })
@@ -71,13 +71,13 @@
 	return s
 }
 
-func (s *streaming) end() int64 {
+func (s *streamLoad) end() int64 {
 	close(s.stop)
 	s.wg.Wait()
 	return s.done.Load()
 }
 
-func (s *streaming) caller(zone string, n int) {
+func (s *streamLoad) caller(zone string, n int) {
 	p := s.p
 	c := caller.New(p.d.Shape.ClientOf(zone, n), p.d.AllCallers()...)
 	defer c.Close()
@@ -107,7 +107,7 @@
 	}
 }
 
-func (s *streaming) request(method string, e entry.LookupEntry, path, id, client string, body io.Reader) *http.Request {
+func (s *streamLoad) request(method string, e entry.LookupEntry, path, id, client string, body io.Reader) *http.Request {
 	req, err := http.NewRequest(method, "http://"+e.Address+entry.PathRequests+service+path, body)
 	s.p.must(err)
 	req.Header.Set(entry.HeaderRequestID, id)
@@ -116,7 +116,7 @@
 }
 
 // download takes about two seconds.
-func (s *streaming) download(web *http.Client, e entry.LookupEntry, client string) error {
+func (s *streamLoad) download(web *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	const size = 200_000
 	resp, err := web.Do(s.request(http.MethodGet, e, fmt.Sprintf("/track?bytes=%d&pause_ms=150", size), id, client, nil))
@@ -135,7 +135,7 @@
 }
 
 // upload takes about a second.
-func (s *streaming) upload(web *http.Client, e entry.LookupEntry, client string) error {
+func (s *streamLoad) upload(web *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	part := bytes.Repeat([]byte("u"), 40_000)
 	slow := &slowReader{parts: 10, part: part, pause: 100 * time.Millisecond}
