--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -25,7 +25,7 @@
 	prove(t, 5, "exit-at-once", func(p *proof) {
 		p.start("small")
 		load := p.startTraffic(4, 30)
-		long := p.driveStreams(3)
+		long := p.startStreams(3)
 		slowest := time.Duration(0)
 		for i := range p.d.Shape.Boxes {
 			began := time.Now()
@@ -59,9 +59,9 @@
 	done atomic.Int64
 }
 
-// driveStreams starts n callers in each zone, each with one slow download or
+// startStreams starts n callers in each zone, each with one slow download or
 // upload after the other.
-func (p *proof) driveStreams(n int) *streamLoad {
+func (p *proof) startStreams(n int) *streamLoad {
 	s := &streamLoad{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup()}
 	for _, zone := range p.d.Shape.Zones() {
 		for i := range n {
