--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -26,9 +26,9 @@
 const (
 	shiftCap    = 0.1
 	shiftWindow = 2 * time.Second
-	// sampleEvery is how often each client is seen, which is how exactly the
+	// sampleInterval is how often each client is seen, which is how exactly the
 	// moment of its move is known.
-	sampleEvery = 100 * time.Millisecond
+	sampleInterval = 100 * time.Millisecond
 )
 
 // TestPromise6 proves that no shift moves more than the cap in any window.
@@ -268,7 +268,7 @@
 }
 
 func (w *clientWatch) client(box, n int, address string) {
-	time.Sleep(sampleEvery * time.Duration(n) / decide.Buckets)
+	time.Sleep(sampleInterval * time.Duration(n) / decide.Buckets)
 	p := w.p
 	c := caller.New(address, p.d.Callers(box))
 	defer c.Close()
@@ -280,7 +280,7 @@
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 		}
 		p.countRequests(1)
 		askedBefore := asked
