--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -39,7 +39,7 @@
 		w := p.watchClients([]int{0, 1, 3})
 		p.plannedShift()
 		p.twoOperators()
-		p.plannerHarmed(l)
+		p.plannerFails(l)
 		p.lostPlanAnswers()
 		p.zoneCutOff(l, w)
 		p.regionLost()
@@ -145,9 +145,9 @@
 	return best
 }
 
-// plannerHarmed freezes the planner in the middle of a shift for longer than it
+// plannerFails freezes the planner in the middle of a shift for longer than it
 // counts as alive, and kills it in the middle of another.
-func (p *proof) plannerHarmed(*links) {
+func (p *proof) plannerFails(*links) {
 	planner := p.plannerBox()
 	p.must(p.shift((planner+1)%6, 0.0))
 	time.Sleep(3 * time.Second)
