--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -227,13 +227,13 @@
 	stop  chan struct{}
 	wg    *conc.WaitGroup
 	mu    sync.Mutex
-	moves map[int][]moved
+	moves map[int][]clientMove
 }
 
-// moved is a client that was answered by another region than before. It moved
+// clientMove is a client that was answered by another region than before. It clientMove
 // at some time after it had sent the last request that was decided the old
 // way, or was not answered, and before the answer.
-type moved struct {
+type clientMove struct {
 	after  time.Time
 	before time.Time
 	client int
@@ -244,7 +244,7 @@
 
 // watchClients starts the clients of each box: one in each bucket of the north.
 func (p *proof) watchClients(boxes []int) *clientWatch {
-	w := &clientWatch{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), moves: map[int][]moved{}}
+	w := &clientWatch{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), moves: map[int][]clientMove{}}
 	clients := oneInEachBucket(p.d.Shape.ClientOf("north-a", 0))
 	for _, box := range boxes {
 		for n, address := range clients {
@@ -304,7 +304,7 @@
 				through = -1
 			}
 			w.mu.Lock()
-			w.moves[box] = append(w.moves[box], moved{askedBefore, time.Now(), n, zone, through})
+			w.moves[box] = append(w.moves[box], clientMove{askedBefore, time.Now(), n, zone, through})
 			w.mu.Unlock()
 		}
 		last, lastAt = region, at
@@ -320,10 +320,10 @@
 // clients together, and, more strictly, those of each box's own clients while
 // they used it.
 func (w *clientWatch) check() {
-	var all []moved
+	var all []clientMove
 	for box, moves := range w.moves {
 		all = append(all, moves...)
-		var own []moved
+		var own []clientMove
 		for _, m := range moves {
 			if m.through == box {
 				own = append(own, m)
@@ -337,7 +337,7 @@
 	}
 }
 
-func (w *clientWatch) checkMoves(whose string, moves []moved, clients int) {
+func (w *clientWatch) checkMoves(whose string, moves []clientMove, clients int) {
 	sort.Slice(moves, func(i, j int) bool { return moves[i].after.Before(moves[j].after) })
 	most, when := 0, ""
 	for i := range moves {
@@ -353,8 +353,8 @@
 }
 
 // within returns the moves that were over by the end of a window.
-func within(moves []moved, end time.Time) []moved {
-	var inside []moved
+func within(moves []clientMove, end time.Time) []clientMove {
+	var inside []clientMove
 	for _, m := range moves {
 		if m.before.Before(end) {
 			inside = append(inside, m)
