--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -341,7 +341,7 @@
 	sort.Slice(moves, func(i, j int) bool { return moves[i].after.Before(moves[j].after) })
 	most, when := 0, ""
 	for i := range moves {
-		if n := len(within(moves[i:], moves[i].after.Add(shiftWindow))); n > most {
+		if n := len(movesEndedBy(moves[i:], moves[i].after.Add(shiftWindow))); n > most {
 			most, when = n, moves[i].after.Format(time.TimeOnly)
 		}
 	}
@@ -352,8 +352,8 @@
 	w.p.addFigure("%q:moves=%d,most_in_a_window=%.1f%%", whose, len(moves), 100*share)
 }
 
-// within returns the moves that were over by the end of a window.
-func within(moves []clientMove, end time.Time) []clientMove {
+// movesEndedBy returns the moves that were over by the end of a window.
+func movesEndedBy(moves []clientMove, end time.Time) []clientMove {
 	var inside []clientMove
 	for _, m := range moves {
 		if m.before.Before(end) {
