--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// instant is within what a refusal has to come: no request is held to
+	// maxRefusalTime is within what a refusal has to come: no request is held to
 	// keep its caller quiet. A queue may hold it for 100 ms at most.
-	instant = 500 * time.Millisecond
+	maxRefusalTime = 500 * time.Millisecond
 	// serviceMS is how long each request of this proof takes.
 	serviceMS = 20
 )
@@ -45,7 +45,7 @@
 		f := flood.end()
 		p.checkPeaks()
 		p.addFigure("slowest_refusal=%dms without_retry_after=%d", f.slowestRefusal.Milliseconds(), f.noRetryAfter)
-		if f.slowestRefusal > instant || f.noRetryAfter > 0 {
+		if f.slowestRefusal > maxRefusalTime || f.noRetryAfter > 0 {
 			p.violated("a refusal took %s (%s); %d named no time to come back", f.slowestRefusal, f.slowest, f.noRetryAfter)
 		}
 	})
