--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -69,9 +69,9 @@
 	return float64(s.Services[0].Servers*s.Slots) * 1000 / serviceMS
 }
 
-// flooding is an open load: requests start at fixed times, whatever becomes
+// openLoad is an open load: requests start at fixed times, whatever becomes
 // of the ones before.
-type flooding struct {
+type openLoad struct {
 	p    *proof
 	stop chan struct{}
 	wg   *conc.WaitGroup
@@ -85,17 +85,17 @@
 	noRetryAfter   int
 }
 
-func (f *flooding) rate() float64 { return float64(f.answered) / f.took.Seconds() }
+func (f *openLoad) rate() float64 { return float64(f.answered) / f.took.Seconds() }
 
 // flood offers so many times the capacity for a while.
-func (p *proof) flood(times float64, length time.Duration) *flooding {
+func (p *proof) flood(times float64, length time.Duration) *openLoad {
 	f := p.startFlood(times)
 	time.Sleep(length)
 	return f.end()
 }
 
-func (p *proof) startFlood(times float64) *flooding {
-	f := &flooding{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), began: time.Now()}
+func (p *proof) startFlood(times float64) *openLoad {
+	f := &openLoad{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), began: time.Now()}
 	zones := p.d.Shape.Zones()
 	pause := time.Duration(float64(time.Second) * float64(p.d.Shape.Boxes) / (times * capacityPerSecond(p)))
 	for i := range p.d.Shape.Boxes {
@@ -105,7 +105,7 @@
 }
 
 // offer starts a request through box i at every tick.
-func (f *flooding) offer(i int, zone string, pause time.Duration) {
+func (f *openLoad) offer(i int, zone string, pause time.Duration) {
 	c := caller.New(f.p.d.Shape.ClientOf(zone, i), f.p.d.Callers(i))
 	defer c.Close()
 	ticks := time.NewTicker(pause)
@@ -122,7 +122,7 @@
 	}
 }
 
-func (f *flooding) one(c *caller.Client, i, n int) {
+func (f *openLoad) one(c *caller.Client, i, n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	r := caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item?ms=%d", serviceMS)}
@@ -147,7 +147,7 @@
 	}
 }
 
-func (f *flooding) end() *flooding {
+func (f *openLoad) end() *openLoad {
 	close(f.stop)
 	f.took = time.Since(f.began)
 	f.wg.Wait()
