--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -31,8 +31,8 @@
 func TestPromise7(t *testing.T) {
 	prove(t, 7, "own-view", func(p *proof) {
 		l := p.start("small")
-		base := p.flood(1, 4*time.Second)
-		over := p.flood(2, 6*time.Second)
+		base := p.runOpenLoad(1, 4*time.Second)
+		over := p.runOpenLoad(2, 6*time.Second)
 		p.addFigure("goodput_at_2x=%.0f%%", 100*over.rate()/capacityPerSecond(p))
 		if over.rate() < 0.9*capacityPerSecond(p) {
 			p.violated("goodput at twice the load is %.0f of %.0f a second", over.rate(), capacityPerSecond(p))
@@ -87,8 +87,8 @@
 
 func (f *openLoad) rate() float64 { return float64(f.answered) / f.took.Seconds() }
 
-// flood offers so many times the capacity for a while.
-func (p *proof) flood(times float64, length time.Duration) *openLoad {
+// runOpenLoad offers so many times the capacity for a while.
+func (p *proof) runOpenLoad(times float64, length time.Duration) *openLoad {
 	f := p.startFlood(times)
 	time.Sleep(length)
 	return f.end()
