--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -38,7 +38,7 @@
 			p.violated("goodput at twice the load is %.0f of %.0f a second", over.rate(), capacityPerSecond(p))
 		}
 		p.addFigure("answered_at_1x=%.0f/s", base.rate())
-		flood := p.startFlood(2)
+		flood := p.startOpenLoad(2)
 		p.boxesComeAndGo()
 		p.serversSuffer(l)
 		p.regionFails()
@@ -57,7 +57,7 @@
 func TestPromise7CutOff(t *testing.T) {
 	prove(t, 7, "own-view", func(p *proof) {
 		l := p.start("small")
-		flood := p.startFlood(2)
+		flood := p.startOpenLoad(2)
 		p.boxIsCutOff(l)
 		flood.end()
 		p.checkPeaks()
@@ -89,12 +89,12 @@
 
 // runOpenLoad offers so many times the capacity for a while.
 func (p *proof) runOpenLoad(times float64, length time.Duration) *openLoad {
-	f := p.startFlood(times)
+	f := p.startOpenLoad(times)
 	time.Sleep(length)
 	return f.end()
 }
 
-func (p *proof) startFlood(times float64) *openLoad {
+func (p *proof) startOpenLoad(times float64) *openLoad {
 	f := &openLoad{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), began: time.Now()}
 	zones := p.d.Shape.Zones()
 	pause := time.Duration(float64(time.Second) * float64(p.d.Shape.Boxes) / (times * capacityPerSecond(p)))
