--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -117,12 +117,12 @@
 		case <-f.stop:
 			return
 		case <-ticks.C:
-			flying.Go(func() { f.one(c, i, n) })
+			flying.Go(func() { f.sendOne(c, i, n) })
 		}
 	}
 }
 
-func (f *openLoad) one(c *caller.Client, i, n int) {
+func (f *openLoad) sendOne(c *caller.Client, i, n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	r := caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item?ms=%d", serviceMS)}
