--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -39,7 +39,7 @@
 		}
 		p.addFigure("answered_at_1x=%.0f/s", base.rate())
 		flood := p.startOpenLoad(2)
-		p.boxesComeAndGo()
+		p.boxesChange()
 		p.serversSuffer(l)
 		p.regionFails()
 		f := flood.end()
@@ -154,9 +154,9 @@
 	return f
 }
 
-// boxesComeAndGo kills, starts, freezes and stops boxes, and has the
+// boxesChange kills, starts, freezes and stops boxes, and has the
 // platform's list drop and name them, so that slots change hands all the time.
-func (p *proof) boxesComeAndGo() {
+func (p *proof) boxesChange() {
 	all := p.d.BoxList()
 	without := func(gone int) []platform.Box { return without(all, gone) }
 	for _, i := range []int{0, 3} {
