--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -40,7 +40,7 @@
 		p.addFigure("answered_at_1x=%.0f/s", base.rate())
 		flood := p.startOpenLoad(2)
 		p.boxesChange()
-		p.serversSuffer(l)
+		p.degradeServers(l)
 		p.regionFails()
 		f := flood.end()
 		p.checkPeaks()
@@ -221,8 +221,8 @@
 	return p.frozen == i+1
 }
 
-// serversSuffer has backend servers mislead, slow down, and lose connections.
-func (p *proof) serversSuffer(l *links) {
+// degradeServers has backend servers mislead, slow down, and lose connections.
+func (p *proof) degradeServers(l *links) {
 	p.countFault()
 	p.must(p.d.Control(p.serverName(0), standin.BackendControl{MisleadingHealth: true, ServiceMS: serviceMS}))
 	l.servers[1].SetAll(faultproxy.Fault{Delay: 40 * time.Millisecond})
