--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -158,7 +158,7 @@
 // platform's list drop and name them, so that slots change hands all the time.
 func (p *proof) boxesChange() {
 	all := p.d.BoxList()
-	without := func(gone int) []platform.Box { return without(all, gone) }
+	without := func(gone int) []platform.Box { return boxesWithout(all, gone) }
 	for _, i := range []int{0, 3} {
 		p.countFault()
 		p.d.Kill(i)
@@ -185,7 +185,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-func without(all []platform.Box, gone int) []platform.Box {
+func boxesWithout(all []platform.Box, gone int) []platform.Box {
 	var list []platform.Box
 	for i, b := range all {
 		if i != gone {
@@ -201,7 +201,7 @@
 	all := p.d.BoxList()
 	p.countFault()
 	l.cutBox(p.d, 0)
-	p.must(p.d.SetBoxList(without(all, 0)))
+	p.must(p.d.SetBoxList(boxesWithout(all, 0)))
 	time.Sleep(9 * time.Second)
 	l.heal()
 	p.must(p.d.SetBoxList(all))
