--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -17,9 +17,9 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// forceBound is how long after acceptance a configuration may take to be in
+// activationBound is how long after acceptance a configuration may take to be in
 // force in every reachable zone.
-const forceBound = 2 * time.Second
+const activationBound = 2 * time.Second
 
 // TestPromise8 proves that an accepted configuration is in force everywhere
 // that can be reached within the bound, and never reverts.
@@ -71,7 +71,7 @@
 		return true
 	})
 	took := time.Since(since)
-	if err != nil || took > forceBound {
+	if err != nil || took > activationBound {
 		p.violated("%s: revision %d took %s", what, revision, took)
 	}
 	p.addFigure("%q=%dms", what, took.Milliseconds())
