--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -60,8 +60,8 @@
 	return reply.GetRevision(), err
 }
 
-// inForce waits until the boxes have the revision, and checks the bound.
-func (p *proof) inForce(what string, revision uint64, since time.Time, boxes ...int) {
+// checkRevisionActive waits until the boxes have the revision, and checks the bound.
+func (p *proof) checkRevisionActive(what string, revision uint64, since time.Time, boxes ...int) {
 	err := harness.WaitFor(20*time.Second, func() bool {
 		for _, i := range boxes {
 			if p.revisionOf(i) < revision {
@@ -95,7 +95,7 @@
 			p.violated("through box %d: %v", i, err)
 			continue
 		}
-		p.inForce(fmt.Sprintf("through box %d", i), revision, time.Now(), everyBox...)
+		p.checkRevisionActive(fmt.Sprintf("through box %d", i), revision, time.Now(), everyBox...)
 	}
 }
 
@@ -105,7 +105,7 @@
 	p.must(err)
 	l.platform.SetAll(faultproxy.Fault{Reset: true})
 	p.countFault()
-	p.inForce("accepted, then outage", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("accepted, then outage", revision, time.Now(), everyBox...)
 	_, err = p.change(1)
 	if c := status.Code(err); c != codes.Unavailable && c != codes.Unknown {
 		p.violated("a change during an outage was answered %v", err)
@@ -127,7 +127,7 @@
 			}
 			continue
 		}
-		p.inForce("answers lost", revision, time.Now(), everyBox...)
+		p.checkRevisionActive("answers lost", revision, time.Now(), everyBox...)
 	}
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 }
@@ -138,12 +138,12 @@
 	p.must(err)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{StaleBy: 3}))
 	p.countFault()
-	p.inForce("stale reads", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("stale reads", revision, time.Now(), everyBox...)
 	// A box that starts now reads the old state and must not keep it.
 	p.d.Kill(4)
 	p.must(p.d.StartBox(4))
 	p.must(p.d.WaitReady(4))
-	p.inForce("box started on stale reads", revision, time.Now(), 4)
+	p.checkRevisionActive("box started on stale reads", revision, time.Now(), 4)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 	p.awaitAllLive()
 }
@@ -152,13 +152,13 @@
 func (p *proof) restartInOutage() {
 	revision, err := p.change(3)
 	p.must(err)
-	p.inForce("before an outage", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("before an outage", revision, time.Now(), everyBox...)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{Down: true}))
 	p.countFault()
 	p.d.Kill(2)
 	p.must(p.d.StartBox(2))
 	p.must(p.d.WaitReady(2))
-	p.inForce("box started in an outage", revision, time.Now(), 2)
+	p.checkRevisionActive("box started in an outage", revision, time.Now(), 2)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 	p.awaitAllLive()
 }
@@ -168,18 +168,18 @@
 func (p *proof) storePutBack() {
 	revision, err := p.change(0)
 	p.must(err)
-	p.inForce("before the store was put back", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("before the store was put back", revision, time.Now(), everyBox...)
 	p.must(p.d.RestorePlatform(3))
 	p.countFault()
 	p.d.Kill(5)
 	p.must(p.d.StartBox(5))
 	p.must(p.d.WaitReady(5))
-	p.inForce("store put back", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("store put back", revision, time.Now(), everyBox...)
 	next, err := p.change(5)
 	if err != nil || next <= revision {
 		p.violated("a change after the store was put back: revision %d after %d, %v", next, revision, err)
 	}
-	p.inForce("changed after it was put back", next, time.Now(), everyBox...)
+	p.checkRevisionActive("changed after it was put back", next, time.Now(), everyBox...)
 	p.awaitAllLive()
 }
 
@@ -187,7 +187,7 @@
 func (p *proof) storePutBackThenAllReplaced() {
 	revision, err := p.change(0)
 	p.must(err)
-	p.inForce("before the store was put back again", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("before the store was put back again", revision, time.Now(), everyBox...)
 	p.must(p.d.RestorePlatform(1))
 	p.countFault()
 	err = harness.WaitFor(10*time.Second, func() bool {
@@ -206,7 +206,7 @@
 	for _, i := range everyBox {
 		p.must(p.d.WaitReady(i))
 	}
-	p.inForce("store put back, then every box replaced", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("store put back, then every box replaced", revision, time.Now(), everyBox...)
 	p.awaitAllLive()
 }
 
@@ -245,7 +245,7 @@
 	p.countFault()
 	revision, err := p.change(0)
 	p.must(err)
-	p.inForce("zones cut from the platform", revision, time.Now(), everyBox...)
+	p.checkRevisionActive("zones cut from the platform", revision, time.Now(), everyBox...)
 	l.platform.Clear()
 }
 
@@ -257,12 +257,12 @@
 	time.Sleep(8 * time.Second)
 	revision, err := p.change(0)
 	p.must(err)
-	p.inForce("the others of a cut zone", revision, time.Now(), 0, 1, 2, 4, 5)
+	p.checkRevisionActive("the others of a cut zone", revision, time.Now(), 0, 1, 2, 4, 5)
 	if got := p.revisionOf(3); got >= revision {
 		p.t.Errorf("the cut does not hold: box 3 has revision %d", got)
 	}
 	l.heal()
-	p.inForce("zone rejoined", revision, time.Now(), 3)
+	p.checkRevisionActive("zone rejoined", revision, time.Now(), 3)
 }
 
 // conflictCount counts from several goroutines.
