--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -46,9 +46,9 @@
 	})
 }
 
-// change sets the deadline of the service through box i and returns the
+// changeDeadline sets the deadline of the service through box i and returns the
 // accepted revision.
-func (p *proof) change(i int) (uint64, error) {
+func (p *proof) changeDeadline(i int) (uint64, error) {
 	client := p.operatorClient(i)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	if err != nil {
@@ -90,7 +90,7 @@
 func (p *proof) plainChanges() {
 	p.countFault()
 	for i := range 6 {
-		revision, err := p.change(i)
+		revision, err := p.changeDeadline(i)
 		if err != nil {
 			p.violated("through box %d: %v", i, err)
 			continue
@@ -101,12 +101,12 @@
 
 // acceptedThenOutage takes the platform away right after acceptance.
 func (p *proof) acceptedThenOutage(l *links) {
-	revision, err := p.change(0)
+	revision, err := p.changeDeadline(0)
 	p.must(err)
 	l.platform.SetAll(faultproxy.Fault{Reset: true})
 	p.countFault()
 	p.checkRevisionActive("accepted, then outage", revision, time.Now(), everyBox...)
-	_, err = p.change(1)
+	_, err = p.changeDeadline(1)
 	if c := status.Code(err); c != codes.Unavailable && c != codes.Unknown {
 		p.violated("a change during an outage was answered %v", err)
 	}
@@ -120,7 +120,7 @@
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{LoseAnswers: true}))
 	p.countFault()
 	for i := range 4 {
-		revision, err := p.change(i)
+		revision, err := p.changeDeadline(i)
 		if err != nil {
 			if c := status.Code(err); c != codes.Unknown && c != codes.Aborted {
 				p.violated("a lost answer was told as %v", err)
@@ -134,7 +134,7 @@
 
 // staleReads has the platform answer reads with an older state.
 func (p *proof) staleReads() {
-	revision, err := p.change(2)
+	revision, err := p.changeDeadline(2)
 	p.must(err)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{StaleBy: 3}))
 	p.countFault()
@@ -150,7 +150,7 @@
 
 // restartInOutage restarts a box while only its peers have the configuration.
 func (p *proof) restartInOutage() {
-	revision, err := p.change(3)
+	revision, err := p.changeDeadline(3)
 	p.must(err)
 	p.checkRevisionActive("before an outage", revision, time.Now(), everyBox...)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{Down: true}))
@@ -166,7 +166,7 @@
 // storePutBack puts the platform's store back to an older state; what was
 // accepted stays in force, also at a box that starts from that store.
 func (p *proof) storePutBack() {
-	revision, err := p.change(0)
+	revision, err := p.changeDeadline(0)
 	p.must(err)
 	p.checkRevisionActive("before the store was put back", revision, time.Now(), everyBox...)
 	p.must(p.d.RestorePlatform(3))
@@ -175,7 +175,7 @@
 	p.must(p.d.StartBox(5))
 	p.must(p.d.WaitReady(5))
 	p.checkRevisionActive("store put back", revision, time.Now(), everyBox...)
-	next, err := p.change(5)
+	next, err := p.changeDeadline(5)
 	if err != nil || next <= revision {
 		p.violated("a change after the store was put back: revision %d after %d, %v", next, revision, err)
 	}
@@ -185,7 +185,7 @@
 
 // storePutBackThenAllReplaced leaves nobody who remembers but the store.
 func (p *proof) storePutBackThenAllReplaced() {
-	revision, err := p.change(0)
+	revision, err := p.changeDeadline(0)
 	p.must(err)
 	p.checkRevisionActive("before the store was put back again", revision, time.Now(), everyBox...)
 	p.must(p.d.RestorePlatform(1))
@@ -243,7 +243,7 @@
 func (p *proof) peersLinkedPlatformCut(l *links) {
 	l.cutPlatform(p.d, 2, 3)
 	p.countFault()
-	revision, err := p.change(0)
+	revision, err := p.changeDeadline(0)
 	p.must(err)
 	p.checkRevisionActive("zones cut from the platform", revision, time.Now(), everyBox...)
 	l.platform.Clear()
@@ -255,7 +255,7 @@
 	l.cutPlatform(p.d, 3)
 	p.countFault()
 	time.Sleep(8 * time.Second)
-	revision, err := p.change(0)
+	revision, err := p.changeDeadline(0)
 	p.must(err)
 	p.checkRevisionActive("the others of a cut zone", revision, time.Now(), 0, 1, 2, 4, 5)
 	if got := p.revisionOf(3); got >= revision {
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -102,7 +102,7 @@
 	case "two operators":
 		wg := conc.NewWaitGroup()
 		for i := range 2 {
-			wg.Go(func() { _, _ = p.change((box + i) % p.d.Shape.Boxes) })
+			wg.Go(func() { _, _ = p.changeDeadline((box + i) % p.d.Shape.Boxes) })
 		}
 		wg.Wait()
 	case "heal":
