--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -37,7 +37,7 @@
 		p.lostWriteAnswers()
 		p.staleReads()
 		p.restartInOutage()
-		p.storePutBack()
+		p.storeRestored()
 		p.storePutBackThenAllReplaced()
 		p.operatorsRace()
 		p.peersLinkedPlatformCut(l)
@@ -163,9 +163,9 @@
 	p.awaitAllLive()
 }
 
-// storePutBack puts the platform's store back to an older state; what was
+// storeRestored puts the platform's store back to an older state; what was
 // accepted stays in force, also at a box that starts from that store.
-func (p *proof) storePutBack() {
+func (p *proof) storeRestored() {
 	revision, err := p.changeDeadline(0)
 	p.must(err)
 	p.checkRevisionActive("before the store was put back", revision, time.Now(), everyBox...)
