--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -38,7 +38,7 @@
 		p.staleReads()
 		p.restartInOutage()
 		p.storeRestored()
-		p.storePutBackThenAllReplaced()
+		p.storeRestoredThenBoxesReplaced()
 		p.operatorsRace()
 		p.peersLinkedPlatformCut(l)
 		p.zoneRejoins(l)
@@ -183,8 +183,8 @@
 	p.awaitAllLive()
 }
 
-// storePutBackThenAllReplaced leaves nobody who remembers but the store.
-func (p *proof) storePutBackThenAllReplaced() {
+// storeRestoredThenBoxesReplaced leaves nobody who remembers but the store.
+func (p *proof) storeRestoredThenBoxesReplaced() {
 	revision, err := p.changeDeadline(0)
 	p.must(err)
 	p.checkRevisionActive("before the store was put back again", revision, time.Now(), everyBox...)
