--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -40,7 +40,7 @@
 		p.storeRestored()
 		p.storeRestoredThenBoxesReplaced()
 		p.operatorsRace()
-		p.peersLinkedPlatformCut(l)
+		p.platformCutPeersReachable(l)
 		p.zoneRejoins(l)
 		w.end()
 	})
@@ -239,8 +239,8 @@
 	}
 }
 
-// peersLinkedPlatformCut cuts the south off from the platform only.
-func (p *proof) peersLinkedPlatformCut(l *links) {
+// platformCutPeersReachable cuts the south off from the platform only.
+func (p *proof) platformCutPeersReachable(l *links) {
 	l.cutPlatform(p.d, 2, 3)
 	p.countFault()
 	revision, err := p.changeDeadline(0)
