--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -216,7 +216,7 @@
 		p.countFault()
 		current, err := p.operatorClient(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 		p.must(err)
-		var wins, conflicts conflictCount
+		var wins, conflicts counter
 		wg := conc.NewWaitGroup()
 		for i := range 4 {
 			wg.Go(func() {
@@ -265,13 +265,13 @@
 	p.checkRevisionActive("zone rejoined", revision, time.Now(), 3)
 }
 
-// conflictCount counts from several goroutines.
-type conflictCount struct {
+// counter counts from several goroutines.
+type counter struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (c *conflictCount) add() {
+func (c *counter) add() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n++
