--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -40,7 +40,7 @@
 		revisions := p.watchRevisions()
 		load := p.startMixedLoad(24)
 		p.repeatsAtOnce()
-		m := &mixture{p: p, l: l, dice: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
+		m := &faultInjector{p: p, l: l, dice: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
 		for range mixedFaults {
 			m.step()
 		}
@@ -64,8 +64,8 @@
 	}
 }
 
-// mixture draws faults from the seed.
-type mixture struct {
+// faultInjector draws faults from the seed.
+type faultInjector struct {
 	p        *proof
 	l        *links
 	dice     *rand.Rand
@@ -74,7 +74,7 @@
 }
 
 // step does one thing to one part, and waits a while.
-func (m *mixture) step() {
+func (m *faultInjector) step() {
 	p, box := m.p, m.dice.IntN(m.p.d.Shape.Boxes)
 	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.dice.IntN(9)]
 	pause := time.Duration(300+m.dice.IntN(1500)) * time.Millisecond
@@ -112,7 +112,7 @@
 }
 
 // restore brings a box back that was killed or frozen.
-func (m *mixture) restore(box int) {
+func (m *faultInjector) restore(box int) {
 	switch m.down[box] {
 	case "kill":
 		m.p.must(m.p.d.StartBox(box))
@@ -122,7 +122,7 @@
 	delete(m.down, box)
 }
 
-func (m *mixture) recover() {
+func (m *faultInjector) recover() {
 	m.l.heal()
 	m.p.must(m.p.d.SetPlatformFault(standin.PlatformFault{}))
 	for box := range m.p.d.Shape.Boxes {
