--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -39,7 +39,7 @@
 		l := p.start("small")
 		revisions := p.watchRevisions()
 		load := p.startMixedLoad(24)
-		p.repeatsAtOnce()
+		p.simultaneousRepeats()
 		m := &faultInjector{p: p, l: l, dice: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
 		for range mixedFaults {
 			m.step()
@@ -52,10 +52,10 @@
 	})
 }
 
-// repeatsAtOnce has callers repeat while their first attempts run, before the first fault and
+// simultaneousRepeats has callers repeat while their first attempts run, before the first fault and
 // beside the load. Without it the faults alone decided whether a box ever met a key twice: with the
 // memory of keys switched off, three runs of three held.
-func (p *proof) repeatsAtOnce() {
+func (p *proof) simultaneousRepeats() {
 	for box := range p.d.Shape.Boxes {
 		key, id := p.keyOf(0)
 		p.submitTwice(box, box, buyRequest(50, ""), key, id)
