--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -1,5 +1,5 @@
-// Package prove holds the proofs of what must always hold: real processes,
-// real failures, and the backend servers' own records as the witness.
+// Package prove tests the promises of the system on deployments of real processes with real
+// faults, and checks them against the backend servers' own records.
 package prove
 
 import (
@@ -27,11 +27,11 @@
 
 var binDir string
 
-// controlEnv names the mechanism that the boxes run without.
+// controlEnv is the environment variable that names the mechanism that the boxes run without.
 const controlEnv = "STONEWORKS_CONTROL"
 
-// proveEnv is set by make prove; without it only the promises up to
-// lastUntimedPromise are proved, whose proofs assert no times.
+// make prove sets the environment variable proveEnv. Without it, only the proofs of promises 1
+// to lastUntimedPromise run, which assert no times.
 const (
 	proveEnv           = "STONEWORKS_PROVE"
 	lastUntimedPromise = 3
@@ -53,12 +53,13 @@
 	os.Exit(code)
 }
 
-// proof collects what one promise's proof met and found.
+// proof is one run of the proof of promise n. It counts the faults and requests, and collects
+// the violations and figures.
 type proof struct {
 	t *testing.T
 	n int
 	d *harness.Deployment
-	// links are the deployment's proxies.
+	// links are the fault proxies of the deployment.
 	links *links
 
 	mu         sync.Mutex
@@ -66,17 +67,18 @@
 	requests   int
 	violations []string
 	figures    []string
-	// frozen is one more than the number of the box that stands still.
+	// frozen is one more than the number of the box that is frozen, or 0 if none is.
 	frozen int
 }
 
-// prove runs a proof: plainly, or as a control that must come out broken.
+// prove runs the proof of promise n. With controlEnv set, it runs only if control is the
+// mechanism that is switched off, and the proof has to report violations.
 func prove(t *testing.T, n int, control string, run func(p *proof)) {
 	if controlled := os.Getenv(controlEnv); controlled != "" && controlled != control {
-		t.Skip("another mechanism is switched off")
+		t.Skip(controlEnv + " switches off the mechanism of another promise")
 	}
 	if (n == mixedNumber || n > lastUntimedPromise) && os.Getenv(proveEnv) == "" {
-		t.Skip("make prove runs it")
+		t.Skip("runs only with " + proveEnv + " set (make prove)")
 	}
 	p := &proof{t: t, n: n}
 	run(p)
@@ -140,7 +142,7 @@
 	p.requests += n
 }
 
-// must ends the proof if its own scaffolding failed.
+// must ends the proof if a step of the test itself failed.
 func (p *proof) must(err error) {
 	p.t.Helper()
 	if err != nil {
@@ -152,15 +154,16 @@
 // Deployments
 // ================================================================
 
-// links are the proxies before the boxes' ports for each other.
+// links are the fault proxies in front of the boxes' ports for each other, the backend servers
+// and the platform.
 type links struct {
 	peers    []*faultproxy.Proxy
 	servers  []*faultproxy.Proxy
 	platform *faultproxy.Proxy
 }
 
-// start runs a deployment in which every connection between boxes, and to the
-// platform, goes through a fault proxy.
+// start runs a deployment in which every connection between boxes, to the platform and to the
+// backend servers goes through a fault proxy.
 func (p *proof) start(shape string) *links {
 	d, err := harness.New(harness.Shapes[shape], p.t.TempDir(), binDir)
 	p.must(err)
@@ -205,7 +208,7 @@
 	return l
 }
 
-// awaitShares waits until all slots are given out.
+// awaitShares waits until the boxes' shares of the first service add up to all of its slots.
 func (p *proof) awaitShares() {
 	want := int32(p.d.Shape.Services[0].Servers * p.d.Shape.Slots)
 	p.must(harness.WaitFor(20*time.Second, func() bool {
@@ -223,7 +226,7 @@
 	}))
 }
 
-// copyLogs copies the logs to where STONEWORKS_LOGS says.
+// copyLogs copies the logs to the directory that STONEWORKS_LOGS names, if it is set.
 func (p *proof) copyLogs() {
 	to := os.Getenv("STONEWORKS_LOGS")
 	if to == "" {
@@ -253,7 +256,7 @@
 	}
 }
 
-// cutPlatform holds back all data between some boxes and the platform.
+// cutPlatform holds back all data between the given boxes and the platform.
 func (l *links) cutPlatform(d *harness.Deployment, boxes ...int) {
 	l.platform.Set(func(source string) faultproxy.Fault {
 		for _, i := range boxes {
@@ -290,8 +293,8 @@
 	return pb.NewOperatorsClient(conn)
 }
 
-// awaitRevisionEverywhere waits until all boxes have every service at least
-// at the revision.
+// awaitRevisionEverywhere waits until all boxes have every service at the revision or a later
+// one, and see all boxes live.
 func (p *proof) awaitRevisionEverywhere(revision uint64) {
 	for i := range p.d.Shape.Boxes {
 		client := p.operatorClient(i)
@@ -311,7 +314,7 @@
 	p.awaitAllLive()
 }
 
-// awaitAllLive waits until every box sees all boxes alive.
+// awaitAllLive waits until every box reports all boxes as live.
 func (p *proof) awaitAllLive() {
 	p.must(harness.WaitFor(20*time.Second, func() bool {
 		for i := range p.d.Shape.Boxes {
@@ -338,17 +341,17 @@
 // Requests
 // ================================================================
 
-// service is the one service of the small shape.
+// service is the name of the only service of the small shape.
 const service = "shop"
 
-// client returns a caller whose clients are in the first zone.
+// client returns a caller that uses box i and whose client is in the zone of that box.
 func (p *proof) client(i int) *caller.Client {
 	c := caller.New(p.d.Shape.ClientOf(p.d.Shape.ZoneOfBox(i), 1), p.d.Callers(i))
 	p.t.Cleanup(c.Close)
 	return c
 }
 
-// keyOf returns a fresh key that box i owns, and the request's id.
+// keyOf returns a new idempotency key that box i owns, and the request's id.
 func (p *proof) keyOf(i int) (key, id string) {
 	id = harness.NewID()
 	entries, err := p.client(i).Lookup(p.ctx(5*time.Second), service)
@@ -358,11 +361,12 @@
 			return e.KeyPrefix + "/" + id, id
 		}
 	}
-	p.t.Fatalf("the look-up does not name box %d", i)
+	p.t.Fatalf("the look-up of service %s does not list box %d", service, i)
 	return "", ""
 }
 
-// buyRequest is a request that may not be repeated and takes the given time.
+// buyRequest returns a request that runs at most once, takes ms milliseconds and has the backend
+// server inject the fault, if one is named.
 func buyRequest(ms int, fault string) caller.Request {
 	r := caller.Request{Service: service, Method: "POST", Path: fmt.Sprintf("/buy?ms=%d", ms), Body: []byte("one score"), AtMostOnce: true}
 	if fault != "" {
@@ -371,7 +375,7 @@
 	return r
 }
 
-// submit sends a request once through box i and checks any answer.
+// submit sends a request once through box i and checks the answer, if there is one.
 func (p *proof) submit(i int, r caller.Request, key, id string, within time.Duration) *caller.Result {
 	p.countRequests(1)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
@@ -390,19 +394,19 @@
 	return r
 }
 
-// runsWithKey returns how often the backend servers ran the key.
+// runsWithKey returns how many times the backend servers ran requests with the key.
 func (p *proof) runsWithKey(key string) int {
 	records, err := p.d.Records()
 	p.must(err)
 	return harness.RunsOf(records, key)
 }
 
-// awaitRun waits until a backend server has begun the key.
+// awaitRun waits until a backend server has started a request with the key.
 func (p *proof) awaitRun(key string) {
 	p.must(harness.WaitFor(5*time.Second, func() bool { return p.runsWithKey(key) > 0 }))
 }
 
-// createService creates one more service and waits until all boxes have it.
+// createService creates another service and waits until all boxes have it.
 func (p *proof) createService(s *model.Service) error {
 	_, err := p.operatorClient(0).CreateService(p.ctx(10*time.Second), &pb.CreateServiceRequest{Spec: rpc.ToSpec(s)})
 	if err != nil {
@@ -421,7 +425,7 @@
 	return nil
 }
 
-// checkPeaks compares each backend server's own peak with its slots.
+// checkPeaks checks that no backend server recorded more concurrent requests than it has slots.
 func (p *proof) checkPeaks() {
 	records, err := p.d.Records()
 	p.must(err)
