--- a/test/prove/traffic_test.go
+++ b/test/prove/traffic_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// traffic is a steady load that runs while a proof does its harm.
+// traffic is a steady load that runs while a proof injects faults.
 type traffic struct {
 	p    *proof
 	stop chan struct{}
@@ -23,13 +23,13 @@
 	reasons map[string]int
 }
 
-// startTraffic starts n callers in each zone that use look-ups as callers do, each
-// with requests that take up to ms milliseconds.
+// startTraffic starts n callers in each zone. They choose boxes by look-ups and send requests
+// that take less than ms milliseconds; every fifth one takes 5 ms and runs at most once.
 func (p *proof) startTraffic(n, ms int) *traffic {
 	return p.startTrafficFrom(p.d.Shape.Zones(), p.d.AllCallers(), n, ms)
 }
 
-// startTrafficFrom does the same for callers of some zones that ask some boxes.
+// startTrafficFrom is startTraffic for callers of the given zones that look up at the given boxes.
 func (p *proof) startTrafficFrom(zones, boxes []string, n, ms int) *traffic {
 	t := &traffic{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), counts: map[outcome.Outcome]int{}, reasons: map[string]int{}}
 	for _, zone := range zones {
@@ -71,7 +71,8 @@
 	}
 }
 
-// end stops the load and returns how its requests ended.
+// end stops the load and returns the number of requests with each outcome, and the number for
+// each reason why a request was not answered.
 func (t *traffic) end() (answered, notRun, unknown int, reasons map[string]int) {
 	close(t.stop)
 	t.wg.Wait()
