--- a/test/prove/promise_1_test.go
+++ b/test/prove/promise_1_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// TestPromise1 proves that a request that may not be repeated runs at most
-// once, whatever its caller repeats and whatever fails meanwhile.
+// TestPromise1 checks that an at-most-once request runs at most once, however its caller retries
+// it and whatever fails meanwhile.
 func TestPromise1(t *testing.T) {
 	prove(t, 1, "no-once", func(p *proof) {
 		l := p.start("small")
@@ -31,17 +31,17 @@
 	})
 }
 
-// repeatInterval keeps callers that repeat from spinning.
+// repeatInterval is the pause between retries, so that callers do not retry in a busy loop.
 const repeatInterval = 50 * time.Millisecond
 
-// checkAtMostOnce checks the witness at the end of a case.
+// checkAtMostOnce checks against the backend servers' records that the key ran at most once.
 func (p *proof) checkAtMostOnce(what, key string) {
 	if n := p.runsWithKey(key); n > 1 {
 		p.violated("%s: the key ran %d times", what, n)
 	}
 }
 
-// submitTwice submits one key twice at once, through two boxes.
+// submitTwice submits one key concurrently through two boxes, which may be the same box.
 func (p *proof) submitTwice(first, second int, r caller.Request, key, id string) (a, b *caller.Result) {
 	wg := conc.NewWaitGroup()
 	wg.Go(func() { a = p.submit(first, r, key, id, 5*time.Second) })
@@ -71,7 +71,8 @@
 	}
 }
 
-// answerLost hangs up while the request runs, then repeats it elsewhere.
+// answerLost closes the connection while the request runs, then retries it through each box
+// in turn.
 func (p *proof) answerLost() {
 	for i := range 6 {
 		key, id := p.keyOf(0)
@@ -82,7 +83,7 @@
 	}
 }
 
-// backendFaults has backend servers fail after the request reached them.
+// backendFaults has backend servers fail after they have received the request.
 func (p *proof) backendFaults() {
 	for _, fault := range []string{"reset-before", "reset-after", "truncate", "close", "hang"} {
 		for i := range 4 {
@@ -95,8 +96,8 @@
 	}
 }
 
-// viewsDiffer cuts the owner off from the other boxes and repeats through
-// both sides, while the boxes' views of each other drift apart.
+// viewsDiffer cuts the owner off from the other boxes and retries through both sides of the
+// partition, while the boxes' views of each other diverge.
 func (p *proof) viewsDiffer(l *links) {
 	keys := map[string]string{}
 	for range 3 {
@@ -111,7 +112,7 @@
 		for key, id := range keys {
 			p.submit(3, buyRequest(5, ""), key, id, 300*time.Millisecond)
 		}
-		// The cut-off side goes on serving what it owns.
+		// The box that is cut off continues to serve the keys that it owns.
 		if r := p.submit(0, buyRequest(5, ""), fresh, freshID, 2*time.Second); r.Outcome != outcome.Answered {
 			p.violated("views differ: the owner's own zone got %s %s", r.Outcome, r.Reason)
 		}
@@ -127,8 +128,8 @@
 	p.awaitRevisionEverywhere(1)
 }
 
-// platformDown repeats keys with tickets, which need no platform, and keys
-// without, which must not run.
+// platformDown retries keys with tickets, which do not need the platform, and keys without,
+// which must not run while the platform is down.
 func (p *proof) platformDown(l *links) {
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{Down: true}))
 	p.countFault()
@@ -151,8 +152,8 @@
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 }
 
-// claimsRace sends keys without a ticket through several boxes at once, also
-// while the platform loses answers.
+// claimsRace sends keys without a ticket through several boxes concurrently, in one round while
+// the platform's answers are lost.
 func (p *proof) claimsRace(*links) {
 	for round := range 3 {
 		lose := round == 1
@@ -176,8 +177,8 @@
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 }
 
-// ownerFrozen stops the owner with a request in flight, repeats elsewhere for
-// longer than the owner counts as alive, and lets it go on.
+// ownerFrozen freezes the owner with requests in flight, retries them through other boxes for
+// longer than these see the owner as live, and then resumes the owner.
 func (p *proof) ownerFrozen() {
 	var keys, ids []string
 	wg := conc.NewWaitGroup()
@@ -189,7 +190,7 @@
 	p.awaitRun(keys[0])
 	p.d.Freeze(1)
 	p.countFault()
-	late, lateID := p.keyOf(1 + 4) // box 5 shares the zone
+	late, lateID := p.keyOf(1 + 4) // box 5 is in the zone of box 1
 	_ = late
 	for until := time.Now().Add(7 * time.Second); time.Now().Before(until); time.Sleep(repeatInterval) {
 		for n, key := range keys {
@@ -207,7 +208,7 @@
 	p.awaitRevisionEverywhere(1)
 }
 
-// ownerKilled kills the owner with requests in flight.
+// ownerKilled kills the owner with requests in flight and retries them through the other boxes.
 func (p *proof) ownerKilled() {
 	var keys, ids []string
 	wg := conc.NewWaitGroup()
@@ -233,8 +234,8 @@
 	}
 }
 
-// ownerRestarted starts the killed owner again: a new life knows nothing of
-// the old one's keys and must not run them.
+// ownerRestarted kills and restarts an owner: the new incarnation has no record of the keys of
+// the old one and must not run them.
 func (p *proof) ownerRestarted() {
 	key, id := p.keyOf(3)
 	p.submit(3, buyRequest(5, ""), key, id, 2*time.Second)
