--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -14,8 +14,8 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// TestPromise2 proves that a request of which a caller is told that it was
-// not run was not run, for every way in which a request can end.
+// TestPromise2 checks that a request that is reported to its caller as not run did not run, for
+// faults of servers, links and boxes, deadlines and overload.
 func TestPromise2(t *testing.T) {
 	prove(t, 2, "careless-not-run", func(p *proof) {
 		l := p.start("small")
@@ -33,7 +33,7 @@
 	})
 }
 
-// outcomeChecker keeps what callers were told, to compare it with what ran.
+// outcomeChecker records the outcomes that callers received, to compare them with what ran.
 type outcomeChecker struct {
 	p        *proof
 	reported []reportedOutcome
@@ -53,7 +53,7 @@
 	w.outcomes[string(r.Outcome)]++
 }
 
-// send submits a request that may be repeated and one that may not.
+// send submits a request that may be retried and one that runs at most once.
 func (w *outcomeChecker) send(what string, box int, path, fault string, body []byte, within time.Duration) {
 	p := w.p
 	p.countFault()
@@ -75,8 +75,8 @@
 	w.add(what, key, p.submit(box, r, key, id, within))
 }
 
-// check compares with the backend servers' records, after whatever was still
-// on its way has arrived.
+// check compares the outcomes with the backend servers' records. It waits for a second first, so
+// that requests still in flight arrive.
 func (w *outcomeChecker) check() {
 	time.Sleep(time.Second)
 	records, err := w.p.d.Records()
@@ -89,7 +89,7 @@
 	for _, o := range []string{"answered", "not-run", "unknown"} {
 		w.p.addFigure("%s=%d", o, w.outcomes[o])
 		if w.outcomes[o] == 0 {
-			w.p.t.Errorf("no request ended as %s", o)
+			w.p.t.Errorf("no request had the outcome %s", o)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// linkFaults breaks the links to the backend servers.
+// linkFaults resets, truncates and stalls the connections to the backend servers.
 func (w *outcomeChecker) linkFaults(l *links) {
 	large := []byte(strings.Repeat("a receipt ", 30_000))
 	for name, f := range map[string]faultproxy.Fault{
@@ -122,11 +122,11 @@
 		}
 		l.heal()
 	}
-	// Nobody listens behind the address: the proxies are gone for a while.
+	// The last case is an address at which nothing listens.
 	w.p.must(w.refused())
 }
 
-// refused sends to a service whose backend servers' ports are closed.
+// refused sends requests to a service whose backend servers' ports are closed.
 func (w *outcomeChecker) refused() error {
 	s := w.p.d.Service(0)
 	s.Name = "closed"
@@ -154,15 +154,15 @@
 	}
 }
 
-// closedWhileIdle uses connections that the other side may just be closing.
+// closedWhileIdle reuses connections that the backend server may be closing at that moment.
 func (w *outcomeChecker) closedWhileIdle() {
 	for i := range 40 {
 		w.send("closed while idle", 0, "/item?ms=0", []string{"close", ""}[i%2], nil, time.Second)
 	}
 }
 
-// unknownThenFull has a request run and fail in its own zone, and then find
-// every other place full: what it is told last must not hide what ran first.
+// unknownThenFull has a request run and lose its answer in its own zone, and then find the
+// servers elsewhere full. The last refusal must not hide that an earlier attempt may have run.
 func (w *outcomeChecker) unknownThenFull() {
 	for range 4 {
 		wg := conc.NewWaitGroup()
@@ -178,7 +178,7 @@
 	}
 }
 
-// overload offers far more than all slots can take.
+// overload sends many more concurrent requests than there are slots.
 func (w *outcomeChecker) overload() {
 	wg := conc.NewWaitGroup()
 	for i := range 120 {
@@ -192,7 +192,7 @@
 	w.p.countFault()
 }
 
-// handOffCut loses a box while it works on what others handed to it.
+// handOffCut cuts off a box to which other boxes forward requests.
 func (w *outcomeChecker) handOffCut(l *links) {
 	l.cutBox(w.p.d, 2)
 	for i := range 8 {
@@ -202,8 +202,8 @@
 	w.p.awaitRevisionEverywhere(1)
 }
 
-// sendFrom sends as a client of a zone through a box of another, so that the
-// request is handed on.
+// sendFrom sends a request as a client of one zone through a box of another zone, so that the box
+// forwards it.
 func (w *outcomeChecker) sendFrom(what, zone string, box int, path string) {
 	p := w.p
 	p.countRequests(1)
@@ -216,7 +216,7 @@
 	w.add(what, id, r)
 }
 
-// load sends through box i until stop is closed.
+// load sends requests through the box until stop is closed.
 func (w *outcomeChecker) load(what string, box int, stop chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -229,7 +229,7 @@
 	}
 }
 
-// during runs a load through the box while f happens to it.
+// during runs a load through the box while f injects a fault.
 func (w *outcomeChecker) during(what string, box int, f func()) {
 	stop := make(chan struct{})
 	wg := conc.NewWaitGroup()
