--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -30,7 +30,8 @@
 	faultSeed    = 3
 )
 
-// TestPromise3 proves that a caller gets the whole answer to its own request.
+// TestPromise3 checks that a caller gets the complete answer to its own request, and not a
+// truncated answer or the answer to another request.
 func TestPromise3(t *testing.T) {
 	prove(t, 3, "reuse-any", func(p *proof) {
 		l := p.start("small")
@@ -42,8 +43,8 @@
 	})
 }
 
-// delayedAnswers has many callers share the boxes' connections while answers
-// come late, in pieces, cut, or not at all.
+// delayedAnswers has 18 callers share the boxes' connections while answers are delayed,
+// truncated or held back, and connections are reset.
 func (p *proof) delayedAnswers(l *links) {
 	counts := map[outcome.Outcome]int{}
 	stop := make(chan struct{})
@@ -79,11 +80,11 @@
 	l.heal()
 	p.addFigure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
 	if counts[outcome.Answered] == 0 {
-		p.t.Error("nothing was answered")
+		p.t.Error("no request was answered")
 	}
 }
 
-// awaitAnswers waits until every box gets answers again.
+// awaitAnswers waits until a request through every box is answered again.
 func (p *proof) awaitAnswers() {
 	for i := range p.d.Shape.Boxes {
 		p.must(harness.WaitFor(20*time.Second, func() bool {
@@ -94,7 +95,8 @@
 	}
 }
 
-// injectLinkFaults gives the links another fault every few milliseconds.
+// injectLinkFaults sets a random fault, or none, on a random proxy every 10 ms until stop is
+// closed.
 func (p *proof) injectLinkFaults(proxies []*faultproxy.Proxy, stop chan struct{}) {
 	dice := rand.New(rand.NewPCG(faultSeed, faultSeed))
 	faults := []faultproxy.Fault{
@@ -111,7 +113,8 @@
 	}
 }
 
-// streams passes large bodies both ways, whole and cut.
+// streams passes 100 MB bodies in both directions, complete ones and downloads cut at 7 MB, and
+// checks the boxes' peak memory.
 func (p *proof) streams(l *links) {
 	for _, c := range []struct{ zone, query string }{
 		{"north-a", ""}, {"south-b", ""}, {"north-a", "&chunked=1"}, {"south-b", "&chunked=1"},
@@ -146,7 +149,7 @@
 	}
 }
 
-// download reads a stream through box 0 and checks every byte.
+// download reads a response of largeBody bytes through box 0 and checks every byte.
 func (p *proof) download(zone, query string) (int64, error) {
 	p.countRequests(1)
 	id := harness.NewID()
@@ -167,7 +170,7 @@
 	return io.Copy(check, resp.Body)
 }
 
-// patternWriter compares what is written with a repeated pattern.
+// patternWriter compares the data written to it with a repeated pattern.
 type patternWriter struct {
 	pattern []byte
 	at      int
@@ -177,7 +180,7 @@
 	for done := 0; done < len(data); {
 		n := min(len(data)-done, len(w.pattern)-w.at)
 		if !bytes.Equal(data[done:done+n], w.pattern[w.at:w.at+n]) {
-			return done, fmt.Errorf("wrong bytes after %d", done)
+			return done, fmt.Errorf("wrong data within the write after byte %d", done)
 		}
 		done += n
 		w.at = (w.at + n) % len(w.pattern)
@@ -190,7 +193,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// upload sends a large body through box 0 and checks the digest in the answer.
+// upload sends a body of largeBody bytes through box 0 and checks the digest in the answer.
 func (p *proof) upload(zone string, chunked bool) error {
 	p.countRequests(1)
 	id := harness.NewID()
