--- a/test/prove/promise_4_test.go
+++ b/test/prove/promise_4_test.go
@@ -17,12 +17,12 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// drainBound is how long after acceptance a leaving backend server may still
-// get new work.
+// drainBound is how long after a drain was accepted the backend server may still get new
+// requests.
 const drainBound = 3 * time.Second
 
-// TestPromise4 proves that a leaving backend server gets no new work after the
-// bound, and that what it holds is finished.
+// TestPromise4 checks that a draining backend server gets no new requests after drainBound, and
+// that its requests in flight complete.
 func TestPromise4(t *testing.T) {
 	prove(t, 4, "ignore-leaving", func(p *proof) {
 		l := p.start("small")
@@ -42,7 +42,8 @@
 
 func (p *proof) serverName(n int) string { return fmt.Sprintf("%s-%d", service, n+1) }
 
-// awaitNewRequest makes sure that the server gets work, so that its end means something.
+// awaitNewRequest waits until server n gets a new request. Without one, getting none after the
+// drain would prove nothing.
 func (p *proof) awaitNewRequest(n int) {
 	began := time.Now()
 	err := harness.WaitFor(5*time.Second, func() bool {
@@ -50,11 +51,11 @@
 		return err == nil && records[p.serverName(n)].LastNew > began.UnixMilli()
 	})
 	if err != nil {
-		p.t.Errorf("%s gets no work, so it proves nothing that it gets none later", p.serverName(n))
+		p.t.Errorf("%s got no new request within 5 s, so a drain of it cannot be checked", p.serverName(n))
 	}
 }
 
-// undrain gives every server new work again and waits until all boxes know.
+// undrain ends the draining of every server and waits until each gets new requests again.
 func (p *proof) undrain() {
 	client := p.operatorClient(0)
 	for n := range p.d.Shape.Services[0].Servers {
@@ -73,9 +74,8 @@
 	}
 }
 
-// checkNoNewRequests checks that the server got nothing later than the bound after the
-// moment, watching it for a while beyond. Zones name what the server's
-// requests go through.
+// checkNoNewRequests checks that server n got no new request later than drainBound after since.
+// It looks 1.5 s after the bound.
 func (p *proof) checkNoNewRequests(what string, n int, since time.Time) {
 	time.Sleep(time.Until(since.Add(drainBound + 1500*time.Millisecond)))
 	records, err := p.d.Records()
@@ -87,7 +87,7 @@
 	}
 }
 
-// drain asks an operator's call of box i to drain server n.
+// drain drains server n by an operator's call to box i.
 func (p *proof) drain(i, n int) error {
 	client := p.operatorClient(i)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
@@ -99,8 +99,8 @@
 	return err
 }
 
-// startLongRequests starts requests of some seconds on the whole service and returns a
-// function that checks that all of them were answered.
+// startLongRequests starts eight requests of 2.5 s and returns a function that waits for them.
+// An unknown outcome is a violation: a request in flight was cut off.
 func (p *proof) startLongRequests(what string) (check func()) {
 	wg := conc.NewWaitGroup()
 	for i := range 8 {
@@ -134,7 +134,8 @@
 	check()
 }
 
-// drainAcceptedThenOutage takes the platform away as soon as it has accepted.
+// drainAcceptedThenOutage cuts off the platform as soon as it has accepted the drain. A drain
+// during the outage has to fail.
 func (p *proof) drainAcceptedThenOutage(l *links) {
 	p.awaitNewRequest(2)
 	p.must(p.drain(3, 2))
@@ -147,13 +148,13 @@
 	}
 }
 
-// signalInOutage is called while the platform is away.
+// signalInOutage runs while the platform is unreachable: drainAcceptedThenOutage leaves it so.
 func (p *proof) signalInOutage() {
 	p.drainedBySignal(3, "in an outage")
 }
 
-// drainWhileBoxFrozen freezes a box of the server's zone over the drain, and
-// lets it wake with the old configuration.
+// drainWhileBoxFrozen freezes a box of the server's zone during the drain, and resumes it with
+// the old configuration.
 func (p *proof) drainWhileBoxFrozen() {
 	p.links.platform.Clear()
 	p.undrain()
@@ -166,7 +167,8 @@
 	p.checkNoNewRequests("box frozen meanwhile", 5, accepted)
 }
 
-// signalInCutZone cuts one zone off from all others and from the platform.
+// signalInCutZone has a server signal that it is leaving in a zone that is cut off from all other
+// zones and from the platform.
 func (p *proof) signalInCutZone(l *links) {
 	p.undrain()
 	l.cutBox(p.d, 2)
@@ -176,8 +178,8 @@
 	defer inside.end()
 	time.Sleep(3 * time.Second)
 	p.drainedBySignal(6, "in a cut zone")
-	// The operators' side of the cut accepts a drain of the cut zone's other
-	// server; it comes into force there soon after the zone joins again.
+	// A box outside the cut zone accepts a drain of that zone's other server. The drain takes
+	// effect there within the bound after the links are restored.
 	p.must(p.drain(0, 2))
 	p.awaitNewRequest(2)
 	l.heal()
