--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -19,8 +19,8 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// TestPromise5 proves that a planned stop cuts nothing: every box in turn is
-// replaced under load, with streams and uploads in flight.
+// TestPromise5 checks that a planned stop of a box interrupts no request: every box in turn is
+// stopped and started again under load, with slow downloads and uploads in flight.
 func TestPromise5(t *testing.T) {
 	prove(t, 5, "exit-at-once", func(p *proof) {
 		p.start("small")
@@ -46,12 +46,12 @@
 			p.violated("requests lost by planned stops: %v", reasons)
 		}
 		if streams == 0 {
-			p.t.Error("no stream was in flight")
+			p.t.Error("no download or upload completed")
 		}
 	})
 }
 
-// streamLoad is a load of slow downloads and uploads.
+// streamLoad is a load of slow downloads and uploads. It counts the completed ones.
 type streamLoad struct {
 	p    *proof
 	stop chan struct{}
@@ -59,8 +59,8 @@
 	done atomic.Int64
 }
 
-// startStreams starts n callers in each zone, each with one slow download or
-// upload after the other.
+// startStreams starts n callers in each zone, each of which runs slow downloads and uploads in
+// turn.
 func (p *proof) startStreams(n int) *streamLoad {
 	s := &streamLoad{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup()}
 	for _, zone := range p.d.Shape.Zones() {
@@ -115,7 +115,7 @@
 	return req
 }
 
-// download takes about two seconds.
+// download runs a download of 200 kB that takes about two seconds.
 func (s *streamLoad) download(web *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	const size = 200_000
@@ -129,12 +129,12 @@
 	}
 	n, err := io.Copy(&patternWriter{pattern: []byte(strings.Repeat(id+"\n", 1024))}, resp.Body)
 	if err == nil && n != size {
-		err = fmt.Errorf("%d bytes", n)
+		err = fmt.Errorf("got %d of %d bytes", n, size)
 	}
 	return err
 }
 
-// upload takes about a second.
+// upload runs an upload of 400 kB that takes about one second.
 func (s *streamLoad) upload(web *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	part := bytes.Repeat([]byte("u"), 40_000)
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// slowReader gives parts with a pause before each.
+// slowReader returns the part repeatedly, with a pause before each repetition.
 type slowReader struct {
 	parts int
 	part  []byte
