--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -26,12 +26,12 @@
 const (
 	shiftCap    = 0.1
 	shiftWindow = 2 * time.Second
-	// sampleInterval is how often each client is seen, which is how exactly the
-	// moment of its move is known.
+	// sampleInterval is the pause between the requests of each client, which limits how exactly
+	// the time of its move is known.
 	sampleInterval = 100 * time.Millisecond
 )
 
-// TestPromise6 proves that no shift moves more than the cap in any window.
+// TestPromise6 checks that shifts move no more than shiftCap of the clients in any shiftWindow.
 func TestPromise6(t *testing.T) {
 	prove(t, 6, "no-cap", func(p *proof) {
 		l := p.start("small")
@@ -63,8 +63,8 @@
 	return reply.Services[0]
 }
 
-// shareOf returns which share of the clients of one region box i has another
-// region serve.
+// shareOf returns the share of the clients of one region that box i assigns to the serving
+// region.
 func (p *proof) shareOf(i int, client, serving string) float64 {
 	for _, a := range p.planOf(i).GetAssignment() {
 		if a.ClientRegion == client && a.ServingRegion == serving {
@@ -74,7 +74,7 @@
 	return 0
 }
 
-// shift sets the one planned shift of the service, north to south.
+// shift sets the only planned shift of the service, north to south, through a box.
 func (p *proof) shift(box int, share float64) error {
 	client := p.operatorClient(box)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
@@ -90,7 +90,8 @@
 	return err
 }
 
-// awaitShare waits until the boxes have that share of the north in the south.
+// awaitShare waits until the boxes assign the share of the north's clients to the south, within
+// 0.006.
 func (p *proof) awaitShare(share float64, boxes ...int) {
 	for _, i := range boxes {
 		err := harness.WaitFor(60*time.Second, func() bool { return abs(p.shareOf(i, "north", "south")-share) < 0.006 })
@@ -108,7 +109,8 @@
 	p.awaitShare(0.3, 0, 1, 3)
 }
 
-// twoOperators change the same service at the same moment.
+// twoOperators has two operators change the same revision of the service concurrently. Exactly
+// one of them must succeed.
 func (p *proof) twoOperators() {
 	p.countFault()
 	current, err := p.operatorClient(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
@@ -134,7 +136,8 @@
 	}
 }
 
-// plannerBox finds the box that wrote the plan last.
+// plannerBox returns the box that plans the shifts of the service: the one with the highest
+// rendezvous hash.
 func (p *proof) plannerBox() int {
 	best, hash := 0, uint64(0)
 	for i := range p.d.Shape.Boxes {
@@ -145,8 +148,8 @@
 	return best
 }
 
-// plannerFails freezes the planner in the middle of a shift for longer than it
-// counts as alive, and kills it in the middle of another.
+// plannerFails freezes the planner during one shift for longer than the other boxes see it as
+// live, and kills it during another.
 func (p *proof) plannerFails(*links) {
 	planner := p.plannerBox()
 	p.must(p.shift((planner+1)%6, 0.0))
@@ -172,7 +175,8 @@
 	p.awaitAllLive()
 }
 
-// lostPlanAnswers has the platform take every write and answer none.
+// lostPlanAnswers has the platform apply every write but send no answer to it, and then answer
+// reads with an older state for two seconds.
 func (p *proof) lostPlanAnswers() {
 	p.must(p.shift(0, 0.3))
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{LoseAnswers: true, DelayMS: 30}))
@@ -184,8 +188,8 @@
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 }
 
-// zoneCutOff cuts box 1, which serves clients of its own, off from everything
-// while the others shift, and lets it join again with its old plan.
+// zoneCutOff cuts off box 1, which has clients of its own, from the other boxes and the platform
+// while the others shift, and then lets it rejoin with its old plan.
 func (p *proof) zoneCutOff(l *links, _ *clientWatch) {
 	l.cutBox(p.d, 1)
 	l.cutPlatform(p.d, 1)
@@ -202,7 +206,7 @@
 	p.addFigure("rejoin=%.1fwindows", time.Since(rejoined).Seconds()/shiftWindow.Seconds())
 }
 
-// regionLost kills every box of the south and brings them back.
+// regionLost kills every box of the south and starts them again.
 func (p *proof) regionLost() {
 	p.d.Kill(2)
 	p.d.Kill(3)
@@ -220,8 +224,8 @@
 // Clients
 // ================================================================
 
-// clientWatch has one client in each bucket ask through one box all the time,
-// and notes which region answered.
+// clientWatch runs one client in each bucket for each of some boxes. The clients send requests
+// continuously, and clientWatch records when another region answers than before.
 type clientWatch struct {
 	p     *proof
 	stop  chan struct{}
@@ -230,19 +234,19 @@
 	moves map[int][]clientMove
 }
 
-// clientMove is a client that was answered by another region than before. It clientMove
-// at some time after it had sent the last request that was decided the old
-// way, or was not answered, and before the answer.
+// clientMove records that a client was answered by another region than before. The client moved
+// after it had sent its previous request, which was routed the old way or not answered, and
+// before the answer arrived.
 type clientMove struct {
 	after  time.Time
 	before time.Time
 	client int
 	to     string
-	// through is the box that it asked both times, or -1 if it changed boxes.
+	// through is the box that received both requests, or -1 if the client changed boxes.
 	through int
 }
 
-// watchClients starts the clients of each box: one in each bucket of the north.
+// watchClients starts the clients of each box: one in each bucket, all from the north.
 func (p *proof) watchClients(boxes []int) *clientWatch {
 	w := &clientWatch{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), moves: map[int][]clientMove{}}
 	clients := oneInEachBucket(p.d.Shape.ClientOf("north-a", 0))
@@ -254,7 +258,7 @@
 	return w
 }
 
-// oneInEachBucket returns an address in every bucket, near the given one.
+// oneInEachBucket returns one address for each bucket, searching upward from the given one.
 func oneInEachBucket(near string) []string {
 	found := make([]string, decide.Buckets)
 	left := decide.Buckets
@@ -272,7 +276,7 @@
 	p := w.p
 	c := caller.New(address, p.d.Callers(box))
 	defer c.Close()
-	// As callers do, it goes to another box while its own does not answer.
+	// Like a real caller, the client tries another box while its own does not answer.
 	boxes := []int{box, 0, 4, 5}
 	at, last, lastAt := 0, "", 0
 	asked := time.Now()
@@ -316,9 +320,8 @@
 	w.wg.Wait()
 }
 
-// check counts the moves that certainly fell into one window: those of all
-// clients together, and, more strictly, those of each box's own clients while
-// they used it.
+// check counts the moves that are certain to lie within one window: those of all clients
+// together and, as a stricter check, those of each box's own clients while they used that box.
 func (w *clientWatch) check() {
 	var all []clientMove
 	for box, moves := range w.moves {
@@ -333,7 +336,7 @@
 	}
 	w.checkMoves("all", all, decide.Buckets*len(w.moves))
 	if len(all) == 0 {
-		w.p.t.Error("nobody moved, so it proves nothing")
+		w.p.t.Error("no client moved, so the cap was not tested")
 	}
 }
 
@@ -352,7 +355,7 @@
 	w.p.addFigure("%q:moves=%d,most_in_a_window=%.1f%%", whose, len(moves), 100*share)
 }
 
-// movesEndedBy returns the moves that were over by the end of a window.
+// movesEndedBy returns the moves that ended before the end of a window.
 func movesEndedBy(moves []clientMove, end time.Time) []clientMove {
 	var inside []clientMove
 	for _, m := range moves {
