--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// maxRefusalTime is within what a refusal has to come: no request is held to
-	// keep its caller quiet. A queue may hold it for 100 ms at most.
+	// maxRefusalTime is the longest time that a refusal may take. Boxes do not delay refusals to
+	// slow callers down; a queue holds a request for at most 100 ms.
 	maxRefusalTime = 500 * time.Millisecond
-	// serviceMS is how long each request of this proof takes.
+	// serviceMS is how long each request of this proof takes, in milliseconds.
 	serviceMS = 20
 )
 
-// TestPromise7 proves that no decision overloads a region: no backend server
-// ever works on more than its slots, overload does not eat what capacity
-// there is, and refusals come at once with when to come back.
+// TestPromise7 checks that no routing decision overloads a region: no backend server works on
+// more requests than it has slots, goodput at twice the capacity is at least 90% of the capacity,
+// and refusals take at most maxRefusalTime and name a time to retry after.
 func TestPromise7(t *testing.T) {
 	prove(t, 7, "own-view", func(p *proof) {
 		l := p.start("small")
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestPromise7CutOff is the same for a box that is cut off from the others and from the platform,
-// whose list drops it, while its callers still reach it: the others take its part of the slots over,
-// and it goes on using it.
+// TestPromise7CutOff checks that no backend server works on more requests than it has slots when a
+// box is cut off from the other boxes and from the platform, whose list drops it, while its callers
+// still reach it: the other boxes take over its share of the slots, and it continues to use them.
 func TestPromise7CutOff(t *testing.T) {
 	prove(t, 7, "own-view", func(p *proof) {
 		l := p.start("small")
@@ -69,8 +69,8 @@
 	return float64(s.Services[0].Servers*s.Slots) * 1000 / serviceMS
 }
 
-// openLoad is an open load: requests start at fixed times, whatever becomes
-// of the ones before.
+// openLoad is an open-loop load: requests start at fixed times, whether earlier ones have ended
+// or not.
 type openLoad struct {
 	p    *proof
 	stop chan struct{}
@@ -87,7 +87,7 @@
 
 func (f *openLoad) rate() float64 { return float64(f.answered) / f.took.Seconds() }
 
-// runOpenLoad offers so many times the capacity for a while.
+// runOpenLoad offers the given multiple of the capacity for a given time.
 func (p *proof) runOpenLoad(times float64, length time.Duration) *openLoad {
 	f := p.startOpenLoad(times)
 	time.Sleep(length)
@@ -104,7 +104,7 @@
 	return f
 }
 
-// offer starts a request through box i at every tick.
+// offer starts a request through box i at each interval of length pause.
 func (f *openLoad) offer(i int, zone string, pause time.Duration) {
 	c := caller.New(f.p.d.Shape.ClientOf(zone, i), f.p.d.Callers(i))
 	defer c.Close()
@@ -136,7 +136,7 @@
 	case result.Outcome == outcome.Answered:
 		f.answered++
 	case f.p.isFrozen(i):
-		// A box that stands still cannot refuse at once.
+		// A frozen box cannot refuse promptly.
 	case result.Status != 0 && result.Outcome == outcome.NotRun:
 		if took > f.slowestRefusal {
 			f.slowestRefusal, f.slowest = took, fmt.Sprintf("box %d, %s: %s", i, time.Now().Format(time.TimeOnly), result.Body)
@@ -154,8 +154,8 @@
 	return f
 }
 
-// boxesChange kills, starts, freezes and stops boxes, and has the
-// platform's list drop and name them, so that slots change hands all the time.
+// boxesChange kills, starts, freezes and stops boxes, and removes them from and adds them to the
+// platform's list, so that slots move between boxes.
 func (p *proof) boxesChange() {
 	all := p.d.BoxList()
 	without := func(gone int) []platform.Box { return boxesWithout(all, gone) }
@@ -163,7 +163,7 @@
 		p.countFault()
 		p.d.Kill(i)
 		p.must(p.d.SetBoxList(without(i)))
-		// Long enough for the others to take its part over.
+		// Long enough for the other boxes to take over its share.
 		time.Sleep(8 * time.Second)
 		p.must(p.d.SetBoxList(all))
 		p.must(p.d.StartBox(i))
@@ -175,7 +175,7 @@
 	p.must(p.d.SetBoxList(without(1)))
 	time.Sleep(9 * time.Second)
 	p.d.Thaw(1)
-	// What it got while it stood still ends within its caller's two seconds.
+	// Requests that it received while frozen end within their callers' timeout of 2 s.
 	time.Sleep(2500 * time.Millisecond)
 	p.setFrozen(-1)
 	p.must(p.d.SetBoxList(all))
@@ -195,8 +195,8 @@
 	return list
 }
 
-// boxIsCutOff cuts a box off from the others and the platform, which names it no more, while its
-// callers still reach it.
+// boxIsCutOff cuts off a box from the other boxes and the platform, which drops it from its list,
+// while its callers still reach it.
 func (p *proof) boxIsCutOff(l *links) {
 	all := p.d.BoxList()
 	p.countFault()
@@ -208,7 +208,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// setFrozen notes which box stands still; -1 for none.
+// setFrozen records which box is frozen; -1 for none.
 func (p *proof) setFrozen(i int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +221,8 @@
 	return p.frozen == i+1
 }
 
-// degradeServers has backend servers mislead, slow down, and lose connections.
+// degradeServers has one backend server fail its health checks, one answer slowly, and one lose
+// its connections.
 func (p *proof) degradeServers(l *links) {
 	p.countFault()
 	p.must(p.d.Control(p.serverName(0), standin.BackendControl{MisleadingHealth: true, ServiceMS: serviceMS}))
@@ -231,7 +232,7 @@
 	l.heal()
 }
 
-// regionFails kills the boxes of the south; the north must not be overrun.
+// regionFails kills the boxes of the south, which must not overload the north's servers.
 func (p *proof) regionFails() {
 	p.countFault()
 	p.must(p.d.Signal(2, syscall.SIGKILL))
