--- a/test/prove/promise_8_test.go
+++ b/test/prove/promise_8_test.go
@@ -17,19 +17,19 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// activationBound is how long after acceptance a configuration may take to be in
-// force in every reachable zone.
+// activationBound is how long after it was accepted a configuration may take to become active in
+// every reachable zone.
 const activationBound = 2 * time.Second
 
-// TestPromise8 proves that an accepted configuration is in force everywhere
-// that can be reached within the bound, and never reverts.
+// TestPromise8 checks that an accepted configuration is active in every reachable zone within
+// activationBound, and that no box reverts to an older revision.
 func TestPromise8(t *testing.T) {
 	prove(t, 8, "any-revision", func(p *proof) {
 		l := p.start("small")
 		w := p.watchRevisions()
 		p.plainChanges()
 		if len(p.violations) > 0 {
-			// Nothing holds without its mechanism; the rest cannot run.
+			// Without the mechanism of this promise, the later steps cannot run.
 			w.end()
 			return
 		}
@@ -46,7 +46,7 @@
 	})
 }
 
-// changeDeadline sets the deadline of the service through box i and returns the
+// changeDeadline changes the default deadline of the service through box i and returns the
 // accepted revision.
 func (p *proof) changeDeadline(i int) (uint64, error) {
 	client := p.operatorClient(i)
@@ -60,7 +60,8 @@
 	return reply.GetRevision(), err
 }
 
-// checkRevisionActive waits until the boxes have the revision, and checks the bound.
+// checkRevisionActive waits until the boxes have the revision or a later one, and checks that they
+// do within activationBound after since.
 func (p *proof) checkRevisionActive(what string, revision uint64, since time.Time, boxes ...int) {
 	err := harness.WaitFor(20*time.Second, func() bool {
 		for _, i := range boxes {
@@ -99,7 +100,8 @@
 	}
 }
 
-// acceptedThenOutage takes the platform away right after acceptance.
+// acceptedThenOutage cuts off the platform right after it has accepted a change. A change during
+// the outage has to fail.
 func (p *proof) acceptedThenOutage(l *links) {
 	revision, err := p.changeDeadline(0)
 	p.must(err)
@@ -114,8 +116,8 @@
 	time.Sleep(time.Second)
 }
 
-// lostWriteAnswers has the platform store writes and drop the answers: what is
-// accepted must be in force, once, and what is not known must be said so.
+// lostWriteAnswers has the platform apply writes and drop the answers. Accepted changes must
+// become active, and a change whose result is not known must be reported as Unknown or Aborted.
 func (p *proof) lostWriteAnswers() {
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{LoseAnswers: true}))
 	p.countFault()
@@ -139,7 +141,7 @@
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{StaleBy: 3}))
 	p.countFault()
 	p.checkRevisionActive("stale reads", revision, time.Now(), everyBox...)
-	// A box that starts now reads the old state and must not keep it.
+	// A box that starts now reads the old state and must replace it by the newer one.
 	p.d.Kill(4)
 	p.must(p.d.StartBox(4))
 	p.must(p.d.WaitReady(4))
@@ -148,7 +150,8 @@
 	p.awaitAllLive()
 }
 
-// restartInOutage restarts a box while only its peers have the configuration.
+// restartInOutage restarts a box while the platform is down and only the box's peers have the
+// configuration.
 func (p *proof) restartInOutage() {
 	revision, err := p.changeDeadline(3)
 	p.must(err)
@@ -163,8 +166,8 @@
 	p.awaitAllLive()
 }
 
-// storeRestored puts the platform's store back to an older state; what was
-// accepted stays in force, also at a box that starts from that store.
+// storeRestored restores the platform's store to an older state. The accepted configuration stays
+// active, also at a box that starts from that store.
 func (p *proof) storeRestored() {
 	revision, err := p.changeDeadline(0)
 	p.must(err)
@@ -183,7 +186,8 @@
 	p.awaitAllLive()
 }
 
-// storeRestoredThenBoxesReplaced leaves nobody who remembers but the store.
+// storeRestoredThenBoxesReplaced restores the store to an older state, waits until the boxes have
+// written the newer revision to it, and restarts all boxes, so that only the store has it.
 func (p *proof) storeRestoredThenBoxesReplaced() {
 	revision, err := p.changeDeadline(0)
 	p.must(err)
@@ -210,7 +214,8 @@
 	p.awaitAllLive()
 }
 
-// operatorsRace has operators change the same revision at the same moment.
+// operatorsRace has four operators change the same revision concurrently. Exactly one of them
+// must succeed.
 func (p *proof) operatorsRace() {
 	for range 10 {
 		p.countFault()
@@ -239,7 +244,7 @@
 	}
 }
 
-// platformCutPeersReachable cuts the south off from the platform only.
+// platformCutPeersReachable cuts off the south from the platform, but not from the other boxes.
 func (p *proof) platformCutPeersReachable(l *links) {
 	l.cutPlatform(p.d, 2, 3)
 	p.countFault()
@@ -249,7 +254,7 @@
 	l.platform.Clear()
 }
 
-// zoneRejoins cuts a zone off from everything and joins it again.
+// zoneRejoins cuts off a zone from the other zones and the platform, and reconnects it.
 func (p *proof) zoneRejoins(l *links) {
 	l.cutBox(p.d, 3)
 	l.cutPlatform(p.d, 3)
@@ -259,13 +264,13 @@
 	p.must(err)
 	p.checkRevisionActive("the others of a cut zone", revision, time.Now(), 0, 1, 2, 4, 5)
 	if got := p.revisionOf(3); got >= revision {
-		p.t.Errorf("the cut does not hold: box 3 has revision %d", got)
+		p.t.Errorf("box 3 is cut off but has the new revision %d", got)
 	}
 	l.heal()
 	p.checkRevisionActive("zone rejoined", revision, time.Now(), 3)
 }
 
-// counter counts from several goroutines.
+// counter is a counter that several goroutines may increment.
 type counter struct {
 	mu sync.Mutex
 	n  int
@@ -277,7 +282,7 @@
 	c.n++
 }
 
-// revisionWatch looks all the time whether any box goes back in revision.
+// revisionWatch checks every 20 ms whether a box has gone back to an older revision.
 type revisionWatch struct {
 	stop chan struct{}
 	wg   *conc.WaitGroup
