--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -18,18 +18,18 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// The mixed run: its number in the PROMISE lines, its seed unless
-// STONEWORKS_SEED names another, and its length.
+// The number that stands for the mixed run among the promises, its seed unless STONEWORKS_SEED
+// sets another, and its number of faults.
 const (
 	mixedNumber = 0
 	mixedSeed   = 20261202
 	mixedFaults = 16
 )
 
-// TestPromiseMixed lets faults come at any moment, together and twice, and
-// checks the promises that hold for every single request: at most once, not
-// run means not run, the right answer, no server above its slots, and no
-// revision that goes back. The seed gives the schedule.
+// TestPromiseMixed injects faults at random times, which may overlap and repeat, and checks the
+// promises that can be checked under any faults: requests run at most once, requests reported as
+// not run did not run, answers are correct, no server exceeds its slots, and no revision goes
+// back. The seed determines the schedule.
 func TestPromiseMixed(t *testing.T) {
 	prove(t, mixedNumber, "no-once", func(p *proof) {
 		seed := uint64(mixedSeed)
@@ -52,9 +52,9 @@
 	})
 }
 
-// simultaneousRepeats has callers repeat while their first attempts run, before the first fault and
-// beside the load. Without it the faults alone decided whether a box ever met a key twice: with the
-// memory of keys switched off, three runs of three held.
+// simultaneousRepeats has callers retry while their first attempts run, before the first fault and
+// alongside the load. Without it, only the faults decide whether a box receives a key twice: with
+// the record of keys switched off, 3 of 3 runs then reported no violation.
 func (p *proof) simultaneousRepeats() {
 	for box := range p.d.Shape.Boxes {
 		key, id := p.keyOf(0)
@@ -64,7 +64,7 @@
 	}
 }
 
-// faultInjector draws faults from the seed.
+// faultInjector injects faults that it draws from the seed.
 type faultInjector struct {
 	p        *proof
 	l        *links
@@ -73,7 +73,7 @@
 	schedule []string
 }
 
-// step does one thing to one part, and waits a while.
+// step injects one fault, or removes all faults, and waits for 0.3 to 1.8 s.
 func (m *faultInjector) step() {
 	p, box := m.p, m.dice.IntN(m.p.d.Shape.Boxes)
 	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.dice.IntN(9)]
@@ -111,7 +111,7 @@
 	time.Sleep(pause)
 }
 
-// restore brings a box back that was killed or frozen.
+// restore starts or resumes a box that was killed or frozen.
 func (m *faultInjector) restore(box int) {
 	switch m.down[box] {
 	case "kill":
@@ -132,7 +132,7 @@
 	m.p.awaitAllLive()
 }
 
-// mixedLoad is a load whose every request is compared with what ran.
+// mixedLoad is a load that compares the outcome of every request with the servers' records.
 type mixedLoad struct {
 	p    *proof
 	stop chan struct{}
