--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -180,7 +180,7 @@
 	for done := 0; done < len(data); {
 		n := min(len(data)-done, len(w.pattern)-w.at)
 		if !bytes.Equal(data[done:done+n], w.pattern[w.at:w.at+n]) {
-			return done, fmt.Errorf("wrong data within the write after byte %d", done)
+			return done, fmt.Errorf("wrong bytes after %d", done)
 		}
 		done += n
 		w.at = (w.at + n) % len(w.pattern)
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -129,7 +129,7 @@
 	}
 	n, err := io.Copy(&patternWriter{pattern: []byte(strings.Repeat(id+"\n", 1024))}, resp.Body)
 	if err == nil && n != size {
-		err = fmt.Errorf("got %d of %d bytes", n, size)
+		err = fmt.Errorf("%d bytes", n)
 	}
 	return err
 }
--- a/test/prove/prove_test.go
+++ b/test/prove/prove_test.go
@@ -75,10 +75,10 @@
 // mechanism that is switched off, and the proof has to report violations.
 func prove(t *testing.T, n int, control string, run func(p *proof)) {
 	if controlled := os.Getenv(controlEnv); controlled != "" && controlled != control {
-		t.Skip(controlEnv + " switches off the mechanism of another promise")
+		t.Skip("STONEWORKS_CONTROL switches off the mechanism of another promise")
 	}
 	if (n == mixedNumber || n > lastUntimedPromise) && os.Getenv(proveEnv) == "" {
-		t.Skip("runs only with " + proveEnv + " set (make prove)")
+		t.Skip("runs only with STONEWORKS_PROVE set (make prove)")
 	}
 	p := &proof{t: t, n: n}
 	run(p)
@@ -361,7 +361,7 @@
 			return e.KeyPrefix + "/" + id, id
 		}
 	}
-	p.t.Fatalf("the look-up of service %s does not list box %d", service, i)
+	p.t.Fatalf("the look-up does not list box %d", i)
 	return "", ""
 }
 
