--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -48,8 +48,8 @@
 func (p *proof) delayedAnswers(l *links) {
 	counts := map[outcome.Outcome]int{}
 	stop := make(chan struct{})
-	harm := conc.NewWaitGroup()
-	harm.Go(func() { p.injectLinkFaults(append(l.servers, l.peers...), stop) })
+	linkFaults := conc.NewWaitGroup()
+	linkFaults.Go(func() { p.injectLinkFaults(append(l.servers, l.peers...), stop) })
 	callers := conc.NewWaitGroup()
 	for n := range 18 {
 		callers.Go(func() {
@@ -76,7 +76,7 @@
 	}
 	callers.Wait()
 	close(stop)
-	harm.Wait()
+	linkFaults.Wait()
 	l.heal()
 	p.addFigure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
 	if counts[outcome.Answered] == 0 {
