--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -53,15 +53,15 @@
 	callers := conc.NewWaitGroup()
 	for n := range 18 {
 		callers.Go(func() {
-			dice := rand.New(rand.NewPCG(faultSeed, uint64(n)))
+			rng := rand.New(rand.NewPCG(faultSeed, uint64(n)))
 			box := n % 6
 			c := caller.New(p.d.Shape.ClientOf(p.d.Shape.Zones()[n%4], n), p.d.Callers(box))
 			defer c.Close()
 			for range 400 {
 				r := caller.Request{Service: service, Method: "PUT", MayRepeat: true, ID: harness.NewID()}
-				r.Path = fmt.Sprintf("/item?ms=%d", dice.IntN(60))
-				r.Body = bytes.Repeat([]byte{'x'}, dice.IntN(20_000))
-				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(10+dice.IntN(70))*time.Millisecond)
+				r.Path = fmt.Sprintf("/item?ms=%d", rng.IntN(60))
+				r.Body = bytes.Repeat([]byte{'x'}, rng.IntN(20_000))
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(10+rng.IntN(70))*time.Millisecond)
 				result := c.Submit(ctx, p.d.Callers(box), caller.Submission{Request: r, ID: r.ID})
 				cancel()
 				p.countRequests(1)
