--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -98,7 +98,7 @@
 // injectLinkFaults sets a random fault, or none, on a random proxy every 10 ms until stop is
 // closed.
 func (p *proof) injectLinkFaults(proxies []*faultproxy.Proxy, stop chan struct{}) {
-	dice := rand.New(rand.NewPCG(faultSeed, faultSeed))
+	rng := rand.New(rand.NewPCG(faultSeed, faultSeed))
 	faults := []faultproxy.Fault{
 		{}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {Delay: 30 * time.Millisecond}, {TruncateAnswers: 150}, {Reset: true}, {HoldAnswers: true},
 	}
@@ -108,7 +108,7 @@
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
-		proxies[dice.IntN(len(proxies))].SetAll(faults[dice.IntN(len(faults))])
+		proxies[rng.IntN(len(proxies))].SetAll(faults[rng.IntN(len(faults))])
 		p.countFault()
 	}
 }
