--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -81,7 +81,7 @@
 	p := s.p
 	c := caller.New(p.d.Shape.ClientOf(zone, n), p.d.AllCallers()...)
 	defer c.Close()
-	web := &http.Client{Transport: &http.Transport{}}
+	httpClient := &http.Client{Transport: &http.Transport{}}
 	for i := 0; ; i++ {
 		select {
 		case <-s.stop:
@@ -95,9 +95,9 @@
 		}
 		p.countRequests(1)
 		if i%2 == 0 {
-			err = s.download(web, entries[0], c.Address)
+			err = s.download(httpClient, entries[0], c.Address)
 		} else {
-			err = s.upload(web, entries[0], c.Address)
+			err = s.upload(httpClient, entries[0], c.Address)
 		}
 		if err != nil {
 			p.violated("stream through %s: %v", entries[0].Box, err)
