--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -116,10 +116,10 @@
 }
 
 // download runs a download of 200 kB that takes about two seconds.
-func (s *streamLoad) download(web *http.Client, e entry.LookupEntry, client string) error {
+func (s *streamLoad) download(httpClient *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	const size = 200_000
-	resp, err := web.Do(s.request(http.MethodGet, e, fmt.Sprintf("/track?bytes=%d&pause_ms=150", size), id, client, nil))
+	resp, err := httpClient.Do(s.request(http.MethodGet, e, fmt.Sprintf("/track?bytes=%d&pause_ms=150", size), id, client, nil))
 	if err != nil {
 		return err
 	}
