--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -135,11 +135,11 @@
 }
 
 // upload runs an upload of 400 kB that takes about one second.
-func (s *streamLoad) upload(web *http.Client, e entry.LookupEntry, client string) error {
+func (s *streamLoad) upload(httpClient *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	part := bytes.Repeat([]byte("u"), 40_000)
 	slow := &slowReader{parts: 10, part: part, pause: 100 * time.Millisecond}
-	resp, err := web.Do(s.request(http.MethodPut, e, "/upload", id, client, slow))
+	resp, err := httpClient.Do(s.request(http.MethodPut, e, "/upload", id, client, slow))
 	if err != nil {
 		return err
 	}
