--- a/test/prove/promise_7_test.go
+++ b/test/prove/promise_7_test.go
@@ -110,14 +110,14 @@
 	defer c.Close()
 	ticks := time.NewTicker(pause)
 	defer ticks.Stop()
-	flying := conc.NewWaitGroup()
-	defer flying.Wait()
+	inFlight := conc.NewWaitGroup()
+	defer inFlight.Wait()
 	for n := 0; ; n++ {
 		select {
 		case <-f.stop:
 			return
 		case <-ticks.C:
-			flying.Go(func() { f.sendOne(c, i, n) })
+			inFlight.Go(func() { f.sendOne(c, i, n) })
 		}
 	}
 }
