--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -40,7 +40,7 @@
 		revisions := p.watchRevisions()
 		load := p.startMixedLoad(24)
 		p.simultaneousRepeats()
-		m := &faultInjector{p: p, l: l, dice: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
+		m := &faultInjector{p: p, l: l, rng: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
 		for range mixedFaults {
 			m.step()
 		}
@@ -68,16 +68,16 @@
 type faultInjector struct {
 	p        *proof
 	l        *links
-	dice     *rand.Rand
+	rng      *rand.Rand
 	down     map[int]string
 	schedule []string
 }
 
 // step injects one fault, or removes all faults, and waits for 0.3 to 1.8 s.
 func (m *faultInjector) step() {
-	p, box := m.p, m.dice.IntN(m.p.d.Shape.Boxes)
-	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.dice.IntN(9)]
-	pause := time.Duration(300+m.dice.IntN(1500)) * time.Millisecond
+	p, box := m.p, m.rng.IntN(m.p.d.Shape.Boxes)
+	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.rng.IntN(9)]
+	pause := time.Duration(300+m.rng.IntN(1500)) * time.Millisecond
 	m.schedule = append(m.schedule, fmt.Sprintf("%s:%d", what, box))
 	p.countFault()
 	switch what {
