--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -26,7 +26,7 @@
 		w.closedWhileIdle()
 		w.unknownThenFull()
 		w.overload()
-		w.handOffCut(l)
+		w.forwardToCutBox(l)
 		w.boxStopping()
 		w.boxKilled()
 		w.check()
@@ -192,8 +192,8 @@
 	w.p.countFault()
 }
 
-// handOffCut cuts off a box to which other boxes forward requests.
-func (w *outcomeChecker) handOffCut(l *links) {
+// forwardToCutBox cuts off a box to which other boxes forward requests.
+func (w *outcomeChecker) forwardToCutBox(l *links) {
 	l.cutBox(w.p.d, 2)
 	for i := range 8 {
 		w.sendFrom("hand-off cut", "south-a", i%2, "/item?ms=5")
