--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -123,11 +123,11 @@
 		l.heal()
 	}
 	// The last case is an address at which nothing listens.
-	w.p.must(w.refused())
+	w.p.must(w.connectionRefused())
 }
 
-// refused sends requests to a service whose backend servers' ports are closed.
-func (w *outcomeChecker) refused() error {
+// connectionRefused sends requests to a service whose backend servers' ports are closed.
+func (w *outcomeChecker) connectionRefused() error {
 	s := w.p.d.Service(0)
 	s.Name = "closed"
 	for i := range s.BackendServers {
