--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -229,8 +229,8 @@
 	}
 }
 
-// during runs a load through the box while f injects a fault.
-func (w *outcomeChecker) during(what string, box int, f func()) {
+// loadDuring runs a load through the box while f injects a fault.
+func (w *outcomeChecker) loadDuring(what string, box int, f func()) {
 	stop := make(chan struct{})
 	wg := conc.NewWaitGroup()
 	for range 6 {
@@ -245,7 +245,7 @@
 }
 
 func (w *outcomeChecker) boxStopping() {
-	w.during("box stopping", 4, func() {
+	w.loadDuring("box stopping", 4, func() {
 		if code := w.p.d.Terminate(4); code != 0 {
 			w.p.violated("box stopping: exit code %d", code)
 		}
@@ -253,5 +253,5 @@
 }
 
 func (w *outcomeChecker) boxKilled() {
-	w.during("box killed", 3, func() { w.p.d.Kill(3) })
+	w.loadDuring("box killed", 3, func() { w.p.d.Kill(3) })
 }
