--- a/test/prove/promise_2_test.go
+++ b/test/prove/promise_2_test.go
@@ -46,7 +46,7 @@
 	reason     outcome.Reason
 }
 
-func (w *outcomeChecker) add(what, name string, r *caller.Result) {
+func (w *outcomeChecker) record(what, name string, r *caller.Result) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
 	w.reported = append(w.reported, reportedOutcome{what, name, r.Outcome, r.Reason})
@@ -66,13 +66,13 @@
 	if body != nil {
 		r.Method, r.Body = "PUT", body
 	}
-	w.add(what, id, p.submit(box, r, "", id, within))
+	w.record(what, id, p.submit(box, r, "", id, within))
 	key, id := p.keyOf(box)
 	r.Method, r.Body, r.AtMostOnce = "POST", []byte("x"), true
 	if body != nil {
 		r.Body = body
 	}
-	w.add(what, key, p.submit(box, r, key, id, within))
+	w.record(what, key, p.submit(box, r, key, id, within))
 }
 
 // check compares the outcomes with the backend servers' records. It waits for a second first, so
@@ -140,7 +140,7 @@
 		w.p.countFault()
 		id := harness.NewID()
 		r := w.p.submit(i, caller.Request{Service: s.Name, Method: "GET", Path: "/"}, "", id, time.Second)
-		w.add("refused", id, r)
+		w.record("refused", id, r)
 		if r.Outcome != outcome.NotRun {
 			w.p.violated("refused: told %s (%s), though nothing can have run", r.Outcome, r.Reason)
 		}
@@ -185,7 +185,7 @@
 		wg.Go(func() {
 			id := harness.NewID()
 			r := w.p.submit(i%6, caller.Request{Service: service, Method: "GET", Path: "/slow?ms=200"}, "", id, 3*time.Second)
-			w.add("overload", id, r)
+			w.record("overload", id, r)
 		})
 	}
 	wg.Wait()
@@ -213,7 +213,7 @@
 	r := c.Submit(p.ctx(400*time.Millisecond), p.d.Callers(box), caller.Submission{
 		Request: caller.Request{Service: service, Method: "GET", Path: path}, ID: id,
 	})
-	w.add(what, id, r)
+	w.record(what, id, r)
 }
 
 // load sends requests through the box until stop is closed.
@@ -225,7 +225,7 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 		id := harness.NewID()
-		w.add(what, id, w.p.submit(box, caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item?ms=%d", n%30)}, "", id, time.Second))
+		w.record(what, id, w.p.submit(box, caller.Request{Service: service, Method: "GET", Path: fmt.Sprintf("/item?ms=%d", n%30)}, "", id, time.Second))
 	}
 }
 
