--- a/pkg/model/service_check.go
+++ b/pkg/model/service_check.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Fault is one thing wrong in what an operator sent.
+// Fault describes an invalid field of a configuration.
 type Fault struct {
 	Field   string
 	Problem string
 	Allowed string
 }
 
-// InvalidError lists every fault of an object at once.
+// InvalidError lists all faults of an object.
 type InvalidError struct {
 	Faults []Fault
 }
@@ -32,13 +32,13 @@
 
 const namesAllowed = "lower-case letters, digits and '-', at most 63 characters"
 
-// ValidName reports whether s may name a service or a backend server.
+// ValidName reports whether s is a valid name of a service or a backend server.
 func ValidName(s string) bool {
 	return len(s) <= MaxNameLength && namePattern.MatchString(s)
 }
 
-// Check returns an *InvalidError with every fault of the service, or nil.
-// knownZone tells which availability zones exist.
+// Check returns an *InvalidError with all faults of the service, or nil. knownZone and
+// knownRegion report whether an availability zone or a region exists.
 func (s *Service) Check(knownZone, knownRegion func(string) bool) error {
 	c := checker{}
 	if !ValidName(s.Name) {
--- a/pkg/shift/shift_test.go
+++ b/pkg/shift/shift_test.go
@@ -12,8 +12,8 @@
 	"github.com/stoneworks/stoneworks/pkg/model"
 )
 
-// init fixes the seed, so that every run comes to the same verdict; give
-// -rapid.seed=0 for another one each time.
+// init fixes the seed so that every run tests the same cases; -rapid.seed=0 selects a
+// new seed for each run.
 func init() {
 	_ = flag.Set("rapid.seed", "20261202")
 }
@@ -50,9 +50,9 @@
 	})
 }
 
-// TestWalkerKeepsCap has plans jump at any moment: whatever comes, in no
-// window do more than the cap's part of the requests change their region.
-func TestWalkerKeepsCap(t *testing.T) {
+// TestMigratorKeepsCap applies plans that change at any time: in no window do more than
+// the cap's fraction of the buckets change their region.
+func TestMigratorKeepsCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.01, 0.5).Draw(t, "cap")
 		window := 10 * time.Second
@@ -69,7 +69,7 @@
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
 				w.Count("dakar", rapid.IntRange(0, 10).Draw(t, "bucket"))
 			}
-			before := w.InForce()
+			before := w.Active()
 			after := w.Advance(now, "preview", target(rapid.Float64Range(0, 1).Draw(t, "share"), ""), limit, window)
 			changes = append(changes, change{now, Distance(before, after)})
 			sum := 0.0
@@ -85,13 +85,13 @@
 	})
 }
 
-func TestWalkerArrives(t *testing.T) {
+func TestMigratorReachesPlan(t *testing.T) {
 	is := is.New(t)
 	w := NewMigrator()
 	now := time.Unix(1_000, 0)
 	w.Advance(now, "preview", target(0, ""), 0.1, time.Second)
 	steps := 0
-	for Distance(w.InForce(), target(0.5, "")) > 0 {
+	for Distance(w.Active(), target(0.5, "")) > 0 {
 		now = now.Add(1200 * time.Millisecond)
 		w.Advance(now, "preview", target(0.5, ""), 0.1, time.Second)
 		steps++
--- a/test/soak/words.go
+++ b/test/soak/words.go
@@ -32,9 +32,9 @@
 		return
 	}
 	old := s.server
-	old.Say(machines.SaysLeaving, "1")
+	old.SetHeader(machines.LeavingHeader, "1")
 	r.later(min(e.For, mostUnlisted)+boundDrain, func() {
-		r.fleet.List(old, s.service, s.zone, "draining", 0)
+		r.fleet.PutServer(old, s.service, s.zone, "draining", 0)
 		r.note(func(h *History) { h.Departures = append(h.Departures, Departure{Server: s.key, At: time.Now()}) })
 		time.Sleep(replaceAfter)
 		if err := r.serve(s, fmt.Sprintf("%s-%d", old.ID, e.At.Milliseconds())); err != nil {
@@ -55,8 +55,8 @@
 		}
 		var server *machines.Server
 		r.note(func(*History) { server = other.server })
-		server.AskForRest(seconds)
-		r.later(min(restTimes*e.For, r.Plan.Length-e.At), func() { server.AskForRest("") })
+		server.RejectWithRetryAfter(seconds)
+		r.later(min(restTimes*e.For, r.Plan.Length-e.At), func() { server.RejectWithRetryAfter("") })
 	}
 }
 
