--- a/test/prove/promise_3_test.go
+++ b/test/prove/promise_3_test.go
@@ -24,46 +24,47 @@
 )
 
 const (
-	megabyte  = 1 << 20
-	bigBody   = 100 * megabyte
-	mostUsed  = 96 * megabyte
-	seedOfMix = 3
+	megabyte     = 1 << 20
+	largeBody    = 100 * megabyte
+	maxBoxMemory = 96 * megabyte
+	faultSeed    = 3
 )
 
-// TestPromise3 proves that a caller gets the whole answer to its own request.
+// TestPromise3 checks that a caller gets the complete answer to its own request, and not a
+// truncated answer or the answer to another request.
 func TestPromise3(t *testing.T) {
 	prove(t, 3, "reuse-any", func(p *proof) {
 		l := p.start("small")
-		p.lateAndCrossed(l)
-		if len(p.wrong) == 0 {
+		p.delayedAnswers(l)
+		if len(p.violations) == 0 {
 			p.awaitAnswers()
 			p.streams(l)
 		}
 	})
 }
 
-// lateAndCrossed has many callers share the boxes' connections while answers
-// come late, in pieces, cut, or not at all.
-func (p *proof) lateAndCrossed(l *links) {
+// delayedAnswers has 18 callers share the boxes' connections while answers are delayed,
+// truncated or held back, and connections are reset.
+func (p *proof) delayedAnswers(l *links) {
 	counts := map[outcome.Outcome]int{}
 	stop := make(chan struct{})
-	harm := conc.NewWaitGroup()
-	harm.Go(func() { p.harm(append(l.servers, l.peers...), stop) })
+	linkFaults := conc.NewWaitGroup()
+	linkFaults.Go(func() { p.injectLinkFaults(append(l.servers, l.peers...), stop) })
 	callers := conc.NewWaitGroup()
 	for n := range 18 {
 		callers.Go(func() {
-			dice := rand.New(rand.NewPCG(seedOfMix, uint64(n)))
+			rng := rand.New(rand.NewPCG(faultSeed, uint64(n)))
 			box := n % 6
 			c := caller.New(p.d.Shape.ClientOf(p.d.Shape.Zones()[n%4], n), p.d.Callers(box))
 			defer c.Close()
 			for range 400 {
 				r := caller.Request{Service: service, Method: "PUT", MayRepeat: true, ID: harness.NewID()}
-				r.Path = fmt.Sprintf("/item?ms=%d", dice.IntN(60))
-				r.Body = bytes.Repeat([]byte{'x'}, dice.IntN(20_000))
-				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(10+dice.IntN(70))*time.Millisecond)
+				r.Path = fmt.Sprintf("/item?ms=%d", rng.IntN(60))
+				r.Body = bytes.Repeat([]byte{'x'}, rng.IntN(20_000))
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(10+rng.IntN(70))*time.Millisecond)
 				result := c.Submit(ctx, p.d.Callers(box), caller.Submission{Request: r, ID: r.ID})
 				cancel()
-				p.sent(1)
+				p.countRequests(1)
 				if wrong := harness.CheckAnswer(r, result); wrong != "" {
 					p.violated("%s", wrong)
 				}
@@ -75,15 +76,15 @@
 	}
 	callers.Wait()
 	close(stop)
-	harm.Wait()
+	linkFaults.Wait()
 	l.heal()
-	p.figure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
+	p.addFigure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
 	if counts[outcome.Answered] == 0 {
-		p.t.Error("nothing was answered")
+		p.t.Error("no request was answered")
 	}
 }
 
-// awaitAnswers waits until every box gets answers again.
+// awaitAnswers waits until a request through every box is answered again.
 func (p *proof) awaitAnswers() {
 	for i := range p.d.Shape.Boxes {
 		p.must(harness.WaitFor(20*time.Second, func() bool {
@@ -94,9 +95,10 @@
 	}
 }
 
-// harm gives the links another fault every few milliseconds.
-func (p *proof) harm(proxies []*faultproxy.Proxy, stop chan struct{}) {
-	dice := rand.New(rand.NewPCG(seedOfMix, seedOfMix))
+// injectLinkFaults sets a random fault, or none, on a random proxy every 10 ms until stop is
+// closed.
+func (p *proof) injectLinkFaults(proxies []*faultproxy.Proxy, stop chan struct{}) {
+	rng := rand.New(rand.NewPCG(faultSeed, faultSeed))
 	faults := []faultproxy.Fault{
 		{}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {}, {Delay: 30 * time.Millisecond}, {TruncateAnswers: 150}, {Reset: true}, {HoldAnswers: true},
 	}
@@ -106,18 +108,19 @@
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
-		proxies[dice.IntN(len(proxies))].SetAll(faults[dice.IntN(len(faults))])
-		p.fault()
+		proxies[rng.IntN(len(proxies))].SetAll(faults[rng.IntN(len(faults))])
+		p.countFault()
 	}
 }
 
-// streams passes large bodies both ways, whole and cut.
+// streams passes 100 MB bodies in both directions, complete ones and downloads cut at 7 MB, and
+// checks the boxes' peak memory.
 func (p *proof) streams(l *links) {
 	for _, c := range []struct{ zone, query string }{
 		{"north-a", ""}, {"south-b", ""}, {"north-a", "&chunked=1"}, {"south-b", "&chunked=1"},
 	} {
 		n, err := p.download(c.zone, c.query)
-		if err != nil || n != bigBody {
+		if err != nil || n != largeBody {
 			p.violated("stream to %s%s: %d bytes, %v", c.zone, c.query, n, err)
 		}
 		if err := p.upload(c.zone, c.query != ""); err != nil {
@@ -129,7 +132,7 @@
 	}
 	for _, query := range []string{"", "&chunked=1"} {
 		for _, zone := range []string{"north-a", "south-b"} {
-			p.fault()
+			p.countFault()
 			if n, err := p.download(zone, query); err == nil {
 				p.violated("a stream cut at 7 MB passed for whole with %d bytes", n)
 			}
@@ -140,17 +143,17 @@
 	for i := range p.d.Shape.Boxes {
 		peak = max(peak, p.d.PeakMemory(i))
 	}
-	p.figure("streams=100MB peak_box_memory=%dMB", peak/megabyte)
-	if peak > mostUsed {
+	p.addFigure("streams=100MB peak_box_memory=%dMB", peak/megabyte)
+	if peak > maxBoxMemory {
 		p.violated("a box used %d MB", peak/megabyte)
 	}
 }
 
-// download reads a stream through box 0 and checks every byte.
+// download reads a response of largeBody bytes through box 0 and checks every byte.
 func (p *proof) download(zone, query string) (int64, error) {
-	p.sent(1)
+	p.countRequests(1)
 	id := harness.NewID()
-	url := fmt.Sprintf("http://%s%s%s/track?bytes=%d%s", p.d.Callers(0), entry.PathRequests, service, bigBody, query)
+	url := fmt.Sprintf("http://%s%s%s/track?bytes=%d%s", p.d.Callers(0), entry.PathRequests, service, largeBody, query)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	p.must(err)
 	req.Header.Set(entry.HeaderRequestID, id)
@@ -167,7 +170,7 @@
 	return io.Copy(check, resp.Body)
 }
 
-// patternWriter compares what is written with a repeated pattern.
+// patternWriter compares the data written to it with a repeated pattern.
 type patternWriter struct {
 	pattern []byte
 	at      int
@@ -190,11 +193,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// upload sends a large body through box 0 and checks the digest in the answer.
+// upload sends a body of largeBody bytes through box 0 and checks the digest in the answer.
 func (p *proof) upload(zone string, chunked bool) error {
-	p.sent(1)
+	p.countRequests(1)
 	id := harness.NewID()
-	body := bytes.Repeat([]byte("receipt "), bigBody/8)
+	body := bytes.Repeat([]byte("receipt "), largeBody/8)
 	url := fmt.Sprintf("http://%s%s%s/upload", p.d.Callers(0), entry.PathRequests, service)
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
 	p.must(err)
--- a/test/prove/promise_5_test.go
+++ b/test/prove/promise_5_test.go
@@ -19,17 +19,17 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// TestPromise5 proves that a planned stop cuts nothing: every box in turn is
-// replaced under load, with streams and uploads in flight.
+// TestPromise5 checks that a planned stop of a box interrupts no request: every box in turn is
+// stopped and started again under load, with slow downloads and uploads in flight.
 func TestPromise5(t *testing.T) {
 	prove(t, 5, "exit-at-once", func(p *proof) {
 		p.start("small")
-		load := p.drive(4, 30)
-		long := p.driveStreams(3)
+		load := p.startTraffic(4, 30)
+		long := p.startStreams(3)
 		slowest := time.Duration(0)
 		for i := range p.d.Shape.Boxes {
 			began := time.Now()
-			p.fault()
+			p.countFault()
 			if code := p.d.Terminate(i); code != 0 {
 				p.violated("box %d exited with %d", i, code)
 			}
@@ -41,28 +41,28 @@
 		streams := long.end()
 		answered, notRun, unknown, reasons := load.end()
 		p.checkPeaks()
-		p.figure("answered=%d not-run=%d unknown=%d streams=%d slowest_stop=%dms", answered, notRun, unknown, streams, slowest.Milliseconds())
+		p.addFigure("answered=%d not-run=%d unknown=%d streams=%d slowest_stop=%dms", answered, notRun, unknown, streams, slowest.Milliseconds())
 		if notRun+unknown > 0 {
 			p.violated("requests lost by planned stops: %v", reasons)
 		}
 		if streams == 0 {
-			p.t.Error("no stream was in flight")
+			p.t.Error("no download or upload completed")
 		}
 	})
 }
 
-// streaming is a load of slow downloads and uploads.
-type streaming struct {
+// streamLoad is a load of slow downloads and uploads. It counts the completed ones.
+type streamLoad struct {
 	p    *proof
 	stop chan struct{}
 	wg   *conc.WaitGroup
 	done atomic.Int64
 }
 
-// driveStreams starts n callers in each zone, each with one slow download or
-// upload after the other.
-func (p *proof) driveStreams(n int) *streaming {
-	s := &streaming{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup()}
+// startStreams starts n callers in each zone, each of which runs slow downloads and uploads in
+// turn.
+func (p *proof) startStreams(n int) *streamLoad {
+	s := &streamLoad{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup()}
 	for _, zone := range p.d.Shape.Zones() {
 		for i := range n {
 			s.wg.Go(func() { s.caller(zone, i) })
@@ -71,17 +71,17 @@
 	return s
 }
 
-func (s *streaming) end() int64 {
+func (s *streamLoad) end() int64 {
 	close(s.stop)
 	s.wg.Wait()
 	return s.done.Load()
 }
 
-func (s *streaming) caller(zone string, n int) {
+func (s *streamLoad) caller(zone string, n int) {
 	p := s.p
 	c := caller.New(p.d.Shape.ClientOf(zone, n), p.d.AllCallers()...)
 	defer c.Close()
-	web := &http.Client{Transport: &http.Transport{}}
+	httpClient := &http.Client{Transport: &http.Transport{}}
 	for i := 0; ; i++ {
 		select {
 		case <-s.stop:
@@ -93,11 +93,11 @@
 			p.violated("no look-up: %v", err)
 			continue
 		}
-		p.sent(1)
+		p.countRequests(1)
 		if i%2 == 0 {
-			err = s.download(web, entries[0], c.Address)
+			err = s.download(httpClient, entries[0], c.Address)
 		} else {
-			err = s.upload(web, entries[0], c.Address)
+			err = s.upload(httpClient, entries[0], c.Address)
 		}
 		if err != nil {
 			p.violated("stream through %s: %v", entries[0].Box, err)
@@ -107,7 +107,7 @@
 	}
 }
 
-func (s *streaming) request(method string, e entry.LookupEntry, path, id, client string, body io.Reader) *http.Request {
+func (s *streamLoad) request(method string, e entry.LookupEntry, path, id, client string, body io.Reader) *http.Request {
 	req, err := http.NewRequest(method, "http://"+e.Address+entry.PathRequests+service+path, body)
 	s.p.must(err)
 	req.Header.Set(entry.HeaderRequestID, id)
@@ -115,11 +115,11 @@
 	return req
 }
 
-// download takes about two seconds.
-func (s *streaming) download(web *http.Client, e entry.LookupEntry, client string) error {
+// download runs a download of 200 kB that takes about two seconds.
+func (s *streamLoad) download(httpClient *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	const size = 200_000
-	resp, err := web.Do(s.request(http.MethodGet, e, fmt.Sprintf("/track?bytes=%d&pause_ms=150", size), id, client, nil))
+	resp, err := httpClient.Do(s.request(http.MethodGet, e, fmt.Sprintf("/track?bytes=%d&pause_ms=150", size), id, client, nil))
 	if err != nil {
 		return err
 	}
@@ -134,12 +134,12 @@
 	return err
 }
 
-// upload takes about a second.
-func (s *streaming) upload(web *http.Client, e entry.LookupEntry, client string) error {
+// upload runs an upload of 400 kB that takes about one second.
+func (s *streamLoad) upload(httpClient *http.Client, e entry.LookupEntry, client string) error {
 	id := harness.NewID()
 	part := bytes.Repeat([]byte("u"), 40_000)
 	slow := &slowReader{parts: 10, part: part, pause: 100 * time.Millisecond}
-	resp, err := web.Do(s.request(http.MethodPut, e, "/upload", id, client, slow))
+	resp, err := httpClient.Do(s.request(http.MethodPut, e, "/upload", id, client, slow))
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// slowReader gives parts with a pause before each.
+// slowReader returns the part repeatedly, with a pause before each repetition.
 type slowReader struct {
 	parts int
 	part  []byte
--- a/test/prove/promise_6_test.go
+++ b/test/prove/promise_6_test.go
@@ -26,12 +26,12 @@
 const (
 	shiftCap    = 0.1
 	shiftWindow = 2 * time.Second
-	// sampleEvery is how often each client is seen, which is how exactly the
-	// moment of its move is known.
-	sampleEvery = 100 * time.Millisecond
+	// sampleInterval is the pause between the requests of each client, which limits how exactly
+	// the time of its move is known.
+	sampleInterval = 100 * time.Millisecond
 )
 
-// TestPromise6 proves that no shift moves more than the cap in any window.
+// TestPromise6 checks that shifts move no more than shiftCap of the clients in any shiftWindow.
 func TestPromise6(t *testing.T) {
 	prove(t, 6, "no-cap", func(p *proof) {
 		l := p.start("small")
@@ -39,7 +39,7 @@
 		w := p.watchClients([]int{0, 1, 3})
 		p.plannedShift()
 		p.twoOperators()
-		p.plannerHarmed(l)
+		p.plannerFails(l)
 		p.lostPlanAnswers()
 		p.zoneCutOff(l, w)
 		p.regionLost()
@@ -56,15 +56,15 @@
 }
 
 func (p *proof) planOf(i int) *pb.ServiceStatus {
-	reply, err := p.operator(i).GetStatus(p.ctx(2*time.Second), &pb.GetStatusRequest{})
+	reply, err := p.operatorClient(i).GetStatus(p.ctx(2*time.Second), &pb.GetStatusRequest{})
 	if err != nil || len(reply.Services) == 0 {
 		return nil
 	}
 	return reply.Services[0]
 }
 
-// shareOf returns which share of the clients of one region box i has another
-// region serve.
+// shareOf returns the share of the clients of one region that box i assigns to the serving
+// region.
 func (p *proof) shareOf(i int, client, serving string) float64 {
 	for _, a := range p.planOf(i).GetAssignment() {
 		if a.ClientRegion == client && a.ServingRegion == serving {
@@ -74,9 +74,9 @@
 	return 0
 }
 
-// shift sets the one planned shift of the service, north to south.
+// shift sets the only planned shift of the service, north to south, through a box.
 func (p *proof) shift(box int, share float64) error {
-	client := p.operator(box)
+	client := p.operatorClient(box)
 	current, err := client.GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	if err != nil {
 		return err
@@ -86,11 +86,12 @@
 
 func (p *proof) shiftFrom(box int, current *pb.ServiceReply, share float64) error {
 	current.Spec.Shifts = []*pb.PlannedShift{{FromRegion: "north", ToRegion: "south", Share: share}}
-	_, err := p.operator(box).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
+	_, err := p.operatorClient(box).UpdateService(p.ctx(10*time.Second), &pb.UpdateServiceRequest{Spec: current.Spec, ExpectedRevision: current.Revision})
 	return err
 }
 
-// awaitShare waits until the boxes have that share of the north in the south.
+// awaitShare waits until the boxes assign the share of the north's clients to the south, within
+// 0.006.
 func (p *proof) awaitShare(share float64, boxes ...int) {
 	for _, i := range boxes {
 		err := harness.WaitFor(60*time.Second, func() bool { return abs(p.shareOf(i, "north", "south")-share) < 0.006 })
@@ -103,15 +104,16 @@
 func abs(x float64) float64 { return max(x, -x) }
 
 func (p *proof) plannedShift() {
-	p.fault()
+	p.countFault()
 	p.must(p.shift(0, 0.3))
 	p.awaitShare(0.3, 0, 1, 3)
 }
 
-// twoOperators change the same service at the same moment.
+// twoOperators has two operators change the same revision of the service concurrently. Exactly
+// one of them must succeed.
 func (p *proof) twoOperators() {
-	p.fault()
-	current, err := p.operator(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
+	p.countFault()
+	current, err := p.operatorClient(0).GetService(p.ctx(5*time.Second), &pb.GetServiceRequest{Name: service})
 	p.must(err)
 	var errs [2]error
 	wg := conc.NewWaitGroup()
@@ -134,7 +136,8 @@
 	}
 }
 
-// plannerBox finds the box that wrote the plan last.
+// plannerBox returns the box that plans the shifts of the service: the one with the highest
+// rendezvous hash.
 func (p *proof) plannerBox() int {
 	best, hash := 0, uint64(0)
 	for i := range p.d.Shape.Boxes {
@@ -145,21 +148,21 @@
 	return best
 }
 
-// plannerHarmed freezes the planner in the middle of a shift for longer than it
-// counts as alive, and kills it in the middle of another.
-func (p *proof) plannerHarmed(*links) {
+// plannerFails freezes the planner during one shift for longer than the other boxes see it as
+// live, and kills it during another.
+func (p *proof) plannerFails(*links) {
 	planner := p.plannerBox()
 	p.must(p.shift((planner+1)%6, 0.0))
 	time.Sleep(3 * time.Second)
 	p.d.Freeze(planner)
-	p.fault()
+	p.countFault()
 	time.Sleep(8 * time.Second)
 	p.d.Thaw(planner)
 	p.awaitShare(0, 0, 1, 3)
 	p.must(p.shift((planner+1)%6, 0.2))
 	time.Sleep(2500 * time.Millisecond)
 	p.d.Kill(planner)
-	p.fault()
+	p.countFault()
 	var others []int
 	for _, i := range []int{0, 1, 3} {
 		if i != planner {
@@ -172,24 +175,25 @@
 	p.awaitAllLive()
 }
 
-// lostPlanAnswers has the platform take every write and answer none.
+// lostPlanAnswers has the platform apply every write but send no answer to it, and then answer
+// reads with an older state for two seconds.
 func (p *proof) lostPlanAnswers() {
 	p.must(p.shift(0, 0.3))
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{LoseAnswers: true, DelayMS: 30}))
-	p.fault()
+	p.countFault()
 	p.awaitShare(0.3, 0, 1, 3)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{StaleBy: 2}))
-	p.fault()
+	p.countFault()
 	time.Sleep(2 * time.Second)
 	p.must(p.d.SetPlatformFault(standin.PlatformFault{}))
 }
 
-// zoneCutOff cuts box 1, which serves clients of its own, off from everything
-// while the others shift, and lets it join again with its old plan.
+// zoneCutOff cuts off box 1, which has clients of its own, from the other boxes and the platform
+// while the others shift, and then lets it rejoin with its old plan.
 func (p *proof) zoneCutOff(l *links, _ *clientWatch) {
 	l.cutBox(p.d, 1)
 	l.cutPlatform(p.d, 1)
-	p.fault()
+	p.countFault()
 	time.Sleep(3 * time.Second)
 	p.must(p.shift(0, 0.7))
 	p.awaitShare(0.7, 0, 3)
@@ -199,14 +203,14 @@
 	l.heal()
 	rejoined := time.Now()
 	p.awaitShare(0.7, 1)
-	p.figure("rejoin=%.1fwindows", time.Since(rejoined).Seconds()/shiftWindow.Seconds())
+	p.addFigure("rejoin=%.1fwindows", time.Since(rejoined).Seconds()/shiftWindow.Seconds())
 }
 
-// regionLost kills every box of the south and brings them back.
+// regionLost kills every box of the south and starts them again.
 func (p *proof) regionLost() {
 	p.d.Kill(2)
 	p.d.Kill(3)
-	p.fault()
+	p.countFault()
 	p.must(p.d.SetBoxList(p.d.BoxList()))
 	p.awaitShare(0, 0, 1)
 	p.must(p.d.StartBox(2))
@@ -220,31 +224,31 @@
 // Clients
 // ================================================================
 
-// clientWatch has one client in each bucket ask through one box all the time,
-// and notes which region answered.
+// clientWatch runs one client in each bucket for each of some boxes. The clients send requests
+// continuously, and clientWatch records when another region answers than before.
 type clientWatch struct {
 	p     *proof
 	stop  chan struct{}
 	wg    *conc.WaitGroup
 	mu    sync.Mutex
-	moves map[int][]moved
+	moves map[int][]clientMove
 }
 
-// moved is a client that was answered by another region than before. It moved
-// at some time after it had sent the last request that was decided the old
-// way, or was not answered, and before the answer.
-type moved struct {
+// clientMove records that a client was answered by another region than before. The client moved
+// after it had sent its previous request, which was routed the old way or not answered, and
+// before the answer arrived.
+type clientMove struct {
 	after  time.Time
 	before time.Time
 	client int
 	to     string
-	// through is the box that it asked both times, or -1 if it changed boxes.
+	// through is the box that received both requests, or -1 if the client changed boxes.
 	through int
 }
 
-// watchClients starts the clients of each box: one in each bucket of the north.
+// watchClients starts the clients of each box: one in each bucket, all from the north.
 func (p *proof) watchClients(boxes []int) *clientWatch {
-	w := &clientWatch{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), moves: map[int][]moved{}}
+	w := &clientWatch{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), moves: map[int][]clientMove{}}
 	clients := oneInEachBucket(p.d.Shape.ClientOf("north-a", 0))
 	for _, box := range boxes {
 		for n, address := range clients {
@@ -254,7 +258,7 @@
 	return w
 }
 
-// oneInEachBucket returns an address in every bucket, near the given one.
+// oneInEachBucket returns one address for each bucket, searching upward from the given one.
 func oneInEachBucket(near string) []string {
 	found := make([]string, decide.Buckets)
 	left := decide.Buckets
@@ -268,11 +272,11 @@
 }
 
 func (w *clientWatch) client(box, n int, address string) {
-	time.Sleep(sampleEvery * time.Duration(n) / decide.Buckets)
+	time.Sleep(sampleInterval * time.Duration(n) / decide.Buckets)
 	p := w.p
 	c := caller.New(address, p.d.Callers(box))
 	defer c.Close()
-	// As callers do, it goes to another box while its own does not answer.
+	// Like a real caller, the client tries another box while its own does not answer.
 	boxes := []int{box, 0, 4, 5}
 	at, last, lastAt := 0, "", 0
 	asked := time.Now()
@@ -280,9 +284,9 @@
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 		}
-		p.sent(1)
+		p.countRequests(1)
 		askedBefore := asked
 		asked = time.Now()
 		r := caller.Request{Service: service, Method: "GET", Path: "/item?ms=0"}
@@ -304,7 +308,7 @@
 				through = -1
 			}
 			w.mu.Lock()
-			w.moves[box] = append(w.moves[box], moved{askedBefore, time.Now(), n, zone, through})
+			w.moves[box] = append(w.moves[box], clientMove{askedBefore, time.Now(), n, zone, through})
 			w.mu.Unlock()
 		}
 		last, lastAt = region, at
@@ -316,14 +320,13 @@
 	w.wg.Wait()
 }
 
-// check counts the moves that certainly fell into one window: those of all
-// clients together, and, more strictly, those of each box's own clients while
-// they used it.
+// check counts the moves that are certain to lie within one window: those of all clients
+// together and, as a stricter check, those of each box's own clients while they used that box.
 func (w *clientWatch) check() {
-	var all []moved
+	var all []clientMove
 	for box, moves := range w.moves {
 		all = append(all, moves...)
-		var own []moved
+		var own []clientMove
 		for _, m := range moves {
 			if m.through == box {
 				own = append(own, m)
@@ -333,15 +336,15 @@
 	}
 	w.checkMoves("all", all, decide.Buckets*len(w.moves))
 	if len(all) == 0 {
-		w.p.t.Error("nobody moved, so it proves nothing")
+		w.p.t.Error("no client moved, so the cap was not tested")
 	}
 }
 
-func (w *clientWatch) checkMoves(whose string, moves []moved, clients int) {
+func (w *clientWatch) checkMoves(whose string, moves []clientMove, clients int) {
 	sort.Slice(moves, func(i, j int) bool { return moves[i].after.Before(moves[j].after) })
 	most, when := 0, ""
 	for i := range moves {
-		if n := len(within(moves[i:], moves[i].after.Add(shiftWindow))); n > most {
+		if n := len(movesEndedBy(moves[i:], moves[i].after.Add(shiftWindow))); n > most {
 			most, when = n, moves[i].after.Format(time.TimeOnly)
 		}
 	}
@@ -349,12 +352,12 @@
 	if share > shiftCap {
 		w.p.violated("%.1f%% of the clients of %s moved within one window, from %s on", 100*share, whose, when)
 	}
-	w.p.figure("%q:moves=%d,most_in_a_window=%.1f%%", whose, len(moves), 100*share)
+	w.p.addFigure("%q:moves=%d,most_in_a_window=%.1f%%", whose, len(moves), 100*share)
 }
 
-// within returns the moves that were over by the end of a window.
-func within(moves []moved, end time.Time) []moved {
-	var inside []moved
+// movesEndedBy returns the moves that ended before the end of a window.
+func movesEndedBy(moves []clientMove, end time.Time) []clientMove {
+	var inside []clientMove
 	for _, m := range moves {
 		if m.before.Before(end) {
 			inside = append(inside, m)
--- a/test/prove/promise_mixed_test.go
+++ b/test/prove/promise_mixed_test.go
@@ -18,18 +18,18 @@
 	"github.com/stoneworks/stoneworks/test/standin"
 )
 
-// The mixed run: its number in the PROMISE lines, its seed unless
-// STONEWORKS_SEED names another, and its length.
+// The number that stands for the mixed run among the promises, its seed unless STONEWORKS_SEED
+// sets another, and its number of faults.
 const (
 	mixedNumber = 0
 	mixedSeed   = 20261202
 	mixedFaults = 16
 )
 
-// TestPromiseMixed lets faults come at any moment, together and twice, and
-// checks the promises that hold for every single request: at most once, not
-// run means not run, the right answer, no server above its slots, and no
-// revision that goes back. The seed gives the schedule.
+// TestPromiseMixed injects faults at random times, which may overlap and repeat, and checks the
+// promises that can be checked under any faults: requests run at most once, requests reported as
+// not run did not run, answers are correct, no server exceeds its slots, and no revision goes
+// back. The seed determines the schedule.
 func TestPromiseMixed(t *testing.T) {
 	prove(t, mixedNumber, "no-once", func(p *proof) {
 		seed := uint64(mixedSeed)
@@ -39,8 +39,8 @@
 		l := p.start("small")
 		revisions := p.watchRevisions()
 		load := p.startMixedLoad(24)
-		p.repeatsAtOnce()
-		m := &mixture{p: p, l: l, dice: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
+		p.simultaneousRepeats()
+		m := &faultInjector{p: p, l: l, rng: rand.New(rand.NewPCG(seed, 0)), down: map[int]string{}}
 		for range mixedFaults {
 			m.step()
 		}
@@ -48,38 +48,38 @@
 		load.end()
 		revisions.end()
 		p.checkPeaks()
-		p.figure("seed=%d schedule=%v", seed, m.schedule)
+		p.addFigure("seed=%d schedule=%v", seed, m.schedule)
 	})
 }
 
-// repeatsAtOnce has callers repeat while their first attempts run, before the first fault and
-// beside the load. Without it the faults alone decided whether a box ever met a key twice: with the
-// memory of keys switched off, three runs of three held.
-func (p *proof) repeatsAtOnce() {
+// simultaneousRepeats has callers retry while their first attempts run, before the first fault and
+// alongside the load. Without it, only the faults decide whether a box receives a key twice: with
+// the record of keys switched off, 3 of 3 runs then reported no violation.
+func (p *proof) simultaneousRepeats() {
 	for box := range p.d.Shape.Boxes {
 		key, id := p.keyOf(0)
-		p.both(box, box, buy(50, ""), key, id)
-		p.fault()
-		p.atMostOnce("mixed: twice at once", key)
+		p.submitTwice(box, box, buyRequest(50, ""), key, id)
+		p.countFault()
+		p.checkAtMostOnce("mixed: twice at once", key)
 	}
 }
 
-// mixture draws faults from the seed.
-type mixture struct {
+// faultInjector injects faults that it draws from the seed.
+type faultInjector struct {
 	p        *proof
 	l        *links
-	dice     *rand.Rand
+	rng      *rand.Rand
 	down     map[int]string
 	schedule []string
 }
 
-// step does one thing to one part, and waits a while.
-func (m *mixture) step() {
-	p, box := m.p, m.dice.IntN(m.p.d.Shape.Boxes)
-	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.dice.IntN(9)]
-	pause := time.Duration(300+m.dice.IntN(1500)) * time.Millisecond
+// step injects one fault, or removes all faults, and waits for 0.3 to 1.8 s.
+func (m *faultInjector) step() {
+	p, box := m.p, m.rng.IntN(m.p.d.Shape.Boxes)
+	what := []string{"kill", "freeze", "cut", "one-way cut", "outage", "slow platform", "lost answers", "two operators", "heal"}[m.rng.IntN(9)]
+	pause := time.Duration(300+m.rng.IntN(1500)) * time.Millisecond
 	m.schedule = append(m.schedule, fmt.Sprintf("%s:%d", what, box))
-	p.fault()
+	p.countFault()
 	switch what {
 	case "kill":
 		m.restore(box)
@@ -102,7 +102,7 @@
 	case "two operators":
 		wg := conc.NewWaitGroup()
 		for i := range 2 {
-			wg.Go(func() { _, _ = p.change((box + i) % p.d.Shape.Boxes) })
+			wg.Go(func() { _, _ = p.changeDeadline((box + i) % p.d.Shape.Boxes) })
 		}
 		wg.Wait()
 	case "heal":
@@ -111,8 +111,8 @@
 	time.Sleep(pause)
 }
 
-// restore brings a box back that was killed or frozen.
-func (m *mixture) restore(box int) {
+// restore starts or resumes a box that was killed or frozen.
+func (m *faultInjector) restore(box int) {
 	switch m.down[box] {
 	case "kill":
 		m.p.must(m.p.d.StartBox(box))
@@ -122,7 +122,7 @@
 	delete(m.down, box)
 }
 
-func (m *mixture) recover() {
+func (m *faultInjector) recover() {
 	m.l.heal()
 	m.p.must(m.p.d.SetPlatformFault(standin.PlatformFault{}))
 	for box := range m.p.d.Shape.Boxes {
@@ -132,7 +132,7 @@
 	m.p.awaitAllLive()
 }
 
-// mixedLoad is a load whose every request is compared with what ran.
+// mixedLoad is a load that compares the outcome of every request with the servers' records.
 type mixedLoad struct {
 	p    *proof
 	stop chan struct{}
@@ -163,7 +163,7 @@
 		r := harness.MixedRequests(service, i)
 		r.ID = harness.NewID()
 		result, err := c.Do(p.ctx(2*time.Second), r)
-		p.sent(1)
+		p.countRequests(1)
 		s := harness.Sample{Service: service, ID: r.ID, AtMostOnce: r.AtMostOnce, Result: result, Err: err}
 		if result != nil {
 			s.Key = result.Key
@@ -190,5 +190,5 @@
 			counts[s.Result.Outcome]++
 		}
 	}
-	l.p.figure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
+	l.p.addFigure("answered=%d not-run=%d unknown=%d", counts[outcome.Answered], counts[outcome.NotRun], counts[outcome.Unknown])
 }
--- a/test/prove/traffic_test.go
+++ b/test/prove/traffic_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoneworks/stoneworks/test/harness"
 )
 
-// traffic is a steady load that runs while a proof does its harm.
+// traffic is a steady load that runs while a proof injects faults.
 type traffic struct {
 	p    *proof
 	stop chan struct{}
@@ -23,14 +23,14 @@
 	reasons map[string]int
 }
 
-// drive starts n callers in each zone that use look-ups as callers do, each
-// with requests that take up to ms milliseconds.
-func (p *proof) drive(n, ms int) *traffic {
-	return p.driveFrom(p.d.Shape.Zones(), p.d.AllCallers(), n, ms)
+// startTraffic starts n callers in each zone. They choose boxes by look-ups and send requests
+// that take less than ms milliseconds; every fifth one takes 5 ms and runs at most once.
+func (p *proof) startTraffic(n, ms int) *traffic {
+	return p.startTrafficFrom(p.d.Shape.Zones(), p.d.AllCallers(), n, ms)
 }
 
-// driveFrom does the same for callers of some zones that ask some boxes.
-func (p *proof) driveFrom(zones, boxes []string, n, ms int) *traffic {
+// startTrafficFrom is startTraffic for callers of the given zones that look up at the given boxes.
+func (p *proof) startTrafficFrom(zones, boxes []string, n, ms int) *traffic {
 	t := &traffic{p: p, stop: make(chan struct{}), wg: conc.NewWaitGroup(), counts: map[outcome.Outcome]int{}, reasons: map[string]int{}}
 	for _, zone := range zones {
 		for i := range n {
@@ -55,7 +55,7 @@
 		}
 		ctx := t.p.ctx(5 * time.Second)
 		result, err := c.Do(ctx, r)
-		t.p.sent(1)
+		t.p.countRequests(1)
 		if err != nil {
 			result = &caller.Result{Outcome: outcome.NotRun, Reason: "no_lookup"}
 		}
@@ -71,7 +71,8 @@
 	}
 }
 
-// end stops the load and returns how its requests ended.
+// end stops the load and returns the number of requests with each outcome, and the number for
+// each reason why a request was not answered.
 func (t *traffic) end() (answered, notRun, unknown int, reasons map[string]int) {
 	close(t.stop)
 	t.wg.Wait()
