--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 CONTROLS := no-once careless-not-run reuse-any ignore-leaving exit-at-once no-cap own-view any-revision
 STATICCHECK := go tool staticcheck
 
-# Of the soak: how many fresh seeds, and how many boxes in each.
+# Of the soak: the number of new seeds, and of boxes in each run.
 RUNS ?= 10
 BOXES ?= 6
 
@@ -45,7 +45,7 @@
 	@if [ "$(SHAPE)" = machines ]; then $(BIN)/stoneworks-machines --bin $(BIN) --seed $(or $(SEED),1); \
 	else $(BIN)/stoneworks-demo --shape $(SHAPE) --bin $(BIN); fi
 
-soak: build ## strike real processes from outside: RUNS=10 fresh seeds, or SEED=n again; BOXES=6
+soak: build ## inject faults into real processes: RUNS=10 new seeds, or SEED=n again; BOXES=6
 	$(BIN)/stoneworks-soak --bin $(BIN) --seed $(or $(SEED),0) --runs $(RUNS) --boxes $(BOXES) $(if $(KINDS),--kinds $(KINDS))
 
 prove: build ## prove what must always hold: PROMISE=4 for one
