--- a/pkg/storepoller/fleet_test.go
+++ b/pkg/storepoller/fleet_test.go
@@ -17,7 +17,7 @@
 	// advances; the ticks of boxes do not coincide.
 	tick = 100 * time.Millisecond
 	step = 20 * time.Millisecond
-	// pages is the length of the list in pages, and atOnce how many of them each box reads
+	// pages is the length of the list in pages, and pagesWithoutRole how many of them each box reads
 	// without having the role.
 	pages            = 33
 	pagesWithoutRole = 2
--- a/test/machines/leaving_test.go
+++ b/test/machines/leaving_test.go
@@ -18,7 +18,7 @@
 // drainTime is how long after its announcement a leaving server may still get new requests.
 const drainTime = 2500 * time.Millisecond
 
-// lateAfterLeaving counts a server's late requests: fromTold those that came later than drainTime
+// lateAfterLeaving counts a server's late requests: fromInformed those that came later than drainTime
 // after it had announced to the same box that it leaves, fromAny those that came from any box later
 // than drainTime after its first announcement.
 func lateAfterLeaving(s *Server) (fromInformed, fromAny int) {
